--- a/src/decision/compared_workers.ts
+++ b/src/decision/compared_workers.ts
@@ -1,16 +1,20 @@
 /**
- * Which workers a request is compared on where many instances choose by the same news.
+ * Selects the workers that a request is compared across when many instances share the same load
+ * data.
  *
- * Load that it answers: hundreds of entry instances that each begin a few requests a second. What they go by is some
- * tenths of a second old, and they all have the same: each would take the worker that was the least loaded then, and
- * what they send there together is known to none of them before the next news. One would notice workers that reject
- * requests as full beside others that idle, and a busiest worker that changes every few hundred milliseconds.
+ * Load: hundreds of entry instances that each start a few requests per second. Their load data is a
+ * few tenths of a second old and the same everywhere. Each instance would pick the worker that was
+ * least loaded at that time, and no instance learns of the combined load before the next digest.
+ * Symptom: workers that reject requests as full next to idle ones, and a busiest worker that
+ * changes every few hundred milliseconds.
  *
- * So each request compares only a few workers drawn at random, the fewer the more begins at a worker between two news:
- * with two the load stays even however old the news are, and where little begins unseen all are compared. Before
- * hundreds of workers, looking at a few also costs a request a fraction of looking at all.
+ * Mechanism: each request compares only a few randomly drawn workers. The more runs start at a
+ * worker between two digests, the fewer workers are drawn. With two candidates the load stays even
+ * however old the data is; where few runs start unseen, all workers are compared. With hundreds of
+ * workers, checking a few also costs a fraction of checking all.
  *
- * The homes of the request's prompt are compared as well, since only the requests that share it go there.
+ * The home workers of the request's prompt are always compared as well, since only requests that
+ * share the prompt go there.
  *
  * @module
  */
@@ -18,23 +22,26 @@
 import { homesOf } from "./worker_ranking.ts";
 import type { PromptHomes, PromptPart } from "./worker_ranking.ts";
 
-/** Drawn at least: the better of two is far better than one at random. */
+/** Minimum number of workers drawn: the better of two is far better than one at random. */
 const LEAST_DRAWN = 2;
-/** Workers drawn where one run begins unseen at each. */
+/** Number of workers drawn when one run per worker starts unseen. */
 const DRAWN_AT_ONE = 3;
 
-/** What a request is compared on. */
+/** The candidate workers for one request. */
 export interface Compared<W> {
   readonly workers: readonly W[];
-  /** Where the shared parts of its prompt are kept, among all workers. */
+  /** Workers that probably cache the shared parts of the prompt, selected from all workers. */
   readonly homes: PromptHomes<W>;
 }
 
 /**
- * Draws the workers that a request is compared on.
+ * Draws the candidate workers for a request.
  *
- * @param workers All that may take it.
- * @param options `unseen` is how many runs the others begin at a worker before this instance hears of them.
+ * @param workers All workers that may serve the request.
+ * @param options `unseen` is the number of runs that other instances start at each worker before
+ * this instance receives the next digest; `parts` are the parts of the request's prompt.
+ * @returns A random sample of `workers` and the prompt's home workers, or all workers if there are
+ * no more than that.
  */
 export function comparedWorkers<W extends { readonly hash: number }>(
   workers: readonly W[],
--- a/src/decision/compared_workers_test.ts
+++ b/src/decision/compared_workers_test.ts
@@ -6,7 +6,7 @@
 import type { RankedWorker } from "./worker_ranking.ts";
 
 const SPEED = { readRate: 100, runTime: 800 };
-/** Milliseconds between two news, and that a run lasts. */
+/** Milliseconds between two digests, and milliseconds that a run takes. */
 const NEWS_AGE = 400;
 const RUN_TIME = 800;
 const STEP = 10;
@@ -20,9 +20,10 @@
 }
 
 /**
- * Requests of many instances that all go by the same old news.
+ * Simulates requests at many instances that all use the same outdated load data.
  *
- * @returns What the busiest worker got over the mean, and the part of all requests that found no free place.
+ * @returns `busiest` is the busiest worker's number of requests divided by the mean; `overfull` is
+ * the fraction of requests that found no free slot.
  */
 function play(load: Load): { busiest: number; overfull: number } {
   const { workers, perSecond, instances } = load;
@@ -31,7 +32,7 @@
   const running = new Map(ids.map((id) => [id, 0]));
   const ends: { at: number; id: string }[] = [];
   let told = new Map(running);
-  /** By instance, what it has begun since the last news. */
+  /** The runs that each instance has started since the last digest, by worker. */
   let own = Array.from({ length: instances }, () => new Map<string, number>());
   const got = new Map<string, number>();
   let due = 0;
@@ -75,19 +76,20 @@
   return { busiest: Math.max(...got.values()) / (all / workers), overfull: overfull / all };
 }
 
-// All instances hear the same sums a few times a second. If each took the worker that is the least loaded by them, one
-// would get several times the mean, and reject what the others could have taken.
+// All instances receive the same totals a few times per second. If each picked the worker that is
+// least loaded by them, one worker would get several times the mean and reject requests that the
+// others could have served.
 test.each([
   { instances: 63, workers: 46, perSecond: 320 },
   { instances: 195, workers: 69, perSecond: 420 },
   { instances: 300, workers: 69, perSecond: 420 },
-])("no worker is picked by all of $instances instances at once", (load) => {
+])("does not send the requests of all $instances instances to the same worker", (load) => {
   const { busiest, overfull } = play(load);
   expect(busiest).toBeLessThan(1.5);
   expect(overfull).toBeLessThan(0.01);
 });
 
-test("where little begins unseen the cheapest worker is taken", () => {
+test("compares all workers if few runs start unseen", () => {
   const random = createSeededRandom(1);
   const worker = (index: number, running: number): RankedWorker => ({
     id: `w${index}`,
@@ -106,8 +108,9 @@
   }
 });
 
-// A session's requests share most of their prompts. Sent anywhere, each would be read whole again.
-test("the homes of a prompt are always compared", () => {
+// The requests of a session share most of their prompts. At any other worker the shared part would
+// be processed again.
+test("always includes the home workers of a prompt", () => {
   const random = createSeededRandom(1);
   const workers = Array.from({ length: 69 }, (_, index) => ({ hash: hashText(`w${index}`) }));
   const parts = [
--- a/src/decision/crash_evidence.ts
+++ b/src/decision/crash_evidence.ts
@@ -1,72 +1,93 @@
 /**
- * Which requests crash the workers that run them.
+ * Identifies requests that crash the workers that run them.
  *
- * Load that it answers: a single request that ends every worker that begins to run it, and that its caller sends again
- * and again under new ids, to any instance. Each worker takes down what runs beside it, and that is sent again too. One
- * would notice workers that end one after the other while the load is as usual, and requests of all kinds that fail.
+ * Load: a single request that crashes every worker that starts to run it, and that its caller sends
+ * again and again under new IDs, to any instance. Each crash also ends the other runs at the
+ * worker, which are then sent again too. Symptom: workers that crash one after another under normal
+ * load, and failing requests of all kinds.
  *
- * What runs at a worker that ends was there by chance or is the reason, and one crash doesn't tell which. So it is
- * counted over all instances under how many workers a request was lost, against how often it was answered lately. The
- * reason is never answered, while what is there by chance is answered at the next worker. What much is asked for may lose
- * several workers in a moment, and its answers of the moments before speak for it.
+ * Mechanism: a request that was running at a crashed worker is either the cause or was there by
+ * chance, and one crash does not tell which. So the number of workers lost while running a request
+ * is counted over all instances and compared with its recent answers. The cause is never answered;
+ * a request that was there by chance is answered at the next worker. A frequent request may lose
+ * several workers at once, but its answers from just before count in its favor.
  *
- * What was counted ends with the instances that counted it. So what is suspected can be recalled from where it was
- * written down: crashes that are counted later come on top of it.
+ * Counts are lost when the instances that hold them end. A suspected request can therefore be
+ * restored from the store; crashes counted later are added to the restored number.
  *
  * @module
  */
 import type { RunCounts } from "./worker_health.ts";
 
-/** A request by what its caller asks for, whatever its id. */
+/** A request identified by its content, independent of its ID. */
 export interface Suspect {
-  /** Tells it from all others. */
+  /** Unique name of the request. */
   readonly name: string;
-  /** Under this number instances tell each other what they have counted. */
+  /** Key under which instances exchange their counts for the request. */
   readonly key: number;
 }
 
-/** A request under which several workers have ended. */
+/** A request during whose runs several workers have crashed. */
 export interface CrashFinding {
   readonly suspect: Suspect;
-  /** Workers that ended while they ran it, over all instances. */
+  /** Number of workers that crashed while running the request, over all instances. */
   readonly crashes: number;
-  /** Whether this instance has lost a worker with it. */
+  /** Whether a worker crashed during a run that this instance started. */
   readonly isOwn: boolean;
-  /** When it was found, in the clock's milliseconds. */
+  /** When the request was found, in milliseconds of the clock. */
   readonly since: number;
 }
 
-/** What one instance knows of requests and crashes. */
+/**
+ * What one instance knows about requests and crashes. All times are in milliseconds of the clock.
+ */
 export interface CrashEvidence {
-  /** A worker ended while it ran the request. */
+  /** Records that a worker crashed while running the request. */
   crashed(suspect: Suspect, now: number): void;
-  /** A worker gave the request a whole answer. */
+  /** Records that a worker answered the request completely. */
   answered(suspect: Suspect, now: number): void;
-  /** Whether the request is known to crash workers. */
+  /** Whether the request is proven to crash workers. */
   isProven(suspect: Suspect, now: number): boolean;
-  /** Whether any instance has had an answer of the request since workers crashed under it. */
+  /** Whether any instance has received an answer to the request since it lost workers. */
   isAnswered(suspect: Suspect): boolean;
-  /** So many workers are known to have ended under the request by now, also if those that counted them have ended. */
+  /**
+   * Restores a number of crashes that was stored earlier, even if the instances that counted them
+   * have ended.
+   */
   recall(suspect: Suspect, crashes: number): void;
-  /** Forgets all that was counted of a request here, or recalled. */
+  /** Deletes everything that was counted here or restored for a request. */
   forget(name: string): void;
-  /** All that are known to crash workers. */
+  /** Returns all requests that are proven to crash workers. */
   proven(now: number): CrashFinding[];
-  /** All that will be known to with the next crash, and have lost a worker here. */
+  /**
+   * Returns the requests that were running at a worker lost here and need only one more crash to be
+   * proven.
+   */
   suspected(now: number): CrashFinding[];
-  /** What this instance has counted, by key, for the others: workers lost and answers, and the workers lost of them. */
+  /**
+   * Returns this instance's counts by key, for the other instances: `runs` is the number of crashes
+   * and answers, `failures` the number of crashes.
+   */
   counts(now: number): ReadonlyMap<number, RunCounts>;
 }
 
-/** A request is proven by so many crashes where it was never answered, and by as many more for each answer. */
+/**
+ * Crashes that prove a request without answers; each answer raises the threshold by the same
+ * number.
+ */
 export const PROVING_CRASHES = 3;
-/** Milliseconds for which an answer speaks for a request that loses workers later. */
+/** Milliseconds for which an answer counts in favor of a request that loses workers later. */
 const ANSWER_LIFE = 10_000;
-/** Milliseconds for which a crash is remembered after the last one. */
+/** Milliseconds for which crashes are kept after the latest one. */
 export const CRASH_LIFE = 600_000;
-/** Milliseconds for which a request stays proven though those that counted its crashes have gone. */
+/**
+ * Milliseconds for which a request stays proven after the instances that counted its crashes have
+ * ended.
+ */
 const PROOF_LIFE = 60_000;
-/** Requests whose answers, and whose crashes, are remembered; the oldest make room. */
+/**
+ * Maximum number of requests whose answers, and whose crashes, are kept; the oldest are evicted.
+ */
 const GREATEST_ANSWERED = 4_096;
 const GREATEST_SUSPECTS = 512;
 
@@ -86,7 +107,10 @@
 
 interface Recalled {
   readonly crashes: number;
-  /** Crashes that were counted when it was recalled, and are among them; fewer once those that counted them have ended. */
+  /**
+   * Crashes counted at the time of the restore, which `crashes` includes. Decreases when the
+   * instances that counted them end.
+   */
   counted: number;
 }
 
@@ -97,20 +121,21 @@
 }
 
 /**
- * Makes evidence of nothing.
+ * Creates crash evidence without any counts.
  *
- * @param othersOf What all other instances have counted under a key; undefined where they have counted nothing.
+ * @param othersOf Returns the total that all other instances have counted under a key; undefined if
+ * they have counted nothing.
  */
 export function createCrashEvidence(
   othersOf: (key: number) => RunCounts | undefined,
 ): CrashEvidence {
-  /** By name, what this instance tells the others of. */
+  /** The counts that this instance sends to the others, by request name. */
   const own = new Map<string, Counted>();
-  /** By name, the answers of the last moments. */
+  /** Recent answers by request name. */
   const lately = new Map<string, Answered>();
   const known = new Map<string, CrashFinding>();
   const recalled = new Map<string, Recalled>();
-  /** By name, when what isn't proven yet was first one crash from it. */
+  /** When a request that is not yet proven was first one crash short of it, by request name. */
   const suspectedSince = new Map<string, number>();
 
   const countedOf = (suspect: Suspect, now: number): Counted => {
@@ -120,7 +145,7 @@
       answers: answersOf(suspect.name, now),
       at: now,
     };
-    // The one that changed last is the last to make room.
+    // Moves the entry to the end of the map, so that it is evicted last.
     own.delete(suspect.name);
     own.set(suspect.name, found);
     found.at = now;
@@ -165,7 +190,8 @@
       return true;
     }
     if (before === undefined) return false;
-    // Those that counted may have ended. An answer since then speaks for it; silence speaks for nothing.
+    // The instances that counted may have ended. A later answer clears the request; missing counts
+    // do not.
     if (total.answers === 0 && now - before.since < PROOF_LIFE) return true;
     known.delete(name);
     return false;
@@ -184,7 +210,8 @@
       noteAnswer(suspect, now);
     },
     isProven: (suspect, now) => {
-      // Others have lost workers with what was answered here: they are told so before it is taken for the reason.
+      // Other instances lost workers with a request that was answered here. Report the answers to
+      // them before the request is considered the cause.
       const isNew = !own.has(suspect.name) && answersOf(suspect.name, now) > 0;
       if (isNew && (othersOf(suspect.key)?.failures ?? 0) > 0) countedOf(suspect, now);
       return isProven(suspect, now);
@@ -228,7 +255,10 @@
   };
 }
 
-/** Drops what was last changed before a moment, and the oldest beyond a number. */
+/**
+ * Removes entries last changed before the given time, and the oldest entries beyond the maximum
+ * size.
+ */
 function dropOldest<T extends { readonly at: number }>(
   entries: Map<string, T>,
   { most, before }: { most: number; before: number },
--- a/src/decision/crash_evidence_test.ts
+++ b/src/decision/crash_evidence_test.ts
@@ -5,7 +5,7 @@
 const REASON: Suspect = { name: "reason", key: 1 };
 const CHANCE: Suspect = { name: "chance", key: 2 };
 
-/** Instances that know at once what each of them has counted. */
+/** Creates instances that see each other's counts immediately. */
 function fleet(size: number): CrashEvidence[] {
   const now = { value: 0 };
   const members: CrashEvidence[] = [];
@@ -32,7 +32,7 @@
   return createCrashEvidence(() => undefined);
 }
 
-test("a request under which three workers ended is proven, one under which two did isn't", () => {
+test("proves a request after three crashes but not after two", () => {
   const evidence = alone();
   evidence.crashed(REASON, 0);
   evidence.crashed(REASON, 100);
@@ -42,13 +42,13 @@
   expect(evidence.proven(400)).toEqual([{ suspect: REASON, crashes: 3, isOwn: true, since: 400 }]);
 });
 
-test("three instances that lost one worker each know it together, and so does a fourth", () => {
+test("adds up the crashes of three instances, and a fourth instance sees the total", () => {
   const members = fleet(4);
   for (const member of members.slice(0, 3)) member.crashed(REASON, 0);
   for (const member of members) expect(member.isProven(REASON, 1)).toBe(true);
 });
 
-test("guards against refusing what ran beside the reason and is answered at the next worker", () => {
+test("does not refuse a request that ran beside the cause and is answered at the next worker", () => {
   const evidence = alone();
   for (let crash = 0; crash < 5; crash++) {
     evidence.crashed(REASON, crash * 500);
@@ -59,7 +59,7 @@
   expect(evidence.isProven(CHANCE, 3_000)).toBe(false);
 });
 
-test("guards against refusing what is asked for much when many workers end at once", () => {
+test("does not refuse a frequent request when many workers crash at once", () => {
   const members = fleet(3);
   const [first, second, third] = members;
   for (let run = 0; run < 10; run++) first?.answered(CHANCE, run);
@@ -67,19 +67,19 @@
     member?.crashed(CHANCE, 20);
     member?.crashed(CHANCE, 21);
   }
-  // The one that has answered it says so when it is asked for it again.
+  // The instance that has answered the request reports this when it receives the request again.
   expect(first?.isProven(CHANCE, 30)).toBe(false);
   for (const member of members) expect(member.isProven(CHANCE, 40)).toBe(false);
 });
 
-test("an answer of long ago doesn't speak for a request that crashes workers now", () => {
+test("ignores old answers of a request that crashes workers now", () => {
   const evidence = alone();
   evidence.answered(REASON, 0);
   for (let crash = 0; crash < 3; crash++) evidence.crashed(REASON, 20_000 + crash);
   expect(evidence.isProven(REASON, 20_010)).toBe(true);
 });
 
-test("guards against forgetting what is proven when those that counted it have ended", () => {
+test("keeps a request proven for a while after the instances that counted its crashes have ended", () => {
   let others: { runs: number; failures: number } | undefined = { runs: 3, failures: 3 };
   const evidence = createCrashEvidence(() => others);
   expect(evidence.isProven(REASON, 0)).toBe(true);
@@ -88,7 +88,7 @@
   expect(evidence.isProven(REASON, 61_000)).toBe(false);
 });
 
-test("what is proven ends when others tell of answers", () => {
+test("clears a proven request when other instances report answers", () => {
   let others = { runs: 3, failures: 3 };
   const evidence = createCrashEvidence(() => others);
   expect(evidence.isProven(REASON, 0)).toBe(true);
@@ -96,7 +96,7 @@
   expect(evidence.isProven(REASON, 500)).toBe(false);
 });
 
-test("crashes a long while apart still count together, within ten minutes of the last one", () => {
+test("adds up crashes that are far apart, within ten minutes of the latest one", () => {
   const evidence = alone();
   for (let crash = 0; crash < 3; crash++) evidence.crashed(REASON, crash * 300_000);
   expect(evidence.isProven(REASON, 600_001)).toBe(true);
@@ -106,7 +106,7 @@
   expect(late.counts(601_000).size).toBe(0);
 });
 
-test("memory is bounded whatever is asked for", () => {
+test("limits the number of requests that are kept", () => {
   const evidence = alone();
   for (let index = 0; index < 10_000; index++) {
     evidence.crashed({ name: `r${index}`, key: index }, index);
@@ -115,7 +115,7 @@
   expect(evidence.counts(10_000).size).toBeLessThanOrEqual(512);
 });
 
-test("guards against crashes that don't count because those that counted them have ended", () => {
+test("counts restored crashes after the instances that counted them have ended", () => {
   let others: { runs: number; failures: number } | undefined = { runs: 1, failures: 1 };
   const evidence = createCrashEvidence(() => others);
   evidence.crashed(REASON, 0);
@@ -127,7 +127,7 @@
   expect(evidence.isProven(REASON, 4)).toBe(true);
 });
 
-test("what is recalled again and again counts once", () => {
+test("counts crashes that are restored repeatedly only once", () => {
   const evidence = alone();
   for (let time = 0; time < 10; time++) {
     evidence.recall(REASON, 2);
@@ -138,7 +138,7 @@
   expect(evidence.proven(20)).toMatchObject([{ suspect: REASON, crashes: 3 }]);
 });
 
-test("an answer speaks for what was recalled", () => {
+test("counts an answer in favor of a restored request", () => {
   const evidence = alone();
   evidence.recall(CHANCE, 2);
   evidence.answered(CHANCE, 0);
@@ -147,7 +147,7 @@
   expect(evidence.isProven(CHANCE, 10)).toBe(false);
 });
 
-test("a request is suspected that lacks one crash, was lost here and has no answer", () => {
+test("lists a suspect that lost workers here, has no answers and needs one more crash", () => {
   const [first, second] = fleet(2);
   first?.crashed(REASON, 0);
   expect(first?.suspected(10)).toEqual([]);
--- a/src/decision/ejection.ts
+++ b/src/decision/ejection.ts
@@ -1,37 +1,41 @@
 /**
- * Which workers get no work for a while because they are slow or failing.
+ * Selects slow or failing workers that receive no work for a while.
  *
- * Load that it answers: one backend server among many is slow or answers with errors, while the service as
- * a whole is well. It ends failing requests quickly, so it always looks idle and draws the most work. One
- * would notice a share of errors or of late answers that fits one worker's share of the load.
+ * Load: one backend server among many is slow or returns errors, while the service as a whole is
+ * healthy. It finishes failing requests quickly, so it always looks idle and attracts the most
+ * work. Symptom: a fraction of errors or late answers that matches one worker's fraction of the
+ * load.
  *
- * A worker is compared with its peers, not with a fixed time: when all are slow the load or the model is
- * the cause, and taking workers away would make it worse. It is out if its median gap between tokens is
- * over twice its peers' median and above the target (below the target it harms nobody), or if over half of
- * its runs fail while its peers' median share is under half of that. At most a fifth of a service's workers
- * are out at once, because beyond that the others can't carry the load at four fifths of use. The median of
- * three peers is the least that one bad peer can't move.
+ * Mechanism: a worker is compared with its peers, not with a fixed time. If all are slow, the cause
+ * is the load or the model, and removing workers would make it worse. A worker is ejected if its
+ * median gap between tokens is more than twice its peers' median and above the target (below the
+ * target it does no harm), or if more than half of its runs fail while its peers' median failure
+ * rate is below half of that rate. At most a fifth of a service's workers are ejected at once,
+ * because the rest cannot carry more when they run at four fifths of their capacity. The comparison
+ * needs at least three peers, the smallest number whose median one bad peer cannot shift.
  *
- * A worker comes back after 10 s, twice as long with each ejection in a row up to 5 min, with a tenth of its
- * limit, growing to all of it in 30 s: long enough to judge it anew on 20 gaps before it has much to spoil.
- * A connection that went silent counts for nothing here: something between the two ends has lost it, and
- * new connections to the same server work.
+ * A worker returns after 10 s, doubled with each consecutive ejection up to 5 min. It starts with a
+ * tenth of its limit, which grows to the whole limit within 30 s: long enough to judge it by 20 new
+ * gaps before it can harm many requests. Connections that went silent do not count here: something
+ * between the two ends lost the connection, and new connections to the same server work.
  *
  * @module
  */
 
-/** What is known of one worker, against its peers of the same service. */
+/** Measurements of one worker, compared with those of its peers in the same service. */
 export interface PeerReading {
   readonly worker: string;
-  /** Median milliseconds between tokens; undefined where too few were seen. */
+  /** Median milliseconds between two tokens; undefined if there are too few samples. */
   readonly gap: number | undefined;
-  /** Runs that ended, old ones with less weight, and how many of them failed. */
+  /** Number of finished runs, with older runs weighted less, and how many of them failed. */
   readonly runs: number;
   readonly failures: number;
   readonly isOut: boolean;
 }
 
-/** Times a worker was ejected, and until when it is out. */
+/**
+ * The end of a worker's latest ejection in milliseconds, and the number of consecutive ejections.
+ */
 export interface EjectionState {
   readonly until: number;
   readonly times: number;
@@ -46,15 +50,15 @@
 const GREATEST_TIME_OUT = 300_000;
 const SLOW_START = 30_000;
 const SLOW_START_FROM = 0.1;
-/** A worker that has been well for this long begins again at the shortest time out. */
+/** Milliseconds without ejection after which the next one lasts the shortest time again. */
 const FORGIVEN_AFTER = 600_000;
 
 /**
- * Chooses workers of one service to take out now.
+ * Selects the workers of one service to eject now.
  *
  * @param peers All live workers of the service.
- * @param options `gapTarget`: the service's target between tokens, in milliseconds.
- * @returns The ids of workers to take out, the worst first.
+ * @param options `gapTarget` is the service's target for the time between tokens, in milliseconds.
+ * @returns The IDs of the workers to eject, the worst first.
  */
 export function chooseEjections(
   peers: readonly PeerReading[],
@@ -70,7 +74,7 @@
   return bad.slice(0, allowed).map(({ worker }) => worker);
 }
 
-/** How far a worker is beyond what is accepted; above 1 it is too far. */
+/** Returns how far a worker exceeds its peers; a value above 1 justifies an ejection. */
 function badness(peer: PeerReading, all: readonly PeerReading[]): (gapTarget: number) => number {
   const others = all.filter(({ worker }) => worker !== peer.worker);
   const gaps = others.map(({ gap }) => gap).filter((gap) => gap !== undefined);
@@ -93,7 +97,7 @@
   return sorted[Math.floor(sorted.length / 2)] ?? 0;
 }
 
-/** The state after one more ejection. */
+/** Returns the state after another ejection at the time `now`. */
 export function ejectedAgain(before: EjectionState | undefined, now: number): EjectionState {
   const recent = before !== undefined && now - before.until < FORGIVEN_AFTER;
   const times = recent ? before.times + 1 : 1;
@@ -101,7 +105,7 @@
   return { until: now + length, times };
 }
 
-/** The part of its limit, from 0 to 1, that a worker may use: 0 while it is out. */
+/** Returns the fraction of its limit, from 0 to 1, that a worker may use: 0 while it is ejected. */
 export function usablePart(state: EjectionState | undefined, now: number): number {
   if (state === undefined) return 1;
   if (now < state.until) return 0;
--- a/src/decision/ejection_test.ts
+++ b/src/decision/ejection_test.ts
@@ -23,35 +23,35 @@
 }
 
 describe("ejection", () => {
-  test("a server slower than its peers goes out", () => {
+  test("ejects a server that is slower than its peers", () => {
     expect(ejected(somePeers(5, { 2: { gap: 150 } }))).toEqual(["w2"]);
   });
 
-  test("a server that fails what others answer goes out", () => {
-    // It answers errors at once, so it always looks idle and draws the most work.
+  test("ejects a server that fails requests that its peers answer", () => {
+    // It returns errors immediately, so it always looks idle and attracts the most work.
     expect(ejected(somePeers(5, { 1: { failures: 40 } }))).toEqual(["w1"]);
   });
 
-  test("when all are slow or all fail, none goes out", () => {
-    // A bad revision makes every server fail. Taking servers away would add an overload to the fault.
+  test("ejects no server if all are slow or all fail", () => {
+    // A bad revision makes every server fail. Removing servers would add overload to the failures.
     const slow = Object.fromEntries([0, 1, 2, 3, 4].map((index) => [index, { gap: 150 }]));
     const failing = Object.fromEntries([0, 1, 2, 3, 4].map((index) => [index, { failures: 40 }]));
     expect(ejected(somePeers(5, slow))).toEqual([]);
     expect(ejected(somePeers(5, failing))).toEqual([]);
   });
 
-  test("at most a fifth are out at once, the worst first", () => {
+  test("ejects at most a fifth of the servers at once, the worst first", () => {
     const bad = { 0: { gap: 100 }, 1: { gap: 300 }, 2: { gap: 200 } };
     expect(ejected(somePeers(10, bad))).toEqual(["w1", "w2"]);
     expect(ejected(somePeers(10, { ...bad, 5: { isOut: true }, 6: { isOut: true } }))).toEqual([]);
     expect(ejected(somePeers(3, { 0: { gap: 300 } }))).toEqual([]);
   });
 
-  test("a server below the target is left alone however quick its peers are", () => {
+  test("does not eject a server below the target even if its peers are much faster", () => {
     expect(ejected(somePeers(5, { 0: { gap: 40 }, 1: { gap: 10 }, 2: { gap: 10 } }))).toEqual([]);
   });
 
-  test("it comes back little by little, and later each time in a row", () => {
+  test("restores an ejected server gradually, and later with each consecutive ejection", () => {
     const first = ejectedAgain(undefined, 0);
     expect([5_000, 10_000, 25_000, 50_000].map((now) => usablePart(first, now))).toEqual([
       0, 0.1, 0.55, 1,
--- a/src/decision/read_rate.ts
+++ b/src/decision/read_rate.ts
@@ -1,38 +1,45 @@
 /**
- * How many prompt tokens a service's engines read a millisecond.
+ * Estimates how many prompt tokens a service's engines process per millisecond.
  *
- * Load that it answers: long prompts, before engines of any speed. What a first token waits for is mostly prompts
- * that are read before it, so with a rate that is half of the true one an instance would refuse requests that could
- * be in time, and with twice the true one take those that can't. One would notice refusals while engines idle, or
- * first tokens that come late though they were expected in time.
+ * Load: long prompts on engines of any speed. A first token waits mostly for the prompts that are
+ * processed before it. With half of the true rate an instance would refuse requests that could be
+ * in time; with twice the true rate it would accept requests that cannot. Symptom: refusals while
+ * engines are idle, or first tokens that are later than estimated.
  *
- * The rate is learned from first tokens: what was there to be read, over how long it took. Parts that turned out to
- * be in the engine's cache make single samples too high, and tokens of other requests made meanwhile too low; the
- * median of many is near enough to tell a wait of half a second from one of two. It moves by a twentieth with each
- * sample, on a logarithmic scale, since it is off by factors.
+ * Mechanism: the rate is estimated from first tokens, as the number of pending prompt tokens
+ * divided by the time until the first token. Parts found in the engine's cache make a sample too
+ * high; requests of other instances processed in the meantime make it too low. The median of many
+ * samples is accurate enough to tell a wait of half a second from one of two seconds. The estimate
+ * moves by a twentieth per sample, on a logarithmic scale, since its error is a factor.
  *
  * @module
  */
 
-/** The rate of one service's engines. */
+/** Estimated prompt processing rate of one service's engines. */
 export interface ReadRate {
-  /** Tokens a millisecond. */
+  /** Tokens per millisecond. */
   readonly value: number;
-  /** A first token came after `took` milliseconds, with so many tokens to be read before it. */
+  /**
+   * Adds a sample: a first token arrived after `took` milliseconds, with `tokens` pending prompt
+   * tokens.
+   */
   observe(sample: { tokens: number; took: number }): void;
 }
 
-/** Tokens a millisecond until any sample: engines of the usual sizes read 50 to 110. */
+/** Tokens per millisecond before any sample: engines of common sizes process 50 to 110. */
 const FIRST = 60;
 const LEAST = 5;
 const GREATEST = 1_000;
-/** What a first token takes beside reading: the way there and back and the first step, in milliseconds. */
+/**
+ * Milliseconds that a first token takes besides prompt processing: the round trip and the first
+ * decoding step.
+ */
 const BESIDE_READING = 35;
-/** Samples with less to be read are mostly what is beside it. */
+/** Samples with fewer tokens consist mostly of the fixed latency. */
 const LEAST_TOKENS = 3_000;
 const STEP = 1.05;
 
-/** Makes a rate of which nothing is known. */
+/** Creates an estimate without samples. */
 export function createReadRate(): ReadRate {
   let value = FIRST;
   return {
--- a/src/decision/read_rate_test.ts
+++ b/src/decision/read_rate_test.ts
@@ -2,7 +2,7 @@
 import { createSeededRandom } from "../interface/index.ts";
 import { createReadRate } from "./read_rate.ts";
 
-test("the rate of engines is learned from first tokens, though some found parts in the cache", () => {
+test("estimates the rate from first tokens even if some prompts are partly cached", () => {
   const random = createSeededRandom(1);
   const rate = createReadRate();
   for (let count = 0; count < 300; count++) {
@@ -14,7 +14,7 @@
   expect(rate.value).toBeLessThan(140);
 });
 
-test("short prompts say nothing of it", () => {
+test("ignores short prompts", () => {
   const rate = createReadRate();
   const before = rate.value;
   for (let count = 0; count < 100; count++) rate.observe({ tokens: 600, took: 400 });
--- a/src/decision/remove_first.ts
+++ b/src/decision/remove_first.ts
@@ -1,4 +1,7 @@
-/** Removes the entry of a map that was set first: where entries are set anew when they are used, the one unused longest. */
+/**
+ * Deletes the first entry of a map. If entries are inserted again on each use, this is the least
+ * recently used one.
+ */
 export function removeFirst(map: Map<string, unknown>): void {
   const first = map.keys().next();
   if (first.done !== true) map.delete(first.value);
--- a/src/decision/repeat_allowance.ts
+++ b/src/decision/repeat_allowance.ts
@@ -1,39 +1,43 @@
 /**
- * How many requests one instance may send to a second worker.
+ * Limits how many requests one instance may send to a second worker.
  *
- * Load that it answers: an outage or a worker that fails part of its requests. Every failed request that is
- * sent again adds to the load of the others. One would notice more arrivals at the workers than requests, and
- * a service that stays down after its cause has gone. All instances together are held to a part of a service's
- * requests plus a fixed number in any window of some seconds.
+ * Load: an outage, or a worker that fails some of its requests. Every failed request that is sent
+ * again adds to the load of the other workers. Symptom: more arrivals at the workers than requests,
+ * and a service that stays down after the cause is gone.
  *
- * Each instance keeps within that part of its own requests and an equal share of the fixed number: then all
- * together keep within the whole without a word between them, also while they can't reach each other. What
- * an idle instance leaves unused is lost to the others; that is the price of needing no agreement.
+ * Mechanism: in any window of a few seconds, all instances together may repeat a fraction of a
+ * service's requests plus a fixed number. Each instance limits itself to that fraction of its own
+ * requests and an equal share of the fixed number. The sum then stays within the total without
+ * communication, even while instances cannot reach each other. An idle instance's unused share is
+ * lost to the others; this is the price of needing no coordination.
  *
  * @module
  */
 
-/** What all instances together may send again. */
+/** Limits for repeats over all instances. */
 export interface RepeatBounds {
-  /** Repeats for each request. */
+  /** Repeats per request. */
   readonly ratio: number;
-  /** Repeats in a window besides, over all instances. */
+  /** Additional repeats per window, over all instances. */
   readonly slack: number;
-  /** Length of a window in milliseconds. */
+  /** Window length in milliseconds. */
   readonly window: number;
 }
 
-/** The allowance of one instance. */
+/** Repeat budget of one instance. Times are in milliseconds of the clock. */
 export interface RepeatAllowance {
-  /** A request for the service has come from a caller. */
+  /** Records that a caller sent a request for the service. */
   requested(service: string, now: number): void;
-  /** Takes one repeat; false, and nothing taken, where the allowance is used up. */
+  /** Takes one repeat. Returns false and takes nothing if the budget is exhausted. */
   take(service: string, now: number): boolean;
-  /** How many instances share the fixed number. */
+  /** Sets the number of instances that share the fixed number of repeats. */
   setMembers(members: number): void;
 }
 
-/** Kept back: windows slide, and an instance's count of its requests and the service's may differ a little. */
+/**
+ * Fraction of the budget that is used. The reserve is for sliding windows and for small differences
+ * between an instance's count of its requests and the service's count.
+ */
 const USED_PART = 0.85;
 
 interface Times {
@@ -41,7 +45,7 @@
   readonly repeats: number[];
 }
 
-/** Makes an allowance of which nothing is used. */
+/** Creates an unused budget. */
 export function createRepeatAllowance({ ratio, slack, window }: RepeatBounds): RepeatAllowance {
   const services = new Map<string, Times>();
   let members = 1;
@@ -67,7 +71,7 @@
   };
 }
 
-/** Drops the times before `from` from a list in ascending order. */
+/** Removes the times before `from` from an ascending list. */
 function dropBefore(times: number[], from: number): void {
   const first = times.findIndex((at) => at >= from);
   if (first !== 0) times.splice(0, first < 0 ? times.length : first);
--- a/src/decision/repeat_allowance_test.ts
+++ b/src/decision/repeat_allowance_test.ts
@@ -3,9 +3,9 @@
 
 const BOUNDS = { ratio: 0.2, slack: 52, window: 10_000 };
 
-// All workers of a service fail, and every request asks for a second try. Without a bound the workers that come
-// back would find twice the load.
-test("in an outage six instances together stay within the bound of every window", () => {
+// All workers of a service fail, and every request needs a second attempt. Without a limit the
+// workers that recover would receive twice the load.
+test("keeps six instances together within the limit in every window of an outage", () => {
   const allowances = Array.from({ length: 6 }, () => createRepeatAllowance(BOUNDS));
   for (const allowance of allowances) allowance.setMembers(6);
   const repeats: number[] = [];
@@ -23,14 +23,14 @@
   expect(repeats.length).toBeGreaterThan(1_000);
 });
 
-test("a quiet service may still repeat", () => {
+test("allows a service with few requests to repeat one", () => {
   const allowance = createRepeatAllowance(BOUNDS);
   allowance.setMembers(6);
   allowance.requested("s", 0);
   expect(allowance.take("s", 10)).toBe(true);
 });
 
-test("one service's failures don't use up another's allowance", () => {
+test("keeps the budgets of services separate", () => {
   const allowance = createRepeatAllowance(BOUNDS);
   while (allowance.take("failing", 0));
   expect(allowance.take("well", 0)).toBe(true);
--- a/src/decision/resolve.ts
+++ b/src/decision/resolve.ts
@@ -1,57 +1,59 @@
 /**
- * Which addresses a caller is told, and for how long it may keep them.
+ * Selects the addresses returned to a caller and how long the caller may cache them.
  *
- * Load that it answers: callers connect to what they were told and keep it after the instance has left, and
- * a few callers bring most of the load. Told for long, they go on calling an instance that is gone; all
- * told the same order, one instance carries a large club alone while eight idle. One would notice refused
- * connections in the minute after a reclaim, and one instance that is overloaded beside idle ones.
+ * Load: callers connect to the addresses they received and keep using them after an instance has
+ * left, and a few callers send most of the load. Addresses cached for long lead to an instance that
+ * is gone. If every answer had the same order, one instance would carry a large club alone while
+ * eight are idle. Symptom: refused connections in the minute after a reclaim, and one overloaded
+ * instance next to idle ones.
  *
- * The first address is the less loaded of two that are drawn at random, so that answers given from the same
- * stale loads don't agree on one instance; the rest follow as spares. The caller's own zone goes first while
- * its instances aren't loaded by more than a quarter above the mean: half a millisecond saved isn't worth
- * more. A key's owner is named besides, since going there at once saves a hop.
+ * Mechanism: the first address is the less loaded of two random instances, so that answers based on
+ * the same outdated load data differ; the rest follow as spares. Instances in the caller's own zone
+ * come first while their load is at most a quarter above the mean; saving half a millisecond is not
+ * worth more. The owner of a key is returned separately, since going there directly saves a hop.
  *
- * Answers are kept for ten seconds: an instance under notice leaves the answers at once, and of those that
- * hold an older one, most have asked again before a notice of some seconds has run out. A caller with more
- * than its even part of the load keeps them for less by that much, down to two, so that its load moves in
- * small pieces; asking costs less than a hundredth of what it sends in that time.
+ * Answers are cached for ten seconds. An instance that is about to be reclaimed is left out of new
+ * answers, and most callers with an older answer ask again within the notice of some seconds. A
+ * caller whose load is several times an even share caches answers for that much less, down to two
+ * seconds, so that its load moves in small steps. Asking again costs less than a hundredth of what
+ * it sends in that time.
  *
  * @module
  */
 import type { Member, Random } from "../interface/index.ts";
 
-/** What is known where a caller asks which address to use. */
+/** What is known when a caller asks for addresses. */
 export interface ResolveView {
   /** Entry instances that are alive and not leaving. */
   readonly alive: readonly Member[];
-  /** The owner of the caller's key, if it gave one. */
+  /** The owner of the caller's key, if it sent one. */
   readonly owner: Member | undefined;
-  /** The caller's availability zone where it says so. */
+  /** The caller's availability zone, if it sent one. */
   readonly zone?: string;
-  /** Requests in progress by member id, as last heard. */
+  /** Requests in progress by member ID, as last received. */
   readonly load: ReadonlyMap<string, number>;
   readonly account: string;
-  /** The account's part of all requests, from 0 to 1, where it is known. */
+  /** The account's fraction of all requests, from 0 to 1, if known. */
   readonly accountShare?: number;
 }
 
-/** What a caller is told. */
+/** The answer to a caller. It is sent as JSON. */
 export interface ResolveAnswer {
-  /** `IP:PORT`, best first. */
+  /** Addresses as `IP:PORT`, the best first. */
   readonly addresses: readonly string[];
-  /** Seconds for which the caller may keep the answer. */
+  /** Seconds for which the caller may cache the answer. */
   readonly keepFor: number;
-  /** The owner's address where a key was given. */
+  /** The owner's address, if the caller sent a key. */
   readonly owner?: string;
 }
 
 const KEEP_FOR = 10;
 const LEAST_KEEP_FOR = 2;
-/** Spares beyond these are never reached: each failed connection costs its time-out. */
+/** More spares would never be reached, since each failed connection costs a timeout. */
 const GREATEST_ADDRESSES = 6;
 const ZONE_TOLERANCE = 1.25;
 
-/** Chooses the addresses that a caller is told, and for how long. */
+/** Selects the addresses returned to a caller and how long the caller may cache them. */
 export function resolve(view: ResolveView, random: Random): ResolveAnswer {
   const order = shuffled(view.alive, random);
   const near = order.filter((member) => isNear(member, view));
@@ -70,7 +72,7 @@
   return Math.max(LEAST_KEEP_FOR, Math.round(KEEP_FOR / Math.max(1, evenParts)));
 }
 
-/** The less loaded of the first two. */
+/** Returns the less loaded of the first two members. */
 function lessLoaded([a, b]: readonly Member[], view: ResolveView): Member | undefined {
   if (a === undefined || b === undefined) return a;
   return loadOf(b, view) < loadOf(a, view) ? b : a;
--- a/src/decision/resolve_test.ts
+++ b/src/decision/resolve_test.ts
@@ -22,16 +22,16 @@
   return counts;
 }
 
-test("callers that ask at the same time from the same loads don't all get the same instance", () => {
-  // One instance looks idle in the last heard loads. If every answer named it first, it would be the most
-  // loaded one a second later.
+test("spreads simultaneous callers over instances although the load data is the same", () => {
+  // One instance looks idle in the last received load data. If every answer listed it first, it
+  // would be the most loaded one a second later.
   const load = new Map(MEMBERS.map(({ id }, index) => [id, index === 0 ? 0 : 100]));
   const counts = firsts({ load });
   expect(counts.get("10.0.0.0:2")).toBeLessThan(350);
   expect(counts.size).toBe(8);
 });
 
-test("the own zone goes first until it carries more than its part", () => {
+test("prefers the caller's zone until its load exceeds an even share", () => {
   const near = firsts({ zone: "zone-1" });
   expect([...near.keys()].sort()).toEqual(["10.0.0.1:2", "10.0.0.5:2"]);
   const load = new Map([
@@ -41,9 +41,9 @@
   expect(firsts({ zone: "zone-1", load }).get("10.0.0.1:2")).toBeLessThan(100);
 });
 
-test("a caller that brings most of the load asks again soon, and others seldom", () => {
-  // One club sends four fifths of all requests. With an answer kept for long, all of it stays on one
-  // instance however loaded that one is.
+test("lets a caller with most of the load cache answers briefly, and others longer", () => {
+  // One club sends four fifths of all requests. With a long cache time all of them would stay on
+  // one instance, however loaded it is.
   const view = { alive: MEMBERS, owner: MEMBERS[3], load: new Map(), account: "club" };
   const heavy = resolve({ ...view, accountShare: 0.8 }, createSeededRandom(1));
   const light = resolve({ ...view, accountShare: 0.05 }, createSeededRandom(1));
--- a/src/decision/retry_budget.ts
+++ b/src/decision/retry_budget.ts
@@ -1,20 +1,21 @@
 /**
- * How many jobs may be sent again, and when.
+ * Limits how many jobs may be sent again, and when.
  *
- * Load that it answers: an outage. When half of the backend servers fail, every failed job that is sent
- * again adds to the load of the other half, which then fails as well; with three tries each, the outage's
- * load is up to three times the day's. One would notice more runs than requests, and a service that stays
- * down after its cause has gone.
+ * Load: an outage. When half of the backend servers fail, every failed job that is sent again adds
+ * to the load of the other half, which then fails as well. With three attempts each, the load in an
+ * outage is up to three times the normal load. Symptom: more runs than requests, and a service that
+ * stays down after the cause is gone.
  *
- * Retries and hedges together are held to a tenth of the successes, by account and by service: in ordinary
- * times, with fewer than one failure in a hundred, it is never felt, and in an outage it adds a tenth to
- * the load, which the fleet's reserve carries. The account's own budget keeps one account's poisonous
- * requests from using up everyone's. Ten in hand let a quiet service retry at all. Where a detached job has
- * no budget but time, it waits some seconds instead of ending: nobody waits for its first token, and it was
- * accepted.
+ * Mechanism: retries and hedges together are limited to a tenth of the successes, by account and by
+ * service. In normal times, with fewer than one failure in a hundred, the limit has no effect; in
+ * an outage retries add a tenth to the load, which the fleet's reserve can carry. The account's own
+ * budget prevents the failing requests of one account from using up the budget of all. An initial
+ * budget of ten lets a service with few requests retry at all. A detached job without budget but
+ * with time left waits some seconds instead of ending: nobody waits for its first token, and it has
+ * been accepted.
  *
- * Work that moves because of an announced stop is no retry: each move has its cause outside, is bounded by
- * the notices, and must not end accepted work.
+ * Work that moves because of an announced stop is not a retry: each move has an external cause, is
+ * limited by the number of notices, and must not end accepted work.
  *
  * @module
  */
@@ -22,14 +23,17 @@
 import type { Random } from "../interface/index.ts";
 import type { Job } from "./job.ts";
 
-/** Whether a job that failed is sent again. */
+/** Whether a failed job is sent again, and after how many milliseconds. */
 export type Retry = { readonly kind: "retry"; readonly delay: number } | { readonly kind: "stop" };
 
-/** Budgets by account and by service. */
+/** Retry budgets by account and by service. */
 export interface RetryBudget {
-  /** A job ended well. */
+  /** Records that a job succeeded. */
   succeeded(job: Job): void;
-  /** Takes one from the job's budgets; false, and nothing taken, where either is used up. */
+  /**
+   * Takes one retry from both of the job's budgets. Returns false and takes nothing if either is
+   * exhausted.
+   */
   take(job: Job): boolean;
 }
 
@@ -37,7 +41,7 @@
 const IN_HAND = 10;
 const GREATEST = 100;
 
-/** Makes budgets that are full. */
+/** Creates budgets that hold the initial number of retries. */
 export function createRetryBudget(): RetryBudget {
   const budgets = new Map<string, number>();
   const left = (key: string): number => budgets.get(key) ?? IN_HAND;
@@ -58,14 +62,14 @@
   };
 }
 
-/** Moves that were announced: they cost no budget and no delay. */
+/** Causes that are announced moves: they need no budget and no delay. */
 const MOVES: ReadonlySet<RetryCause> = new Set([
   RetryCause.WorkerReclaimed,
   RetryCause.OwnerMoved,
   RetryCause.StaleEpoch,
 ]);
 
-/** Causes after which it is certain that nothing was run. */
+/** Causes after which the job certainly did not run. */
 const CERTAINLY_NOT_RUN: ReadonlySet<RetryCause> = new Set([
   RetryCause.ConnectFailed,
   RetryCause.StaleEpoch,
@@ -73,13 +77,18 @@
 
 const FIRST_DELAY = 50;
 const GREATEST_DELAY = 5_000;
-/** Without budget, a detached job tries again after between half of this and all of it. */
+/**
+ * Milliseconds within which a detached job without budget is retried, at the earliest after half of
+ * it.
+ */
 const PATIENT_DELAY = 20_000;
 
-/** What {@linkcode decideRetry} goes by. */
+/**
+ * Input for {@linkcode decideRetry}.
+ */
 export interface RetryCircumstances {
   readonly cause: RetryCause;
-  /** Tries of this job that failed, this one included. */
+  /** Failed attempts of this job, including the latest one. */
   readonly failures: number;
   readonly budget: RetryBudget;
   readonly now: number;
@@ -87,8 +96,10 @@
 }
 
 /**
- * Decides whether a job is sent again. Delays are drawn from nothing to a bound that doubles with each
- * failure (full jitter), so that jobs that failed together don't come back together.
+ * Decides whether a job is sent again.
+ *
+ * Delays are random between zero and a limit that doubles with each failure (full jitter), so that
+ * jobs that failed together are not retried together.
  */
 export function decideRetry(job: Job, circumstances: RetryCircumstances): Retry {
   const { cause, failures, budget, now, random } = circumstances;
--- a/src/decision/retry_budget_test.ts
+++ b/src/decision/retry_budget_test.ts
@@ -25,30 +25,30 @@
 }
 
 describe("retries", () => {
-  test("an outage gets at most a tenth more load from retries", () => {
-    // All servers of a service fail for a while. Three tries for each request would be three times the
-    // load, on servers that have too much already.
+  test("limits retries in an outage to a tenth of the load", () => {
+    // All servers of a service fail for a while. Three attempts per request would triple the load
+    // on servers that are already overloaded.
     const budget = createRetryBudget();
     for (let index = 0; index < 500; index++) budget.succeeded(someJob());
     expect(retriesOf(budget, someJob(), 1_000)).toBeLessThanOrEqual(60);
   });
 
-  test("one account's failing requests leave the others their retries", () => {
+  test("keeps one account's failing requests from using up the retries of others", () => {
     const budget = createRetryBudget();
     for (let index = 0; index < 500; index++) budget.succeeded(someJob({ account: "tent" }));
     expect(retriesOf(budget, someJob({ account: "club" }), 1_000)).toBe(10);
     expect(retriesOf(budget, someJob({ account: "tent" }), 20)).toBe(20);
   });
 
-  test("what may have run and may not be repeated is never sent again", () => {
-    // The server broke off after the request was sent. A second run would bill a brand twice.
+  test("never repeats a job that may have run and must not run twice", () => {
+    // The server disconnected after the request was sent. A second run would bill a brand twice.
     const once = someJob({ repeatable: false });
     expect(decide(once, { cause: RetryCause.WorkerLost }).kind).toBe("stop");
     expect(decide(once, { cause: RetryCause.SilentConnection }).kind).toBe("stop");
     expect(decide(once, { cause: RetryCause.ConnectFailed }).kind).toBe("retry");
   });
 
-  test("an announced reclaim costs no budget", () => {
+  test("charges no budget for an announced reclaim", () => {
     const budget = createRetryBudget();
     retriesOf(budget, someJob(), 50);
     expect(decide(someJob(), { budget, cause: RetryCause.WorkerReclaimed })).toEqual({
@@ -57,7 +57,7 @@
     });
   });
 
-  test("without budget, detached work waits instead of ending, and a caller is told at once", () => {
+  test("without budget, delays detached work and stops other work immediately", () => {
     const budget = createRetryBudget();
     retriesOf(budget, someJob(), 50);
     const detached = decide(someJob({ detached: true }), { budget });
@@ -65,7 +65,7 @@
     expect(decide(someJob(), { budget }).kind).toBe("stop");
   });
 
-  test("delays are spread, grow, and end with the deadline", () => {
+  test("spreads and increases delays, and stops at the deadline", () => {
     const job = someJob({ deadlineAt: 100_000 });
     const delays = Array.from({ length: 100 }, () => {
       const retry = decide(job, { failures: 4 });
--- a/src/decision/rollout_judge.ts
+++ b/src/decision/rollout_judge.ts
@@ -1,81 +1,93 @@
 /**
- * Whether a version on trial is worse than the one that serves.
+ * Decides whether a version on trial is worse than the base version, which serves the regular
+ * traffic.
  *
- * Load that it answers: a roll-out among failing, slow and crashed workers, lost answers and bursts, which strike both
- * versions. By an absolute bound a good version would be rolled back whenever there is trouble, and a bad one kept where
- * the bound is generous. One would notice the first by versions that are never taken, the second by callers' failures
- * that follow the new version's share.
+ * Load: a rollout while workers fail, slow down or crash, answers are lost and traffic bursts,
+ * which affects both versions. With an absolute limit a good version would be rolled back whenever
+ * there is trouble, or a bad one kept because the limit is generous. Symptom: versions that are
+ * never completed, or failures of callers that follow the new version's traffic share.
  *
- * So the two are compared over the same moments, route by route, failures and slow answers apart: how unlikely is what
- * was seen of the new version if it were about as good as the old one. The test may be looked at any number of times
- * before the order's end, and looks at several routes, so it asks for strong evidence; the last look asks for less, as
- * a bad version that is completed costs more than a good one that has to be ordered again.
+ * Mechanism: both versions are compared over the same period, per route, and separately for
+ * failures and slow answers. The evidence is the log-likelihood ratio of the observed counts
+ * against a version that is about as good as the base. Since the comparison is repeated any number
+ * of times before the rollout ends, and covers several routes, it requires strong evidence. The
+ * final comparison requires less, because completing a bad version costs more than rolling back a
+ * good one, which can be ordered again.
  *
- * One worker that fails by itself isn't its version: the worst of those on trial is left out where there are several
- * others, and one alone is never enough before the order's end.
+ * A single failing worker does not mean that its version is bad. The worst worker on trial is left
+ * out if there are several others, and one worker alone is never sufficient evidence before the
+ * rollout ends.
  *
  * @module
  */
 import type { RunCounts } from "./worker_health.ts";
 
-/** What was seen of a route since the order: of the version that serves, and of each worker on trial. */
+/**
+ * Counts of one route since the rollout was ordered, for the base version and for each worker on
+ * trial.
+ */
 export interface RouteEvidence {
   readonly route: string;
   readonly answers: ComparedCounts;
   readonly times: ComparedCounts;
 }
 
-/** The same counts of both versions. */
+/** The same counts for both versions. */
 export interface ComparedCounts {
   readonly base: RunCounts;
-  /** By worker. */
+  /** Counts of the version on trial, by worker. */
   readonly tried: ReadonlyMap<string, RunCounts>;
 }
 
-/** What is wrong with a version. */
+/** The reason why a version is bad. */
 export enum RolloutFault {
   Failures = "failures",
   SlowAnswers = "slow-answers",
 }
 
-/** What is thought of a version. */
+/** The assessment of a version: still open, or bad. `evidence` is a log-likelihood ratio. */
 export type RolloutVerdict =
   | { readonly kind: "open"; readonly evidence: number }
   | {
       readonly kind: "bad";
       readonly fault: RolloutFault;
-      /** Empty where it shows over all routes together. */
+      /** The route that shows the fault; empty if all routes together show it. */
       readonly route: string;
       readonly evidence: number;
     };
 
 /**
- * The ratio's logarithm at which a version is bad, at any look and in the last ones. Slow answers come in groups, where an
- * instance has no processor for a moment: a few of them say less than as many failures.
+ * Log-likelihood ratio from which a version is bad, at any time and in the final comparison. Slow
+ * answers come in groups when an instance gets no processor time for a moment, so a few of them are
+ * weaker evidence than as many failures.
  */
 const STRONG = 7;
 const STRONG_ENOUGH_AT_END = {
   [RolloutFault.Failures]: 3.2,
   [RolloutFault.SlowAnswers]: 5,
 } as const;
-/** What all workers together can add to it: nearly all have to be bad for a version to be, and more than one. */
+/**
+ * Maximum sum of the log-likelihood ratios of all workers. It is divided evenly, so that a version
+ * is bad only if nearly all of its workers are bad, and never because of one.
+ */
 const GREATEST_SUM = 10.5;
 const LEAST_WORKERS = 2;
 /**
- * What the new version's share may be over the old one's, as a factor and besides, before it counts as worse, and the
- * bad answers below which it isn't judged: a moment in which an instance has no processor makes several runs slow.
+ * How far the new version may exceed the base version's rate of bad answers (as a factor and a
+ * constant) before it counts as worse, and the minimum number of bad answers. One moment in which
+ * an instance gets no processor time makes several runs slow.
  */
 const ALLOWED = {
   failures: { factor: 1.5, besides: 0.003, least: { early: 3, last: 2 } },
   times: { factor: 1.5, besides: 0.05, least: { early: 4, last: 3 } },
 } as const;
-/** Runs that the old version's share is smoothed by. */
+/** Runs added to the base version's runs to smooth its rate. */
 const PRIOR_RUNS = 20;
-/** Runs at a worker before it may be left out as the worst one. */
+/** Minimum number of runs at a worker before it can be left out as the worst one. */
 const LEAST_RUNS = 3;
 const NOTHING: RunCounts = { runs: 0, failures: 0 };
 
-/** Judges a version by what was seen so far. */
+/** Assesses a version by the counts so far. `isLast` marks the final comparison. */
 export function judgeRollout(
   routes: readonly RouteEvidence[],
   { isLast }: { isLast: boolean },
@@ -100,7 +112,7 @@
   return most;
 }
 
-/** Runs of the version on trial that have ended. */
+/** Returns the number of finished runs of the version on trial. */
 export function triedRuns(routes: readonly RouteEvidence[]): number {
   return sumCounts(pooled(routes, "answers").tried.values()).runs;
 }
@@ -112,9 +124,10 @@
 }
 
 /**
- * How much more likely what was seen is under the version's own share of bad answers than under the largest that is
- * allowed. A worker that fails for itself speaks against its version no more than the others do: what each of them adds
- * is bounded, and one that is well speaks for it.
+ * Returns the log-likelihood ratio of the counts under the observed rate of bad answers against the
+ * highest tolerated rate, or 0 if the rate is tolerated. The contribution of each worker is
+ * limited, so that one that fails by itself counts no more against its version than the others;
+ * healthy workers count in its favor.
  */
 function evidenceOf({ base, tried }: ComparedCounts, allowed: Allowance): number {
   const counted = withoutWorst(tried);
@@ -129,7 +142,7 @@
   return Math.max(0, sum);
 }
 
-/** The logarithm of how much more likely the counts are with one share than with another. */
+/** Returns the log-likelihood ratio of the counts under two rates of bad answers. */
 function ratioOf({ runs, failures }: RunCounts, share: number, other: number): number {
   const part = (count: number, a: number, b: number): number =>
     count === 0 ? 0 : count * Math.log(a / b);
@@ -144,7 +157,7 @@
 function withoutWorst(tried: ReadonlyMap<string, RunCounts>): RunCounts[] {
   const all = [...tried.values()].filter(({ runs }) => runs > 0);
   const counts = all.filter(({ runs }) => runs >= LEAST_RUNS);
-  // What two have in common is their version's.
+  // A fault that two workers share comes from their version.
   if (counts.length <= LEAST_WORKERS) return all;
   const worst = counts.reduce((a, b) => (b.failures / b.runs > a.failures / a.runs ? b : a));
   return all.filter((one) => one !== worst);
@@ -171,5 +184,5 @@
   return { runs, failures };
 }
 
-/** How versions are judged. */
+/** A function that assesses versions. */
 export type RolloutJudge = typeof judgeRollout;
--- a/src/decision/rollout_judge_test.ts
+++ b/src/decision/rollout_judge_test.ts
@@ -24,7 +24,7 @@
   };
 }
 
-test("a version that fails far more than the old one is bad", () => {
+test("rejects a version that fails much more often than the base version", () => {
   const seen = evidence("a", {
     base: counts(2_000, 4),
     tried: [counts(20, 5), counts(20, 6), counts(20, 4)],
@@ -35,35 +35,36 @@
   });
 });
 
-// Workers of both versions fail a tenth of their requests for a while. The new version isn't to blame.
-test("failures that strike both versions don't speak against the new one", () => {
+// Workers of both versions fail a tenth of their requests for a while. The new version is not the
+// cause.
+test("does not count failures that affect both versions against the new one", () => {
   const tried = [counts(40, 4), counts(40, 5), counts(40, 4)];
   const seen = evidence("a", { base: counts(4_000, 400), tried });
   expect(judgeRollout([seen], { isLast: true }).kind).toBe("open");
 });
 
-// One of the workers on trial fails nearly half of its requests, as workers do now and then.
-test("one worker that fails by itself isn't taken for its version", () => {
+// One of the workers on trial fails nearly half of its requests, as single workers do occasionally.
+test("does not reject a version because of a single failing worker", () => {
   const tried = [counts(50, 21), counts(50, 0), counts(50, 0), counts(50, 0)];
   const seen = evidence("a", { base: counts(3_000, 0), tried });
   expect(judgeRollout([seen], { isLast: true }).kind).toBe("open");
 });
 
-// Only one of the new workers was given anything lately, and it has crashed.
-test("guards against a good version that is rolled back for one worker that was tried alone", () => {
+// Only one of the new workers received requests lately, and it has crashed.
+test("does not roll back a version of which only one worker was tried", () => {
   const seen = evidence("a", { base: counts(900, 0), tried: [counts(30, 30)] });
   expect(judgeRollout([seen], { isLast: false }).kind).toBe("open");
 });
 
-test("two workers that fail alike are taken for their version", () => {
+test("rejects a version if two of its workers fail alike", () => {
   const both = evidence("a", { base: counts(900, 0), tried: [counts(15, 12), counts(15, 13)] });
   expect(judgeRollout([both], { isLast: false }).kind).toBe("bad");
   const one = evidence("a", { base: counts(900, 0), tried: [counts(15, 12), counts(15, 0)] });
   expect(judgeRollout([one], { isLast: false }).kind).toBe("open");
 });
 
-// The new version fails on one route of several, which is a small part of all requests.
-test("what is bad on one route only is found there", () => {
+// The new version fails on one of several routes, which has a small fraction of all requests.
+test("finds a fault that affects a single route", () => {
   const good = evidence("a", {
     base: counts(3_000, 3),
     tried: [counts(60, 0), counts(60, 0), counts(60, 0)],
@@ -75,7 +76,7 @@
   expect(judgeRollout([good, bad], { isLast: false })).toMatchObject({ kind: "bad", route: "b" });
 });
 
-test("a version that answers slowly is bad though nothing fails", () => {
+test("rejects a version that answers slowly without failures", () => {
   const answers = { base: counts(900, 0), tried: [counts(30, 0), counts(30, 0), counts(30, 0)] };
   const times = { base: counts(900, 50), tried: [counts(30, 20), counts(30, 18), counts(30, 22)] };
   expect(judgeRollout([evidence("a", answers, times)], { isLast: false })).toMatchObject({
@@ -84,14 +85,14 @@
   });
 });
 
-// A single failure among a few runs says nothing, also at the end.
-test("one bad answer is never enough", () => {
+// A single failure among a few runs is not sufficient evidence, not even in the final comparison.
+test("never rejects a version because of one bad answer", () => {
   const seen = evidence("a", { base: counts(500, 0), tried: [counts(3, 1), counts(2, 0)] });
   expect(judgeRollout([seen], { isLast: true }).kind).toBe("open");
   expect(triedRuns([seen])).toBe(5);
 });
 
-test("no counts whatever make evidence that is no number", () => {
+test("returns finite evidence for any counts", () => {
   const any = fc.record({ runs: fc.nat(1_000), part: fc.double({ min: 0, max: 1, noNaN: true }) });
   const toCounts = ({ runs, part }: { runs: number; part: number }): RunCounts =>
     counts(runs, Math.floor(runs * part));
--- a/src/decision/rollout_share.ts
+++ b/src/decision/rollout_share.ts
@@ -1,63 +1,87 @@
 /**
- * How many requests one instance may send to a version that is still tried.
+ * Limits how many requests one instance may send to a version on trial.
  *
- * Load that it answers: a version of the workers that turns out bad, at once or at the last moment. Whatever was sent
- * to it is lost or late. One would notice a share of failures that follows the new version's share of the requests, and
- * that is far above what was to be risked where each of many instances, or each holder of the duty in turn, began to
- * count anew.
+ * Load: a version of the workers that turns out to be bad, immediately or at the last moment.
+ * Everything sent to it is lost or late. Symptom: a failure rate that follows the new version's
+ * share of the requests and far exceeds the accepted risk, for example because many instances, or
+ * successive rollout coordinators, each start counting from zero.
  *
- * Each instance counts for itself, from when it first knew of the order, and holds the new version's part of what it
- * has sent so far below the bound. Then all together hold it without a word between them, at every moment until the
- * deadline, also where some are cut off or have started again: what one sends later to the old version only makes its
- * part smaller. A few requests besides are shared out over the instances, so that services with little load are tried.
+ * Mechanism: each instance counts on its own, from the moment it learns of the rollout order, and
+ * keeps the new version's share of its requests below the limit. All instances together then stay
+ * below it without communication, at any time until the deadline, even if some are partitioned or
+ * restart: requests sent to the old version later only reduce the share. A few additional requests
+ * are divided among the instances, so that services with little load are tried too.
  *
- * What is sent between the end of the order and its deadline counts too, so a part of the bound is kept for it.
+ * Requests sent between the end of the rollout and its deadline count as well, so part of the limit
+ * is reserved for them.
  *
  * @module
  */
 import type { Random } from "../interface/index.ts";
 
-/** What a version on trial may get of a service's requests between an order and its deadline. */
+/**
+ * Limits for the requests of a service that a version on trial may receive between a rollout order
+ * and its deadline.
+ */
 export interface RolloutBounds {
-  /** Its share, over all instances. */
+  /** The version's maximum share of the requests, over all instances. */
   readonly share: number;
-  /** Requests besides, over all instances. */
+  /** Additional requests, over all instances. */
   readonly slack: number;
 }
 
-/** How a version is used while its order runs. */
+/** How the new version is used during a rollout. */
 export enum RolloutPhase {
-  /** A few of its workers are given a little of everything. */
+  /** A few of its workers receive a small share of all requests. */
   Trial = "trial",
-  /** It was found good: everything that the bound leaves room for goes to it, just before the order's end. */
+  /**
+   * The version was found good: it receives all requests that the limit allows, just before the
+   * rollout ends.
+   */
   Switch = "switch",
 }
 
-/** The part of the bounds that is planned with; the rest is for what instances count differently, or count anew. */
+/**
+ * Fraction of the share that is planned for. The reserve is for differences between the instances'
+ * counts and for counts that restart.
+ */
 const USED_PART = 0.85;
-/** The same of the requests besides: an instance that starts again takes its part once more. */
+/**
+ * Fraction of the additional requests that is planned for. A restarted instance uses its part a
+ * second time.
+ */
 const USED_SLACK = 0.45;
-/** How long before the deadline an order ends, as a part of its time, and within which milliseconds. */
+/**
+ * Time between the end of a rollout and its deadline: a fraction of the rollout's duration, with
+ * limits in milliseconds.
+ */
 const MARGIN = { part: 0.035, least: 350, most: 700 };
-/** How long everything goes to the new version before that: what is short ends at the old workers meanwhile. */
+/**
+ * Time before the end in which all allowed requests go to the new version while short runs finish
+ * at the old workers: a fraction of the rollout's duration, with limits in milliseconds.
+ */
 const SWITCHING = { part: 0.02, least: 150, most: 600 };
 
-/** The part of the bound that a version is tried with however short its order is: else nothing would be known of it. */
+/**
+ * Fraction of the maximum share that a version receives on trial even in a very short rollout;
+ * otherwise nothing would be known about it.
+ */
 const LEAST_TRIAL = 0.15;
 
-/** When an order's last steps are taken, and what the new version may get until then. */
+/** The last steps of a rollout, and the new version's maximum share until then. */
 export interface RolloutCourse {
-  /** Everything that the bound leaves room for goes to the new version from here on: milliseconds after the order. */
+  /** When all allowed requests start to go to the new version, in milliseconds after the order. */
   readonly switchAt: number;
-  /** The order is completed: milliseconds after it was given. */
+  /** When the rollout is completed, in milliseconds after the order. */
   readonly completeAt: number;
-  /** The new version's share of all requests so far, by phase. */
+  /** The new version's maximum share of all requests so far, by phase. */
   readonly parts: Readonly<Record<RolloutPhase, number>>;
 }
 
 /**
- * Plans the course of an order. It ends as late as the deadline allows, since a version may turn bad at any moment, and
- * what it gets after its end has to fit under the bound too.
+ * Plans a rollout that lasts `duration` milliseconds. It ends as late as the deadline allows, since
+ * a version may turn bad at any moment, and what the new version receives after the end has to stay
+ * within the limit too.
  */
 export function rolloutCourse(duration: number, { share }: RolloutBounds): RolloutCourse {
   const margin = within(duration * MARGIN.part, MARGIN);
@@ -76,32 +100,38 @@
   return Math.min(most, Math.max(least, value));
 }
 
-/** Counts what one instance sends of one service's requests while an order runs. */
+/** Counts the requests of one service that one instance sends during a rollout. */
 export interface RolloutShare {
-  /** A request was sent, to the version on trial or not. */
+  /** Records a request that was sent, to the version on trial or to the base version. */
   sent(isTried: boolean): void;
-  /** Whether one more may be sent to the version on trial. */
+  /** Whether another request may be sent to the version on trial. */
   mayTry(phase: RolloutPhase): boolean;
-  /** The part of a round of trials by which this instance begins later than others, from 0 to 1. */
+  /**
+   * Delay of this instance's start in a trial round, as a fraction from 0 to 1 of the time over
+   * which instances start.
+   */
   readonly delay: number;
-  /** Sent so far. */
+  /** Requests sent so far. */
   readonly counts: { readonly all: number; readonly tried: number };
 }
 
-/** What a share is counted with. */
+/**
+ * Options of `createRolloutBudget`.
+ */
 export interface RolloutShareParts {
   readonly bounds: RolloutBounds;
   readonly course: RolloutCourse;
-  /** How many instances share the requests besides. */
+  /** Returns the number of instances that share the additional requests. */
   readonly members: () => number;
   readonly random: Random;
 }
 
 /**
- * Makes a count of nothing.
+ * Creates a counter that starts at zero.
  *
- * Hundreds of instances may each send a few requests only, of which the share is less than one. So each draws which part
- * of its first one it has already; over all of them the share is right.
+ * Each of hundreds of instances may send so few requests that its share is less than one. So each
+ * instance draws a random fraction of its first request as already used; over all instances the
+ * share is correct.
  */
 export function createRolloutShare({
   bounds,
@@ -125,37 +155,50 @@
   };
 }
 
-/** Workers on trial in an order: several, so that one that fails by itself isn't taken for its version. */
+/**
+ * Workers on trial in a rollout. There are several, so that one that fails by itself does not
+ * decide about its version.
+ */
 const TRIED_WORKERS = 4;
-/** Rounds of trials in an order, and the shortest and longest of them in milliseconds. */
+/**
+ * Number of trial rounds in a rollout, and the minimum and maximum length of a round in
+ * milliseconds.
+ */
 const ROUNDS = 5;
 const ROUND = { least: 1_600, most: 8_000 };
 
-/** The part of a round's time over which instances begin. */
+/** Fraction of a round's active time over which the instances start. */
 const SPREAD = 0.5;
 
-/** What the workers that are used now follow from. */
+/**
+ * Input for `activeTrialWorkers`.
+ */
 export interface TrialMoment {
-  /** Milliseconds since the order was given, the same at all instances. */
+  /** Milliseconds since the rollout was ordered, the same at all instances. */
   readonly since: number;
-  /** How long the order lasts, in milliseconds. */
+  /** Duration of the rollout in milliseconds. */
   readonly duration: number;
-  /** The share that the version on trial may have. */
+  /** The maximum share of the version on trial. */
   readonly part: number;
-  /** Workers that serve. */
+  /** Number of workers of the base version. */
   readonly base: number;
-  /** The part of the round's begin by which the instance waits, from 0 to 1: what all may send would come at once. */
+  /**
+   * This instance's delay at the start of a round, from 0 to 1. Without it, all instances would
+   * send their allowed requests at once.
+   */
   readonly delay: number;
 }
 
 /**
- * The workers on trial that are used now.
+ * Returns the workers on trial that receive requests now.
  *
- * A little of the load on each shows nothing of a version that fails under load. So a few are used as the old ones are,
- * by all instances in the same moments, and where that would be more than the share, for a part of the time. They take
- * turns, so that the order doesn't go by one or two.
+ * A small load on every new worker would not reveal a version that fails under load. So all
+ * instances use a few workers at the same time, with as much load as the old ones have. If that
+ * would exceed the share, the workers are used for a part of each round only. They take turns, so
+ * that the rollout does not depend on one or two of them.
  *
- * @param workers All of the version, in an order that is the same at all instances.
+ * @param workers All workers of the version, in an order that is the same at all instances.
+ * @returns The IDs of the workers to use; empty outside the active part of a round.
  */
 export function workersOnTrial(
   workers: readonly string[],
--- a/src/decision/rollout_share_test.ts
+++ b/src/decision/rollout_share_test.ts
@@ -9,12 +9,15 @@
 
 const BOUNDS = { share: 0.1, slack: 50 };
 
-/** Plays an order to its deadline, at each instance as many requests to the new version as it may send. */
+/**
+ * Simulates a rollout until its deadline. Each instance sends as many requests to the new version
+ * as it may.
+ */
 function exposed(options: {
   instances: number;
   rate: number;
   duration: number;
-  /** Every instance begins to count anew so many times. */
+  /** How often every instance restarts its count. */
   restarts?: number;
 }): { tried: number; all: number } {
   const { instances, rate, duration, restarts = 0 } = options;
@@ -33,7 +36,7 @@
     }
     const share = shares[Math.floor(random.next() * instances)];
     const phase = at < course.switchAt ? RolloutPhase.Trial : RolloutPhase.Switch;
-    // After its end everything goes to the new version.
+    // After the end of the rollout all requests go to the new version.
     const isTried = at >= course.completeAt || share?.mayTry(phase) === true;
     share?.sent(isTried);
     all++;
@@ -42,7 +45,8 @@
   return { tried, all };
 }
 
-// A version turns bad in the last moment before its order is completed: all that it was ever given is lost.
+// A version turns bad just before its rollout is completed, and all requests it ever received are
+// lost.
 test.each([
   [6, 20, 8_000],
   [6, 600, 8_000],
@@ -51,26 +55,29 @@
   [300, 600, 60_000],
   [300, 150, 20_000],
 ])(
-  "all of %i instances together keep under the bound (%i requests a second, %i ms)",
+  "keeps all %i instances together below the limit (%i requests per second, %i ms)",
   (instances, rate, duration) => {
     const { tried, all } = exposed({ instances, rate, duration });
     expect(tried).toBeLessThanOrEqual(0.95 * (all * BOUNDS.share + BOUNDS.slack));
-    // And the new version gets enough to be judged by.
+    // The new version also receives enough requests to be assessed.
     expect(tried).toBeGreaterThan(0.4 * all * BOUNDS.share);
   },
 );
 
-// All instances are restarted in the middle of the order, and know nothing of what they sent before.
+// All instances restart in the middle of the rollout and lose their counts.
 test.each([
   [6, 300],
   [76, 300],
   [300, 600],
-])("a restart of all %i instances doesn't lift the bound (%i a second)", (instances, rate) => {
-  const { tried, all } = exposed({ instances, rate, duration: 20_000, restarts: 1 });
-  expect(tried).toBeLessThanOrEqual(all * BOUNDS.share + BOUNDS.slack);
-});
+])(
+  "stays within the limit when all %i instances restart (%i requests per second)",
+  (instances, rate) => {
+    const { tried, all } = exposed({ instances, rate, duration: 20_000, restarts: 1 });
+    expect(tried).toBeLessThanOrEqual(all * BOUNDS.share + BOUNDS.slack);
+  },
+);
 
-test("an order ends shortly before its deadline, after a short time of switching", () => {
+test("ends a rollout shortly before its deadline, after a short switch phase", () => {
   for (const duration of [8_000, 12_000, 60_000, 600_000]) {
     const { switchAt, completeAt, parts } = rolloutCourse(duration, BOUNDS);
     expect(completeAt).toBeLessThanOrEqual(duration - 350);
@@ -81,36 +88,35 @@
   }
 });
 
-// What fails only under load shows nothing where each new worker gets a little. So a few get as much as an old one has.
-test.each([4, 13, 63, 200])(
-  "those on trial beside %i workers are used as much as these",
-  (base) => {
-    const workers = Array.from({ length: base }, (_, index) => `n-${index}`);
-    const duration = 40_000;
-    const { parts } = rolloutCourse(duration, BOUNDS);
-    const used = new Set<string>();
-    let shares = 0;
-    const looks = 4_000;
-    for (let look = 0; look < looks; look++) {
-      const moment = {
-        since: (look * duration) / looks,
-        duration,
-        part: parts.trial,
-        base,
-        delay: 0,
-      };
-      const now = workersOnTrial(workers, moment);
-      for (const worker of now) used.add(worker);
-      shares += now.length / (base + now.length);
-    }
-    // Used like the others while they are, they get about the share over the whole time.
-    expect(shares / looks).toBeGreaterThan(0.6 * parts.trial);
-    expect(shares / looks).toBeLessThan(1.5 * parts.trial);
-    expect(used.size).toBeGreaterThanOrEqual(3);
-  },
-);
+// A fault that appears only under load stays hidden if each new worker receives a small share. So a
+// few workers receive as much as an old one.
+test.each([4, 13, 63, 200])("loads workers on trial as much as the %i base workers", (base) => {
+  const workers = Array.from({ length: base }, (_, index) => `n-${index}`);
+  const duration = 40_000;
+  const { parts } = rolloutCourse(duration, BOUNDS);
+  const used = new Set<string>();
+  let shares = 0;
+  const looks = 4_000;
+  for (let look = 0; look < looks; look++) {
+    const moment = {
+      since: (look * duration) / looks,
+      duration,
+      part: parts.trial,
+      base,
+      delay: 0,
+    };
+    const now = workersOnTrial(workers, moment);
+    for (const worker of now) used.add(worker);
+    shares += now.length / (base + now.length);
+  }
+  // While they are active they carry the same load as the others; over the whole time they
+  // receive about the share.
+  expect(shares / looks).toBeGreaterThan(0.6 * parts.trial);
+  expect(shares / looks).toBeLessThan(1.5 * parts.trial);
+  expect(used.size).toBeGreaterThanOrEqual(3);
+});
 
-test("without workers nobody is on trial", () => {
+test("returns no workers on trial if the version has none", () => {
   const moment = { since: 100, duration: 9_000, part: 0.03, base: 5, delay: 0 };
   expect(workersOnTrial([], moment)).toEqual([]);
 });
--- a/src/decision/rollout_tally.ts
+++ b/src/decision/rollout_tally.ts
@@ -1,65 +1,82 @@
 /**
- * What one instance sees of a version on trial beside the one that serves: failures, and answers that took long.
+ * Counts the failures and slow answers of a version on trial and of the base version at one
+ * instance.
  *
- * Load that it answers: a version that answers several times slower, on some kinds of request only, while the load
- * itself changes from second to second. By an absolute time a burst would look like a slow version; by the mean over all
- * requests a slow kind would hide behind a quick one. So a run is compared with what runs of the version that serves
- * took lately on the same route and with about as much to read. What hangs counts as slow before it has ended: its
- * deadline may be seconds away.
+ * Load: a version that answers several times slower, for some kinds of requests only, while the
+ * load changes from second to second. With an absolute time limit a burst would look like a slow
+ * version; with the mean over all requests a slow kind would hide behind a fast one.
  *
- * Counts are told to all instances beside what each has at the workers, and are added up on the way.
+ * Mechanism: a run is compared with recent runs of the base version on the same route that had a
+ * similar number of prompt tokens to process. A run that hangs counts as slow before it ends,
+ * because its deadline may be seconds away.
+ *
+ * Instances exchange these counts in the same way as their counts per worker, and relays add them
+ * up.
  *
  * @module
  */
 import { hashText } from "../version/index.ts";
 import type { RunCounts } from "./worker_health.ts";
 
-/** A run that is tallied. */
+/** A run that is counted. */
 export interface TalliedRun {
   readonly service: string;
   readonly route: string;
-  /** Prompt tokens that are read before its first token. */
+  /** Prompt tokens to process before the first token. */
   readonly reads: number;
-  /** The worker's id where it is on trial; undefined where it serves. */
+  /** The ID of the worker if it is on trial; undefined if it runs the base version. */
   readonly tried: string | undefined;
-  /** Whether it is compared: a run of the version that serves is while the other one is tried, in the same moments. */
+  /**
+   * Whether the run is part of the comparison. A run of the base version is if the new version is
+   * being tried at the same time.
+   */
   readonly isCompared: boolean;
-  /** Whether its worker was still slow after its start: its time says nothing. */
+  /** Whether the worker was still warming up. The duration of such a run is not compared. */
   readonly isCold: boolean;
   readonly now: number;
 }
 
-/** A run under way. */
+/** A run in progress. */
 export interface RunTally {
-  /** Its first event came, or its whole answer where it is no stream. */
+  /** Records that the first event arrived, or the whole answer if it is not a stream. */
   answered(now: number): void;
-  /** It ended: well, with a failure of its worker, or in a way that says nothing of it. */
+  /**
+   * Records the end of the run: success, failure of its worker, or unknown if the end does not
+   * depend on the worker.
+   */
   ended(result: "well" | "failed" | "unknown"): void;
 }
 
-/** What is seen of versions. */
+/** Counts for all versions. Times are in milliseconds of the clock. */
 export interface VersionTallies {
   begin(run: TalliedRun): RunTally;
-  /** An order of the service is under way: its runs are counted from now on, anew for each version that is tried. */
+  /**
+   * Sets the version on trial for a service; undefined ends the trial. The counts restart with each
+   * new version.
+   */
   expect(service: string, tried: string | undefined): void;
-  /** All counts, by the hashes that `tallyKeys` gives; runs that take too long already are counted as slow. */
+  /**
+   * Returns all counts by the hashes of {@linkcode tallyKeys}. Pending runs that already exceed the
+   * time limit count as slow.
+   */
   counts(now: number): ReadonlyMap<number, RunCounts>;
 }
 
-/** Where the counts of a route stand. */
+/** The keys of a route's counts. */
 export interface TallyKeys {
-  /** Runs, and those that failed. */
+  /** Runs, and how many of them failed. */
   readonly answers: number;
-  /** Runs whose time was compared, and those that were slow. */
+  /** Runs whose time was compared, and how many of them were slow. */
   readonly times: number;
-  /** Runs of the version that serves, and the sum of the logarithms of their times in hundredths. */
+  /** Runs of the base version, and the sum of the logarithms of their times in hundredths. */
   readonly usual: number;
 }
 
 /**
- * Names the counts of a service's route while a version is tried: those of a worker on trial, or of all that serve.
+ * Returns the keys of a route's counts while a version is on trial: those of one worker on trial,
+ * or of all base workers.
  *
- * Nothing but these names is agreed on between instances.
+ * These keys are all that instances need to agree on.
  */
 export function tallyKeys(of: {
   service: string;
@@ -80,20 +97,23 @@
   return found;
 }
 
-/** Hashes are looked up with every run: some thousand of them are kept. */
+/** Every run looks up its hashes, so a few thousand of them are cached. */
 const GREATEST_KEYS = 8_192;
 const keys = new Map<string, TallyKeys>();
 
-/** A run is slow that takes so many times what is usual, and so many milliseconds more. */
+/**
+ * A run is slow if it takes longer than its baseline multiplied by this factor plus this number of
+ * milliseconds.
+ */
 const SLOW_FACTOR = 1.6;
 const SLOW_EXTRA = 12;
-/** Runs of a kind that are seen before any is compared with them. */
+/** Minimum number of runs before other runs are compared with them. */
 const LEAST_SEEN = 4;
-/** The weight of the newest run in what is usual. */
+/** Weight of the newest run in the baseline. */
 const NEWEST_PART = 0.08;
 
 interface Usual {
-  /** The mean of the logarithm of the time. */
+  /** Mean of the logarithms of the times. */
   mean: number;
   seen: number;
 }
@@ -104,14 +124,15 @@
   isTimed: boolean;
 }
 
-/** A sum of logarithms is a whole number of such parts. */
+/** Sums of logarithms are integers in units of one hundredth. */
 const LOGARITHM_PARTS = 100;
 
 /**
- * Makes tallies of nothing.
+ * Creates empty counts.
  *
- * @param sumOf What all instances have counted under a hash, as far as this one knows. One that has just started, or that
- * sees little, goes by what is usual with the others.
+ * @param sumOf Returns the total that all instances have counted under a hash, as far as this
+ * instance knows. An instance that has just started, or that receives few requests, uses it as its
+ * baseline.
  */
 export function createVersionTallies(
   sumOf: (key: number) => RunCounts | undefined = () => undefined,
@@ -119,7 +140,7 @@
   const usual = new Map<string, Usual>();
   const expected = new Map<string, string>();
   const counts = new Map<number, { runs: number; failures: number }>();
-  /** By service, the counts that are kept for it. */
+  /** The keys of the counts kept for each service. */
   const kept = new Map<string, Set<number>>();
   const pending = new Set<Pending>();
 
@@ -135,7 +156,10 @@
     count.runs++;
     if (isBad) count.failures++;
   };
-  /** What a run is compared with: those with about as much to read, or where there are few, all of the route. */
+  /**
+   * Baselines for a run: runs with a similar number of prompt tokens, then all runs of the route if
+   * the former are too few.
+   */
   const kindsOf = ({ service, route, reads }: TalliedRun): string[] => [
     `${service} ${route} ${Math.round(Math.log2(Math.max(1, reads)))}`,
     `${service} ${route}`,
@@ -154,7 +178,10 @@
     if (sums === undefined || sums.runs < LEAST_SEEN) return undefined;
     return sums.failures / sums.runs / LOGARITHM_PARTS;
   };
-  /** Tells the others how long a run of the version that serves took, while another one is tried. */
+  /**
+   * Counts the duration of a run of the base version for the other instances while a version is on
+   * trial.
+   */
   const tellUsual = ({ service, route }: TalliedRun, took: number): void => {
     const tried = expected.get(service);
     if (tried === undefined) return;
--- a/src/decision/rollout_tally_test.ts
+++ b/src/decision/rollout_tally_test.ts
@@ -24,7 +24,7 @@
   });
 }
 
-/** Tallies that have seen runs of the old version that took 100 ms, before an order. */
+/** Creates tallies that have seen base version runs of 100 ms before the rollout. */
 function createLearned(): VersionTallies {
   const tallies = createVersionTallies();
   for (let run = 0; run < 20; run++) {
@@ -36,7 +36,7 @@
   return tallies;
 }
 
-test("runs of both versions are counted apart, from the order on", () => {
+test("counts the runs of both versions separately after the rollout is ordered", () => {
   const tallies = createLearned();
   expect(tallies.counts(0).size).toBe(0);
   begin(tallies, 0).ended("well");
@@ -46,15 +46,15 @@
   expect(tallies.counts(1).get(NEWER.answers)).toEqual({ runs: 1, failures: 1 });
 });
 
-test("a run is slow against the old version's with as much to read", () => {
+test("compares a run with base version runs that had a similar number of prompt tokens", () => {
   const tallies = createLearned();
   begin(tallies, 0, { tried: "n-0" }).answered(120);
   begin(tallies, 0, { tried: "n-0" }).answered(250);
   expect(tallies.counts(300).get(NEWER.times)).toEqual({ runs: 2, failures: 1 });
 });
 
-// The new version takes requests and never answers them. Their deadlines are seconds away.
-test("what hangs counts as slow before it has ended", () => {
+// The new version accepts requests and never answers them. Their deadlines are seconds away.
+test("counts a hanging run as slow before it ends", () => {
   const tallies = createLearned();
   const hanging = begin(tallies, 0, { tried: "n-0" });
   expect(tallies.counts(100).get(NEWER.times)).toBeUndefined();
@@ -64,8 +64,8 @@
   expect(tallies.counts(900).get(NEWER.times)).toEqual({ runs: 1, failures: 1 });
 });
 
-// All instances are restarted in the middle of an order, and none has seen what is usual itself.
-test("an instance that has seen little goes by what is usual with the others", () => {
+// All instances restart in the middle of a rollout and have no baseline of their own.
+test("uses the baseline of the other instances if there are few runs", () => {
   const told = new Map([[BASE.usual, { runs: 40, failures: 40 * 461 }]]);
   const tallies = createVersionTallies((key) => told.get(key));
   tallies.expect(SERVICE, "v2");
@@ -77,20 +77,20 @@
 });
 
 // A worker that has just started is slow for a while, whatever its version.
-test("the time of a worker that still warms up says nothing", () => {
+test("ignores the duration of runs at workers that are warming up", () => {
   const tallies = createLearned();
   begin(tallies, 0, { tried: "n-0", isCold: true }).answered(900);
   expect(tallies.counts(1_000).get(NEWER.times)).toBeUndefined();
 });
 
-// A slow version must not become what is usual.
-test("the new version's runs don't change what is usual", () => {
+// A slow version must not raise its own baseline.
+test("does not change the baseline with runs of the new version", () => {
   const tallies = createLearned();
   for (let run = 0; run < 50; run++) begin(tallies, 0, { tried: "n-0" }).answered(500);
   expect(tallies.counts(600).get(NEWER.times)).toEqual({ runs: 50, failures: 50 });
 });
 
-test("an order of another version is counted anew", () => {
+test("restarts the counts when another version is on trial", () => {
   const tallies = createLearned();
   const before = begin(tallies, 0, { tried: "n-0" });
   tallies.expect(SERVICE, "v3");
--- a/src/decision/shared_quota.ts
+++ b/src/decision/shared_quota.ts
@@ -1,26 +1,29 @@
 /**
- * How much a client account may still ask for, over all entry instances together.
+ * Enforces a client account's quota over all entry instances together.
  *
- * Load that it answers: one account sends many times its usual, over connections to all entry instances. If
- * each held it to the whole quota it would get the quota once an instance; if each held it to an equal part,
- * an account with few connections would be refused far below its quota, because its requests come to few
- * instances. One would notice the first by a service that one account fills, the second by refusals (429)
- * that the account's own counts contradict.
+ * Load: one account sends many times its usual number of requests over connections to all entry
+ * instances. If each instance enforced the whole quota, the account would get it once per instance.
+ * If each enforced an equal part, an account with few connections would be refused far below its
+ * quota, because its requests reach only a few instances. Symptom: one account that fills a
+ * service, or refusals (429) that contradict the account's own counts.
  *
- * So every instance keeps a bucket for the whole quota and takes out of it what it admits itself and what the
- * others say that they have admitted: cumulative counts, so that a lost message is made good by the next. What
- * is under way between instances is the only error; with a message every quarter of a second it stays under
- * the quota's rate for that time. An instance that doesn't hear the others can't know what they admit: for
- * each one that it misses it gives up an equal part of the rate, so that a fleet that is cut in two admits the
- * quota at most about once.
+ * Mechanism: every instance keeps a token bucket for the whole quota and deducts both what it
+ * admits itself and what the others report. Reports are cumulative counts, so that the next one
+ * makes up for a lost one. The only error is what instances admit between two reports: with a
+ * report every quarter of a second it stays below the quota's rate over that time. An instance that
+ * receives no reports from some of the others does not know what they admit. For each missing
+ * instance it gives up an equal part of the rate, so that a partitioned fleet admits the quota
+ * about once at most.
  *
- * Between two messages an instance takes no more than its part of what is left, by its part of what was admitted
- * lately and half as much again. Without that, an account at its limit that sends six times its quota would get
- * all that has come back since the last message from each instance at once, six times over.
+ * Between two reports an instance takes no more than its share of the remaining level, based on its
+ * share of recent admissions plus a half. Without this limit an account that sends six times its
+ * quota would get everything that was refilled since the last report from each of six instances,
+ * six times over.
  *
- * A request is admitted while anything is left, whatever its size, and what it takes beyond that is paid back
- * before the next one. If it had to fit, an account at its limit would get its small requests through and its
- * large ones never. What is overdrawn is at most one request an instance, once.
+ * A request is admitted while the level is above zero, whatever its size, and the excess is paid
+ * back before the next request. If requests had to fit, an account at its limit would always get
+ * its small requests through and never its large ones. The overdraft is at most one request per
+ * instance, once.
  *
  * @module
  */
@@ -30,28 +33,38 @@
 /** Admitted amounts by account name, since the instance started. */
 export type AdmittedCounts = ReadonlyMap<string, number>;
 
-/** The quotas of all accounts as one instance sees them. */
+/**
+ * The quotas of all accounts, as one instance sees them. Times are in milliseconds of the clock.
+ */
 export interface SharedQuota {
   /**
-   * Takes a request's size out of its account's bucket.
+   * Deducts a request's size from its account's bucket.
    *
-   * @returns 0 where it was taken; otherwise the milliseconds until it would fit, and nothing is taken.
+   * @returns 0 if the request was admitted; otherwise the milliseconds until it can be, and nothing
+   * is deducted.
    */
   take(request: { account: string; quota: Quota; size: number; now: number }): number;
-  /** Gives back what was taken for a request that then didn't run. */
+  /** Refunds the size of an admitted request that did not run. */
   giveBack(account: string, size: number): void;
-  /** Accounts of which requests may come: what others admit of them counts from now on. */
+  /**
+   * Adds accounts that may send requests, so that what others admit for them is deducted from now
+   * on.
+   */
   expect(accounts: readonly { name: string; quota: Quota | undefined }[], now: number): void;
   /**
-   * Another instance has admitted so much; accounts that aren't named have what was said of them before.
+   * Receives the admitted amounts of another instance. Accounts that are not listed keep their
+   * previous amounts.
    *
-   * @param incarnation Tells the instance from the one that ran at its place before.
-   * @param said `age` is the milliseconds since that instance's start.
+   * @param incarnation Identifies the process of the instance, as opposed to an earlier one.
+   * @param said `age` is the number of milliseconds since that process started.
    */
   heard(incarnation: string, said: { admitted: AdmittedCounts; age: number }): void;
-  /** How many instances of how many are heard. */
+  /**
+   * Sets the number of instances that this one receives reports from (itself included), and the
+   * number of all instances.
+   */
   setReach(reach: { heard: number; members: number }): void;
-  /** What this instance has admitted, for a message to the others that is sent now. */
+  /** Returns the amounts that this instance has admitted, for the report that is sent now. */
   tell(now: number): AdmittedCounts;
 }
 
@@ -59,36 +72,49 @@
   level: number;
   filledAt: number;
   quota: Quota;
-  /** What was left when the others were last told, with what has come back since, and what was taken here since. */
+  /**
+   * The level at the last report plus later refills, and what this instance has taken since that
+   * report.
+   */
   levelThen: number;
   taken: number;
-  /** What this instance and the others admitted lately, the older the less. */
+  /** Recent admissions of this instance and of the others, with older ones weighted less. */
   own: number;
   others: number;
 }
 
 /**
- * The part of the burst that an instance begins with: what the others took before isn't known to it. Instances that
- * start together soon share what one of them begins with, so that a part too small refuses what an account may have.
+ * Fraction of the burst that an instance starts with, since it does not know what the others
+ * admitted before. Instances that start together soon share the initial level of one, so a smaller
+ * fraction refuses requests within the quota.
  */
 const FIRST_PART = 0.6;
-/** Instances whose counts are remembered; beyond, the one heard least lately is forgotten. */
+/**
+ * Maximum number of instances whose counts are kept; the one not received from for the longest time
+ * is evicted.
+ */
 const GREATEST_PEERS = 1_024;
-/** An instance may take this many times its part: parts change while nobody is told. */
+/** Factor by which an instance may exceed its share, since shares change between reports. */
 const PART_ROOM = 1.5;
-/** What was admitted lately counts half as much after so many milliseconds: parts follow within seconds. */
+/**
+ * Milliseconds after which recent admissions count half, so that shares follow the traffic within
+ * seconds.
+ */
 const PART_HALF_LIFE = 1_500;
-/** Bounds of the time that a refused request is told, in milliseconds: a part of the usual targets, and a minute. */
+/**
+ * Minimum and maximum of the retry time for refused requests, in milliseconds: a fraction of the
+ * usual latency targets, and one minute.
+ */
 const LEAST_WAIT = 50;
 const LONGEST_WAIT = 60_000;
-/** The longest time in milliseconds to the next message to the others. */
+/** Maximum milliseconds until the next report to the other instances. */
 const NEXT_MESSAGE = 275;
 const MILLISECONDS = 1_000;
 
 /**
- * Makes quotas of which nothing has been used.
+ * Creates quotas that are unused.
  *
- * @param startedAt When the instance started, in the clock's milliseconds.
+ * @param startedAt When the instance started, in milliseconds of the clock.
  */
 export function createSharedQuota(startedAt: number): SharedQuota {
   const buckets = new Map<string, Bucket>();
@@ -115,7 +141,8 @@
       buckets.set(account, created);
       return created;
     }
-    // The time until now was filled at the quota of that time; a smaller burst binds at once.
+    // The time until now is refilled at the previous quota; a smaller burst takes effect
+    // immediately.
     const filled = ((now - known.filledAt) * known.quota.perSecond * part) / MILLISECONDS;
     known.level = Math.min(quota.burst, known.level + filled);
     known.levelThen = Math.min(quota.burst, known.levelThen + filled);
@@ -123,31 +150,33 @@
     known.quota = quota;
     return known;
   };
-  /** The part of what is left that this instance may take until it has told the others. */
+  /** The share of the remaining level that this instance may take until its next report. */
   const ownPart = ({ own: mine, others }: Bucket): number => {
     const lately = mine + others === 0 ? 0 : mine / (mine + others);
     return Math.min(1, Math.max(1 / members, lately) * PART_ROOM);
   };
   /**
-   * When a refused request may come back: as soon as anything is left again. Callers come back within a third of
-   * their time whatever they are told, and a longer time makes the answer late.
+   * Milliseconds after which a refused request may be sent again: as soon as the level is above
+   * zero. Callers come back within a third of this time anyway, and a longer time makes the answer
+   * late.
    */
   const roomIn = ({ level, quota }: Bucket): number => {
     const rate = Math.max(quota.perSecond * part, Number.MIN_VALUE);
-    // What is over the instance's part is there when the others have been told.
+    // The level beyond this instance's share becomes available after the next report.
     if (level > 0) return NEXT_MESSAGE;
     return Math.min(
       LONGEST_WAIT,
       Math.max(LEAST_WAIT, Math.ceil((-level * MILLISECONDS) / rate) + 1),
     );
   };
-  /** Milliseconds in which a bucket that was used up is full again. */
+  /** Milliseconds until an empty bucket is full again. */
   const refillTime = ({ quota: { burst, perSecond } }: Bucket): number =>
     (burst / Math.max(perSecond, Number.MIN_VALUE)) * MILLISECONDS;
   return {
     take: ({ account, quota, size, now }) => {
       const bucket = bucketOf(account, quota, now);
-      // The first request always goes, so that the last of what is left isn't kept from everybody.
+      // The first request is always admitted, so that the last of the level is available to
+      // someone.
       const isOverPart = bucket.taken > Math.max(0, bucket.levelThen * ownPart(bucket));
       if (bucket.level <= 0 || isOverPart) return roomIn(bucket);
       bucket.level -= size;
@@ -175,8 +204,9 @@
         const more = count - (known.get(account) ?? 0);
         known.set(account, count);
         if (bucket === undefined) continue;
-        // The first word of an instance is where counting begins, as what it admitted before is over; but not where
-        // it has started so lately that nothing of it has come back yet.
+        // The first report of an instance only sets the base for later counts, since what it
+        // admitted before has been refilled. If the instance has started too recently for a refill,
+        // its amounts are deducted.
         if (isFirstWord && age > refillTime(bucket)) continue;
         bucket.level -= more;
         bucket.others = Math.max(0, bucket.others + more);
--- a/src/decision/shared_quota_test.ts
+++ b/src/decision/shared_quota_test.ts
@@ -11,7 +11,10 @@
   unstatedTokens: 200,
 };
 
-/** Plays `instances` that each ask for `size` every `step` ms and tell each other every `toldEvery` ms. */
+/**
+ * Simulates `instances` that each send `size` every `step` ms and exchange reports every
+ * `toldEvery` ms.
+ */
 function play(options: {
   instances: number;
   size: number;
@@ -41,19 +44,19 @@
   return admitted;
 }
 
-// One account sends many times its usual over all instances. Held to the whole quota by each instance it would
-// get six times what it may have, and fill the service for everybody.
-test("six instances together admit one quota", () => {
+// One account sends many times its usual number of requests over all instances. If each instance
+// enforced the whole quota, the account would get six times its quota and fill the service.
+test("admits the quota once over six instances", () => {
   const admitted = play({ instances: 6, size: 500, step: 50, length: 8_000 });
   const allowed = QUOTA.perSecond * 8 + QUOTA.burst;
   expect(admitted).toBeGreaterThan(allowed * 0.85);
-  // The words between instances are 250 ms old at most.
+  // Reports between instances are at most 250 ms old.
   expect(admitted).toBeLessThan(allowed * 1.05 + 6 * 500);
 });
 
-// Messages between instances have a budget of bytes, so that under load they come less often. An account at its limit
-// must neither get much more than its quota meanwhile nor be refused what comes back.
-test("rarer words between instances change little of what is admitted", () => {
+// Reports between instances have a byte budget and are less frequent under load. Meanwhile an
+// account at its limit must neither get much more than its quota nor be refused what is refilled.
+test("admits about the same amount with less frequent reports", () => {
   const allowed = QUOTA.perSecond * 8 + QUOTA.burst;
   for (const [size, step] of [
     [500, 50],
@@ -66,9 +69,9 @@
   }
 });
 
-// An account asks for just what it may, now at one instance and now at another. Refused where an instance still waits
-// for word of the others, it would lose what is its own.
-test("an account that asks for its quota gets it, however rare the words between instances", () => {
+// An account sends exactly its quota, to changing instances. Refusals while an instance waits for
+// reports from the others would cut into the account's quota.
+test("admits an account's whole quota even if reports are infrequent", () => {
   const random = createSeededRandom(1);
   const quotas = Array.from({ length: 6 }, () => createSharedQuota(0));
   const size = 1_000;
@@ -90,9 +93,10 @@
   expect(admitted / asked).toBeGreaterThan(0.98);
 });
 
-// All instances are restarted at once while an account sends many times its quota. None knows what the others admit
-// until it has heard of them, which takes a moment; and what was admitted in that moment must not be forgotten.
-test("instances that start together admit little beyond one quota", () => {
+// All instances restart at once while an account sends many times its quota. None knows what the
+// others admit until it receives their reports, and what was admitted until then must still be
+// deducted.
+test("admits little more than one quota at instances that start together", () => {
   const instances = 6;
   const quotas = Array.from({ length: instances }, () => createSharedQuota(0));
   const account = { name: "a", quota: QUOTA };
@@ -116,14 +120,14 @@
   expect(admitted).toBeLessThan((QUOTA.perSecond * length) / 1_000 + QUOTA.burst + 6 * 500);
 });
 
-// The network between the instances is cut, but callers and workers reach all of them.
-test("instances that can't hear each other admit about one quota", () => {
+// The network between the instances is partitioned, but callers and workers reach all of them.
+test("admits about one quota at instances that cannot reach each other", () => {
   const admitted = play({ instances: 6, size: 500, step: 50, length: 8_000, areApart: true });
-  // Each begins with the burst that was there before the cut.
+  // Each instance starts with the burst that was available before the partition.
   expect(admitted).toBeLessThan(QUOTA.perSecond * 8 + 6 * QUOTA.burst + 6 * 500);
 });
 
-test("an account whose requests all come to one instance gets its whole quota there", () => {
+test("admits the whole quota of an account at a single instance", () => {
   const quota = createSharedQuota(0);
   quota.setReach({ heard: 6, members: 6 });
   let admitted = 0;
@@ -134,9 +138,10 @@
   expect(admitted).toBeGreaterThanOrEqual(QUOTA.perSecond * 7.9 + QUOTA.burst * 0.9);
 });
 
-// An account at its limit sends small requests and large ones. If a request had to fit in what is left, the small
-// ones would take every token as it comes, and the large ones would be refused for ever.
-test("large requests get through beside small ones", () => {
+// An account at its limit sends small and large requests. If requests had to fit the remaining
+// level, the small ones would take every token as it is refilled, and the large ones would always
+// be refused.
+test("admits large requests next to small ones", () => {
   const quota = createSharedQuota(0);
   const admitted = { small: 0, large: 0 };
   const asked = { small: 0, large: 0 };
@@ -150,7 +155,7 @@
   expect(admitted.large / asked.large).toBeGreaterThan(admitted.small / asked.small / 2);
 });
 
-test("a refusal says when there will be room", () => {
+test("returns the time after which a refused request is admitted", () => {
   const quota = createSharedQuota(0);
   quota.setReach({ heard: 1, members: 1 });
   const ask = (now: number): number => quota.take({ account: "a", quota: QUOTA, size: 6_000, now });
@@ -160,12 +165,12 @@
   quota.tell(60_020);
   const wait = ask(60_020);
   expect(wait).toBeGreaterThan(0);
-  // A message to the others, in between or just then, as there is one every quarter of a second.
+  // A report to the others, in between or at that time, as there is one every quarter of a second.
   quota.tell(60_020 + wait);
   expect(ask(60_020 + wait)).toBe(0);
 });
 
-test("a smaller quota binds at once", () => {
+test("applies a smaller quota immediately", () => {
   const quota = createSharedQuota(0);
   const smaller = { ...QUOTA, perSecond: 100, burst: 100 };
   expect(quota.take({ account: "a", quota: QUOTA, size: 100, now: 60_000 })).toBe(0);
@@ -176,7 +181,7 @@
   expect(admitted).toBeLessThanOrEqual(300);
 });
 
-test("what didn't run is given back, to the other instances as well", () => {
+test("refunds requests that did not run, also at the other instances", () => {
   const [one, two] = [createSharedQuota(0), createSharedQuota(0)];
   const ask = { account: "a", quota: QUOTA, size: 10_000, now: 60_000 };
   two.take({ ...ask, size: 1 });
@@ -190,7 +195,7 @@
   expect(two.take(ask)).toBe(0);
 });
 
-/** The least windows by which a quota is judged, in milliseconds. */
+/** Minimum window over which a quota is assessed, in milliseconds. */
 const JUDGED_WINDOW = 8_000;
 const LARGE_QUOTA: Quota = {
   unit: QuotaUnit.Tokens,
@@ -201,11 +206,11 @@
 const LARGE_SIZE = 5_000;
 const SLACK = 140_000;
 
-/** Requests that come to instances at random; each hears the sum of the others some time after it was made. */
+/** Simulates requests at random instances; each receives the sum of the others after a delay. */
 function playFleet(load: { instances: number; times: number; seconds: number }): {
-  /** What was admitted of what was asked. */
+  /** Admitted fraction of the requested amount. */
   part: number;
-  /** The most that was admitted in a window, over what is allowed in one. */
+  /** Highest amount admitted in a window, divided by the allowed amount. */
   most: number;
 } {
   const { instances, times, seconds } = load;
@@ -255,16 +260,17 @@
   };
 }
 
-// Hundreds of instances admit a request of an account now and then, and each hears of the others by way of relays. If
-// each let through what was left when it last heard, the account would get many times its quota.
-test.each([6, 63, 195, 300])("%i instances together keep an account to its quota", (instances) => {
+// Each of hundreds of instances occasionally admits a request of an account and receives the
+// others' counts through relays. If each admitted the whole level of its last report, the account
+// would get many times its quota.
+test.each([6, 63, 195, 300])("limits an account to its quota over %i instances", (instances) => {
   expect(playFleet({ instances, times: 7.5, seconds: 24 }).most).toBeLessThan(1);
 });
 
-// What comes to one of hundreds of instances is a small part of what an account asks for. Refused by what the others
-// might admit meanwhile, it would lose what is its own.
+// Each of hundreds of instances receives a small fraction of an account's requests. Refusals based
+// on what the others might admit in the meantime would cut into the account's quota.
 test.each([6, 63, 195, 300])(
-  "before %i instances an account that keeps to its quota isn't refused",
+  "does not refuse an account within its quota at %i instances",
   (instances) => {
     expect(playFleet({ instances, times: 0.9, seconds: 24 }).part).toBeGreaterThan(0.98);
   },
--- a/src/decision/spread_addresses.ts
+++ b/src/decision/spread_addresses.ts
@@ -1,31 +1,37 @@
 /**
- * Which of many entry instances callers are told of.
+ * Selects the entry instances whose addresses are returned to callers.
  *
- * Load that it answers: a fleet of hundreds of instances of unequal size. An answer names only some of them, and callers
- * take any of those. If all answers named the same ones, these would carry all that is asked; if each instance were
- * named as often as any other, the small ones would be the first to be late. One would notice instances without a
- * request beside others that have no processor time left.
+ * Load: a fleet of hundreds of instances of different sizes. An answer lists only some of them, and
+ * callers use any of those. If all answers listed the same ones, these would carry the whole load;
+ * if each instance were listed equally often, the small ones would be the first to be late.
+ * Symptom: instances without requests next to others that have no processor time left.
  *
- * So each answer names others, drawn with their processors as weights.
+ * Mechanism: each answer lists a random sample, weighted by the instances' processor capacity.
  *
  * @module
  */
 import type { Random } from "../interface/index.ts";
 
-/** An instance that callers may be told of. */
+/** An instance whose address may be returned to callers. */
 export interface AddressedInstance {
   readonly callers: string;
-  /** Thousandths of a core that it may use: a whole number, so that all compare the same. */
+  /**
+   * Processor capacity in thousandths of a core: an integer, so that all instances compare it
+   * alike.
+   */
   readonly capacity: number;
 }
 
-/** Draws up to so many instances; all of them, in their order, where there are no more. */
+/**
+ * Draws up to `most` instances and returns their addresses; all of them, in their order, if there
+ * are no more.
+ */
 export function spreadAddresses(
   instances: readonly AddressedInstance[],
   { most, random }: { most: number; random: Random },
 ): string[] {
   if (instances.length <= most) return instances.map(({ callers }) => callers);
-  // The least of exponentially distributed numbers, each with the instance's weight as its rate.
+  // Takes the smallest of exponentially distributed values, with the instance's weight as the rate.
   return instances
     .map(({ callers, capacity }) => ({ callers, turn: -Math.log(1 - random.next()) / capacity }))
     .sort((a, b) => a.turn - b.turn)
--- a/src/decision/spread_addresses_test.ts
+++ b/src/decision/spread_addresses_test.ts
@@ -9,9 +9,9 @@
   capacity: index % 11 === 0 ? LARGE : SMALL,
 }));
 
-// Callers take any of the addresses that they are told. If all were told the same 64 of 195 instances, two thirds of the
-// fleet would idle.
-test("all instances of a large fleet are named, the larger ones more often", () => {
+// Callers use any of the addresses they receive. If all received the same 64 of 195 instances, two
+// thirds of the fleet would be idle.
+test("lists all instances of a large fleet over time, the larger ones more often", () => {
   const random = createSeededRandom(1);
   const named = new Map<string, number>();
   for (let answer = 0; answer < 2_000; answer++) {
@@ -27,7 +27,7 @@
   expect(mean(timesOf(LARGE)) / mean(timesOf(SMALL))).toBeGreaterThan(2);
 });
 
-test("a small fleet is named whole, in its order", () => {
+test("returns a small fleet completely and in its order", () => {
   const few = FLEET.slice(0, 9);
   const addresses = spreadAddresses(few, { most: 64, random: createSeededRandom(1) });
   expect(addresses).toEqual(few.map(({ callers }) => callers));
--- a/src/decision/true_time.ts
+++ b/src/decision/true_time.ts
@@ -1,35 +1,39 @@
 /**
- * The time of day that all entry instances agree on, while single clocks jump.
+ * Provides a time of day that all entry instances agree on, even if single clocks jump.
  *
- * What goes wrong without it: usage is counted by windows of the time of day. An instance whose time of day
- * has jumped by seconds counts its runs into other windows, and where it also reports, it reports windows that
- * aren't over. One would notice windows whose counts are off by that instance's share.
+ * Load: usage is counted by windows of the time of day. An instance whose time of day has jumped by
+ * seconds counts its runs in the wrong windows, and if it also reports usage, it reports windows
+ * that have not ended. Symptom: windows whose counts are off by that instance's share.
  *
- * Each instance goes by its steady clock and an offset that it takes from the time of day once, at its start,
- * and then from the others: the median of what they and it hold for the time. A jump of the time of day changes
- * nothing; an instance that was suspended, or that started while its time of day was off, is put right by the
- * others, as long as fewer than half of them are wrong.
+ * Mechanism: each instance uses its monotonic clock plus an offset. The offset comes from the time
+ * of day once, at the start, and then from the other instances: the median of their times and its
+ * own. A jump of the time of day changes nothing. An instance that was suspended, or that started
+ * with a wrong time of day, is corrected by the others, as long as fewer than half of them are
+ * wrong.
  *
  * @module
  */
 
-/** A time of day that doesn't jump. */
+/**
+ * A time of day that does not jump. All times are in milliseconds; `steady` is the time of the
+ * monotonic clock.
+ */
 export interface TrueTime {
-  /** Milliseconds since 1970. */
+  /** Returns the milliseconds since 1970. */
   now(steady: number): number;
-  /** What another instance held for the time when its message came. */
+  /** Adds the time that another instance had when it sent a message, received at `steady`. */
   heard(instance: string, said: { time: number; steady: number }): void;
 }
 
-/** How long what an instance said counts, in milliseconds. */
+/** Milliseconds for which another instance's time is used. */
 const STATEMENT_LIFE = 2_000;
-/** Differences up to this are the messages' delay. */
+/** Differences up to this number of milliseconds are attributed to the messages' delay. */
 const TOLERANCE = 25;
 
 /**
- * Makes the time.
+ * Creates the time.
  *
- * @param start The time of day and the steady clock at the same moment.
+ * @param start The time of day and the monotonic clock at the same moment, in milliseconds.
  */
 export function createTrueTime(start: { date: number; steady: number }): TrueTime {
   let offset = start.date - start.steady;
@@ -49,7 +53,10 @@
   };
 }
 
-/** The lower median: of two that differ the instance's own is as good as the other. */
+/**
+ * Returns the lower median. If there are two different values, the instance's own is as good as the
+ * other.
+ */
 function median(values: readonly number[]): number {
   const sorted = [...values].sort((a, b) => a - b);
   return sorted[Math.floor((sorted.length - 1) / 2)] ?? 0;
--- a/src/decision/usage_ledger.ts
+++ b/src/decision/usage_ledger.ts
@@ -1,24 +1,32 @@
 /**
- * Counts of runs by client account and by window of time, over all entry instances.
+ * Counts runs by client account and time window over all entry instances.
  *
- * Every instance counts the runs that it began and tells the others its counts as they grow; a count never
- * falls, so the larger of two statements of the same instance is the later one, and messages may be lost,
- * repeated or overtaken. An instance that dies takes with it only what it counted since its last message.
+ * Load: usage has to be reported once and completely, while messages between instances are lost,
+ * repeated or reordered and instances crash. Symptom: windows with too few runs, or with runs that
+ * are billed twice.
+ *
+ * Mechanism: every instance counts the runs it starts and sends its growing counts to the others.
+ * Counts never decrease, so the larger of two counts from the same instance is the later one, and
+ * the order and number of messages do not matter. An instance that crashes loses only what it
+ * counted since its last message.
  *
  * @module
  */
 
-/** Counts by account. */
+/** Number of runs by account name. */
 export type AccountCounts = Readonly<Record<string, number>>;
 
-/** Makes counts without any, also under names that every object has, since accounts may have those. */
+/**
+ * Creates an empty object without a prototype, since accounts may have the names of inherited
+ * properties.
+ */
 export function createCounts(): Record<string, number> {
   return Object.create(null) as Record<string, number>;
 }
 
-/** One window's counts as one instance has them. */
+/** One instance's counts for one window. */
 export interface WindowCounts {
-  /** The window's number: the time since 1970 over the window's length. */
+  /** Number of the window: the time since 1970 divided by the window length. */
   readonly window: number;
   readonly counts: AccountCounts;
 }
@@ -30,7 +38,7 @@
   readonly count: number;
 }
 
-/** Puts single counts together by window. */
+/** Groups single counts by window. */
 export function countsByWindow(counts: Iterable<AccountCount>): WindowCounts[] {
   const windows = new Map<number, Record<string, number>>();
   for (const { window, account, count } of counts) {
@@ -41,34 +49,34 @@
   return [...windows].map(([window, known]) => ({ window, counts: known }));
 }
 
-/** What all instances have counted, as far as it is known here. */
+/** The counts of all instances, as far as they are known here. */
 export interface UsageLedger {
-  /** A run of the account began in the window. */
+  /** Counts a run of the account that started in the window. */
   began(account: string, window: number): void;
-  /** The counts of this instance for the windows that may still change or be asked for. */
+  /** Returns this instance's counts for the windows that may still change or be requested. */
   own(): readonly WindowCounts[];
-  /** Takes in what an instance says of its counts. */
+  /** Merges the counts received from another instance. */
   heard(incarnation: string, counts: readonly WindowCounts[]): void;
   /**
-   * Takes in the sum of what a group of instances has counted, of which none is heard by itself. Several may tell it,
-   * each as far as it knows: the largest is the latest.
+   * Merges the total of a group of instances whose single counts are not received. Several relays
+   * may send the total, each as far as it is known there: the largest one is the latest.
    */
   heardGroup(group: string, counts: readonly WindowCounts[]): void;
-  /** The sum of what this instance and those have counted that are heard by themselves. */
+  /** Returns the totals of this instance and of the instances whose single counts are received. */
   group(): readonly WindowCounts[];
-  /** Forgets what others said: they will say it anew, grouped in another way. */
+  /** Deletes the counts of other instances, before they are received again in different groups. */
   forgetOthers(): void;
-  /** The sum over all instances. */
+  /** Returns the totals over all instances. */
   total(window: number): AccountCounts;
-  /** Forgets windows before this one. */
+  /** Deletes all windows before this one and ignores them from now on. */
   forgetBefore(window: number): void;
 }
 
 const OWN = "";
 
-/** Makes an empty ledger. */
+/** Creates an empty ledger. */
 export function createUsageLedger(): UsageLedger {
-  /** By window, by incarnation. */
+  /** Counts by window and by incarnation (one process of an instance). */
   const windows = new Map<number, Map<string, Record<string, number>>>();
   const countsOf = (window: number, incarnation: string): Record<string, number> => {
     const instances = windows.get(window) ?? new Map<string, Record<string, number>>();
--- a/src/decision/usage_ledger_test.ts
+++ b/src/decision/usage_ledger_test.ts
@@ -3,7 +3,7 @@
 import { createUsageLedger } from "./usage_ledger.ts";
 import type { WindowCounts } from "./usage_ledger.ts";
 
-test("every run is counted once, however messages are lost, repeated and overtaken", () => {
+test("counts every run once even if messages are lost, repeated or reordered", () => {
   const runs = fc.array(fc.tuple(fc.integer({ min: 0, max: 2 }), fc.integer({ min: 0, max: 1 })));
   fc.assert(
     fc.property(runs, fc.array(fc.nat()), (begun, order) => {
@@ -25,7 +25,7 @@
   );
 });
 
-test("windows that are over are forgotten and not taken in again", () => {
+test("deletes old windows and does not accept them again", () => {
   const ledger = createUsageLedger();
   ledger.began("a", 1);
   ledger.forgetBefore(5);
@@ -34,8 +34,9 @@
   expect(ledger.total(2)).toEqual({});
 });
 
-// Accounts are named by whoever runs them. One called like something that every object has must be billed like others.
-test("any name may be an account's", () => {
+// Operators choose the names of accounts. A name that every object inherits as a property must be
+// billed like any other.
+test("accepts any account name", () => {
   const ledger = createUsageLedger();
   for (const name of ["constructor", "toString", "__proto__"]) {
     ledger.began(name, 1);
@@ -44,8 +45,8 @@
   }
 });
 
-// Relays of a zone tell its sum, and two of them tell it. Added up, each run would be billed twice.
-test("a group's counts are told by several and count once", () => {
+// Two relays of a zone send the zone's total. Adding both would bill each run twice.
+test("counts a group's total once although several relays send it", () => {
   const ledger = createUsageLedger();
   ledger.began("a", 7);
   ledger.heard("e1", [{ window: 7, counts: { a: 2 } }]);
--- a/src/decision/worker_demand.ts
+++ b/src/decision/worker_demand.ts
@@ -1,92 +1,110 @@
 /**
- * How many workers a service's load keeps busy.
+ * Estimates how many workers a service's load keeps busy.
  *
- * Load that it answers: demand that rises within seconds, and requests that pile up because workers were taken.
- * The requests that run tell both, by Little's law without knowing any engine's speed: their number is what
- * arrives times how long it takes. But where workers are overloaded each run takes longer, and the number would
- * ask for several times what is needed; so beyond what a worker runs well, only a part of a run counts.
+ * Load: demand that rises within seconds, and requests that queue because workers were reclaimed.
+ * The number of running requests shows both, by Little's law without knowing any engine's speed: it
+ * is the arrival rate times the duration. Where workers are overloaded each run takes longer, and
+ * the number would indicate several times the workers needed; so runs beyond what a worker handles
+ * well count only partly.
  *
- * Few long prompts keep workers busy in another way: they are read one after the other before any first token, and a
- * handful of them runs. So the workers that read at a moment are counted as well. What they need is what has to be left
- * when zones are taken; it doesn't enter the usual number, which the price of idle workers would exceed.
+ * A few long prompts keep workers busy in another way: they are processed (prefill) one after
+ * another before any first token, while few requests run. So the workers in prefill at a time are
+ * counted as well. This number determines what has to remain when zones are reclaimed. It does not
+ * enter the usual number, because the price of idle workers would exceed the benefit.
  *
- * Where workers are lost, requests pile up at the others, and all of them read without a pause. What was needed just
- * before the loss is what is needed after it; a pile alone counts for little, and more only as it lasts.
+ * When workers are lost, requests queue at the others, and all of them are in prefill without a
+ * pause. The demand after the loss is what it was just before; a queue alone counts for little, and
+ * for more only as it persists.
  *
- * A rise counts at once, since a worker takes seconds to come and a late first token is paid for at once. A fall
- * counts slowly, with a half-life of 10 s: a worker that is given back and needed again is paid for twice, and
- * when it is needed the market may be dry. The first load is always small, so what was there before it is a fall's
- * beginning as well.
+ * A rise counts immediately, since a worker takes seconds to start and late first tokens cost money
+ * at once. A fall counts slowly, with a half-life of 10 s: a worker that is returned and ordered
+ * again is paid for twice, and the market may be empty by then. The first load is always small, so
+ * the number of workers before it is treated as the start of a fall.
  *
  * @module
  */
 import { sum } from "./sum.ts";
 
-/** Follows one service's load. */
+/** Estimates the demand of one service. */
 export interface WorkerDemand {
   /**
-   * Takes in what each worker has.
+   * Updates the estimate with the load of each worker.
    *
-   * @param first Workers that are reckoned to be busy when the first load comes.
+   * @param options `now` is the time in milliseconds; `first` is the number of workers expected to
+   * be busy when the first load arrives.
    */
   observe(loads: readonly ObservedLoad[], options: { now: number; first: number }): DemandLevel;
 }
 
-/** What a worker has, over all instances. */
+/** Load of one worker over all instances. */
 export interface ObservedLoad {
   readonly running: number;
-  /** Milliseconds until the prompts are read of which no first token has come yet. */
+  /** Milliseconds until the prompts without a first token are processed. */
   readonly readingTime: number;
 }
 
-/** Workers that a load keeps busy. */
+/** Number of workers that a load keeps busy. */
 export interface DemandLevel {
   readonly now: number;
-  /** The same with falls counted slowly. */
+  /** The same, with falls counted slowly. */
   readonly lately: number;
-  /** Workers with which prompts are just read in time, with falls counted slowly; what runs beside may be slower. */
+  /**
+   * Number of workers that process prompts just in time, with falls counted slowly; other runs may
+   * become slower.
+   */
   readonly reading: number;
-  /** Whether there was any load yet. */
+  /** Whether there has been any load. */
   readonly hasBegun: boolean;
 }
 
-/** Runs at which an engine still makes first tokens in a fraction of the usual targets. */
+/**
+ * Runs per worker at which an engine still produces first tokens in a fraction of the usual
+ * targets.
+ */
 const RUNS_A_WORKER = 10;
-/** Runs of one worker that count in full; those beyond wait for each other. */
+/**
+ * Runs per worker that count in full; those beyond wait for each other and count with this weight.
+ */
 const COUNTED_RUNS = 16;
 const BEYOND_PART = 0.2;
 const HALF_LIFE = 10_000;
 /**
- * The part of its time that a worker may read prompts: beyond about it first tokens wait for one other prompt or more
- * before their own.
+ * Maximum fraction of its time that a worker may spend on prefill. Beyond it, first tokens wait on
+ * average for at least one other prompt.
  */
 const READING_PART = 0.6;
-/** How long a look at who reads counts, in milliseconds: some ten prompts a worker. */
+/**
+ * Time constant in milliseconds for averaging the workers in prefill: about ten prompts per worker.
+ */
 const READING_TIME = 5_000;
-/** What a first token takes beside reading, in milliseconds: prompts count as unread for that time too. */
+/**
+ * Milliseconds that a first token takes besides prefill. Prompts count as pending during that time
+ * too.
+ */
 const BESIDE_READING = 35;
 /**
- * While workers are too few, what was needed before grows by this factor at once and doubles in this time, in
- * milliseconds: what goes beyond is a pile, that is gone by the time that a worker ordered for it comes.
+ * While workers are overloaded, the previous demand may grow by this factor at once and then double
+ * in this time, in milliseconds. Anything beyond is a queue that is gone by the time a worker
+ * ordered for it has started.
  */
 const STRAINED_RISE = 1.25;
 const STRAINED_DOUBLING = 15_000;
-/** Workers count as too few where this part of them reads prompts at once. */
+/** Workers count as overloaded if this fraction of them is in prefill at once. */
 const STRAINED_READERS = 0.6;
 
-/** Workers at a moment. */
+/** A number of workers at a time in milliseconds. */
 interface Level {
   readonly level: number;
   readonly at: number;
 }
 
-/** Makes a demand that has seen nothing. */
+/** Creates an estimator that has not observed any load. */
 export function createWorkerDemand(): WorkerDemand {
   let lately: Level | undefined;
   let latelyRead: Level | undefined;
-  /** What was needed when the workers last did well. */
+  /** Demand when the workers were last not overloaded. */
   let calm: Level | undefined;
-  /** Workers that read, on average over the last seconds. */
+  /** Average number of workers in prefill over the last seconds. */
   let meanReaders: Level | undefined;
   const observeReaders = (loads: readonly ObservedLoad[], now: number): number => {
     const reading = sum(loads.map(partRead));
@@ -120,18 +138,21 @@
   };
 }
 
-/** The part of the time in which so much is to be read that goes into reading. */
+/** Returns the fraction of time that a worker with this load spends on prefill. */
 function partRead({ readingTime }: ObservedLoad): number {
   return readingTime / (readingTime + BESIDE_READING);
 }
 
-/** A level that rises at once and falls slowly. */
+/** Applies a rise immediately and a fall slowly. */
 function fallen(before: Level, { level, at }: Level): Level {
   const kept = 2 ** (-(at - before.at) / HALF_LIFE);
   return { level: Math.max(level, level + (before.level - level) * kept), at };
 }
 
-/** What can be needed by now where so much was needed when the workers last did well. */
+/**
+ * Returns the highest plausible demand now, given the demand when the workers were last not
+ * overloaded.
+ */
 function risen(calm: Level | undefined, now: number): number {
   if (calm === undefined) return Infinity;
   return calm.level * STRAINED_RISE * 2 ** ((now - calm.at) / STRAINED_DOUBLING);
--- a/src/decision/worker_health.ts
+++ b/src/decision/worker_health.ts
@@ -1,64 +1,72 @@
 /**
- * How far workers are to be trusted, judged by the requests themselves.
+ * Estimates how likely each worker is to fail a request, based on the requests themselves.
  *
- * Load that it answers: a worker that fails part of its requests, or hangs, while its health check is good.
- * It ends failing requests quickly, so it looks idle and draws the most work. One would notice a share of
- * errors that fits one worker's share of the load, for as long as nobody takes it away.
+ * Load: a worker that fails some of its requests, or hangs, while its health check passes. It
+ * finishes failing requests quickly, so it looks idle and attracts the most work. Symptom: an error
+ * rate that matches one worker's share of the load, until the worker is removed.
  *
- * A worker's failures are counted with a weight that halves every 3 s: at ten requests a second over all
- * instances three failures are enough to tell, within a second or two, and a worker that has recovered is
- * tried again after about ten seconds. What all instances saw is added up, since one of them alone sees too
- * little. A worker is compared with its service as a whole: when all fail the cause lies elsewhere, and
- * avoiding workers would make it worse.
+ * Mechanism: a worker's failures are counted with a weight that halves every 3 s. At ten requests
+ * per second over all instances, three failures are enough to identify it within a second or two,
+ * and a recovered worker is tried again after about ten seconds. The counts of all instances are
+ * added up, since a single instance observes too little. A worker is compared with its service as a
+ * whole: if all fail, the cause lies elsewhere, and avoiding workers would make it worse.
  *
  * @module
  */
 
-/** Runs that ended at a worker and how many of them failed. */
+/** Number of runs that ended, and how many of them failed. */
 export interface RunCounts {
   readonly runs: number;
   readonly failures: number;
 }
 
-/** A worker, by the hash of its id: instances name workers to each other by it. */
+/** Hash of a worker's ID, by which instances refer to workers in their messages. */
 export type WorkerHash = number;
 
-/** What is believed of the workers of all services. */
+/** Failure estimates for the workers of all services. Times are in milliseconds of the clock. */
 export interface WorkerHealth {
-  /** A run at the worker has ended. */
+  /** Records that a run at the worker ended. */
   ended(run: { worker: WorkerHash; service: string; failed: boolean; now: number }): void;
   /**
-   * What another instance has counted since its start, by worker. Counts only grow, so that one that is heard twice,
-   * or never, does no harm. What it had counted when it was first heard may be long ago and isn't taken in.
+   * Receives another instance's counts by worker since its start. Counts only grow, so a lost or
+   * repeated message does no harm. The counts of the first message may be old and are only the base
+   * for later ones.
    */
   heard(instance: string, counts: ReadonlyMap<WorkerHash, RunCounts>, now: number): void;
-  /** The chance, from 0 to 1, that a run fails there beyond what is usual in its service. */
+  /**
+   * Returns the probability, from 0 to 1, that a run at the worker fails, beyond the usual rate of
+   * its service.
+   */
   excess(worker: WorkerHash, service: string, now: number): number;
-  /** What this instance has counted at the worker since its start, for the others. */
+  /** Returns this instance's counts for the worker since the start, to be sent to the others. */
   ownCounts(worker: WorkerHash): RunCounts;
-  /** Forgets workers that are gone. */
+  /** Deletes all other workers. */
   keepOnly(workers: ReadonlySet<WorkerHash>): void;
-  /** Forgets what instances that are gone have counted; what they saw lately fades by itself. */
+  /** Deletes the counts of all other instances. Their recent observations decay on their own. */
   keepInstances(instances: ReadonlySet<string>): void;
 }
 
 const HALF_LIFE = 3_000;
-/** Runs that a worker without history is reckoned to have ended well: one failure alone says little. */
+/**
+ * Successful runs assumed for a worker without history, since a single failure is weak evidence.
+ */
 const PRIOR_RUNS = 2;
 const NOTHING: RunCounts = { runs: 0, failures: 0 };
 
-/** Runs and failures that count the less the longer they are ago. */
+/** Counts whose weight decreases with their age. */
 interface Decaying extends RunCounts {
   readonly at: number;
 }
 
-/** Makes a belief that has seen nothing. */
+/** Creates estimates without observations. */
 export function createWorkerHealth(): WorkerHealth {
-  /** By worker, what all instances saw lately: a request asks for every worker of its service. */
+  /**
+   * Recent counts of all instances, by worker: each request looks up every worker of its service.
+   */
   const lately = new Map<WorkerHash, Decaying>();
   const services = new Map<string, Decaying>();
   const own = new Map<WorkerHash, RunCounts>();
-  /** By instance, what it has counted at the workers. */
+  /** The counts of each other instance, by worker. */
   const said = new Map<string, Map<WorkerHash, RunCounts>>();
 
   const heard: WorkerHealth["heard"] = (instance, counts, now) => {
@@ -84,7 +92,7 @@
     heard,
     excess: (worker, service, now) => {
       const counts = lately.get(worker);
-      // So it is with nearly all workers, and a request asks for each of them.
+      // Fast path for nearly all workers, since each request looks up every one of them.
       if (counts === undefined || counts.failures === 0) return 0;
       const { runs, failures } = decayed(counts, now);
       const usual = decayed(services.get(service), now);
--- a/src/decision/worker_health_test.ts
+++ b/src/decision/worker_health_test.ts
@@ -1,9 +1,9 @@
 import { expect, test } from "vitest";
 import { createWorkerHealth } from "./worker_health.ts";
 
-// A worker answers its health check and fails nearly half of its requests. It ends failing ones quickly and
-// looks idle, so it draws work; a caller notices errors for as long as nobody takes it away.
-test("a worker that fails half of its runs is known within two seconds and trusted again later", () => {
+// A worker passes its health check and fails nearly half of its requests. It finishes failing
+// requests quickly and looks idle, so it attracts work, and callers see errors until it is avoided.
+test("detects a worker that fails half of its runs within two seconds and forgives it later", () => {
   const health = createWorkerHealth();
   const workers = [0, 1, 2, 3];
   let now = 0;
@@ -21,8 +21,9 @@
   expect(health.excess(0, "s", now + 12_000)).toBeLessThan(0.1);
 });
 
-// All workers fail alike, because the cause lies elsewhere. Avoiding any of them would only load the others.
-test("where all fail alike none is avoided", () => {
+// All workers fail alike, because the cause lies elsewhere. Avoiding any of them would only
+// overload the others.
+test("avoids no worker if all fail alike", () => {
   const health = createWorkerHealth();
   for (let step = 0; step < 200; step++) {
     health.ended({ worker: step % 4, service: "s", failed: step % 8 < 4, now: step * 20 });
@@ -32,9 +33,9 @@
   }
 });
 
-// One instance alone sees too little of a worker. It must also learn from what the others see, for as long as that
-// says something of the worker as it is.
-test("what other instances saw counts, and fades", () => {
+// A single instance observes too little of a worker. It also has to use what the others observe, as
+// long as that is recent.
+test("uses the observations of other instances until they decay", () => {
   const health = createWorkerHealth();
   health.heard("e2", new Map([[0, { runs: 100, failures: 0 }]]), 0);
   health.heard("e2", new Map([[0, { runs: 110, failures: 8 }]]), 0);
@@ -42,9 +43,10 @@
   expect(health.excess(0, "s", 20_000)).toBeLessThan(0.1);
 });
 
-// Each instance says again and again what it has counted. Added each time, one failure would soon look like many;
-// taken from the count of the one that it replaced, a restarted instance's failures wouldn't be seen.
-test("what an instance has counted is taken in once, and added to what others count", () => {
+// Each instance sends its cumulative counts repeatedly. Adding them each time would multiply a
+// failure; subtracting the counts of the process it replaced would hide a restarted instance's
+// failures.
+test("adds the counts of each instance once", () => {
   const health = createWorkerHealth();
   const say = (instance: string, failures: number, now: number): void =>
     health.heard(instance, new Map([[0, { runs: failures + 2, failures }]]), now);
@@ -59,9 +61,9 @@
   expect(health.excess(0, "s", 5_000)).toBeCloseTo(15 / (10 + 4 + 5 + 2 - 2), 9);
 });
 
-// An instance that was out of reach is heard again, with counts of the whole time. Taken in at once, failures of long
-// ago would keep requests away from a worker that is well by now.
-test("what an instance had counted before it was heard isn't taken in", () => {
+// An instance that was unreachable is received again, with counts since its start. Counting these
+// at once would keep requests away from a worker that has recovered.
+test("ignores what an instance counted before its first message", () => {
   const health = createWorkerHealth();
   const say = (failures: number, now: number): void =>
     health.heard("e2", new Map([[0, { runs: 50, failures }]]), now);
--- a/src/decision/worker_limits.ts
+++ b/src/decision/worker_limits.ts
@@ -1,74 +1,97 @@
 /**
- * How much all instances together send to a worker that says how much it takes.
+ * Keeps all instances together within the request rate that a worker accepts.
  *
- * Load that it answers: a worker in need names a number of requests a second, less than it gets, and has it from every
- * instance that sends to it. If each kept to the whole of it the worker would get it once an instance; if each kept to an
- * equal part by itself, hundreds of them could begin with one request each at the same moment, a hundred times what a
- * worker takes that named one a second. One would notice a worker that goes on to be slow, or fails, after it has asked
- * for less.
+ * Load: an overloaded worker returns a rate limit, lower than the rate it receives, to every
+ * instance that sends to it. If each instance used the whole limit, the worker would get it once
+ * per instance. If each used an equal part on its own, hundreds of them could start one request
+ * each at the same moment, a hundred times what a worker with a limit of one per second accepts.
+ * Symptom: a worker that stays slow, or fails, after it has asked for less.
  *
- * So the time of day is divided into slots, in each of which the worker takes a request, and each slot belongs to one
- * instance, found by rendezvous hashing over those that are there. All find the same one without a word between them, an
- * instance that comes or goes moves only its own slots, and the sum holds whatever the number of instances. A slot that
- * isn't used is lost after a second: what has been saved up can't come all at once.
+ * Mechanism: the time of day is divided into slots, in each of which the worker accepts a request.
+ * Each slot belongs to one instance, chosen by rendezvous hashing over the instances that are
+ * present. All instances find the same owner without communication, an instance that joins or
+ * leaves moves only its own slots, and the total is independent of the number of instances. An
+ * unused slot expires after a second, so that unused capacity cannot be used all at once.
  *
  * @module
  */
 import { mixHashes } from "../version/index.ts";
 import type { WorkerHash } from "./worker_health.ts";
 
-/** What a worker has said of how much it takes, as instances tell each other. */
+/** A worker's limit, as instances exchange it. */
 export interface LimitStatement {
   readonly worker: WorkerHash;
-  /** Requests a second from all instances together; undefined where it names none any more. */
+  /**
+   * Requests per second from all instances together; undefined if the worker no longer has a limit.
+   */
   readonly perSecond: number | undefined;
-  /** When an instance had it from the worker, in milliseconds since 1970. */
+  /** When an instance received the limit from the worker, in milliseconds since 1970. */
   readonly at: number;
 }
 
-/** The limits of all workers as one instance knows them. */
+/** The limits of all workers, as one instance knows them. */
 export interface WorkerLimits {
   /**
-   * The worker has answered a request.
+   * Records a worker's answer to a request.
    *
-   * @param answer `perSecond` is what it named; `sentAt` is when the request was sent, by the time that `time` gives.
+   * @param answer `perSecond` is the limit in the answer; `sentAt` is when the request was sent, in
+   * milliseconds since 1970.
    */
   answered(worker: WorkerHash, answer: { perSecond: number | undefined; sentAt: number }): void;
-  /** Takes in what another instance tells. */
+  /** Receives a limit from another instance. */
   heard(statement: LimitStatement): void;
-  /** What is told to other instances. */
+  /** Returns the recent changes to send to other instances. */
   statements(): LimitStatement[];
-  /** What the worker takes a second; undefined where it has named no limit. */
+  /** Returns the worker's limit in requests per second; undefined if it has none. */
   limitOf(worker: WorkerHash): number | undefined;
-  /** Whether this instance may send it a request now. */
+  /** Whether this instance may send a request to the worker now. */
   mayTake(worker: WorkerHash): boolean;
-  /** A request is sent to it. */
+  /** Records that a request is sent to the worker. */
   took(worker: WorkerHash): void;
-  /** Milliseconds until any instance may send to one of the workers; undefined where none of them has a limit. */
+  /**
+   * Returns the milliseconds until any instance may send to one of the workers; undefined if none
+   * of them has a limit.
+   */
   opensIn(workers: Iterable<WorkerHash>): number | undefined;
-  /** Forgets what is known of a worker: another one runs in its place. */
+  /** Deletes a worker's limit because another worker has replaced it. */
   forget(worker: WorkerHash): void;
-  /** Forgets workers that are gone. */
+  /** Deletes the limits of all other workers. */
   keepOnly(workers: ReadonlySet<WorkerHash>): void;
 }
 
-/** What the limits are made with. */
+/**
+ * Dependencies of {@linkcode createWorkerLimits}.
+ */
 export interface WorkerLimitsParts {
-  /** The time of day that the instances agree on, in milliseconds since 1970. */
+  /** Returns the time of day that the instances agree on, in milliseconds since 1970. */
   readonly time: () => number;
-  /** This instance among them. */
+  /** Hash of this instance. */
   readonly self: number;
-  /** Hashes of all instances that take requests, this one among them; the same array until they change. */
+  /**
+   * Returns the hashes of all instances that serve requests, including this one; the same array
+   * until they change.
+   */
   readonly instances: () => readonly number[];
 }
 
-/** Milliseconds for which a slot may be used from its begin: with what is saved up, a worker gets five seconds' in four. */
+/**
+ * Milliseconds for which a slot may be used from its start. A worker thus gets at most the requests
+ * of five seconds within four.
+ */
 const SLOT_LIFE = 1_000;
-/** Slots a second at the most; a worker that takes more takes several requests in each. */
+/**
+ * Maximum number of slots per second; a worker with a higher limit accepts several requests per
+ * slot.
+ */
 const GREATEST_SLOTS = 16;
-/** A worker that takes nothing still gets a request in ten seconds: only its answer says that its need is over. */
+/**
+ * Minimum rate in requests per second. A worker with a limit of zero still gets a request every ten
+ * seconds, because only its answer can lift the limit.
+ */
 const LEAST_LIMIT = 0.1;
-/** Milliseconds for which a statement is told to others after it was new here: some digests may be lost. */
+/**
+ * Milliseconds for which a new limit is sent to other instances, since some digests may be lost.
+ */
 const TOLD_FOR = 3_000;
 /** Milliseconds by which the instances' times may differ. */
 const TIME_TOLERANCE = 50;
@@ -77,24 +100,24 @@
 interface Known {
   perSecond: number | undefined;
   at: number;
-  /** When this value was new here: slots from before it were another value's. */
+  /** When this limit became known here: earlier slots belong to the previous limit. */
   changedAt: number;
-  /** Requests sent by slot. */
+  /** Requests sent in each slot. */
   readonly used: Map<number, number>;
-  /** By slot, whether it belongs to this instance. */
+  /** Whether each slot belongs to this instance. */
   readonly owned: Map<number, boolean>;
 }
 
 interface Slots {
-  /** Milliseconds that each lasts. */
+  /** Length of a slot in milliseconds. */
   readonly length: number;
-  /** Requests in each. */
+  /** Requests per slot. */
   readonly requests: number;
   readonly first: number;
   readonly last: number;
 }
 
-/** Makes limits of which none is known. */
+/** Creates an empty set of limits. */
 export function createWorkerLimits(parts: WorkerLimitsParts): WorkerLimits {
   const { time, self } = parts;
   const known = new Map<WorkerHash, Known>();
@@ -109,7 +132,7 @@
     const changedAt = time();
     known.set(worker, { perSecond, at, changedAt, used: new Map(), owned: new Map() });
   };
-  /** The slots that may be used now. */
+  /** Returns the slots that may be used now, and removes older ones. */
   const slotsOf = ({ changedAt, used, owned }: Known, perSecond: number): Slots => {
     const limit = Math.max(LEAST_LIMIT, perSecond);
     const requests = Math.ceil(limit / GREATEST_SLOTS);
@@ -135,7 +158,7 @@
     instances = now;
     for (const { owned } of known.values()) owned.clear();
   };
-  /** The first slot in which this instance may still send to the worker. */
+  /** Returns the first slot in which this instance may still send to the worker. */
   const freeSlot = (worker: WorkerHash, of: Known, perSecond: number): number | undefined => {
     refresh();
     const { requests, first, last } = slotsOf(of, perSecond);
@@ -152,7 +175,7 @@
         set({ worker, perSecond, at });
         return;
       }
-      // An answer to what was sent before the worker named its limit may come after one that names it.
+      // An answer to a request from before the limit may arrive after an answer with the limit.
       if (before?.perSecond !== undefined && sentAt > before.at) set({ worker, perSecond, at });
     },
     heard: ({ worker, perSecond, at }) => {
@@ -196,7 +219,7 @@
   };
 }
 
-/** The instance to which a slot belongs. */
+/** Returns the hash of the instance that a slot belongs to. */
 function ownerOf(slot: number, instances: readonly number[]): number | undefined {
   let owner: number | undefined;
   let highest = -1;
--- a/src/decision/worker_limits_test.ts
+++ b/src/decision/worker_limits_test.ts
@@ -5,19 +5,19 @@
 
 const WORKER = 4_711;
 const WINDOW = 4_000;
-/** In any window, a worker may get half as much again as it takes, and five requests more. */
+/** In any window, a worker may receive one and a half times its limit and five more requests. */
 const most = (limit: number): number => limit * 1.5 * (WINDOW / 1_000) + 5;
 
 interface Member {
   readonly limits: WorkerLimits;
   readonly self: number;
-  /** Milliseconds by which its time differs from the others'. */
+  /** Milliseconds by which this instance's time differs from the others'. */
   offset: number;
-  /** The instances as it knows them. */
+  /** The instances known to this one. */
   view: number[];
 }
 
-/** Instances that all know the limit and have requests for the worker at any moment. */
+/** Creates instances that all know the limit and always have requests for the worker. */
 function start(size: number, limit: number) {
   const clock = { now: 1_700_000_000_000 };
   const random = createSeededRandom(3);
@@ -39,7 +39,10 @@
     limits.answered(WORKER, { perSecond: limit, sentAt: clock.now });
   }
   const sent: number[] = [];
-  /** Plays the time; each instance has a request for the worker in each step with this chance. */
+  /**
+   * Advances the time. In each step, each instance has a request for the worker with this
+   * probability.
+   */
   const play = (milliseconds: number, chance = 1): void => {
     for (let end = clock.now + milliseconds; clock.now < end; clock.now += 20) {
       for (const { limits } of members) {
@@ -70,25 +73,22 @@
   [60, 7],
   [300, 1],
   [300, 40],
-])(
-  "%d instances under load send a worker that takes %d a second no more, and no less",
-  (size, limit) => {
-    const { sent, play } = start(size, limit);
-    play(60_000);
-    expect(mostInWindow(sent)).toBeLessThanOrEqual(most(limit));
-    expect(sent.length).toBeGreaterThanOrEqual(60 * limit * 0.95);
-    expect(sent.length).toBeLessThanOrEqual(60 * limit * 1.05 + 1);
-  },
-);
+])("sends as many requests as the worker accepts (%d instances, %d per second)", (size, limit) => {
+  const { sent, play } = start(size, limit);
+  play(60_000);
+  expect(mostInWindow(sent)).toBeLessThanOrEqual(most(limit));
+  expect(sent.length).toBeGreaterThanOrEqual(60 * limit * 0.95);
+  expect(sent.length).toBeLessThanOrEqual(60 * limit * 1.05 + 1);
+});
 
-test("guards against what was saved up while there was nothing to send, and then comes all at once", () => {
+test("does not use saved-up capacity all at once after a time without requests", () => {
   const { sent, play } = start(300, 3);
   play(20_000, 0);
   play(10_000);
   expect(mostInWindow(sent)).toBeLessThanOrEqual(most(3));
 });
 
-test("guards against a sum that rises while instances come and go, and views differ", () => {
+test("stays within the limit while instances join and leave and their views differ", () => {
   const { members, sent, play } = start(60, 5);
   const all = members.map(({ self }) => self);
   for (let round = 0; round < 40; round++) {
@@ -101,14 +101,14 @@
   expect(mostInWindow(sent)).toBeLessThanOrEqual(most(5));
 });
 
-test("guards against a sum that rises because the instances' times differ", () => {
+test("stays within the limit if the instances' times differ", () => {
   const { members, sent, play } = start(6, 2.6);
   for (const [place, member] of members.entries()) member.offset = (place - 3) * 120;
   play(60_000);
   expect(mostInWindow(sent)).toBeLessThanOrEqual(most(2.6));
 });
 
-test("guards against a limit that changes with each answer and gives every slot away anew", () => {
+test("does not assign the slots again when the limit changes with each answer", () => {
   const { clock, members, sent, play } = start(6, 3);
   for (let round = 0; round < 150; round++) {
     for (const { limits } of members) {
@@ -119,14 +119,14 @@
   expect(mostInWindow(sent)).toBeLessThanOrEqual(most(3));
 });
 
-test("a worker that takes nothing is asked now and then whether that is still so", () => {
+test("sends an occasional request to a worker with a limit of zero", () => {
   const { sent, play } = start(6, 0);
   play(60_000);
   expect(sent.length).toBeGreaterThanOrEqual(4);
   expect(mostInWindow(sent)).toBeLessThanOrEqual(2);
 });
 
-test("an answer without a limit ends it, unless its request was sent before the limit was named", () => {
+test("removes a limit after an answer without one, unless the request was sent before the limit", () => {
   const { clock, members } = start(1, 1);
   const limits = members[0]?.limits;
   limits?.answered(WORKER, { perSecond: undefined, sentAt: clock.now - 10 });
@@ -137,10 +137,10 @@
   expect(limits?.mayTake(WORKER)).toBe(true);
 });
 
-test("what others tell counts where it is later, and what is told on is no later for it", () => {
+test("uses the latest report, and does not make a report newer by forwarding it", () => {
   const { clock, members } = start(2, 1);
   const [first, second] = members;
-  if (first === undefined || second === undefined) throw new Error("There are two.");
+  if (first === undefined || second === undefined) throw new Error("The test has two members.");
   const early = first.limits.statements();
   clock.now += 500;
   first.limits.answered(WORKER, { perSecond: undefined, sentAt: clock.now - 1 });
@@ -156,14 +156,14 @@
   expect(first.limits.statements()).toEqual([]);
 });
 
-test("says when a worker takes the next request, of any instance", () => {
+test("returns the time until a worker accepts the next request from any instance", () => {
   const { clock, members } = start(6, 0.5);
   const opensIn = members[0]?.limits.opensIn([WORKER, 1]);
   expect(opensIn).toBeCloseTo(2_000 - (clock.now % 2_000));
   expect(members[0]?.limits.opensIn([1])).toBeUndefined();
 });
 
-test("a worker in another's place has its limit no more", () => {
+test("removes the limit of a worker that was replaced", () => {
   const { members } = start(1, 1);
   members[0]?.limits.forget(WORKER);
   expect(members[0]?.limits.limitOf(WORKER)).toBeUndefined();
--- a/src/decision/worker_mix.ts
+++ b/src/decision/worker_mix.ts
@@ -1,19 +1,24 @@
 /**
- * How many workers of a service there are to be in each availability zone, and how they are bought.
+ * Plans how many workers of a service each availability zone should have, and how they are
+ * purchased.
  *
- * Load that it answers: a zone's reclaimable workers are all taken back at once, and for some seconds none are
- * to be had there or anywhere; a second zone may follow seconds later. Reclaimable workers cost a fraction of
- * those on demand, so holding the reserve in reclaimable ones is cheaper than buying any on demand, as long as
- * a zone may go without first tokens getting late. One would notice too few by first tokens that are late for as
- * long as the market is dry, and too many by the price alone.
+ * Load: all reclaimable workers of a zone are reclaimed at once, and for some seconds none are
+ * available there or anywhere; a second zone may follow seconds later. Reclaimable workers cost a
+ * fraction of on-demand workers, so a reserve of reclaimable ones is cheaper than any on-demand
+ * workers, as long as a zone can be lost without late first tokens. Symptom: with too few workers,
+ * first tokens that are late while the market is empty; with too many, only a higher price.
  *
- * - Reclaimable workers are spread evenly over all zones, as many as are needed after two zones have gone.
- * - What is missing of them, because their zone was taken or the market gives none, is bought on demand for
- *   that time, in the cheapest zones that have room. It comes as fast as any worker does; and it is given back
- *   once the reclaimable ones are there again.
- * - While a market is dry, the zones that are taken next are reckoned with as well: what replaces them is ordered
- *   before they go, as far as prompts have to be read in time.
- * - On-demand workers that are there from the start are kept until enough reclaimable ones take requests.
+ * Mechanism:
+ *
+ * - Reclaimable workers are spread evenly over all zones, enough to meet the demand after the loss
+ *   of two zones.
+ * - If some of them are missing, because their zone was reclaimed or the market has none, on-demand
+ *   workers replace them for that time, in the cheapest zones that have room. These start as fast
+ *   as any worker, and are returned once the reclaimable ones are back.
+ * - While a market is empty, the zones that may be reclaimed next are included in the plan: their
+ *   replacement is ordered in advance, as far as prompts have to be processed in time.
+ * - On-demand workers that exist from the start are kept until enough reclaimable ones accept
+ *   requests.
  *
  * @module
  */
@@ -26,63 +31,82 @@
 export interface ZoneStock {
   readonly zone: string;
   readonly reclaimable: number;
-  /** Workers on demand that are ordered here, ready or not. */
+  /** On-demand workers that are ordered here, ready or not. */
   readonly ordered: number;
-  /** Whether the market lately had no reclaimable workers here. */
+  /** Whether the market recently had no reclaimable workers here. */
   readonly isDry: boolean;
 }
 
-/** What the mix is planned from. */
+/**
+ * Input for {@linkcode planMix}.
+ */
 export interface MixView {
   readonly scaling: ServiceScaling;
-  /** Workers that take requests, by zone. */
+  /** Workers that accept requests, by zone. */
   readonly stock: readonly ZoneStock[];
-  /** Workers that the load keeps busy, if it is spread well. */
+  /** Number of workers that the load keeps busy if it is spread evenly. */
   readonly inUse: DemandLevel;
-  /** Workers on demand that were wanted within the last seconds, at most: until the market is back they stay. */
+  /**
+   * Highest number of on-demand workers wanted within the last seconds; they are kept until the
+   * market has workers again.
+   */
   readonly held: number;
-  /** Milliseconds between the last two losses of all of a zone's reclaimable workers; infinite before two. */
+  /**
+   * Milliseconds between the last two losses of all of a zone's reclaimable workers; infinite
+   * before the second loss.
+   */
   readonly lossGap: number;
 }
 
-/** What is to be ordered, and why. */
+/** The workers to order, and the need for on-demand workers. */
 export interface MixPlan {
-  /** One for each zone and purchase. */
+  /** One order for each zone and type of purchase. */
   readonly orders: readonly MixOrder[];
-  /** Workers on demand that are wanted at this moment. */
+  /** Number of on-demand workers wanted now. */
   readonly onDemand: number;
 }
 
-/** What is to be ordered. */
+/** The number of workers of one purchase type that a zone should have. */
 export interface MixOrder {
   readonly zone: string;
   readonly purchase: Purchase;
   readonly count: number;
 }
 
-/** Zones whose reclaimable workers may all be gone at once: one is taken, and a second before the first is back. */
+/**
+ * Number of zones that may lose all reclaimable workers at once: one, and a second before the first
+ * has recovered.
+ */
 const ZONES_LOST = 2;
 /**
- * Zones that may be taken before a worker that is ordered now takes requests, while a market is dry: one, or two where
- * the last two were taken within about a start-up. What replaces a zone has to be ordered before the next is taken.
+ * Number of zones that may be reclaimed before a worker ordered now accepts requests, while a
+ * market is empty: one, or two if the last two losses were about one start-up time apart. The
+ * replacement for a zone has to be ordered before the next one is reclaimed.
  */
 const ZONES_FOLLOWING = { slow: 1, fast: 2 };
 /**
- * Zones count as taken fast one after the other up to this many start-ups apart: with a quarter more than one, what is
- * ordered at a loss is there about when the next zone goes.
+ * Losses count as fast up to this many start-up times apart. With a quarter more than one, workers
+ * ordered at a loss are ready at about the time of the next loss.
  */
 const FAST_START_UPS = 1.25;
-/** Before any load was seen, what is there on demand tells what is usual: so many reclaimable ones replace one. */
+/**
+ * Before any load, the existing on-demand workers indicate the usual demand: this many reclaimable
+ * workers replace one of them.
+ */
 const FIRST_PART = 0.9;
-/** Least reclaimable workers a zone: with one alone, a crash leaves the zone's sessions without a home. */
+/**
+ * Minimum number of reclaimable workers per zone. With a single one, a crash would leave the zone's
+ * sessions without a home worker.
+ */
 const LEAST_A_ZONE = 2;
-/** What is bought on demand goes beyond what is in use by this part, since what is in use is seen late. */
+/** Factor by which on-demand orders exceed the demand, since the measured demand lags behind. */
 const ON_DEMAND_ROOM = 1.25;
 
 /**
- * Workers that a service's first load is reckoned to keep busy, by what is there before it.
+ * Estimates the number of workers that a service's first load will keep busy, from the workers that
+ * exist before it.
  *
- * @param there Workers that are there, by purchase.
+ * @param there Number of existing workers by purchase type.
  */
 export function firstInUse(
   { zonePrices }: ServiceScaling,
@@ -93,10 +117,11 @@
   return aZone * Math.max(1, zonePrices.size - ZONES_LOST);
 }
 
-/** Plans the orders of a service: one for each zone and purchase. */
+/** Plans a service's orders: one for each zone and type of purchase. */
 export function planMix({ scaling, stock, inUse, held, lossGap }: MixView): MixPlan {
   const target = reclaimableTarget(scaling, { zones: stock.length, inUse: inUse.lately });
-  // Where the market gives none, what is there is all that can be counted on; elsewhere the rest is coming.
+  // If the market is empty, only the existing workers are available; otherwise the rest will start
+  // soon.
   const reachable = stock.map(({ reclaimable, isDry }) =>
     isDry ? Math.min(reclaimable, target) : target,
   );
@@ -109,11 +134,13 @@
     isInWave ? inUse.reading - leftAfterMore(reachable, following) : 0,
   );
   const isBack = stock.every(({ reclaimable, isDry }) => !isDry && reclaimable >= target);
-  // Once the market gives again, each reclaimable worker that takes requests replaces one on demand.
+  // Once the market has workers again, each reclaimable worker that accepts requests replaces an
+  // on-demand one.
   const ready = sum(stock.map(({ reclaimable }) => reclaimable));
   const kept = isInWave ? held : Math.min(held, Math.max(0, inUse.lately - ready));
   const wanted = isBack ? 0 : Math.max(missing, kept);
-  // One place is always left to ask the dry market for: only an order shows that it has workers again.
+  // One place stays free for a reclaimable worker while the market is empty: only an order shows
+  // when it has workers again.
   const rooms = stock.map(({ reclaimable, isDry }) =>
     Math.max(0, scaling.most - Math.min(reclaimable, target) - (isDry ? 1 : 0)),
   );
@@ -129,15 +156,18 @@
   return { orders, onDemand: missing };
 }
 
-/** Reclaimable workers that are left when so many more zones have been taken, the fullest of them. */
+/**
+ * Returns the number of reclaimable workers that remain after the fullest `following` zones are
+ * reclaimed.
+ */
 function leftAfterMore(reachable: readonly number[], following: number): number {
   const fullestLast = [...reachable].sort((a, b) => a - b);
   return sum(fullestLast.slice(0, Math.max(0, fullestLast.length - following)));
 }
 
 /**
- * Spreads workers on demand over the zones. What is ordered already stays where it is as far as it is wanted:
- * a worker that is given back in one zone and bought in another is paid for twice, and there only once.
+ * Spreads on-demand workers over the zones. Workers that are already ordered stay in their zone as
+ * far as they are wanted: returning one and buying another elsewhere costs twice and takes time.
  */
 function spread(
   wanted: number,
@@ -156,7 +186,7 @@
     counts[dearest] = (counts[dearest] ?? 0) - 1;
   }
   for (let total = sum(counts); total < wanted; total++) {
-    // Evenly, so that no zone's loss takes most of them; among equals in the cheapest.
+    // Spread evenly, so that no zone's loss removes most of them; the cheapest zone wins a tie.
     const open = cheapestFirst.filter((index) => (counts[index] ?? 0) < (rooms[index] ?? 0));
     const least = Math.min(...open.map((index) => counts[index] ?? 0));
     const next = open.find((index) => counts[index] === least);
@@ -166,7 +196,7 @@
   return counts;
 }
 
-/** Reclaimable workers a zone. */
+/** Returns the number of reclaimable workers that each zone should have. */
 function reclaimableTarget(
   { least, most }: ServiceScaling,
   { zones, inUse }: { zones: number; inUse: number },
--- a/src/decision/worker_mix_test.ts
+++ b/src/decision/worker_mix_test.ts
@@ -51,7 +51,7 @@
     .reduce((sum, order) => sum + order.count, 0);
 }
 
-test("before any load the reclaimable workers follow what is there, and none is bought on demand", () => {
+test("before any load, orders reclaimable workers by the existing ones and none on demand", () => {
   const lately = firstInUse(SCALING, { reclaimable: 0, onDemand: 13 });
   const inUse = { now: 0, lately, reading: 0, hasBegun: false };
   const there = stock({ ordered: [4, 3, 3, 3] });
@@ -68,40 +68,43 @@
   expect(count(orders, Purchase.OnDemand)).toBe(0);
 });
 
-test("what the load needs is there with two zones gone", () => {
+test("orders enough reclaimable workers to lose two zones", () => {
   expect(count(plan({}, { inUse: 8 }), Purchase.Reclaimable)).toBe(16);
 });
 
-// Two zones' reclaimable workers are taken and the market gives none anywhere. The callers of the whole service
-// share what is left until it does again.
-test("what the market doesn't give is bought on demand, and given back when it does", () => {
+// Two zones' reclaimable workers are reclaimed and the market has none anywhere. The callers of the
+// whole service share the remaining workers until it does.
+test("buys missing workers on demand while the market is empty, and returns them afterwards", () => {
   const taken = { reclaimable: [4, 4, 0, 0], dry: EVERYWHERE };
   expect(count(plan(taken, { inUse: 12 }), Purchase.OnDemand)).toBeGreaterThanOrEqual(4);
   const back = { reclaimable: [4, 4, 4, 4], ordered: [2, 2, 2, 1] };
   expect(count(plan(back, { inUse: 8, held: 7 }), Purchase.OnDemand)).toBe(0);
 });
 
-// Requests pile up while the market is dry, and the load asks for more workers than the bounds allow. Ordering
-// all of a zone's places as reclaimable ones, that don't come, would leave no place for those that do.
-test("reclaimable workers that can't be had leave their places to those on demand", () => {
+// Requests queue while the market is empty, and the load requires more workers than the limits
+// allow. Reserving all of a zone's places for unavailable reclaimable workers would leave none for
+// on-demand ones.
+test("gives places of unavailable reclaimable workers to on-demand ones", () => {
   const orders = plan({ reclaimable: [1, 0, 1, 0], dry: EVERYWHERE }, { inUse: 30 });
   expect(count(orders, Purchase.OnDemand)).toBeGreaterThanOrEqual(30);
-  // The market is still asked for one more than is there.
+  // Each zone still orders one reclaimable worker more than it has.
   const asked = orders.filter(({ purchase }) => purchase === Purchase.Reclaimable);
   expect(asked.map((order) => order.count)).toEqual([2, 1, 2, 1]);
 });
 
-// The load falls for a moment while the market is dry. Workers that were given back would have to come anew.
-test("workers on demand stay where they are as long as they were wanted lately", () => {
+// The load falls for a moment while the market is empty. Workers that were returned would have to
+// start again.
+test("keeps on-demand workers in place while they were wanted recently", () => {
   const there = { reclaimable: [2, 2, 0, 0], ordered: [1, 3, 2, 2], dry: EVERYWHERE };
   const orders = plan(there, { inUse: 6, held: 8 });
   const kept = orders.filter(({ purchase }) => purchase === Purchase.OnDemand);
   expect(kept.map((order) => order.count)).toEqual([1, 3, 2, 2]);
 });
 
-// Zones are taken one after the other within two seconds, and the market gives none anywhere. A worker takes four to
-// come: what is ordered only when the last zone is gone leaves the service without any for that time.
-test("in a fast wave what replaces the next zones is ordered before they are taken", () => {
+// Zones are reclaimed one after another within two seconds, and the market has no workers. A worker
+// takes four seconds to start, so orders placed after the last loss would leave the service without
+// workers for that time.
+test("orders replacements before further zones are reclaimed in a fast wave", () => {
   const there = { reclaimable: [3, 3, 0, 0], dry: EVERYWHERE };
   const slow = count(plan(there, { inUse: 6, lossGap: 20_000 }), Purchase.OnDemand);
   const fast = count(plan(there, { inUse: 6, lossGap: 1_400 }), Purchase.OnDemand);
@@ -109,14 +112,14 @@
   expect(fast).toBeGreaterThanOrEqual(6);
 });
 
-// The market has workers again, and reclaimable ones come back one by one. Keeping all on demand until the last of
-// them is there would pay for both.
-test("each reclaimable worker that is back replaces one on demand", () => {
+// The market has workers again, and reclaimable ones return one by one. Keeping all on-demand
+// workers until the last one is back would cost twice.
+test("replaces an on-demand worker with each returning reclaimable one", () => {
   const there = { reclaimable: [2, 2, 1, 0], ordered: [2, 2, 2, 2] };
   expect(count(plan(there, { inUse: 8, held: 8 }), Purchase.OnDemand)).toBe(3);
 });
 
-test("no zone is asked for more than its bound", () => {
+test("keeps the orders of each zone within its limits", () => {
   const counts = fc.array(fc.integer({ min: 0, max: 10 }), { minLength: 4, maxLength: 4 });
   fc.assert(
     fc.property(
--- a/src/decision/worker_ranking.ts
+++ b/src/decision/worker_ranking.ts
@@ -1,101 +1,118 @@
 /**
- * Which worker a routed request goes to.
+ * Ranks the workers for a routed request.
  *
- * Load that it answers: long prompts among short questions, sessions that share long prompt parts, and many
- * entry instances that choose at the same moment. By least outstanding alone a prompt of 12,000 tokens counts
- * as one question of 600, and a session's roster is read again at every worker that it meets; by the prefix
- * alone one popular session fills one worker while the others idle. One would notice first tokens that are
- * late on some workers only, or prompt tokens read many times over.
+ * Load: long prompts among short questions, sessions that share long prompt prefixes, and many
+ * entry instances that choose at the same time. By least outstanding requests alone, a prompt of
+ * 12,000 tokens counts the same as a question of 600, and a session's prefix is processed again at
+ * every worker that serves it. By the prefix alone, one popular session fills one worker while
+ * others are idle. Symptom: late first tokens on some workers only, or prompt tokens that are
+ * processed many times.
  *
- * Every reason is put in milliseconds that the request, or those that run beside it, would lose:
+ * Mechanism: every factor is expressed as a cost in milliseconds for the request, or for the runs
+ * next to it:
  *
- * - prompt tokens that are read before its own first token, its own and those that wait there, at the
- *   engine's speed of reading;
- * - runs beside which its tokens are made: each makes every token of the others a little later;
- * - runs over the engine's slots: the request waits for one of them to end;
- * - the chance that the worker fails it, times what a failed try costs;
- * - the way to another availability zone.
+ * - prompt tokens processed before its first token, both its own and those pending at the worker,
+ *   at the engine's prefill rate;
+ * - concurrent runs, each of which makes every token of the others slightly later;
+ * - runs beyond the engine's slots: the request waits until one of them ends;
+ * - the probability that the worker fails the request, times the cost of a failed attempt;
+ * - the distance to another availability zone.
  *
- * A session's home is found by rendezvous hashing over the workers that are there, so that all instances
- * find the same one without a word between them, and a worker that goes moves only its own sessions. The
- * second in that order is half a home: where the first is busy it is the one that most probably has the parts
- * already, so a session that gets much of the traffic spreads over two workers before it spreads further.
+ * A session's home worker is found by rendezvous hashing over the available workers. All instances
+ * find the same one without communication, and a worker that leaves moves only its own sessions.
+ * The worker with the second-highest score is a partial home: when the first one is busy, it is the
+ * most likely to have the prefix cached, so a popular session spreads over two workers before it
+ * spreads further.
  *
  * @module
  */
 import type { Random } from "../interface/index.ts";
 import { hashText, mixHashes } from "../version/index.ts";
 
-/** One part of a prompt, in order; requests that begin with the same parts share them. */
+/** One part of a prompt, in order. Requests that begin with the same parts share them. */
 export interface PromptPart {
   readonly id: string;
   readonly tokens: number;
 }
 
-/** A worker as the ranking sees it. */
+/** The data about a worker that the ranking uses. */
 export interface RankedWorker {
   readonly id: string;
-  /** Hash of the id. */
+  /** Hash of the ID. */
   readonly hash: number;
-  /** Requests that all instances have there. */
+  /** Number of runs of all instances at the worker. */
   readonly running: number;
-  /** Prompt tokens there that no first token has come of yet. */
+  /** Pending prompt tokens at the worker: those of runs without a first token. */
   readonly unreadTokens: number;
   readonly slots: number;
-  /** The chance that it fails a run beyond what is usual, from 0 to 1. */
+  /** Probability, from 0 to 1, that the worker fails a run, beyond the usual rate. */
   readonly failing: number;
   readonly sameZone: boolean;
-  /** Milliseconds for which it is still slow after its start. */
+  /** Milliseconds for which the worker is still slow after its start. */
   readonly coldFor: number;
 }
 
-/** What the ranking knows of the request. */
+/** The data about a request that the ranking uses. */
 export interface RankedRequest {
-  /** All parts of its prompt; empty where nothing is known of it. */
+  /** All parts of the prompt; empty if unknown. */
   readonly parts: readonly PromptPart[];
 }
 
-/** What is known of a service's workers in general. */
+/** Typical speeds of a service's workers. */
 export interface ServiceSpeed {
-  /** Prompt tokens read a millisecond; undefined for services without engines. */
+  /** Prompt tokens processed per millisecond; undefined for services without engines. */
   readonly readRate: number | undefined;
-  /** Milliseconds that a run occupies a slot. */
+  /** Milliseconds for which a run occupies a slot. */
   readonly runTime: number;
 }
 
-/** Milliseconds that one more run beside it costs a run: a tenth of a millisecond a step, some tens of steps. */
+/**
+ * Milliseconds that a concurrent run costs another run: a tenth of a millisecond per step, for a
+ * few tens of steps.
+ */
 const BESIDE = 4;
-/** A failed try costs the time until it is noticed and another try, or the request itself. */
+/**
+ * Milliseconds that a failed attempt costs: the time to detect it and another attempt, or the
+ * request itself.
+ */
 const FAILED_TRY = 3_000;
-/** There and back between availability zones; it also decides between equals, and its bytes are paid for. */
+/**
+ * Milliseconds for the round trip to another availability zone. It also breaks ties, because
+ * traffic between zones costs money.
+ */
 const ZONE_DISTANCE = 3;
-/** Sending to a worker that is still warming up costs about as much of what is left. */
+/** Fraction of the remaining warm-up time that a request to a worker costs. */
 const COLD_PART = 0.1;
-/** The chance that a session's first and second home have its shared parts. */
+/** Probabilities that a session's first and second home worker have its shared parts cached. */
 const HOME_CHANCES = [1, 0.5] as const;
 
-/** Equals are drawn from: otherwise all instances would take the first in the list. */
+/**
+ * Maximum random cost in milliseconds, so that the instances do not all choose the first of several
+ * equal workers.
+ */
 const JITTER = 2;
 /** Hashes have 32 bits. */
 const HASHES = 2 ** 32;
 
-/** Workers with what each would cost the request in milliseconds, the cheapest first. */
+/** A worker and the cost of the request there, in milliseconds. */
 export interface Ranking<W extends RankedWorker> {
   readonly worker: W;
   readonly cost: number;
-  /** How long the first token is expected to take. */
+  /** Expected milliseconds until the first token. */
   readonly wait: number;
-  /** Prompt tokens that it would have to read. */
+  /** Prompt tokens that the worker would have to process. */
   readonly reads: number;
 }
 
-/** The workers at which the shared parts of a prompt are kept, with the chance that they are. */
+/** The workers that may have the shared parts of a prompt cached, with the probability of it. */
 export type PromptHomes<W> = ReadonlyMap<W, number>;
 
 /**
  * Ranks the workers of a service for one request.
  *
- * @param options `homes` are those of the request's prompt among all workers, where these are only some of them.
+ * @param options `homes` are the home workers of the prompt among all workers; required if
+ * `workers` is only a sample.
+ * @returns The workers in ascending order of cost.
  */
 export function rankWorkers<W extends RankedWorker>(
   workers: readonly W[],
@@ -109,7 +126,7 @@
   const { request, speed, random, homes = homesOf(workers, request.parts) } = options;
   const all = sum(request.parts);
   const shared = all - (request.parts.at(-1)?.tokens ?? 0);
-  // One number drawn for all: each worker's own comes of it and of the worker's hash.
+  // Draws one random number; each worker's jitter is a hash of it and the worker.
   const draw = Math.floor(random.next() * HASHES);
   const rankings: Ranking<W>[] = [];
   for (const worker of workers) {
@@ -127,13 +144,13 @@
   return rankings.sort((a, b) => a.cost - b.cost);
 }
 
-/** Finds the homes of a prompt. */
+/** Finds the home workers of a prompt. */
 export function homesOf<W extends { readonly hash: number }>(
   workers: readonly W[],
   parts: readonly PromptPart[],
 ): PromptHomes<W> {
   if (parts.length < 2) return new Map();
-  // The last part is the request's own: what it shares is all before it.
+  // The last part belongs to this request alone; all parts before it may be shared.
   const shared = parts.slice(0, -1).map(({ id }) => id);
   const key = hashText(shared.join(","));
   return new Map(
@@ -144,7 +161,10 @@
   );
 }
 
-/** The few with the highest scores, the highest first: cheaper than to sort them all for each request. */
+/**
+ * Returns the `count` workers with the highest scores in descending order, which is cheaper than
+ * sorting all of them for each request.
+ */
 function highest<W>(
   workers: readonly W[],
   { count, scoreOf }: { count: number; scoreOf: (worker: W) => number },
--- a/src/decision/worker_ranking_test.ts
+++ b/src/decision/worker_ranking_test.ts
@@ -31,7 +31,7 @@
   ],
 };
 
-test("a session keeps its home when other workers come and go", () => {
+test("keeps the home worker of a session when other workers join and leave", () => {
   const [first] = rankWorkers(WORKERS, { request: ROSTER, speed: SPEED, random: RANDOM });
   const others = WORKERS.filter(({ id }) => id === first?.worker.id || id !== "w3");
   const [again] = rankWorkers([...others, worker(20)], {
@@ -40,19 +40,20 @@
     random: RANDOM,
   });
   const moved = again?.worker.id !== first?.worker.id;
-  // Only the newcomer may take it.
+  // Only the new worker may become the home.
   expect(!moved || again?.worker.id === "w20").toBe(true);
 });
 
-// A question of 600 tokens would wait behind prompts of 12,000 on a worker that has few requests.
-test("short work doesn't go behind long prompts", () => {
+// On a worker with few requests, a question of 600 tokens would wait behind prompts of 12,000.
+test("does not queue short requests behind long prompts", () => {
   const workers = [worker(0, { running: 2, unreadTokens: 24_000 }), worker(1, { running: 8 })];
   const request = { parts: [{ id: "x", tokens: 600 }] };
   expect(rankWorkers(workers, { request, speed: SPEED, random: RANDOM })[0]?.worker.id).toBe("w1");
 });
 
-// A quarter of the traffic is about one thing. Its home alone would be overloaded while the others idle.
-test("a prefix that gets much of the traffic spreads by itself", () => {
+// A quarter of the traffic shares one prefix. Its home worker alone would be overloaded while the
+// others are idle.
+test("spreads a popular prefix over several workers", () => {
   const running = new Map<string, number>();
   const unread = new Map<string, number>();
   for (let step = 0; step < 60; step++) {
@@ -68,13 +69,13 @@
   expect(Math.max(...running.values())).toBeLessThan(20);
 });
 
-test("a failing worker is passed over until all others are busy", () => {
+test("avoids a failing worker until all others are busy", () => {
   const workers = [worker(0, { failing: 0.4 }), worker(1, { running: 20 })];
   const request = { parts: [] };
   expect(rankWorkers(workers, { request, speed: SPEED, random: RANDOM })[0]?.worker.id).toBe("w1");
 });
 
-test("a worker without free slots comes last", () => {
+test("ranks a worker without free slots last", () => {
   const workers = [worker(0, { running: 6, slots: 6 }), worker(1, { running: 5, slots: 6 })];
   const speed = { readRate: undefined, runTime: 50 };
   const ranked = rankWorkers(workers, { request: { parts: [] }, speed, random: RANDOM });
@@ -82,8 +83,9 @@
   expect(ranked[1]?.wait).toBeGreaterThan(0);
 });
 
-// Few requests run, and most workers are equally idle. All instances would take the same one of them.
-test("among equals the choice is spread", () => {
+// Few requests run, and most workers are equally idle. Without jitter all instances would choose
+// the same one.
+test("spreads requests over equal workers", () => {
   const workers = [worker(0), worker(1), worker(2), worker(3)];
   const speed = { readRate: undefined, runTime: 20 };
   const chosen = new Map<string, number>();
--- a/src/decision/zone_losses.ts
+++ b/src/decision/zone_losses.ts
@@ -1,10 +1,14 @@
 /**
- * How fast availability zones are taken one after the other.
+ * Measures how quickly availability zones are reclaimed one after another.
  *
- * Load that it answers: reclaims that come in waves, one zone and then the next. Whether the next is taken before a
- * worker that is ordered now takes requests decides how many have to be ordered ahead. Ahead of every loss it would cost
- * far more than most waves take; behind a fast wave nothing is left when its last zone goes. One would notice the first
- * by the price of workers that never had work, the second by seconds in which a whole service is refused.
+ * Load: reclaims that come in waves, one zone after another. If the next zone is reclaimed before a
+ * worker ordered now accepts requests, more workers have to be ordered in advance. Doing so at
+ * every loss would cost far more than most waves require; reacting late to a fast wave leaves no
+ * workers after its last zone. Symptom: in the first case the price of workers that were never
+ * used, in the second case seconds in which a whole service is refused.
+ *
+ * Mechanism: each observation is compared with the previous one, and the time between the last two
+ * complete losses of a zone is kept for each service.
  *
  * @module
  */
@@ -12,9 +16,11 @@
 /** The losses of zones, by service. */
 export interface ZoneLosses {
   /**
-   * Takes in the reclaimable workers that take requests in each zone.
+   * Records the number of reclaimable workers that accept requests in each zone.
    *
-   * @returns Milliseconds between the last two losses of all workers of a zone; infinite before two.
+   * @param seen `now` is the time in milliseconds.
+   * @returns Milliseconds between the last two losses of all workers of a zone; infinite before the
+   * second loss.
    */
   observe(
     service: string,
@@ -28,7 +34,7 @@
   gap: number;
 }
 
-/** Makes losses of which none has been seen. */
+/** Creates an empty record of losses. */
 export function createZoneLosses(): ZoneLosses {
   const services = new Map<string, Losses>();
   return {
