--- a/src/decision/zone_losses_test.ts
+++ b/src/decision/zone_losses_test.ts
@@ -5,8 +5,8 @@
   return Object.entries(counts).map(([zone, reclaimable]) => ({ zone, reclaimable }));
 }
 
-// Three zones are taken, 4.6 s and then 1.4 s apart.
-test("the gap is that between the last two zones that were taken whole", () => {
+// Three zones are reclaimed, 4.6 s and then 1.4 s apart.
+test("returns the time between the last two zones that were lost completely", () => {
   const losses = createZoneLosses();
   const observe = (now: number, counts: Readonly<Record<string, number>>): number =>
     losses.observe("model", { stock: stock(counts), now });
@@ -17,7 +17,7 @@
   expect(observe(7_000, { a: 0, b: 0, c: 0 })).toBe(1_400);
 });
 
-test("a crash of some workers, and a zone that never had any, are no losses", () => {
+test("ignores a crash of some workers and a zone that never had any", () => {
   const losses = createZoneLosses();
   losses.observe("model", { stock: stock({ a: 3, b: 0 }), now: 0 });
   expect(losses.observe("model", { stock: stock({ a: 1, b: 0 }), now: 500 })).toBe(Infinity);
