--- a/src/decision/compared_workers.ts
+++ b/src/decision/candidate_workers.ts
@@ -19,13 +19,13 @@
  * @module
  */
 import type { Random } from "../interface/index.ts";
-import { homesOf } from "./worker_ranking.ts";
+import { findHomes } from "./worker_ranking.ts";
 import type { PromptHomes, PromptPart } from "./worker_ranking.ts";
 
 /** Minimum number of workers drawn: the better of two is far better than one at random. */
-const LEAST_DRAWN = 2;
+const MIN_SAMPLE_SIZE = 2;
 /** Number of workers drawn when one run per worker starts unseen. */
-const DRAWN_AT_ONE = 3;
+const SAMPLE_SIZE_AT_ONE_UNSEEN = 3;
 
 /** The candidate workers for one request. */
 export interface Compared<W> {
@@ -48,13 +48,16 @@
   options: { unseen: number; parts: readonly PromptPart[]; random: Random },
 ): Compared<W> {
   const { unseen, parts, random } = options;
-  const homes = homesOf(workers, parts);
-  const drawn = Math.max(LEAST_DRAWN, Math.ceil(DRAWN_AT_ONE / Math.max(unseen, Number.EPSILON)));
-  if (drawn + homes.size >= workers.length) return { workers, homes };
-  const found = new Set(homes.keys());
-  for (let count = 0; count < drawn; count++) {
+  const homes = findHomes(workers, parts);
+  const sampleSize = Math.max(
+    MIN_SAMPLE_SIZE,
+    Math.ceil(SAMPLE_SIZE_AT_ONE_UNSEEN / Math.max(unseen, Number.EPSILON)),
+  );
+  if (sampleSize + homes.size >= workers.length) return { workers, homes };
+  const selected = new Set(homes.keys());
+  for (let count = 0; count < sampleSize; count++) {
     const worker = workers[Math.floor(random.next() * workers.length)];
-    if (worker !== undefined) found.add(worker);
+    if (worker !== undefined) selected.add(worker);
   }
-  return { workers: [...found], homes };
+  return { workers: [...selected], homes };
 }
--- a/src/decision/compared_workers_test.ts
+++ b/src/decision/candidate_workers_test.ts
@@ -1,17 +1,17 @@
 import { expect, test } from "vitest";
 import { createSeededRandom } from "../interface/index.ts";
 import { hashText } from "../version/index.ts";
-import { comparedWorkers } from "./compared_workers.ts";
+import { comparedWorkers } from "./candidate_workers.ts";
 import { rankWorkers } from "./worker_ranking.ts";
 import type { RankedWorker } from "./worker_ranking.ts";
 
-const SPEED = { readRate: 100, runTime: 800 };
+const TIMING = { readRate: 100, runTime: 800 };
 /** Milliseconds between two digests, and milliseconds that a run takes. */
-const NEWS_AGE = 400;
+const DIGEST_INTERVAL = 400;
 const RUN_TIME = 800;
 const STEP = 10;
 
-const PLACES = 12;
+const SLOTS = 12;
 
 interface Load {
   readonly instances: number;
@@ -25,55 +25,64 @@
  * @returns `busiest` is the busiest worker's number of requests divided by the mean; `overfull` is
  * the fraction of requests that found no free slot.
  */
-function play(load: Load): { busiest: number; overfull: number } {
+function simulate(load: Load): { busiest: number; overfull: number } {
   const { workers, perSecond, instances } = load;
   const random = createSeededRandom(7);
   const ids = Array.from({ length: workers }, (_, index) => `w${index}`);
   const running = new Map(ids.map((id) => [id, 0]));
   const ends: { at: number; id: string }[] = [];
-  let told = new Map(running);
+  let reportedRuns = new Map(running);
   /** The runs that each instance has started since the last digest, by worker. */
-  let own = Array.from({ length: instances }, () => new Map<string, number>());
-  const got = new Map<string, number>();
-  let due = 0;
+  let startedSinceDigest = Array.from({ length: instances }, () => new Map<string, number>());
+  const requestsByWorker = new Map<string, number>();
+  let pendingRequests = 0;
   let overfull = 0;
-  let all = 0;
+  let total = 0;
   for (let now = 0; now < 12_000; now += STEP) {
-    if (now % NEWS_AGE === 0) {
-      told = new Map(running);
-      own = own.map(() => new Map<string, number>());
+    if (now % DIGEST_INTERVAL === 0) {
+      reportedRuns = new Map(running);
+      startedSinceDigest = startedSinceDigest.map(() => new Map<string, number>());
     }
     while ((ends[0]?.at ?? Infinity) <= now) {
       const { id = "" } = ends.shift() ?? {};
       running.set(id, (running.get(id) ?? 0) - 1);
     }
-    due += (perSecond * STEP) / 1_000;
-    for (; due >= 1; due--) {
-      const mine = own[Math.floor(random.next() * instances)] ?? new Map<string, number>();
-      const seen = ids.map((id): RankedWorker => ({
+    pendingRequests += (perSecond * STEP) / 1_000;
+    for (; pendingRequests >= 1; pendingRequests--) {
+      const ownRuns =
+        startedSinceDigest[Math.floor(random.next() * instances)] ?? new Map<string, number>();
+      const views = ids.map((id): RankedWorker => ({
         id,
         hash: hashText(id),
-        running: (told.get(id) ?? 0) + (mine.get(id) ?? 0),
+        running: (reportedRuns.get(id) ?? 0) + (ownRuns.get(id) ?? 0),
         unreadTokens: 0,
-        slots: PLACES,
+        slots: SLOTS,
         failing: 0,
         sameZone: true,
         coldFor: 0,
       }));
-      const unseen = (perSecond * NEWS_AGE) / 1_000 / workers;
-      const few = comparedWorkers(seen, { unseen, parts: [], random });
+      const unseen = (perSecond * DIGEST_INTERVAL) / 1_000 / workers;
+      const candidates = comparedWorkers(views, { unseen, parts: [], random });
       const request = { parts: [] };
-      const ranked = rankWorkers(few.workers, { request, speed: SPEED, random, homes: few.homes });
+      const ranked = rankWorkers(candidates.workers, {
+        request,
+        speed: TIMING,
+        random,
+        homes: candidates.homes,
+      });
       const id = ranked[0]?.worker.id ?? "";
-      mine.set(id, (mine.get(id) ?? 0) + 1);
+      ownRuns.set(id, (ownRuns.get(id) ?? 0) + 1);
       running.set(id, (running.get(id) ?? 0) + 1);
-      got.set(id, (got.get(id) ?? 0) + 1);
-      if ((running.get(id) ?? 0) > PLACES) overfull++;
-      all++;
+      requestsByWorker.set(id, (requestsByWorker.get(id) ?? 0) + 1);
+      if ((running.get(id) ?? 0) > SLOTS) overfull++;
+      total++;
       ends.push({ at: now + RUN_TIME, id });
     }
   }
-  return { busiest: Math.max(...got.values()) / (all / workers), overfull: overfull / all };
+  return {
+    busiest: Math.max(...requestsByWorker.values()) / (total / workers),
+    overfull: overfull / total,
+  };
 }
 
 // All instances receive the same totals a few times per second. If each picked the worker that is
@@ -84,7 +93,7 @@
   { instances: 195, workers: 69, perSecond: 420 },
   { instances: 300, workers: 69, perSecond: 420 },
 ])("does not send the requests of all $instances instances to the same worker", (load) => {
-  const { busiest, overfull } = play(load);
+  const { busiest, overfull } = simulate(load);
   expect(busiest).toBeLessThan(1.5);
   expect(overfull).toBeLessThan(0.01);
 });
@@ -103,8 +112,8 @@
   });
   const workers = [worker(1, 6), worker(2, 0), worker(3, 4), worker(4, 6)];
   for (let step = 0; step < 50; step++) {
-    const few = comparedWorkers(workers, { unseen: 0, parts: [], random });
-    expect(few.workers).toEqual(workers);
+    const candidates = comparedWorkers(workers, { unseen: 0, parts: [], random });
+    expect(candidates.workers).toEqual(workers);
   }
 });
 
@@ -119,9 +128,9 @@
   ];
   const first = comparedWorkers(workers, { unseen: 3, parts, random });
   for (let step = 0; step < 50; step++) {
-    const { workers: few, homes } = comparedWorkers(workers, { unseen: 3, parts, random });
+    const { workers: candidates, homes } = comparedWorkers(workers, { unseen: 3, parts, random });
     expect(homes).toEqual(first.homes);
-    expect(few.length).toBeLessThanOrEqual(4);
-    for (const home of homes.keys()) expect(few).toContain(home);
+    expect(candidates.length).toBeLessThanOrEqual(4);
+    for (const home of homes.keys()) expect(candidates).toContain(home);
   }
 });
--- a/src/decision/crash_evidence.ts
+++ b/src/decision/crash_evidence.ts
@@ -77,44 +77,44 @@
  */
 export const PROVING_CRASHES = 3;
 /** Milliseconds for which an answer counts in favor of a request that loses workers later. */
-const ANSWER_LIFE = 10_000;
+const ANSWER_TTL = 10_000;
 /** Milliseconds for which crashes are kept after the latest one. */
 export const CRASH_LIFE = 600_000;
 /**
  * Milliseconds for which a request stays proven after the instances that counted its crashes have
  * ended.
  */
-const PROOF_LIFE = 60_000;
+const PROOF_TTL = 60_000;
 /**
  * Maximum number of requests whose answers, and whose crashes, are kept; the oldest are evicted.
  */
-const GREATEST_ANSWERED = 4_096;
-const GREATEST_SUSPECTS = 512;
+const MAX_ANSWERED_REQUESTS = 4_096;
+const MAX_SUSPECTS = 512;
 
-const NOTHING: RunCounts = { runs: 0, failures: 0 };
+const NO_COUNTS: RunCounts = { runs: 0, failures: 0 };
 
-interface Counted {
+interface SuspectCounts {
   readonly suspect: Suspect;
   crashes: number;
   answers: number;
   at: number;
 }
 
-interface Answered {
+interface RecentAnswers {
   answers: number;
   at: number;
 }
 
-interface Recalled {
+interface RestoredCrashes {
   readonly crashes: number;
   /**
    * Crashes counted at the time of the restore, which `crashes` includes. Decreases when the
    * instances that counted them end.
    */
-  counted: number;
+  includedCrashes: number;
 }
 
-interface Total {
+interface SuspectTotals {
   readonly crashes: number;
   readonly answers: number;
   readonly isOwn: boolean;
@@ -130,112 +130,114 @@
   othersOf: (key: number) => RunCounts | undefined,
 ): CrashEvidence {
   /** The counts that this instance sends to the others, by request name. */
-  const own = new Map<string, Counted>();
+  const ownCounts = new Map<string, SuspectCounts>();
   /** Recent answers by request name. */
-  const lately = new Map<string, Answered>();
-  const known = new Map<string, CrashFinding>();
-  const recalled = new Map<string, Recalled>();
+  const recentAnswers = new Map<string, RecentAnswers>();
+  const provenFindings = new Map<string, CrashFinding>();
+  const restored = new Map<string, RestoredCrashes>();
   /** When a request that is not yet proven was first one crash short of it, by request name. */
   const suspectedSince = new Map<string, number>();
 
-  const countedOf = (suspect: Suspect, now: number): Counted => {
-    const found = own.get(suspect.name) ?? {
+  const touchCounts = (suspect: Suspect, now: number): SuspectCounts => {
+    const found = ownCounts.get(suspect.name) ?? {
       suspect,
       crashes: 0,
       answers: answersOf(suspect.name, now),
       at: now,
     };
     // Moves the entry to the end of the map, so that it is evicted last.
-    own.delete(suspect.name);
-    own.set(suspect.name, found);
+    ownCounts.delete(suspect.name);
+    ownCounts.set(suspect.name, found);
     found.at = now;
     return found;
   };
   const answersOf = (name: string, now: number): number => {
-    const found = lately.get(name);
-    return found === undefined || now - found.at > ANSWER_LIFE ? 0 : found.answers;
+    const found = recentAnswers.get(name);
+    return found === undefined || now - found.at > ANSWER_TTL ? 0 : found.answers;
   };
-  const noteAnswer = ({ name }: Suspect, now: number): void => {
+  const rememberAnswer = ({ name }: Suspect, now: number): void => {
     const answers = answersOf(name, now) + 1;
-    lately.delete(name);
-    lately.set(name, { answers, at: now });
-    dropOldest(lately, { most: GREATEST_ANSWERED, before: now - ANSWER_LIFE });
+    recentAnswers.delete(name);
+    recentAnswers.set(name, { answers, at: now });
+    dropOldest(recentAnswers, { maxSize: MAX_ANSWERED_REQUESTS, cutoff: now - ANSWER_TTL });
   };
-  const countedOn = ({ name, key }: Suspect): Total => {
-    const mine = own.get(name) ?? { crashes: 0, answers: 0 };
-    const others = othersOf(key) ?? NOTHING;
+  const countTotals = ({ name, key }: Suspect): SuspectTotals => {
+    const own = ownCounts.get(name) ?? { crashes: 0, answers: 0 };
+    const others = othersOf(key) ?? NO_COUNTS;
     return {
-      crashes: mine.crashes + others.failures,
-      answers: mine.answers + others.runs - others.failures,
-      isOwn: mine.crashes > 0,
+      crashes: own.crashes + others.failures,
+      answers: own.answers + others.runs - others.failures,
+      isOwn: own.crashes > 0,
     };
   };
-  const totalOf = (suspect: Suspect): Total => {
-    const counted = countedOn(suspect);
-    const before = recalled.get(suspect.name);
-    if (before === undefined) return counted;
-    before.counted = Math.min(before.counted, counted.crashes);
-    const crashes = before.crashes + counted.crashes - before.counted;
+  const totalsOf = (suspect: Suspect): SuspectTotals => {
+    const counted = countTotals(suspect);
+    const restoredCrashes = restored.get(suspect.name);
+    if (restoredCrashes === undefined) return counted;
+    restoredCrashes.includedCrashes = Math.min(restoredCrashes.includedCrashes, counted.crashes);
+    const crashes = restoredCrashes.crashes + counted.crashes - restoredCrashes.includedCrashes;
     return { ...counted, crashes: Math.max(crashes, counted.crashes) };
   };
-  const isEnough = ({ crashes, answers }: Total): boolean =>
+  const isProof = ({ crashes, answers }: SuspectTotals): boolean =>
     crashes >= PROVING_CRASHES * (1 + answers);
   const isProven = (suspect: Suspect, now: number): boolean => {
     const { name } = suspect;
-    const total = totalOf(suspect);
-    const before = known.get(name);
-    if (isEnough(total)) {
+    const total = totalsOf(suspect);
+    const previous = provenFindings.get(name);
+    if (isProof(total)) {
       const { crashes, isOwn } = total;
-      known.set(name, { suspect, since: before?.since ?? now, crashes, isOwn });
+      provenFindings.set(name, { suspect, since: previous?.since ?? now, crashes, isOwn });
       return true;
     }
-    if (before === undefined) return false;
+    if (previous === undefined) return false;
     // The instances that counted may have ended. A later answer clears the request; missing counts
     // do not.
-    if (total.answers === 0 && now - before.since < PROOF_LIFE) return true;
-    known.delete(name);
+    if (total.answers === 0 && now - previous.since < PROOF_TTL) return true;
+    provenFindings.delete(name);
     return false;
   };
   return {
     crashed: (suspect, now) => {
-      countedOf(suspect, now).crashes++;
-      dropOldest(own, { most: GREATEST_SUSPECTS, before: now - CRASH_LIFE });
+      touchCounts(suspect, now).crashes++;
+      dropOldest(ownCounts, { maxSize: MAX_SUSPECTS, cutoff: now - CRASH_LIFE });
     },
     answered: (suspect, now) => {
       const isSuspected =
-        own.has(suspect.name) ||
-        recalled.has(suspect.name) ||
+        ownCounts.has(suspect.name) ||
+        restored.has(suspect.name) ||
         (othersOf(suspect.key)?.failures ?? 0) > 0;
-      if (isSuspected) countedOf(suspect, now).answers++;
-      noteAnswer(suspect, now);
+      if (isSuspected) touchCounts(suspect, now).answers++;
+      rememberAnswer(suspect, now);
     },
     isProven: (suspect, now) => {
       // Other instances lost workers with a request that was answered here. Report the answers to
       // them before the request is considered the cause.
-      const isNew = !own.has(suspect.name) && answersOf(suspect.name, now) > 0;
-      if (isNew && (othersOf(suspect.key)?.failures ?? 0) > 0) countedOf(suspect, now);
+      const isNew = !ownCounts.has(suspect.name) && answersOf(suspect.name, now) > 0;
+      if (isNew && (othersOf(suspect.key)?.failures ?? 0) > 0) touchCounts(suspect, now);
       return isProven(suspect, now);
     },
-    isAnswered: (suspect) => countedOn(suspect).answers > 0,
+    isAnswered: (suspect) => countTotals(suspect).answers > 0,
     recall: (suspect, crashes) => {
-      recalled.set(suspect.name, {
-        crashes: Math.max(crashes, totalOf(suspect).crashes),
-        counted: countedOn(suspect).crashes,
+      restored.set(suspect.name, {
+        crashes: Math.max(crashes, totalsOf(suspect).crashes),
+        includedCrashes: countTotals(suspect).crashes,
       });
     },
     forget: (name) => {
-      own.delete(name);
-      known.delete(name);
-      recalled.delete(name);
+      ownCounts.delete(name);
+      provenFindings.delete(name);
+      restored.delete(name);
     },
     proven: (now) => {
-      const suspects = [...own.values(), ...known.values()].map(({ suspect }) => suspect);
+      const suspects = [...ownCounts.values(), ...provenFindings.values()].map(
+        ({ suspect }) => suspect,
+      );
       for (const suspect of suspects) isProven(suspect, now);
-      return [...known.values()];
+      return [...provenFindings.values()];
     },
     suspected: (now) => {
-      const found = [...own.values()].flatMap(({ suspect }) => {
-        const { crashes, answers, isOwn } = totalOf(suspect);
+      const found = [...ownCounts.values()].flatMap(({ suspect }) => {
+        const { crashes, answers, isOwn } = totalsOf(suspect);
         if (!isOwn || answers > 0 || crashes !== PROVING_CRASHES - 1) return [];
         return [{ suspect, crashes, isOwn, since: suspectedSince.get(suspect.name) ?? now }];
       });
@@ -244,9 +246,9 @@
       return found;
     },
     counts: (now) => {
-      dropOldest(own, { most: GREATEST_SUSPECTS, before: now - CRASH_LIFE });
+      dropOldest(ownCounts, { maxSize: MAX_SUSPECTS, cutoff: now - CRASH_LIFE });
       return new Map(
-        [...own.values()].map(({ suspect, crashes, answers }) => [
+        [...ownCounts.values()].map(({ suspect, crashes, answers }) => [
           suspect.key,
           { runs: crashes + answers, failures: crashes },
         ]),
@@ -261,10 +263,10 @@
  */
 function dropOldest<T extends { readonly at: number }>(
   entries: Map<string, T>,
-  { most, before }: { most: number; before: number },
+  { maxSize, cutoff }: { maxSize: number; cutoff: number },
 ): void {
   for (const [name, { at }] of entries) {
-    if (at >= before && entries.size <= most) return;
+    if (at >= cutoff && entries.size <= maxSize) return;
     entries.delete(name);
   }
 }
--- a/src/decision/crash_evidence_test.ts
+++ b/src/decision/crash_evidence_test.ts
@@ -2,20 +2,20 @@
 import { createCrashEvidence } from "./crash_evidence.ts";
 import type { CrashEvidence, Suspect } from "./crash_evidence.ts";
 
-const REASON: Suspect = { name: "reason", key: 1 };
-const CHANCE: Suspect = { name: "chance", key: 2 };
+const CAUSE: Suspect = { name: "reason", key: 1 };
+const BYSTANDER: Suspect = { name: "chance", key: 2 };
 
 /** Creates instances that see each other's counts immediately. */
-function fleet(size: number): CrashEvidence[] {
+function createFleet(size: number): CrashEvidence[] {
   const now = { value: 0 };
   const members: CrashEvidence[] = [];
   for (let self = 0; self < size; self++) {
     members.push(
       createCrashEvidence((key) => {
-        const said = members.flatMap((member, index) =>
+        const received = members.flatMap((member, index) =>
           index === self ? [] : [member.counts(now.value).get(key)],
         );
-        return said.reduce(
+        return received.reduce(
           (sum, one) => ({
             runs: (sum?.runs ?? 0) + (one?.runs ?? 0),
             failures: (sum?.failures ?? 0) + (one?.failures ?? 0),
@@ -28,86 +28,86 @@
   return members;
 }
 
-function alone(): CrashEvidence {
+function createSingle(): CrashEvidence {
   return createCrashEvidence(() => undefined);
 }
 
 test("proves a request after three crashes but not after two", () => {
-  const evidence = alone();
-  evidence.crashed(REASON, 0);
-  evidence.crashed(REASON, 100);
-  expect(evidence.isProven(REASON, 200)).toBe(false);
-  evidence.crashed(REASON, 300);
-  expect(evidence.isProven(REASON, 400)).toBe(true);
-  expect(evidence.proven(400)).toEqual([{ suspect: REASON, crashes: 3, isOwn: true, since: 400 }]);
+  const evidence = createSingle();
+  evidence.crashed(CAUSE, 0);
+  evidence.crashed(CAUSE, 100);
+  expect(evidence.isProven(CAUSE, 200)).toBe(false);
+  evidence.crashed(CAUSE, 300);
+  expect(evidence.isProven(CAUSE, 400)).toBe(true);
+  expect(evidence.proven(400)).toEqual([{ suspect: CAUSE, crashes: 3, isOwn: true, since: 400 }]);
 });
 
 test("adds up the crashes of three instances, and a fourth instance sees the total", () => {
-  const members = fleet(4);
-  for (const member of members.slice(0, 3)) member.crashed(REASON, 0);
-  for (const member of members) expect(member.isProven(REASON, 1)).toBe(true);
+  const members = createFleet(4);
+  for (const member of members.slice(0, 3)) member.crashed(CAUSE, 0);
+  for (const member of members) expect(member.isProven(CAUSE, 1)).toBe(true);
 });
 
 test("does not refuse a request that ran beside the cause and is answered at the next worker", () => {
-  const evidence = alone();
+  const evidence = createSingle();
   for (let crash = 0; crash < 5; crash++) {
-    evidence.crashed(REASON, crash * 500);
-    evidence.crashed(CHANCE, crash * 500);
-    evidence.answered(CHANCE, crash * 500 + 200);
+    evidence.crashed(CAUSE, crash * 500);
+    evidence.crashed(BYSTANDER, crash * 500);
+    evidence.answered(BYSTANDER, crash * 500 + 200);
   }
-  expect(evidence.isProven(REASON, 3_000)).toBe(true);
-  expect(evidence.isProven(CHANCE, 3_000)).toBe(false);
+  expect(evidence.isProven(CAUSE, 3_000)).toBe(true);
+  expect(evidence.isProven(BYSTANDER, 3_000)).toBe(false);
 });
 
 test("does not refuse a frequent request when many workers crash at once", () => {
-  const members = fleet(3);
+  const members = createFleet(3);
   const [first, second, third] = members;
-  for (let run = 0; run < 10; run++) first?.answered(CHANCE, run);
+  for (let run = 0; run < 10; run++) first?.answered(BYSTANDER, run);
   for (const member of [second, third]) {
-    member?.crashed(CHANCE, 20);
-    member?.crashed(CHANCE, 21);
+    member?.crashed(BYSTANDER, 20);
+    member?.crashed(BYSTANDER, 21);
   }
   // The instance that has answered the request reports this when it receives the request again.
-  expect(first?.isProven(CHANCE, 30)).toBe(false);
-  for (const member of members) expect(member.isProven(CHANCE, 40)).toBe(false);
+  expect(first?.isProven(BYSTANDER, 30)).toBe(false);
+  for (const member of members) expect(member.isProven(BYSTANDER, 40)).toBe(false);
 });
 
 test("ignores old answers of a request that crashes workers now", () => {
-  const evidence = alone();
-  evidence.answered(REASON, 0);
-  for (let crash = 0; crash < 3; crash++) evidence.crashed(REASON, 20_000 + crash);
-  expect(evidence.isProven(REASON, 20_010)).toBe(true);
+  const evidence = createSingle();
+  evidence.answered(CAUSE, 0);
+  for (let crash = 0; crash < 3; crash++) evidence.crashed(CAUSE, 20_000 + crash);
+  expect(evidence.isProven(CAUSE, 20_010)).toBe(true);
 });
 
 test("keeps a request proven for a while after the instances that counted its crashes have ended", () => {
   let others: { runs: number; failures: number } | undefined = { runs: 3, failures: 3 };
   const evidence = createCrashEvidence(() => others);
-  expect(evidence.isProven(REASON, 0)).toBe(true);
+  expect(evidence.isProven(CAUSE, 0)).toBe(true);
   others = undefined;
-  expect(evidence.isProven(REASON, 30_000)).toBe(true);
-  expect(evidence.isProven(REASON, 61_000)).toBe(false);
+  expect(evidence.isProven(CAUSE, 30_000)).toBe(true);
+  expect(evidence.isProven(CAUSE, 61_000)).toBe(false);
 });
 
 test("clears a proven request when other instances report answers", () => {
   let others = { runs: 3, failures: 3 };
   const evidence = createCrashEvidence(() => others);
-  expect(evidence.isProven(REASON, 0)).toBe(true);
+  expect(evidence.isProven(CAUSE, 0)).toBe(true);
   others = { runs: 9, failures: 3 };
-  expect(evidence.isProven(REASON, 500)).toBe(false);
+  expect(evidence.isProven(CAUSE, 500)).toBe(false);
 });
 
 test("adds up crashes that are far apart, within ten minutes of the latest one", () => {
-  const evidence = alone();
-  for (let crash = 0; crash < 3; crash++) evidence.crashed(REASON, crash * 300_000);
-  expect(evidence.isProven(REASON, 600_001)).toBe(true);
-  const late = alone();
-  late.crashed(REASON, 0);
-  late.crashed(REASON, 1);
+  const evidence = createSingle();
+  for (let crash = 0; crash < 3; crash++) evidence.crashed(CAUSE, crash * 300_000);
+  expect(evidence.isProven(CAUSE, 600_001)).toBe(true);
+  const late = createSingle();
+  late.crashed(CAUSE, 0);
+  late.crashed(CAUSE, 1);
   expect(late.counts(601_000).size).toBe(0);
 });
 
 test("limits the number of requests that are kept", () => {
-  const evidence = alone();
+  const evidence = createSingle();
   for (let index = 0; index < 10_000; index++) {
     evidence.crashed({ name: `r${index}`, key: index }, index);
     evidence.answered({ name: `a${index}`, key: -index }, index);
@@ -118,46 +118,46 @@
 test("counts restored crashes after the instances that counted them have ended", () => {
   let others: { runs: number; failures: number } | undefined = { runs: 1, failures: 1 };
   const evidence = createCrashEvidence(() => others);
-  evidence.crashed(REASON, 0);
-  evidence.recall(REASON, 2);
-  expect(evidence.isProven(REASON, 1)).toBe(false);
+  evidence.crashed(CAUSE, 0);
+  evidence.recall(CAUSE, 2);
+  expect(evidence.isProven(CAUSE, 1)).toBe(false);
   others = undefined;
-  expect(evidence.isProven(REASON, 2)).toBe(false);
-  evidence.crashed(REASON, 3);
-  expect(evidence.isProven(REASON, 4)).toBe(true);
+  expect(evidence.isProven(CAUSE, 2)).toBe(false);
+  evidence.crashed(CAUSE, 3);
+  expect(evidence.isProven(CAUSE, 4)).toBe(true);
 });
 
 test("counts crashes that are restored repeatedly only once", () => {
-  const evidence = alone();
+  const evidence = createSingle();
   for (let time = 0; time < 10; time++) {
-    evidence.recall(REASON, 2);
-    expect(evidence.isProven(REASON, time)).toBe(false);
+    evidence.recall(CAUSE, 2);
+    expect(evidence.isProven(CAUSE, time)).toBe(false);
   }
-  evidence.crashed(REASON, 10);
-  for (let time = 0; time < 10; time++) evidence.recall(REASON, 2);
-  expect(evidence.proven(20)).toMatchObject([{ suspect: REASON, crashes: 3 }]);
+  evidence.crashed(CAUSE, 10);
+  for (let time = 0; time < 10; time++) evidence.recall(CAUSE, 2);
+  expect(evidence.proven(20)).toMatchObject([{ suspect: CAUSE, crashes: 3 }]);
 });
 
 test("counts an answer in favor of a restored request", () => {
-  const evidence = alone();
-  evidence.recall(CHANCE, 2);
-  evidence.answered(CHANCE, 0);
-  expect(evidence.isAnswered(CHANCE)).toBe(true);
-  for (let crash = 0; crash < 3; crash++) evidence.crashed(CHANCE, crash);
-  expect(evidence.isProven(CHANCE, 10)).toBe(false);
+  const evidence = createSingle();
+  evidence.recall(BYSTANDER, 2);
+  evidence.answered(BYSTANDER, 0);
+  expect(evidence.isAnswered(BYSTANDER)).toBe(true);
+  for (let crash = 0; crash < 3; crash++) evidence.crashed(BYSTANDER, crash);
+  expect(evidence.isProven(BYSTANDER, 10)).toBe(false);
 });
 
 test("lists a suspect that lost workers here, has no answers and needs one more crash", () => {
-  const [first, second] = fleet(2);
-  first?.crashed(REASON, 0);
+  const [first, second] = createFleet(2);
+  first?.crashed(CAUSE, 0);
   expect(first?.suspected(10)).toEqual([]);
-  first?.crashed(REASON, 20);
-  first?.crashed(CHANCE, 20);
-  first?.crashed(CHANCE, 20);
+  first?.crashed(CAUSE, 20);
+  first?.crashed(BYSTANDER, 20);
+  first?.crashed(BYSTANDER, 20);
   expect(first?.suspected(30).length).toBe(2);
-  first?.answered(CHANCE, 40);
-  expect(first?.suspected(50)).toEqual([{ suspect: REASON, crashes: 2, isOwn: true, since: 30 }]);
+  first?.answered(BYSTANDER, 40);
+  expect(first?.suspected(50)).toEqual([{ suspect: CAUSE, crashes: 2, isOwn: true, since: 30 }]);
   expect(second?.suspected(50)).toEqual([]);
-  first?.crashed(REASON, 60);
+  first?.crashed(CAUSE, 60);
   expect(first?.suspected(70)).toEqual([]);
 });
--- a/src/decision/ejection.ts
+++ b/src/decision/ejection.ts
@@ -38,20 +38,20 @@
  */
 export interface EjectionState {
   readonly until: number;
-  readonly times: number;
+  readonly count: number;
 }
 
 const SLOW_FACTOR = 2;
-const FAILING_PART = 0.5;
-const ENOUGH_RUNS = 5;
-const LEAST_PEERS = 3;
-const GREATEST_PART = 0.2;
-const FIRST_TIME_OUT = 10_000;
-const GREATEST_TIME_OUT = 300_000;
-const SLOW_START = 30_000;
-const SLOW_START_FROM = 0.1;
+const MAX_FAILURE_RATE = 0.5;
+const MIN_RUNS = 5;
+const MIN_PEERS = 3;
+const MAX_EJECTED_FRACTION = 0.2;
+const BASE_EJECTION_TIME = 10_000;
+const MAX_EJECTION_TIME = 300_000;
+const SLOW_START_DURATION = 30_000;
+const SLOW_START_FRACTION = 0.1;
 /** Milliseconds without ejection after which the next one lasts the shortest time again. */
-const FORGIVEN_AFTER = 600_000;
+const BACKOFF_RESET_TIME = 600_000;
 
 /**
  * Selects the workers of one service to eject now.
@@ -64,32 +64,36 @@
   peers: readonly PeerReading[],
   { gapTarget }: { gapTarget: number },
 ): string[] {
-  const out = peers.filter(({ isOut }) => isOut).length;
-  const allowed = Math.floor(peers.length * GREATEST_PART) - out;
-  if (allowed <= 0 || peers.length <= LEAST_PEERS) return [];
-  const judged = peers.filter(({ isOut }) => !isOut);
-  const faults = judged.map((peer) => ({ worker: peer.worker, badness: badness(peer, judged) }));
-  const bad = faults.filter((fault) => fault.badness(gapTarget) > 1);
-  bad.sort((a, b) => b.badness(gapTarget) - a.badness(gapTarget));
-  return bad.slice(0, allowed).map(({ worker }) => worker);
+  const ejectedCount = peers.filter(({ isOut }) => isOut).length;
+  const maxEjections = Math.floor(peers.length * MAX_EJECTED_FRACTION) - ejectedCount;
+  if (maxEjections <= 0 || peers.length <= MIN_PEERS) return [];
+  const candidates = peers.filter(({ isOut }) => !isOut);
+  const scored = candidates.map((peer) => ({
+    worker: peer.worker,
+    severity: severityOf(peer, candidates),
+  }));
+  const outliers = scored.filter((fault) => fault.severity(gapTarget) > 1);
+  outliers.sort((a, b) => b.severity(gapTarget) - a.severity(gapTarget));
+  return outliers.slice(0, maxEjections).map(({ worker }) => worker);
 }
 
 /** Returns how far a worker exceeds its peers; a value above 1 justifies an ejection. */
-function badness(peer: PeerReading, all: readonly PeerReading[]): (gapTarget: number) => number {
-  const others = all.filter(({ worker }) => worker !== peer.worker);
-  const gaps = others.map(({ gap }) => gap).filter((gap) => gap !== undefined);
-  const parts = others.map(failurePart).filter((part) => part !== undefined);
-  const part = failurePart(peer);
-  const failing = part !== undefined && part > 2 * median(parts) ? part / FAILING_PART : 0;
+function severityOf(peer: PeerReading, all: readonly PeerReading[]): (gapTarget: number) => number {
+  const otherPeers = all.filter(({ worker }) => worker !== peer.worker);
+  const gaps = otherPeers.map(({ gap }) => gap).filter((gap) => gap !== undefined);
+  const rates = otherPeers.map(failureRate).filter((rate) => rate !== undefined);
+  const rate = failureRate(peer);
+  const failureSeverity =
+    rate !== undefined && rate > 2 * median(rates) ? rate / MAX_FAILURE_RATE : 0;
   return (gapTarget) => {
-    if (peer.gap === undefined || gaps.length < LEAST_PEERS || peer.gap <= gapTarget)
-      return failing;
-    return Math.max(failing, peer.gap / (SLOW_FACTOR * median(gaps)));
+    if (peer.gap === undefined || gaps.length < MIN_PEERS || peer.gap <= gapTarget)
+      return failureSeverity;
+    return Math.max(failureSeverity, peer.gap / (SLOW_FACTOR * median(gaps)));
   };
 }
 
-function failurePart({ runs, failures }: PeerReading): number | undefined {
-  return runs < ENOUGH_RUNS ? undefined : failures / runs;
+function failureRate({ runs, failures }: PeerReading): number | undefined {
+  return runs < MIN_RUNS ? undefined : failures / runs;
 }
 
 function median(values: readonly number[]): number {
@@ -99,15 +103,18 @@
 
 /** Returns the state after another ejection at the time `now`. */
 export function ejectedAgain(before: EjectionState | undefined, now: number): EjectionState {
-  const recent = before !== undefined && now - before.until < FORGIVEN_AFTER;
-  const times = recent ? before.times + 1 : 1;
-  const length = Math.min(GREATEST_TIME_OUT, FIRST_TIME_OUT * 2 ** (times - 1));
-  return { until: now + length, times };
+  const isRecent = before !== undefined && now - before.until < BACKOFF_RESET_TIME;
+  const count = isRecent ? before.count + 1 : 1;
+  const duration = Math.min(MAX_EJECTION_TIME, BASE_EJECTION_TIME * 2 ** (count - 1));
+  return { until: now + duration, count };
 }
 
 /** Returns the fraction of its limit, from 0 to 1, that a worker may use: 0 while it is ejected. */
 export function usablePart(state: EjectionState | undefined, now: number): number {
   if (state === undefined) return 1;
   if (now < state.until) return 0;
-  return Math.min(1, SLOW_START_FROM + ((1 - SLOW_START_FROM) * (now - state.until)) / SLOW_START);
+  return Math.min(
+    1,
+    SLOW_START_FRACTION + ((1 - SLOW_START_FRACTION) * (now - state.until)) / SLOW_START_DURATION,
+  );
 }
--- a/src/decision/ejection_test.ts
+++ b/src/decision/ejection_test.ts
@@ -4,7 +4,7 @@
 
 const GAP_TARGET = 44;
 
-function somePeers(
+function createPeers(
   count: number,
   changes: Record<number, Partial<PeerReading>> = {},
 ): PeerReading[] {
@@ -24,31 +24,33 @@
 
 describe("ejection", () => {
   test("ejects a server that is slower than its peers", () => {
-    expect(ejected(somePeers(5, { 2: { gap: 150 } }))).toEqual(["w2"]);
+    expect(ejected(createPeers(5, { 2: { gap: 150 } }))).toEqual(["w2"]);
   });
 
   test("ejects a server that fails requests that its peers answer", () => {
     // It returns errors immediately, so it always looks idle and attracts the most work.
-    expect(ejected(somePeers(5, { 1: { failures: 40 } }))).toEqual(["w1"]);
+    expect(ejected(createPeers(5, { 1: { failures: 40 } }))).toEqual(["w1"]);
   });
 
   test("ejects no server if all are slow or all fail", () => {
     // A bad revision makes every server fail. Removing servers would add overload to the failures.
     const slow = Object.fromEntries([0, 1, 2, 3, 4].map((index) => [index, { gap: 150 }]));
     const failing = Object.fromEntries([0, 1, 2, 3, 4].map((index) => [index, { failures: 40 }]));
-    expect(ejected(somePeers(5, slow))).toEqual([]);
-    expect(ejected(somePeers(5, failing))).toEqual([]);
+    expect(ejected(createPeers(5, slow))).toEqual([]);
+    expect(ejected(createPeers(5, failing))).toEqual([]);
   });
 
   test("ejects at most a fifth of the servers at once, the worst first", () => {
     const bad = { 0: { gap: 100 }, 1: { gap: 300 }, 2: { gap: 200 } };
-    expect(ejected(somePeers(10, bad))).toEqual(["w1", "w2"]);
-    expect(ejected(somePeers(10, { ...bad, 5: { isOut: true }, 6: { isOut: true } }))).toEqual([]);
-    expect(ejected(somePeers(3, { 0: { gap: 300 } }))).toEqual([]);
+    expect(ejected(createPeers(10, bad))).toEqual(["w1", "w2"]);
+    expect(ejected(createPeers(10, { ...bad, 5: { isOut: true }, 6: { isOut: true } }))).toEqual(
+      [],
+    );
+    expect(ejected(createPeers(3, { 0: { gap: 300 } }))).toEqual([]);
   });
 
   test("does not eject a server below the target even if its peers are much faster", () => {
-    expect(ejected(somePeers(5, { 0: { gap: 40 }, 1: { gap: 10 }, 2: { gap: 10 } }))).toEqual([]);
+    expect(ejected(createPeers(5, { 0: { gap: 40 }, 1: { gap: 10 }, 2: { gap: 10 } }))).toEqual([]);
   });
 
   test("restores an ejected server gradually, and later with each consecutive ejection", () => {
@@ -58,6 +60,6 @@
     ]);
     const second = ejectedAgain(first, 20_000);
     expect(second.until).toBe(40_000);
-    expect(ejectedAgain(second, 10_000_000).times).toBe(1);
+    expect(ejectedAgain(second, 10_000_000).count).toBe(1);
   });
 });
--- a/src/decision/true_time.ts
+++ b/src/decision/fleet_time.ts
@@ -26,7 +26,7 @@
 }
 
 /** Milliseconds for which another instance's time is used. */
-const STATEMENT_LIFE = 2_000;
+const SAMPLE_TTL = 2_000;
 /** Differences up to this number of milliseconds are attributed to the messages' delay. */
 const TOLERANCE = 25;
 
@@ -37,14 +37,14 @@
  */
 export function createTrueTime(start: { date: number; steady: number }): TrueTime {
   let offset = start.date - start.steady;
-  const said = new Map<string, { difference: number; at: number }>();
+  const samples = new Map<string, { difference: number; at: number }>();
   return {
     now: (steady) => steady + offset,
     heard: (instance, { time, steady }) => {
-      said.set(instance, { difference: time - steady, at: steady });
+      samples.set(instance, { difference: time - steady, at: steady });
       const offsets = [offset];
-      for (const [name, { difference, at }] of said) {
-        if (steady - at > STATEMENT_LIFE) said.delete(name);
+      for (const [name, { difference, at }] of samples) {
+        if (steady - at > SAMPLE_TTL) samples.delete(name);
         else offsets.push(difference);
       }
       const agreed = median(offsets);
--- a/src/decision/true_time_test.ts
+++ b/src/decision/fleet_time_test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from "vitest";
-import { createTrueTime } from "./true_time.ts";
+import { createTrueTime } from "./fleet_time.ts";
 
 const DATE = 1_700_000_000_000;
 
--- a/src/decision/read_rate.ts
+++ b/src/decision/prefill_rate.ts
@@ -27,29 +27,32 @@
 }
 
 /** Tokens per millisecond before any sample: engines of common sizes process 50 to 110. */
-const FIRST = 60;
-const LEAST = 5;
-const GREATEST = 1_000;
+const INITIAL_RATE = 60;
+const MIN_RATE = 5;
+const MAX_RATE = 1_000;
 /**
  * Milliseconds that a first token takes besides prompt processing: the round trip and the first
  * decoding step.
  */
-const BESIDE_READING = 35;
+const FIXED_LATENCY = 35;
 /** Samples with fewer tokens consist mostly of the fixed latency. */
-const LEAST_TOKENS = 3_000;
-const STEP = 1.05;
+const MIN_SAMPLE_TOKENS = 3_000;
+const STEP_FACTOR = 1.05;
 
 /** Creates an estimate without samples. */
 export function createReadRate(): ReadRate {
-  let value = FIRST;
+  let value = INITIAL_RATE;
   return {
     get value() {
       return value;
     },
     observe: ({ tokens, took }) => {
-      if (tokens < LEAST_TOKENS) return;
-      const seen = tokens / Math.max(1, took - BESIDE_READING);
-      value = Math.min(GREATEST, Math.max(LEAST, seen > value ? value * STEP : value / STEP));
+      if (tokens < MIN_SAMPLE_TOKENS) return;
+      const sampleRate = tokens / Math.max(1, took - FIXED_LATENCY);
+      value = Math.min(
+        MAX_RATE,
+        Math.max(MIN_RATE, sampleRate > value ? value * STEP_FACTOR : value / STEP_FACTOR),
+      );
     },
   };
 }
--- a/src/decision/read_rate_test.ts
+++ b/src/decision/prefill_rate_test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from "vitest";
 import { createSeededRandom } from "../interface/index.ts";
-import { createReadRate } from "./read_rate.ts";
+import { createReadRate } from "./prefill_rate.ts";
 
 test("estimates the rate from first tokens even if some prompts are partly cached", () => {
   const random = createSeededRandom(1);
--- a/src/decision/repeat_allowance.ts
+++ b/src/decision/repeat_budget.ts
@@ -15,7 +15,7 @@
  */
 
 /** Limits for repeats over all instances. */
-export interface RepeatBounds {
+export interface RepeatLimits {
   /** Repeats per request. */
   readonly ratio: number;
   /** Additional repeats per window, over all instances. */
@@ -38,29 +38,29 @@
  * Fraction of the budget that is used. The reserve is for sliding windows and for small differences
  * between an instance's count of its requests and the service's count.
  */
-const USED_PART = 0.85;
+const BUDGET_FRACTION = 0.85;
 
-interface Times {
+interface Timestamps {
   readonly requests: number[];
   readonly repeats: number[];
 }
 
 /** Creates an unused budget. */
-export function createRepeatAllowance({ ratio, slack, window }: RepeatBounds): RepeatAllowance {
-  const services = new Map<string, Times>();
+export function createRepeatAllowance({ ratio, slack, window }: RepeatLimits): RepeatAllowance {
+  const services = new Map<string, Timestamps>();
   let members = 1;
-  const timesOf = (service: string, now: number): Times => {
-    const times = services.get(service) ?? { requests: [], repeats: [] };
-    services.set(service, times);
-    dropBefore(times.requests, now - window);
-    dropBefore(times.repeats, now - window);
-    return times;
+  const timestampsOf = (service: string, now: number): Timestamps => {
+    const timestamps = services.get(service) ?? { requests: [], repeats: [] };
+    services.set(service, timestamps);
+    dropBefore(timestamps.requests, now - window);
+    dropBefore(timestamps.repeats, now - window);
+    return timestamps;
   };
   return {
-    requested: (service, now) => void timesOf(service, now).requests.push(now),
+    requested: (service, now) => void timestampsOf(service, now).requests.push(now),
     take: (service, now) => {
-      const { requests, repeats } = timesOf(service, now);
-      const allowed = (requests.length * ratio + slack / members) * USED_PART;
+      const { requests, repeats } = timestampsOf(service, now);
+      const allowed = (requests.length * ratio + slack / members) * BUDGET_FRACTION;
       if (repeats.length + 1 > allowed) return false;
       repeats.push(now);
       return true;
@@ -72,7 +72,7 @@
 }
 
 /** Removes the times before `from` from an ascending list. */
-function dropBefore(times: number[], from: number): void {
-  const first = times.findIndex((at) => at >= from);
-  if (first !== 0) times.splice(0, first < 0 ? times.length : first);
+function dropBefore(timestamps: number[], cutoff: number): void {
+  const index = timestamps.findIndex((at) => at >= cutoff);
+  if (index !== 0) timestamps.splice(0, index < 0 ? timestamps.length : index);
 }
--- a/src/decision/resolve.ts
+++ b/src/decision/resolve_addresses.ts
@@ -23,7 +23,7 @@
 import type { Member, Random } from "../interface/index.ts";
 
 /** What is known when a caller asks for addresses. */
-export interface ResolveView {
+export interface ResolveContext {
   /** Entry instances that are alive and not leaving. */
   readonly alive: readonly Member[];
   /** The owner of the caller's key, if it sent one. */
@@ -38,7 +38,7 @@
 }
 
 /** The answer to a caller. It is sent as JSON. */
-export interface ResolveAnswer {
+export interface ResolveResponse {
   /** Addresses as `IP:PORT`, the best first. */
   readonly addresses: readonly string[];
   /** Seconds for which the caller may cache the answer. */
@@ -47,48 +47,48 @@
   readonly owner?: string;
 }
 
-const KEEP_FOR = 10;
-const LEAST_KEEP_FOR = 2;
+const CACHE_SECONDS = 10;
+const MIN_CACHE_SECONDS = 2;
 /** More spares would never be reached, since each failed connection costs a timeout. */
-const GREATEST_ADDRESSES = 6;
+const MAX_ADDRESSES = 6;
 const ZONE_TOLERANCE = 1.25;
 
 /** Selects the addresses returned to a caller and how long the caller may cache them. */
-export function resolve(view: ResolveView, random: Random): ResolveAnswer {
-  const order = shuffled(view.alive, random);
-  const near = order.filter((member) => isNear(member, view));
-  const first = lessLoaded(near.length > 0 ? near : order, view);
-  const others = order.filter((member) => member !== first);
-  const chosen = first === undefined ? [] : [first, ...others].slice(0, GREATEST_ADDRESSES);
+export function resolve(context: ResolveContext, random: Random): ResolveResponse {
+  const candidates = shuffled(context.alive, random);
+  const preferred = candidates.filter((member) => isPreferred(member, context));
+  const first = lessLoaded(preferred.length > 0 ? preferred : candidates, context);
+  const others = candidates.filter((member) => member !== first);
+  const chosen = first === undefined ? [] : [first, ...others].slice(0, MAX_ADDRESSES);
   const answer = {
     addresses: chosen.map(({ callerAddress }) => callerAddress),
-    keepFor: keepFor(view),
+    keepFor: cacheSeconds(context),
   };
-  return view.owner === undefined ? answer : { ...answer, owner: view.owner.callerAddress };
+  return context.owner === undefined ? answer : { ...answer, owner: context.owner.callerAddress };
 }
 
-function keepFor({ alive, accountShare = 0 }: ResolveView): number {
-  const evenParts = accountShare * alive.length;
-  return Math.max(LEAST_KEEP_FOR, Math.round(KEEP_FOR / Math.max(1, evenParts)));
+function cacheSeconds({ alive, accountShare = 0 }: ResolveContext): number {
+  const evenShares = accountShare * alive.length;
+  return Math.max(MIN_CACHE_SECONDS, Math.round(CACHE_SECONDS / Math.max(1, evenShares)));
 }
 
 /** Returns the less loaded of the first two members. */
-function lessLoaded([a, b]: readonly Member[], view: ResolveView): Member | undefined {
+function lessLoaded([a, b]: readonly Member[], context: ResolveContext): Member | undefined {
   if (a === undefined || b === undefined) return a;
-  return loadOf(b, view) < loadOf(a, view) ? b : a;
+  return loadOf(b, context) < loadOf(a, context) ? b : a;
 }
 
-function isNear(member: Member, view: ResolveView): boolean {
-  if (view.zone === undefined || member.zone !== view.zone) return false;
-  const sum = view.alive.reduce((total, other) => total + loadOf(other, view), 0);
-  return loadOf(member, view) <= (ZONE_TOLERANCE * sum) / view.alive.length;
+function isPreferred(member: Member, context: ResolveContext): boolean {
+  if (context.zone === undefined || member.zone !== context.zone) return false;
+  const sum = context.alive.reduce((total, other) => total + loadOf(other, context), 0);
+  return loadOf(member, context) <= (ZONE_TOLERANCE * sum) / context.alive.length;
 }
 
-function loadOf({ id }: Member, { load }: ResolveView): number {
+function loadOf({ id }: Member, { load }: ResolveContext): number {
   return load.get(id) ?? 0;
 }
 
 function shuffled(members: readonly Member[], random: Random): Member[] {
-  const drawn = members.map((member) => ({ member, at: random.next() }));
-  return drawn.sort((a, b) => a.at - b.at).map(({ member }) => member);
+  const keyed = members.map((member) => ({ member, at: random.next() }));
+  return keyed.sort((a, b) => a.at - b.at).map(({ member }) => member);
 }
--- a/src/decision/resolve_test.ts
+++ b/src/decision/resolve_addresses_test.ts
@@ -1,8 +1,8 @@
 import { expect, test } from "vitest";
 import { createSeededRandom } from "../interface/index.ts";
 import type { Member } from "../interface/index.ts";
-import { resolve } from "./resolve.ts";
-import type { ResolveView } from "./resolve.ts";
+import { resolve } from "./resolve_addresses.ts";
+import type { ResolveContext } from "./resolve_addresses.ts";
 
 const MEMBERS: readonly Member[] = Array.from({ length: 8 }, (_, index) => ({
   id: `e${index}#1`,
@@ -11,12 +11,12 @@
   zone: `zone-${index % 4}`,
 }));
 
-function firsts(view: Partial<ResolveView>, count = 1_000): Map<string, number> {
+function countFirstAddresses(view: Partial<ResolveContext>, count = 1_000): Map<string, number> {
   const random = createSeededRandom(1);
   const counts = new Map<string, number>();
-  const full = { alive: MEMBERS, owner: undefined, load: new Map(), account: "club", ...view };
+  const context = { alive: MEMBERS, owner: undefined, load: new Map(), account: "club", ...view };
   for (let index = 0; index < count; index++) {
-    const [first = ""] = resolve(full, random).addresses;
+    const [first = ""] = resolve(context, random).addresses;
     counts.set(first, (counts.get(first) ?? 0) + 1);
   }
   return counts;
@@ -26,19 +26,19 @@
   // One instance looks idle in the last received load data. If every answer listed it first, it
   // would be the most loaded one a second later.
   const load = new Map(MEMBERS.map(({ id }, index) => [id, index === 0 ? 0 : 100]));
-  const counts = firsts({ load });
+  const counts = countFirstAddresses({ load });
   expect(counts.get("10.0.0.0:2")).toBeLessThan(350);
   expect(counts.size).toBe(8);
 });
 
 test("prefers the caller's zone until its load exceeds an even share", () => {
-  const near = firsts({ zone: "zone-1" });
-  expect([...near.keys()].sort()).toEqual(["10.0.0.1:2", "10.0.0.5:2"]);
+  const preferred = countFirstAddresses({ zone: "zone-1" });
+  expect([...preferred.keys()].sort()).toEqual(["10.0.0.1:2", "10.0.0.5:2"]);
   const load = new Map([
     ["e1#1", 100],
     ["e5#1", 100],
   ]);
-  expect(firsts({ zone: "zone-1", load }).get("10.0.0.1:2")).toBeLessThan(100);
+  expect(countFirstAddresses({ zone: "zone-1", load }).get("10.0.0.1:2")).toBeLessThan(100);
 });
 
 test("lets a caller with most of the load cache answers briefly, and others longer", () => {
--- a/src/decision/retry_budget.ts
+++ b/src/decision/retry_budget.ts
@@ -37,56 +37,57 @@
   take(job: Job): boolean;
 }
 
-const PART = 0.1;
-const IN_HAND = 10;
-const GREATEST = 100;
+const BUDGET_PER_SUCCESS = 0.1;
+const INITIAL_BUDGET = 10;
+const MAX_BUDGET = 100;
 
 /** Creates budgets that hold the initial number of retries. */
 export function createRetryBudget(): RetryBudget {
   const budgets = new Map<string, number>();
-  const left = (key: string): number => budgets.get(key) ?? IN_HAND;
+  const budgetOf = (key: string): number => budgets.get(key) ?? INITIAL_BUDGET;
   const keysOf = (job: Job): string[] => [
     `service ${job.service}`,
     `account ${job.account} ${job.service}`,
   ];
   return {
     succeeded: (job) => {
-      for (const key of keysOf(job)) budgets.set(key, Math.min(GREATEST, left(key) + PART));
+      for (const key of keysOf(job))
+        budgets.set(key, Math.min(MAX_BUDGET, budgetOf(key) + BUDGET_PER_SUCCESS));
     },
     take: (job) => {
       const keys = keysOf(job);
-      if (keys.some((key) => left(key) < 1)) return false;
-      for (const key of keys) budgets.set(key, left(key) - 1);
+      if (keys.some((key) => budgetOf(key) < 1)) return false;
+      for (const key of keys) budgets.set(key, budgetOf(key) - 1);
       return true;
     },
   };
 }
 
 /** Causes that are announced moves: they need no budget and no delay. */
-const MOVES: ReadonlySet<RetryCause> = new Set([
+const MOVE_CAUSES: ReadonlySet<RetryCause> = new Set([
   RetryCause.WorkerReclaimed,
   RetryCause.OwnerMoved,
   RetryCause.StaleEpoch,
 ]);
 
 /** Causes after which the job certainly did not run. */
-const CERTAINLY_NOT_RUN: ReadonlySet<RetryCause> = new Set([
+const NOT_RUN_CAUSES: ReadonlySet<RetryCause> = new Set([
   RetryCause.ConnectFailed,
   RetryCause.StaleEpoch,
 ]);
 
-const FIRST_DELAY = 50;
-const GREATEST_DELAY = 5_000;
+const BASE_DELAY = 50;
+const MAX_DELAY = 5_000;
 /**
  * Milliseconds within which a detached job without budget is retried, at the earliest after half of
  * it.
  */
-const PATIENT_DELAY = 20_000;
+const DETACHED_DELAY = 20_000;
 
 /**
  * Input for {@linkcode decideRetry}.
  */
-export interface RetryCircumstances {
+export interface RetryContext {
   readonly cause: RetryCause;
   /** Failed attempts of this job, including the latest one. */
   readonly failures: number;
@@ -101,17 +102,17 @@
  * Delays are random between zero and a limit that doubles with each failure (full jitter), so that
  * jobs that failed together are not retried together.
  */
-export function decideRetry(job: Job, circumstances: RetryCircumstances): Retry {
-  const { cause, failures, budget, now, random } = circumstances;
-  const left = job.deadlineAt - now;
-  if (left <= 0) return { kind: "stop" };
-  if (!job.repeatable && !CERTAINLY_NOT_RUN.has(cause)) return { kind: "stop" };
-  if (MOVES.has(cause)) return { kind: "retry", delay: 0 };
+export function decideRetry(job: Job, context: RetryContext): Retry {
+  const { cause, failures, budget, now, random } = context;
+  const timeLeft = job.deadlineAt - now;
+  if (timeLeft <= 0) return { kind: "stop" };
+  if (!job.repeatable && !NOT_RUN_CAUSES.has(cause)) return { kind: "stop" };
+  if (MOVE_CAUSES.has(cause)) return { kind: "retry", delay: 0 };
   if (budget.take(job)) {
-    const bound = Math.min(GREATEST_DELAY, FIRST_DELAY * 2 ** (failures - 1), left / 2);
-    return { kind: "retry", delay: random.next() * bound };
+    const maxDelay = Math.min(MAX_DELAY, BASE_DELAY * 2 ** (failures - 1), timeLeft / 2);
+    return { kind: "retry", delay: random.next() * maxDelay };
   }
-  const patient = PATIENT_DELAY * (0.5 + 0.5 * random.next());
-  const hasTime = job.detached && patient + job.estimate.serviceTime < left;
-  return hasTime ? { kind: "retry", delay: patient } : { kind: "stop" };
+  const detachedDelay = DETACHED_DELAY * (0.5 + 0.5 * random.next());
+  const hasTime = job.detached && detachedDelay + job.estimate.serviceTime < timeLeft;
+  return hasTime ? { kind: "retry", delay: detachedDelay } : { kind: "stop" };
 }
--- a/src/decision/retry_budget_test.ts
+++ b/src/decision/retry_budget_test.ts
@@ -7,7 +7,7 @@
 
 const random = createSeededRandom(1);
 
-function someJob(changes: Partial<Job> = {}): Job {
+function createJob(changes: Partial<Job> = {}): Job {
   const estimate = { work: 50, answerTokens: 20, cacheTokens: 220, serviceTime: 500 };
   return { ...someArrival(), estimate, resumedTokens: 0, ...changes };
 }
@@ -19,7 +19,7 @@
   return decideRetry(job, { cause, failures, budget, now, random });
 }
 
-function retriesOf(budget: RetryBudget, job: Job, failures: number): number {
+function countRetries(budget: RetryBudget, job: Job, failures: number): number {
   const all = Array.from({ length: failures }, () => decide(job, { budget }));
   return all.filter(({ kind }) => kind === "retry").length;
 }
@@ -29,20 +29,20 @@
     // All servers of a service fail for a while. Three attempts per request would triple the load
     // on servers that are already overloaded.
     const budget = createRetryBudget();
-    for (let index = 0; index < 500; index++) budget.succeeded(someJob());
-    expect(retriesOf(budget, someJob(), 1_000)).toBeLessThanOrEqual(60);
+    for (let index = 0; index < 500; index++) budget.succeeded(createJob());
+    expect(countRetries(budget, createJob(), 1_000)).toBeLessThanOrEqual(60);
   });
 
   test("keeps one account's failing requests from using up the retries of others", () => {
     const budget = createRetryBudget();
-    for (let index = 0; index < 500; index++) budget.succeeded(someJob({ account: "tent" }));
-    expect(retriesOf(budget, someJob({ account: "club" }), 1_000)).toBe(10);
-    expect(retriesOf(budget, someJob({ account: "tent" }), 20)).toBe(20);
+    for (let index = 0; index < 500; index++) budget.succeeded(createJob({ account: "tent" }));
+    expect(countRetries(budget, createJob({ account: "club" }), 1_000)).toBe(10);
+    expect(countRetries(budget, createJob({ account: "tent" }), 20)).toBe(20);
   });
 
   test("never repeats a job that may have run and must not run twice", () => {
     // The server disconnected after the request was sent. A second run would bill a brand twice.
-    const once = someJob({ repeatable: false });
+    const once = createJob({ repeatable: false });
     expect(decide(once, { cause: RetryCause.WorkerLost }).kind).toBe("stop");
     expect(decide(once, { cause: RetryCause.SilentConnection }).kind).toBe("stop");
     expect(decide(once, { cause: RetryCause.ConnectFailed }).kind).toBe("retry");
@@ -50,8 +50,8 @@
 
   test("charges no budget for an announced reclaim", () => {
     const budget = createRetryBudget();
-    retriesOf(budget, someJob(), 50);
-    expect(decide(someJob(), { budget, cause: RetryCause.WorkerReclaimed })).toEqual({
+    countRetries(budget, createJob(), 50);
+    expect(decide(createJob(), { budget, cause: RetryCause.WorkerReclaimed })).toEqual({
       kind: "retry",
       delay: 0,
     });
@@ -59,14 +59,14 @@
 
   test("without budget, delays detached work and stops other work immediately", () => {
     const budget = createRetryBudget();
-    retriesOf(budget, someJob(), 50);
-    const detached = decide(someJob({ detached: true }), { budget });
+    countRetries(budget, createJob(), 50);
+    const detached = decide(createJob({ detached: true }), { budget });
     expect(detached.kind === "retry" && detached.delay >= 10_000).toBe(true);
-    expect(decide(someJob(), { budget }).kind).toBe("stop");
+    expect(decide(createJob(), { budget }).kind).toBe("stop");
   });
 
   test("spreads and increases delays, and stops at the deadline", () => {
-    const job = someJob({ deadlineAt: 100_000 });
+    const job = createJob({ deadlineAt: 100_000 });
     const delays = Array.from({ length: 100 }, () => {
       const retry = decide(job, { failures: 4 });
       return retry.kind === "retry" ? retry.delay : 0;
--- a/src/decision/rollout_share.ts
+++ b/src/decision/rollout_budget.ts
@@ -45,31 +45,31 @@
  * Fraction of the share that is planned for. The reserve is for differences between the instances'
  * counts and for counts that restart.
  */
-const USED_PART = 0.85;
+const PLANNED_SHARE_FRACTION = 0.85;
 /**
  * Fraction of the additional requests that is planned for. A restarted instance uses its part a
  * second time.
  */
-const USED_SLACK = 0.45;
+const PLANNED_SLACK_FRACTION = 0.45;
 /**
  * Time between the end of a rollout and its deadline: a fraction of the rollout's duration, with
  * limits in milliseconds.
  */
-const MARGIN = { part: 0.035, least: 350, most: 700 };
+const END_MARGIN = { fraction: 0.035, min: 350, max: 700 };
 /**
  * Time before the end in which all allowed requests go to the new version while short runs finish
  * at the old workers: a fraction of the rollout's duration, with limits in milliseconds.
  */
-const SWITCHING = { part: 0.02, least: 150, most: 600 };
+const SWITCH_TIME = { fraction: 0.02, min: 150, max: 600 };
 
 /**
  * Fraction of the maximum share that a version receives on trial even in a very short rollout;
  * otherwise nothing would be known about it.
  */
-const LEAST_TRIAL = 0.15;
+const MIN_TRIAL_FRACTION = 0.15;
 
 /** The last steps of a rollout, and the new version's maximum share until then. */
-export interface RolloutCourse {
+export interface RolloutSchedule {
   /** When all allowed requests start to go to the new version, in milliseconds after the order. */
   readonly switchAt: number;
   /** When the rollout is completed, in milliseconds after the order. */
@@ -83,21 +83,24 @@
  * a version may turn bad at any moment, and what the new version receives after the end has to stay
  * within the limit too.
  */
-export function rolloutCourse(duration: number, { share }: RolloutBounds): RolloutCourse {
-  const margin = within(duration * MARGIN.part, MARGIN);
-  const switching = within(duration * SWITCHING.part, SWITCHING);
-  const most = share * USED_PART - margin / duration;
-  const trial = Math.max(most - switching / duration, share * LEAST_TRIAL);
+export function rolloutCourse(duration: number, { share }: RolloutBounds): RolloutSchedule {
+  const margin = clamp(duration * END_MARGIN.fraction, END_MARGIN);
+  const switchTime = clamp(duration * SWITCH_TIME.fraction, SWITCH_TIME);
+  const maxShare = share * PLANNED_SHARE_FRACTION - margin / duration;
+  const trialShare = Math.max(maxShare - switchTime / duration, share * MIN_TRIAL_FRACTION);
   const completeAt = duration - margin;
   return {
-    switchAt: completeAt - switching,
+    switchAt: completeAt - switchTime,
     completeAt,
-    parts: { [RolloutPhase.Trial]: trial, [RolloutPhase.Switch]: Math.max(most, trial) },
+    parts: {
+      [RolloutPhase.Trial]: trialShare,
+      [RolloutPhase.Switch]: Math.max(maxShare, trialShare),
+    },
   };
 }
 
-function within(value: number, { least, most }: { least: number; most: number }): number {
-  return Math.min(most, Math.max(least, value));
+function clamp(value: number, { min, max }: { min: number; max: number }): number {
+  return Math.min(max, Math.max(min, value));
 }
 
 /** Counts the requests of one service that one instance sends during a rollout. */
@@ -118,9 +121,9 @@
 /**
  * Options of `createRolloutBudget`.
  */
-export interface RolloutShareParts {
+export interface RolloutBudgetOptions {
   readonly bounds: RolloutBounds;
-  readonly course: RolloutCourse;
+  readonly course: RolloutSchedule;
   /** Returns the number of instances that share the additional requests. */
   readonly members: () => number;
   readonly random: Random;
@@ -138,8 +141,8 @@
   course,
   members,
   random,
-}: RolloutShareParts): RolloutShare {
-  const drawn = random.next();
+}: RolloutBudgetOptions): RolloutShare {
+  const initialUsage = random.next();
   const counts = { all: 0, tried: 0 };
   return {
     sent: (isTried) => {
@@ -147,10 +150,10 @@
       if (isTried) counts.tried++;
     },
     mayTry: (phase) => {
-      const besides = (bounds.slack * USED_SLACK) / Math.max(1, members());
-      return counts.tried + drawn < counts.all * course.parts[phase] + besides;
+      const additional = (bounds.slack * PLANNED_SLACK_FRACTION) / Math.max(1, members());
+      return counts.tried + initialUsage < counts.all * course.parts[phase] + additional;
     },
-    delay: drawn,
+    delay: initialUsage,
     counts,
   };
 }
@@ -159,21 +162,21 @@
  * Workers on trial in a rollout. There are several, so that one that fails by itself does not
  * decide about its version.
  */
-const TRIED_WORKERS = 4;
+const TRIAL_WORKERS = 4;
 /**
  * Number of trial rounds in a rollout, and the minimum and maximum length of a round in
  * milliseconds.
  */
 const ROUNDS = 5;
-const ROUND = { least: 1_600, most: 8_000 };
+const ROUND_TIME = { min: 1_600, max: 8_000 };
 
 /** Fraction of a round's active time over which the instances start. */
-const SPREAD = 0.5;
+const START_SPREAD = 0.5;
 
 /**
  * Input for `activeTrialWorkers`.
  */
-export interface TrialMoment {
+export interface TrialContext {
   /** Milliseconds since the rollout was ordered, the same at all instances. */
   readonly since: number;
   /** Duration of the rollout in milliseconds. */
@@ -202,19 +205,21 @@
  */
 export function workersOnTrial(
   workers: readonly string[],
-  { since, duration, part, base, delay }: TrialMoment,
+  { since, duration, part, base, delay }: TrialContext,
 ): string[] {
-  const chosen = workers.slice(0, Math.max(TRIED_WORKERS, Math.ceil(base * part)));
-  const together = Math.min(chosen.length, Math.max(1, Math.round(base * part)));
-  const full = together / Math.max(1, base + together);
-  const length = within(duration / ROUNDS, ROUND);
-  const round = Math.max(0, since) / length;
-  const open = part / Math.max(full, Number.EPSILON);
-  const isOpen = open >= 1 || (round % 1 < open && round % 1 >= open * delay * SPREAD);
-  if (!isOpen) return [];
-  const first = Math.floor(round) * together;
+  const trialWorkers = workers.slice(0, Math.max(TRIAL_WORKERS, Math.ceil(base * part)));
+  const activeCount = Math.min(trialWorkers.length, Math.max(1, Math.round(base * part)));
+  const activeShare = activeCount / Math.max(1, base + activeCount);
+  const roundTime = clamp(duration / ROUNDS, ROUND_TIME);
+  const round = Math.max(0, since) / roundTime;
+  const activeFraction = part / Math.max(activeShare, Number.EPSILON);
+  const isActive =
+    activeFraction >= 1 ||
+    (round % 1 < activeFraction && round % 1 >= activeFraction * delay * START_SPREAD);
+  if (!isActive) return [];
+  const first = Math.floor(round) * activeCount;
   return Array.from(
-    { length: together },
-    (_, index) => chosen[(first + index) % chosen.length] ?? "",
+    { length: activeCount },
+    (_, index) => trialWorkers[(first + index) % trialWorkers.length] ?? "",
   );
 }
--- a/src/decision/rollout_share_test.ts
+++ b/src/decision/rollout_budget_test.ts
@@ -5,15 +5,15 @@
   rolloutCourse,
   RolloutPhase,
   workersOnTrial,
-} from "./rollout_share.ts";
+} from "./rollout_budget.ts";
 
-const BOUNDS = { share: 0.1, slack: 50 };
+const LIMITS = { share: 0.1, slack: 50 };
 
 /**
  * Simulates a rollout until its deadline. Each instance sends as many requests to the new version
  * as it may.
  */
-function exposed(options: {
+function simulate(options: {
   instances: number;
   rate: number;
   duration: number;
@@ -22,23 +22,23 @@
 }): { tried: number; all: number } {
   const { instances, rate, duration, restarts = 0 } = options;
   const random = createSeededRandom(5);
-  const course = rolloutCourse(duration, BOUNDS);
-  const make = (): ReturnType<typeof createRolloutShare> =>
-    createRolloutShare({ bounds: BOUNDS, course, members: () => instances, random });
-  let shares = Array.from({ length: instances }, make);
+  const schedule = rolloutCourse(duration, LIMITS);
+  const createBudget = (): ReturnType<typeof createRolloutShare> =>
+    createRolloutShare({ bounds: LIMITS, course: schedule, members: () => instances, random });
+  let budgets = Array.from({ length: instances }, createBudget);
   let tried = 0;
   let all = 0;
   let restarted = 0;
   for (let at = 0; at < duration; at += 1_000 / rate) {
     if (at > ((restarted + 1) * duration) / (restarts + 1)) {
-      shares = shares.map(make);
+      budgets = budgets.map(createBudget);
       restarted++;
     }
-    const share = shares[Math.floor(random.next() * instances)];
-    const phase = at < course.switchAt ? RolloutPhase.Trial : RolloutPhase.Switch;
+    const budget = budgets[Math.floor(random.next() * instances)];
+    const phase = at < schedule.switchAt ? RolloutPhase.Trial : RolloutPhase.Switch;
     // After the end of the rollout all requests go to the new version.
-    const isTried = at >= course.completeAt || share?.mayTry(phase) === true;
-    share?.sent(isTried);
+    const isTried = at >= schedule.completeAt || budget?.mayTry(phase) === true;
+    budget?.sent(isTried);
     all++;
     if (isTried) tried++;
   }
@@ -57,10 +57,10 @@
 ])(
   "keeps all %i instances together below the limit (%i requests per second, %i ms)",
   (instances, rate, duration) => {
-    const { tried, all } = exposed({ instances, rate, duration });
-    expect(tried).toBeLessThanOrEqual(0.95 * (all * BOUNDS.share + BOUNDS.slack));
+    const { tried, all } = simulate({ instances, rate, duration });
+    expect(tried).toBeLessThanOrEqual(0.95 * (all * LIMITS.share + LIMITS.slack));
     // The new version also receives enough requests to be assessed.
-    expect(tried).toBeGreaterThan(0.4 * all * BOUNDS.share);
+    expect(tried).toBeGreaterThan(0.4 * all * LIMITS.share);
   },
 );
 
@@ -72,14 +72,14 @@
 ])(
   "stays within the limit when all %i instances restart (%i requests per second)",
   (instances, rate) => {
-    const { tried, all } = exposed({ instances, rate, duration: 20_000, restarts: 1 });
-    expect(tried).toBeLessThanOrEqual(all * BOUNDS.share + BOUNDS.slack);
+    const { tried, all } = simulate({ instances, rate, duration: 20_000, restarts: 1 });
+    expect(tried).toBeLessThanOrEqual(all * LIMITS.share + LIMITS.slack);
   },
 );
 
 test("ends a rollout shortly before its deadline, after a short switch phase", () => {
   for (const duration of [8_000, 12_000, 60_000, 600_000]) {
-    const { switchAt, completeAt, parts } = rolloutCourse(duration, BOUNDS);
+    const { switchAt, completeAt, parts } = rolloutCourse(duration, LIMITS);
     expect(completeAt).toBeLessThanOrEqual(duration - 350);
     expect(completeAt).toBeGreaterThanOrEqual(duration - 700);
     expect(switchAt).toBeLessThan(completeAt);
@@ -93,30 +93,30 @@
 test.each([4, 13, 63, 200])("loads workers on trial as much as the %i base workers", (base) => {
   const workers = Array.from({ length: base }, (_, index) => `n-${index}`);
   const duration = 40_000;
-  const { parts } = rolloutCourse(duration, BOUNDS);
+  const { parts } = rolloutCourse(duration, LIMITS);
   const used = new Set<string>();
   let shares = 0;
-  const looks = 4_000;
-  for (let look = 0; look < looks; look++) {
-    const moment = {
-      since: (look * duration) / looks,
+  const samples = 4_000;
+  for (let sample = 0; sample < samples; sample++) {
+    const context = {
+      since: (sample * duration) / samples,
       duration,
       part: parts.trial,
       base,
       delay: 0,
     };
-    const now = workersOnTrial(workers, moment);
+    const now = workersOnTrial(workers, context);
     for (const worker of now) used.add(worker);
     shares += now.length / (base + now.length);
   }
   // While they are active they carry the same load as the others; over the whole time they
   // receive about the share.
-  expect(shares / looks).toBeGreaterThan(0.6 * parts.trial);
-  expect(shares / looks).toBeLessThan(1.5 * parts.trial);
+  expect(shares / samples).toBeGreaterThan(0.6 * parts.trial);
+  expect(shares / samples).toBeLessThan(1.5 * parts.trial);
   expect(used.size).toBeGreaterThanOrEqual(3);
 });
 
 test("returns no workers on trial if the version has none", () => {
-  const moment = { since: 100, duration: 9_000, part: 0.03, base: 5, delay: 0 };
-  expect(workersOnTrial([], moment)).toEqual([]);
+  const context = { since: 100, duration: 9_000, part: 0.03, base: 5, delay: 0 };
+  expect(workersOnTrial([], context)).toEqual([]);
 });
--- a/src/decision/rollout_judge.ts
+++ b/src/decision/rollout_judge.ts
@@ -61,8 +61,8 @@
  * answers come in groups when an instance gets no processor time for a moment, so a few of them are
  * weaker evidence than as many failures.
  */
-const STRONG = 7;
-const STRONG_ENOUGH_AT_END = {
+const STRONG_EVIDENCE = 7;
+const FINAL_EVIDENCE = {
   [RolloutFault.Failures]: 3.2,
   [RolloutFault.SlowAnswers]: 5,
 } as const;
@@ -70,57 +70,61 @@
  * Maximum sum of the log-likelihood ratios of all workers. It is divided evenly, so that a version
  * is bad only if nearly all of its workers are bad, and never because of one.
  */
-const GREATEST_SUM = 10.5;
-const LEAST_WORKERS = 2;
+const MAX_EVIDENCE_SUM = 10.5;
+const MIN_WORKERS = 2;
 /**
  * How far the new version may exceed the base version's rate of bad answers (as a factor and a
  * constant) before it counts as worse, and the minimum number of bad answers. One moment in which
  * an instance gets no processor time makes several runs slow.
  */
-const ALLOWED = {
-  failures: { factor: 1.5, besides: 0.003, least: { early: 3, last: 2 } },
-  times: { factor: 1.5, besides: 0.05, least: { early: 4, last: 3 } },
+const TOLERANCES = {
+  failures: { factor: 1.5, offset: 0.003, minBad: { early: 3, last: 2 } },
+  times: { factor: 1.5, offset: 0.05, minBad: { early: 4, last: 3 } },
 } as const;
 /** Runs added to the base version's runs to smooth its rate. */
 const PRIOR_RUNS = 20;
 /** Minimum number of runs at a worker before it can be left out as the worst one. */
-const LEAST_RUNS = 3;
-const NOTHING: RunCounts = { runs: 0, failures: 0 };
+const MIN_RUNS = 3;
+const NO_COUNTS: RunCounts = { runs: 0, failures: 0 };
 
 /** Assesses a version by the counts so far. `isLast` marks the final comparison. */
 export function judgeRollout(
   routes: readonly RouteEvidence[],
   { isLast }: { isLast: boolean },
 ): RolloutVerdict {
-  const look = isLast ? "last" : "early";
-  const all = { route: "", answers: pooled(routes, "answers"), times: pooled(routes, "times") };
-  let most: RolloutVerdict = { kind: "open", evidence: 0 };
+  const comparison = isLast ? "last" : "early";
+  const all = {
+    route: "",
+    answers: poolCounts(routes, "answers"),
+    times: poolCounts(routes, "times"),
+  };
+  let worst: RolloutVerdict = { kind: "open", evidence: 0 };
   for (const { route, answers, times } of [all, ...routes]) {
-    for (const [fault, counts, allowed] of [
-      [RolloutFault.Failures, answers, ALLOWED.failures],
-      [RolloutFault.SlowAnswers, times, ALLOWED.times],
+    for (const [fault, counts, tolerance] of [
+      [RolloutFault.Failures, answers, TOLERANCES.failures],
+      [RolloutFault.SlowAnswers, times, TOLERANCES.times],
     ] as const) {
-      const evidence = evidenceOf(counts, { ...allowed, least: allowed.least[look] });
-      const isBad = evidence >= (isLast ? STRONG_ENOUGH_AT_END[fault] : STRONG);
-      if (isBad && (most.kind === "open" || evidence > most.evidence)) {
-        most = { kind: "bad", fault, route, evidence };
-      } else if (most.kind === "open" && evidence > most.evidence) {
-        most = { kind: "open", evidence };
+      const evidence = evidenceOf(counts, { ...tolerance, minBad: tolerance.minBad[comparison] });
+      const isBad = evidence >= (isLast ? FINAL_EVIDENCE[fault] : STRONG_EVIDENCE);
+      if (isBad && (worst.kind === "open" || evidence > worst.evidence)) {
+        worst = { kind: "bad", fault, route, evidence };
+      } else if (worst.kind === "open" && evidence > worst.evidence) {
+        worst = { kind: "open", evidence };
       }
     }
   }
-  return most;
+  return worst;
 }
 
 /** Returns the number of finished runs of the version on trial. */
 export function triedRuns(routes: readonly RouteEvidence[]): number {
-  return sumCounts(pooled(routes, "answers").tried.values()).runs;
+  return sumCounts(poolCounts(routes, "answers").tried.values()).runs;
 }
 
-interface Allowance {
+interface Tolerance {
   readonly factor: number;
-  readonly besides: number;
-  readonly least: number;
+  readonly offset: number;
+  readonly minBad: number;
 }
 
 /**
@@ -129,48 +133,52 @@
  * limited, so that one that fails by itself counts no more against its version than the others;
  * healthy workers count in its favor.
  */
-function evidenceOf({ base, tried }: ComparedCounts, allowed: Allowance): number {
-  const counted = withoutWorst(tried);
-  const { runs, failures } = sumCounts(counted);
-  if (failures < allowed.least) return 0;
-  const share = failures / runs;
-  const most = allowedShare(base, allowed);
-  if (share <= most) return 0;
-  const greatest = GREATEST_SUM / Math.max(LEAST_WORKERS, counted.length);
+function evidenceOf({ base, tried }: ComparedCounts, tolerance: Tolerance): number {
+  const counts = withoutWorst(tried);
+  const { runs, failures } = sumCounts(counts);
+  if (failures < tolerance.minBad) return 0;
+  const rate = failures / runs;
+  const tolerated = toleratedRate(base, tolerance);
+  if (rate <= tolerated) return 0;
+  const maxPerWorker = MAX_EVIDENCE_SUM / Math.max(MIN_WORKERS, counts.length);
   let sum = 0;
-  for (const one of counted) sum += Math.min(greatest, ratioOf(one, share, most));
+  for (const one of counts) sum += Math.min(maxPerWorker, logLikelihoodRatio(one, rate, tolerated));
   return Math.max(0, sum);
 }
 
 /** Returns the log-likelihood ratio of the counts under two rates of bad answers. */
-function ratioOf({ runs, failures }: RunCounts, share: number, other: number): number {
-  const part = (count: number, a: number, b: number): number =>
+function logLikelihoodRatio(
+  { runs, failures }: RunCounts,
+  rate: number,
+  otherRate: number,
+): number {
+  const term = (count: number, a: number, b: number): number =>
     count === 0 ? 0 : count * Math.log(a / b);
-  return part(failures, share, other) + part(runs - failures, 1 - share, 1 - other);
+  return term(failures, rate, otherRate) + term(runs - failures, 1 - rate, 1 - otherRate);
 }
 
-function allowedShare(base: RunCounts, { factor, besides }: Allowance): number {
-  const usual = base.failures / (base.runs + PRIOR_RUNS);
-  return Math.min(0.9, usual * factor + besides);
+function toleratedRate(base: RunCounts, { factor, offset }: Tolerance): number {
+  const baseRate = base.failures / (base.runs + PRIOR_RUNS);
+  return Math.min(0.9, baseRate * factor + offset);
 }
 
 function withoutWorst(tried: ReadonlyMap<string, RunCounts>): RunCounts[] {
   const all = [...tried.values()].filter(({ runs }) => runs > 0);
-  const counts = all.filter(({ runs }) => runs >= LEAST_RUNS);
+  const counts = all.filter(({ runs }) => runs >= MIN_RUNS);
   // A fault that two workers share comes from their version.
-  if (counts.length <= LEAST_WORKERS) return all;
+  if (counts.length <= MIN_WORKERS) return all;
   const worst = counts.reduce((a, b) => (b.failures / b.runs > a.failures / a.runs ? b : a));
   return all.filter((one) => one !== worst);
 }
 
-function pooled(routes: readonly RouteEvidence[], what: "answers" | "times"): ComparedCounts {
+function poolCounts(routes: readonly RouteEvidence[], metric: "answers" | "times"): ComparedCounts {
   const tried = new Map<string, RunCounts>();
   for (const route of routes) {
-    for (const [worker, counts] of route[what].tried) {
-      tried.set(worker, sumCounts([tried.get(worker) ?? NOTHING, counts]));
+    for (const [worker, counts] of route[metric].tried) {
+      tried.set(worker, sumCounts([tried.get(worker) ?? NO_COUNTS, counts]));
     }
   }
-  return { base: sumCounts(routes.map((route) => route[what].base)), tried };
+  return { base: sumCounts(routes.map((route) => route[metric].base)), tried };
 }
 
 /** Adds up counts. */
--- a/src/decision/rollout_tally.ts
+++ b/src/decision/rollout_tally.ts
@@ -19,7 +19,7 @@
 import type { RunCounts } from "./worker_health.ts";
 
 /** A run that is counted. */
-export interface TalliedRun {
+export interface CountedRun {
   readonly service: string;
   readonly route: string;
   /** Prompt tokens to process before the first token. */
@@ -49,7 +49,7 @@
 
 /** Counts for all versions. Times are in milliseconds of the clock. */
 export interface VersionTallies {
-  begin(run: TalliedRun): RunTally;
+  begin(run: CountedRun): RunTally;
   /**
    * Sets the version on trial for a service; undefined ends the trial. The counts restart with each
    * new version.
@@ -69,7 +69,7 @@
   /** Runs whose time was compared, and how many of them were slow. */
   readonly times: number;
   /** Runs of the base version, and the sum of the logarithms of their times in hundredths. */
-  readonly usual: number;
+  readonly baseline: number;
 }
 
 /**
@@ -85,47 +85,47 @@
   worker: string | undefined;
 }): TallyKeys {
   const name = `${of.service} ${of.tried} ${of.route} ${of.worker ?? ""}`;
-  const known = keys.get(name);
-  if (known !== undefined) return known;
-  const found = {
+  const cached = keyCache.get(name);
+  if (cached !== undefined) return cached;
+  const created = {
     answers: hashText(`answers ${name}`),
     times: hashText(`times ${name}`),
-    usual: hashText(`usual ${name}`),
+    baseline: hashText(`usual ${name}`),
   };
-  if (keys.size >= GREATEST_KEYS) keys.clear();
-  keys.set(name, found);
-  return found;
+  if (keyCache.size >= MAX_CACHED_KEYS) keyCache.clear();
+  keyCache.set(name, created);
+  return created;
 }
 
 /** Every run looks up its hashes, so a few thousand of them are cached. */
-const GREATEST_KEYS = 8_192;
-const keys = new Map<string, TallyKeys>();
+const MAX_CACHED_KEYS = 8_192;
+const keyCache = new Map<string, TallyKeys>();
 
 /**
  * A run is slow if it takes longer than its baseline multiplied by this factor plus this number of
  * milliseconds.
  */
 const SLOW_FACTOR = 1.6;
-const SLOW_EXTRA = 12;
+const SLOW_MARGIN = 12;
 /** Minimum number of runs before other runs are compared with them. */
-const LEAST_SEEN = 4;
+const MIN_SAMPLES = 4;
 /** Weight of the newest run in the baseline. */
-const NEWEST_PART = 0.08;
+const NEWEST_WEIGHT = 0.08;
 
-interface Usual {
+interface Baseline {
   /** Mean of the logarithms of the times. */
-  mean: number;
-  seen: number;
+  meanLog: number;
+  samples: number;
 }
 
-interface Pending {
-  readonly run: TalliedRun;
+interface PendingRun {
+  readonly run: CountedRun;
   readonly keys: TallyKeys;
-  isTimed: boolean;
+  isTimeCounted: boolean;
 }
 
 /** Sums of logarithms are integers in units of one hundredth. */
-const LOGARITHM_PARTS = 100;
+const LOG_UNITS = 100;
 
 /**
  * Creates empty counts.
@@ -137,21 +137,21 @@
 export function createVersionTallies(
   sumOf: (key: number) => RunCounts | undefined = () => undefined,
 ): VersionTallies {
-  const usual = new Map<string, Usual>();
-  const expected = new Map<string, string>();
+  const baselines = new Map<string, Baseline>();
+  const trialVersions = new Map<string, string>();
   const counts = new Map<number, { runs: number; failures: number }>();
   /** The keys of the counts kept for each service. */
-  const kept = new Map<string, Set<number>>();
-  const pending = new Set<Pending>();
+  const keysByService = new Map<string, Set<number>>();
+  const pending = new Set<PendingRun>();
 
   const countOf = (service: string, key: number): { runs: number; failures: number } => {
     const count = counts.get(key) ?? { runs: 0, failures: 0 };
     counts.set(key, count);
-    const named = kept.get(service) ?? new Set<number>();
-    kept.set(service, named.add(key));
+    const serviceKeys = keysByService.get(service) ?? new Set<number>();
+    keysByService.set(service, serviceKeys.add(key));
     return count;
   };
-  const add = (service: string, key: number, isBad: boolean): void => {
+  const increment = (service: string, key: number, isBad: boolean): void => {
     const count = countOf(service, key);
     count.runs++;
     if (isBad) count.failures++;
@@ -160,95 +160,99 @@
    * Baselines for a run: runs with a similar number of prompt tokens, then all runs of the route if
    * the former are too few.
    */
-  const kindsOf = ({ service, route, reads }: TalliedRun): string[] => [
+  const baselineKeys = ({ service, route, reads }: CountedRun): string[] => [
     `${service} ${route} ${Math.round(Math.log2(Math.max(1, reads)))}`,
     `${service} ${route}`,
   ];
-  const longest = (run: TalliedRun): number | undefined => {
-    const known = kindsOf(run)
-      .map((kind) => usual.get(kind))
-      .find((one) => one !== undefined && one.seen >= LEAST_SEEN);
-    const mean = known?.mean ?? meanElsewhere(run);
-    return mean === undefined ? undefined : Math.exp(mean) * SLOW_FACTOR + SLOW_EXTRA;
+  const slowThreshold = (run: CountedRun): number | undefined => {
+    const known = baselineKeys(run)
+      .map((kind) => baselines.get(kind))
+      .find((baseline) => baseline !== undefined && baseline.samples >= MIN_SAMPLES);
+    const mean = known?.meanLog ?? sharedMean(run);
+    return mean === undefined ? undefined : Math.exp(mean) * SLOW_FACTOR + SLOW_MARGIN;
   };
-  const meanElsewhere = ({ service, route }: TalliedRun): number | undefined => {
-    const tried = expected.get(service);
+  const sharedMean = ({ service, route }: CountedRun): number | undefined => {
+    const tried = trialVersions.get(service);
     if (tried === undefined) return undefined;
-    const sums = sumOf(tallyKeys({ service, tried, route, worker: undefined }).usual);
-    if (sums === undefined || sums.runs < LEAST_SEEN) return undefined;
-    return sums.failures / sums.runs / LOGARITHM_PARTS;
+    const sums = sumOf(tallyKeys({ service, tried, route, worker: undefined }).baseline);
+    if (sums === undefined || sums.runs < MIN_SAMPLES) return undefined;
+    return sums.failures / sums.runs / LOG_UNITS;
   };
   /**
    * Counts the duration of a run of the base version for the other instances while a version is on
    * trial.
    */
-  const tellUsual = ({ service, route }: TalliedRun, took: number): void => {
-    const tried = expected.get(service);
+  const shareBaseline = ({ service, route }: CountedRun, took: number): void => {
+    const tried = trialVersions.get(service);
     if (tried === undefined) return;
-    const { usual: key } = tallyKeys({ service, tried, route, worker: undefined });
+    const { baseline: key } = tallyKeys({ service, tried, route, worker: undefined });
     const count = countOf(service, key);
     count.runs++;
-    count.failures += Math.round(Math.log(Math.max(1, took)) * LOGARITHM_PARTS);
+    count.failures += Math.round(Math.log(Math.max(1, took)) * LOG_UNITS);
   };
-  const learn = (run: TalliedRun, took: number): void => {
-    const time = Math.log(Math.max(1, took));
-    for (const kind of kindsOf(run)) {
-      const known = usual.get(kind) ?? { mean: time, seen: 0 };
-      known.seen++;
-      known.mean += (time - known.mean) * Math.max(NEWEST_PART, 1 / known.seen);
-      usual.set(kind, known);
+  const updateBaseline = (run: CountedRun, took: number): void => {
+    const logTime = Math.log(Math.max(1, took));
+    for (const kind of baselineKeys(run)) {
+      const known = baselines.get(kind) ?? { meanLog: logTime, samples: 0 };
+      known.samples++;
+      known.meanLog += (logTime - known.meanLog) * Math.max(NEWEST_WEIGHT, 1 / known.samples);
+      baselines.set(kind, known);
     }
   };
-  const time = (one: Pending, isSlow: boolean): void => {
-    if (one.isTimed) return;
-    one.isTimed = true;
-    add(one.run.service, one.keys.times, isSlow);
+  const recordTime = (entry: PendingRun, isSlow: boolean): void => {
+    if (entry.isTimeCounted) return;
+    entry.isTimeCounted = true;
+    increment(entry.run.service, entry.keys.times, isSlow);
   };
-  const track = (run: TalliedRun, tried: string): Pending => {
+  const track = (run: CountedRun, tried: string): PendingRun => {
     const { service, route, tried: worker } = run;
-    const one = { run, keys: tallyKeys({ service, tried, route, worker }), isTimed: run.isCold };
-    pending.add(one);
-    return one;
+    const entry = {
+      run,
+      keys: tallyKeys({ service, tried, route, worker }),
+      isTimeCounted: run.isCold,
+    };
+    pending.add(entry);
+    return entry;
   };
   return {
     begin: (run) => {
-      const tried = run.isCompared ? expected.get(run.service) : undefined;
-      const one = tried === undefined ? undefined : track(run, tried);
+      const tried = run.isCompared ? trialVersions.get(run.service) : undefined;
+      const entry = tried === undefined ? undefined : track(run, tried);
       let isAnswered = false;
       return {
         answered: (now) => {
           if (isAnswered) return;
           isAnswered = true;
           const took = now - run.now;
-          if (one !== undefined) {
-            const most = longest(run);
-            if (most !== undefined) time(one, took > most);
-            one.isTimed = true;
+          if (entry !== undefined) {
+            const threshold = slowThreshold(run);
+            if (threshold !== undefined) recordTime(entry, took > threshold);
+            entry.isTimeCounted = true;
           }
           if (run.tried === undefined && !run.isCold) {
-            learn(run, took);
-            tellUsual(run, took);
+            updateBaseline(run, took);
+            shareBaseline(run, took);
           }
         },
         ended: (result) => {
-          if (one === undefined || !pending.delete(one) || result === "unknown") return;
-          if (expected.get(run.service) !== tried) return;
-          add(run.service, one.keys.answers, result === "failed");
+          if (entry === undefined || !pending.delete(entry) || result === "unknown") return;
+          if (trialVersions.get(run.service) !== tried) return;
+          increment(run.service, entry.keys.answers, result === "failed");
         },
       };
     },
     expect: (service, tried) => {
-      if (expected.get(service) === tried) return;
-      if (tried === undefined) expected.delete(service);
-      else expected.set(service, tried);
-      for (const key of kept.get(service) ?? []) counts.delete(key);
-      kept.delete(service);
-      for (const one of pending) if (one.run.service === service) pending.delete(one);
+      if (trialVersions.get(service) === tried) return;
+      if (tried === undefined) trialVersions.delete(service);
+      else trialVersions.set(service, tried);
+      for (const key of keysByService.get(service) ?? []) counts.delete(key);
+      keysByService.delete(service);
+      for (const entry of pending) if (entry.run.service === service) pending.delete(entry);
     },
     counts: (now) => {
-      for (const one of pending) {
-        const most = one.isTimed ? undefined : longest(one.run);
-        if (most !== undefined && now - one.run.now > most) time(one, true);
+      for (const entry of pending) {
+        const threshold = entry.isTimeCounted ? undefined : slowThreshold(entry.run);
+        if (threshold !== undefined && now - entry.run.now > threshold) recordTime(entry, true);
       }
       return counts;
     },
--- a/src/decision/rollout_tally_test.ts
+++ b/src/decision/rollout_tally_test.ts
@@ -4,15 +4,15 @@
 
 const SERVICE = "model";
 const NAMES = { service: SERVICE, tried: "v2", route: "draft" };
-const BASE = tallyKeys({ ...NAMES, worker: undefined });
-const NEWER = tallyKeys({ ...NAMES, worker: "n-0" });
+const BASE_KEYS = tallyKeys({ ...NAMES, worker: undefined });
+const TRIAL_KEYS = tallyKeys({ ...NAMES, worker: "n-0" });
 
 function begin(
   tallies: VersionTallies,
   now: number,
-  more: { tried?: string; reads?: number; isCold?: boolean } = {},
+  options: { tried?: string; reads?: number; isCold?: boolean } = {},
 ): RunTally {
-  const { tried, reads = 1_000, isCold = false } = more;
+  const { tried, reads = 1_000, isCold = false } = options;
   return tallies.begin({
     service: SERVICE,
     route: "draft",
@@ -25,7 +25,7 @@
 }
 
 /** Creates tallies that have seen base version runs of 100 ms before the rollout. */
-function createLearned(): VersionTallies {
+function createWithBaseline(): VersionTallies {
   const tallies = createVersionTallies();
   for (let run = 0; run < 20; run++) {
     const tally = begin(tallies, 0);
@@ -37,61 +37,61 @@
 }
 
 test("counts the runs of both versions separately after the rollout is ordered", () => {
-  const tallies = createLearned();
+  const tallies = createWithBaseline();
   expect(tallies.counts(0).size).toBe(0);
   begin(tallies, 0).ended("well");
   begin(tallies, 0, { tried: "n-0" }).ended("failed");
   begin(tallies, 0, { tried: "n-0" }).ended("unknown");
-  expect(tallies.counts(1).get(BASE.answers)).toEqual({ runs: 1, failures: 0 });
-  expect(tallies.counts(1).get(NEWER.answers)).toEqual({ runs: 1, failures: 1 });
+  expect(tallies.counts(1).get(BASE_KEYS.answers)).toEqual({ runs: 1, failures: 0 });
+  expect(tallies.counts(1).get(TRIAL_KEYS.answers)).toEqual({ runs: 1, failures: 1 });
 });
 
 test("compares a run with base version runs that had a similar number of prompt tokens", () => {
-  const tallies = createLearned();
+  const tallies = createWithBaseline();
   begin(tallies, 0, { tried: "n-0" }).answered(120);
   begin(tallies, 0, { tried: "n-0" }).answered(250);
-  expect(tallies.counts(300).get(NEWER.times)).toEqual({ runs: 2, failures: 1 });
+  expect(tallies.counts(300).get(TRIAL_KEYS.times)).toEqual({ runs: 2, failures: 1 });
 });
 
 // The new version accepts requests and never answers them. Their deadlines are seconds away.
 test("counts a hanging run as slow before it ends", () => {
-  const tallies = createLearned();
+  const tallies = createWithBaseline();
   const hanging = begin(tallies, 0, { tried: "n-0" });
-  expect(tallies.counts(100).get(NEWER.times)).toBeUndefined();
-  expect(tallies.counts(400).get(NEWER.times)).toEqual({ runs: 1, failures: 1 });
+  expect(tallies.counts(100).get(TRIAL_KEYS.times)).toBeUndefined();
+  expect(tallies.counts(400).get(TRIAL_KEYS.times)).toEqual({ runs: 1, failures: 1 });
   hanging.answered(900);
   hanging.ended("well");
-  expect(tallies.counts(900).get(NEWER.times)).toEqual({ runs: 1, failures: 1 });
+  expect(tallies.counts(900).get(TRIAL_KEYS.times)).toEqual({ runs: 1, failures: 1 });
 });
 
 // All instances restart in the middle of a rollout and have no baseline of their own.
 test("uses the baseline of the other instances if there are few runs", () => {
-  const told = new Map([[BASE.usual, { runs: 40, failures: 40 * 461 }]]);
-  const tallies = createVersionTallies((key) => told.get(key));
+  const received = new Map([[BASE_KEYS.baseline, { runs: 40, failures: 40 * 461 }]]);
+  const tallies = createVersionTallies((key) => received.get(key));
   tallies.expect(SERVICE, "v2");
   begin(tallies, 0, { tried: "n-0" }).answered(120);
   begin(tallies, 0, { tried: "n-0" }).answered(400);
-  expect(tallies.counts(400).get(NEWER.times)).toEqual({ runs: 2, failures: 1 });
+  expect(tallies.counts(400).get(TRIAL_KEYS.times)).toEqual({ runs: 2, failures: 1 });
   begin(tallies, 0).answered(100);
-  expect(tallies.counts(400).get(BASE.usual)).toEqual({ runs: 1, failures: 461 });
+  expect(tallies.counts(400).get(BASE_KEYS.baseline)).toEqual({ runs: 1, failures: 461 });
 });
 
 // A worker that has just started is slow for a while, whatever its version.
 test("ignores the duration of runs at workers that are warming up", () => {
-  const tallies = createLearned();
+  const tallies = createWithBaseline();
   begin(tallies, 0, { tried: "n-0", isCold: true }).answered(900);
-  expect(tallies.counts(1_000).get(NEWER.times)).toBeUndefined();
+  expect(tallies.counts(1_000).get(TRIAL_KEYS.times)).toBeUndefined();
 });
 
 // A slow version must not raise its own baseline.
 test("does not change the baseline with runs of the new version", () => {
-  const tallies = createLearned();
+  const tallies = createWithBaseline();
   for (let run = 0; run < 50; run++) begin(tallies, 0, { tried: "n-0" }).answered(500);
-  expect(tallies.counts(600).get(NEWER.times)).toEqual({ runs: 50, failures: 50 });
+  expect(tallies.counts(600).get(TRIAL_KEYS.times)).toEqual({ runs: 50, failures: 50 });
 });
 
 test("restarts the counts when another version is on trial", () => {
-  const tallies = createLearned();
+  const tallies = createWithBaseline();
   const before = begin(tallies, 0, { tried: "n-0" });
   tallies.expect(SERVICE, "v3");
   before.ended("failed");
--- a/src/decision/spread_addresses.ts
+++ b/src/decision/sample_addresses.ts
@@ -13,7 +13,7 @@
 import type { Random } from "../interface/index.ts";
 
 /** An instance whose address may be returned to callers. */
-export interface AddressedInstance {
+export interface AddressCandidate {
   readonly callers: string;
   /**
    * Processor capacity in thousandths of a core: an integer, so that all instances compare it
@@ -27,14 +27,14 @@
  * are no more.
  */
 export function spreadAddresses(
-  instances: readonly AddressedInstance[],
+  instances: readonly AddressCandidate[],
   { most, random }: { most: number; random: Random },
 ): string[] {
   if (instances.length <= most) return instances.map(({ callers }) => callers);
   // Takes the smallest of exponentially distributed values, with the instance's weight as the rate.
   return instances
-    .map(({ callers, capacity }) => ({ callers, turn: -Math.log(1 - random.next()) / capacity }))
-    .sort((a, b) => a.turn - b.turn)
+    .map(({ callers, capacity }) => ({ callers, key: -Math.log(1 - random.next()) / capacity }))
+    .sort((a, b) => a.key - b.key)
     .slice(0, most)
     .map(({ callers }) => callers);
 }
--- a/src/decision/spread_addresses_test.ts
+++ b/src/decision/sample_addresses_test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from "vitest";
 import { createSeededRandom } from "../interface/index.ts";
-import { spreadAddresses } from "./spread_addresses.ts";
+import { spreadAddresses } from "./sample_addresses.ts";
 
 const LARGE = 1_350;
 const SMALL = 324;
--- a/src/decision/shared_quota.ts
+++ b/src/decision/shared_quota.ts
@@ -76,11 +76,11 @@
    * The level at the last report plus later refills, and what this instance has taken since that
    * report.
    */
-  levelThen: number;
-  taken: number;
+  levelAtReport: number;
+  takenSinceReport: number;
   /** Recent admissions of this instance and of the others, with older ones weighted less. */
-  own: number;
-  others: number;
+  recentOwn: number;
+  recentOthers: number;
 }
 
 /**
@@ -88,28 +88,28 @@
  * admitted before. Instances that start together soon share the initial level of one, so a smaller
  * fraction refuses requests within the quota.
  */
-const FIRST_PART = 0.6;
+const INITIAL_FRACTION = 0.6;
 /**
  * Maximum number of instances whose counts are kept; the one not received from for the longest time
  * is evicted.
  */
-const GREATEST_PEERS = 1_024;
+const MAX_PEERS = 1_024;
 /** Factor by which an instance may exceed its share, since shares change between reports. */
-const PART_ROOM = 1.5;
+const SHARE_HEADROOM = 1.5;
 /**
  * Milliseconds after which recent admissions count half, so that shares follow the traffic within
  * seconds.
  */
-const PART_HALF_LIFE = 1_500;
+const RECENT_HALF_LIFE = 1_500;
 /**
  * Minimum and maximum of the retry time for refused requests, in milliseconds: a fraction of the
  * usual latency targets, and one minute.
  */
-const LEAST_WAIT = 50;
-const LONGEST_WAIT = 60_000;
+const MIN_WAIT = 50;
+const MAX_WAIT = 60_000;
 /** Maximum milliseconds until the next report to the other instances. */
-const NEXT_MESSAGE = 275;
-const MILLISECONDS = 1_000;
+const MAX_REPORT_INTERVAL = 275;
+const MS_PER_SECOND = 1_000;
 
 /**
  * Creates quotas that are unused.
@@ -118,115 +118,114 @@
  */
 export function createSharedQuota(startedAt: number): SharedQuota {
   const buckets = new Map<string, Bucket>();
-  const own = new Map<string, number>();
+  const ownAdmitted = new Map<string, number>();
   const peers = new Map<string, Map<string, number>>();
-  let part = 1;
+  let reachableFraction = 1;
   let members = 1;
-  let toldAt = startedAt;
+  let lastReportAt = startedAt;
 
   const bucketOf = (account: string, quota: Quota, now: number): Bucket => {
-    const known = buckets.get(account);
-    if (known === undefined) {
-      const since = ((now - startedAt) * quota.perSecond) / MILLISECONDS;
-      const level = Math.min(quota.burst, quota.burst * FIRST_PART + since);
+    const existing = buckets.get(account);
+    if (existing === undefined) {
+      const refilled = ((now - startedAt) * quota.perSecond) / MS_PER_SECOND;
+      const level = Math.min(quota.burst, quota.burst * INITIAL_FRACTION + refilled);
       const created: Bucket = {
         level,
         filledAt: now,
         quota,
-        levelThen: level,
-        taken: 0,
-        own: 0,
-        others: 0,
+        levelAtReport: level,
+        takenSinceReport: 0,
+        recentOwn: 0,
+        recentOthers: 0,
       };
       buckets.set(account, created);
       return created;
     }
     // The time until now is refilled at the previous quota; a smaller burst takes effect
     // immediately.
-    const filled = ((now - known.filledAt) * known.quota.perSecond * part) / MILLISECONDS;
-    known.level = Math.min(quota.burst, known.level + filled);
-    known.levelThen = Math.min(quota.burst, known.levelThen + filled);
-    known.filledAt = now;
-    known.quota = quota;
-    return known;
+    const filled =
+      ((now - existing.filledAt) * existing.quota.perSecond * reachableFraction) / MS_PER_SECOND;
+    existing.level = Math.min(quota.burst, existing.level + filled);
+    existing.levelAtReport = Math.min(quota.burst, existing.levelAtReport + filled);
+    existing.filledAt = now;
+    existing.quota = quota;
+    return existing;
   };
   /** The share of the remaining level that this instance may take until its next report. */
-  const ownPart = ({ own: mine, others }: Bucket): number => {
-    const lately = mine + others === 0 ? 0 : mine / (mine + others);
-    return Math.min(1, Math.max(1 / members, lately) * PART_ROOM);
+  const ownShare = ({ recentOwn, recentOthers }: Bucket): number => {
+    const share = recentOwn + recentOthers === 0 ? 0 : recentOwn / (recentOwn + recentOthers);
+    return Math.min(1, Math.max(1 / members, share) * SHARE_HEADROOM);
   };
   /**
    * Milliseconds after which a refused request may be sent again: as soon as the level is above
    * zero. Callers come back within a third of this time anyway, and a longer time makes the answer
    * late.
    */
-  const roomIn = ({ level, quota }: Bucket): number => {
-    const rate = Math.max(quota.perSecond * part, Number.MIN_VALUE);
+  const retryAfter = ({ level, quota }: Bucket): number => {
+    const rate = Math.max(quota.perSecond * reachableFraction, Number.MIN_VALUE);
     // The level beyond this instance's share becomes available after the next report.
-    if (level > 0) return NEXT_MESSAGE;
-    return Math.min(
-      LONGEST_WAIT,
-      Math.max(LEAST_WAIT, Math.ceil((-level * MILLISECONDS) / rate) + 1),
-    );
+    if (level > 0) return MAX_REPORT_INTERVAL;
+    return Math.min(MAX_WAIT, Math.max(MIN_WAIT, Math.ceil((-level * MS_PER_SECOND) / rate) + 1));
   };
   /** Milliseconds until an empty bucket is full again. */
   const refillTime = ({ quota: { burst, perSecond } }: Bucket): number =>
-    (burst / Math.max(perSecond, Number.MIN_VALUE)) * MILLISECONDS;
+    (burst / Math.max(perSecond, Number.MIN_VALUE)) * MS_PER_SECOND;
   return {
     take: ({ account, quota, size, now }) => {
       const bucket = bucketOf(account, quota, now);
       // The first request is always admitted, so that the last of the level is available to
       // someone.
-      const isOverPart = bucket.taken > Math.max(0, bucket.levelThen * ownPart(bucket));
-      if (bucket.level <= 0 || isOverPart) return roomIn(bucket);
+      const isOverShare =
+        bucket.takenSinceReport > Math.max(0, bucket.levelAtReport * ownShare(bucket));
+      if (bucket.level <= 0 || isOverShare) return retryAfter(bucket);
       bucket.level -= size;
-      bucket.taken += size;
-      bucket.own += size;
-      own.set(account, (own.get(account) ?? 0) + size);
+      bucket.takenSinceReport += size;
+      bucket.recentOwn += size;
+      ownAdmitted.set(account, (ownAdmitted.get(account) ?? 0) + size);
       return 0;
     },
     giveBack: (account, size) => {
       const bucket = buckets.get(account);
       if (bucket !== undefined) bucket.level += size;
-      own.set(account, (own.get(account) ?? 0) - size);
+      ownAdmitted.set(account, (ownAdmitted.get(account) ?? 0) - size);
     },
     expect: (accounts, now) => {
       for (const { name, quota } of accounts) if (quota !== undefined) bucketOf(name, quota, now);
     },
     heard: (incarnation, { admitted, age }) => {
-      const isFirstWord = !peers.has(incarnation);
+      const isFirstReport = !peers.has(incarnation);
       const known = peers.get(incarnation) ?? new Map<string, number>();
       peers.delete(incarnation);
       peers.set(incarnation, known);
-      if (peers.size > GREATEST_PEERS) removeFirst(peers);
+      if (peers.size > MAX_PEERS) removeFirst(peers);
       for (const [account, count] of admitted) {
         const bucket = buckets.get(account);
-        const more = count - (known.get(account) ?? 0);
+        const delta = count - (known.get(account) ?? 0);
         known.set(account, count);
         if (bucket === undefined) continue;
         // The first report of an instance only sets the base for later counts, since what it
         // admitted before has been refilled. If the instance has started too recently for a refill,
         // its amounts are deducted.
-        if (isFirstWord && age > refillTime(bucket)) continue;
-        bucket.level -= more;
-        bucket.others = Math.max(0, bucket.others + more);
+        if (isFirstReport && age > refillTime(bucket)) continue;
+        bucket.level -= delta;
+        bucket.recentOthers = Math.max(0, bucket.recentOthers + delta);
       }
     },
-    setReach: ({ heard, members: expected }) => {
-      members = Math.max(1, expected);
-      part = Math.min(1, heard / members);
+    setReach: ({ heard, members: memberCount }) => {
+      members = Math.max(1, memberCount);
+      reachableFraction = Math.min(1, heard / members);
     },
     tell: (now) => {
-      const kept = 2 ** (-(now - toldAt) / PART_HALF_LIFE);
-      toldAt = now;
+      const decay = 2 ** (-(now - lastReportAt) / RECENT_HALF_LIFE);
+      lastReportAt = now;
       for (const [account, bucket] of buckets) {
         const { level } = bucketOf(account, bucket.quota, now);
-        bucket.levelThen = level;
-        bucket.taken = 0;
-        bucket.own *= kept;
-        bucket.others *= kept;
+        bucket.levelAtReport = level;
+        bucket.takenSinceReport = 0;
+        bucket.recentOwn *= decay;
+        bucket.recentOthers *= decay;
       }
-      return own;
+      return ownAdmitted;
     },
   };
 }
--- a/src/decision/shared_quota_test.ts
+++ b/src/decision/shared_quota_test.ts
@@ -15,15 +15,15 @@
  * Simulates `instances` that each send `size` every `step` ms and exchange reports every
  * `toldEvery` ms.
  */
-function play(options: {
+function simulate(options: {
   instances: number;
   size: number;
   step: number;
   length: number;
-  areApart?: boolean;
-  toldEvery?: number;
+  arePartitioned?: boolean;
+  reportInterval?: number;
 }): number {
-  const { toldEvery = 250 } = options;
+  const { reportInterval = 250 } = options;
   const quotas = Array.from({ length: options.instances }, () => createSharedQuota(0));
   let admitted = 0;
   for (let now = 60_000; now < 60_000 + options.length; now += options.step) {
@@ -31,14 +31,14 @@
       const wait = quota.take({ account: "a", quota: QUOTA, size: options.size, now });
       if (wait === 0) admitted += options.size;
     }
-    if (now % toldEvery !== 0) continue;
+    if (now % reportInterval !== 0) continue;
     quotas.forEach((quota, index) => {
       const others = quotas.filter((_, other) => other !== index);
       const members = options.instances;
-      quota.setReach({ heard: options.areApart === true ? 1 : members, members });
-      if (options.areApart === true) return;
-      const told = new Map(quota.tell(now));
-      others.forEach((other) => other.heard(String(index), { admitted: told, age: now }));
+      quota.setReach({ heard: options.arePartitioned === true ? 1 : members, members });
+      if (options.arePartitioned === true) return;
+      const report = new Map(quota.tell(now));
+      others.forEach((other) => other.heard(String(index), { admitted: report, age: now }));
     });
   }
   return admitted;
@@ -47,7 +47,7 @@
 // One account sends many times its usual number of requests over all instances. If each instance
 // enforced the whole quota, the account would get six times its quota and fill the service.
 test("admits the quota once over six instances", () => {
-  const admitted = play({ instances: 6, size: 500, step: 50, length: 8_000 });
+  const admitted = simulate({ instances: 6, size: 500, step: 50, length: 8_000 });
   const allowed = QUOTA.perSecond * 8 + QUOTA.burst;
   expect(admitted).toBeGreaterThan(allowed * 0.85);
   // Reports between instances are at most 250 ms old.
@@ -63,7 +63,7 @@
     [100, 50],
     [2_000, 250],
   ] as const) {
-    const admitted = play({ instances: 6, size, step, length: 8_000, toldEvery: 750 });
+    const admitted = simulate({ instances: 6, size, step, length: 8_000, reportInterval: 750 });
     expect(admitted).toBeGreaterThan(allowed * 0.85);
     expect(admitted).toBeLessThan(allowed * 1.1 + 6 * size);
   }
@@ -77,20 +77,20 @@
   const size = 1_000;
   const step = (size / QUOTA.perSecond) * 1_000;
   let admitted = 0;
-  let asked = 0;
+  let requested = 0;
   for (let now = 60_000; now < 90_000; now += step) {
     const quota = quotas[Math.floor(random.next() * quotas.length)];
-    asked += size;
+    requested += size;
     if (quota?.take({ account: "a", quota: QUOTA, size, now }) === 0) admitted += size;
     if (now % 700 !== 0) continue;
     for (const [index, from] of quotas.entries()) {
       from.setReach({ heard: 6, members: 6 });
-      const told = new Map(from.tell(now));
+      const report = new Map(from.tell(now));
       for (const to of quotas)
-        if (to !== from) to.heard(String(index), { admitted: told, age: now });
+        if (to !== from) to.heard(String(index), { admitted: report, age: now });
     }
   }
-  expect(admitted / asked).toBeGreaterThan(0.98);
+  expect(admitted / requested).toBeGreaterThan(0.98);
 });
 
 // All instances restart at once while an account sends many times its quota. None knows what the
@@ -113,8 +113,8 @@
     if (now % 500 !== 400) continue;
     for (const [index, from] of quotas.entries()) {
       from.setReach({ heard: instances, members: instances });
-      const said = { admitted: new Map(from.tell(now)), age: now };
-      for (const to of quotas) if (to !== from) to.heard(String(index), said);
+      const report = { admitted: new Map(from.tell(now)), age: now };
+      for (const to of quotas) if (to !== from) to.heard(String(index), report);
     }
   }
   expect(admitted).toBeLessThan((QUOTA.perSecond * length) / 1_000 + QUOTA.burst + 6 * 500);
@@ -122,7 +122,13 @@
 
 // The network between the instances is partitioned, but callers and workers reach all of them.
 test("admits about one quota at instances that cannot reach each other", () => {
-  const admitted = play({ instances: 6, size: 500, step: 50, length: 8_000, areApart: true });
+  const admitted = simulate({
+    instances: 6,
+    size: 500,
+    step: 50,
+    length: 8_000,
+    arePartitioned: true,
+  });
   // Each instance starts with the burst that was available before the partition.
   expect(admitted).toBeLessThan(QUOTA.perSecond * 8 + 6 * QUOTA.burst + 6 * 500);
 });
@@ -144,30 +150,31 @@
 test("admits large requests next to small ones", () => {
   const quota = createSharedQuota(0);
   const admitted = { small: 0, large: 0 };
-  const asked = { small: 0, large: 0 };
+  const requested = { small: 0, large: 0 };
   for (let now = 60_000; now < 90_000; now += 20) {
     const kind = (now / 20) % 5 === 0 ? "large" : "small";
-    asked[kind]++;
+    requested[kind]++;
     const size = kind === "large" ? 5_000 : 200;
     if (quota.take({ account: "a", quota: QUOTA, size, now }) === 0) admitted[kind]++;
     if (now % 240 === 0) quota.tell(now);
   }
-  expect(admitted.large / asked.large).toBeGreaterThan(admitted.small / asked.small / 2);
+  expect(admitted.large / requested.large).toBeGreaterThan(admitted.small / requested.small / 2);
 });
 
 test("returns the time after which a refused request is admitted", () => {
   const quota = createSharedQuota(0);
   quota.setReach({ heard: 1, members: 1 });
-  const ask = (now: number): number => quota.take({ account: "a", quota: QUOTA, size: 6_000, now });
-  expect(ask(60_000)).toBe(0);
+  const request = (now: number): number =>
+    quota.take({ account: "a", quota: QUOTA, size: 6_000, now });
+  expect(request(60_000)).toBe(0);
   quota.tell(60_010);
-  expect(ask(60_010)).toBe(0);
+  expect(request(60_010)).toBe(0);
   quota.tell(60_020);
-  const wait = ask(60_020);
+  const wait = request(60_020);
   expect(wait).toBeGreaterThan(0);
   // A report to the others, in between or at that time, as there is one every quarter of a second.
   quota.tell(60_020 + wait);
-  expect(ask(60_020 + wait)).toBe(0);
+  expect(request(60_020 + wait)).toBe(0);
 });
 
 test("applies a smaller quota immediately", () => {
@@ -183,20 +190,20 @@
 
 test("refunds requests that did not run, also at the other instances", () => {
   const [one, two] = [createSharedQuota(0), createSharedQuota(0)];
-  const ask = { account: "a", quota: QUOTA, size: 10_000, now: 60_000 };
-  two.take({ ...ask, size: 1 });
+  const request = { account: "a", quota: QUOTA, size: 10_000, now: 60_000 };
+  two.take({ ...request, size: 1 });
   two.heard("one", { admitted: new Map(one.tell(60_000)), age: 60_000 });
-  expect(one.take(ask)).toBe(0);
+  expect(one.take(request)).toBe(0);
   two.heard("one", { admitted: new Map(one.tell(60_000)), age: 60_000 });
-  expect(two.take(ask)).toBeGreaterThan(0);
+  expect(two.take(request)).toBeGreaterThan(0);
   one.giveBack("a", 10_000);
   two.heard("one", { admitted: new Map(one.tell(60_000)), age: 60_000 });
   two.tell(60_000);
-  expect(two.take(ask)).toBe(0);
+  expect(two.take(request)).toBe(0);
 });
 
 /** Minimum window over which a quota is assessed, in milliseconds. */
-const JUDGED_WINDOW = 8_000;
+const MIN_WINDOW = 8_000;
 const LARGE_QUOTA: Quota = {
   unit: QuotaUnit.Tokens,
   perSecond: 40_000,
@@ -207,11 +214,11 @@
 const SLACK = 140_000;
 
 /** Simulates requests at random instances; each receives the sum of the others after a delay. */
-function playFleet(load: { instances: number; times: number; seconds: number }): {
+function simulateFleet(load: { instances: number; times: number; seconds: number }): {
   /** Admitted fraction of the requested amount. */
-  part: number;
+  admittedFraction: number;
   /** Highest amount admitted in a window, divided by the allowed amount. */
-  most: number;
+  maxRatio: number;
 } {
   const { instances, times, seconds } = load;
   const random = createSeededRandom(4);
@@ -222,16 +229,16 @@
   const start = 60_000;
   const period = 250;
   const delay = 150;
-  let toldAt = start;
+  let lastReportAt = start;
   let sums: { at: number; total: number; own: number[] }[] = [];
-  let asked = 0;
+  let requested = 0;
   for (const quota of quotas) {
     quota.setReach({ heard: instances, members: instances });
     quota.expect([{ name: "a", quota: LARGE_QUOTA }], start);
   }
   for (let now = start; now < start + seconds * 1_000; now += step) {
-    if (now - toldAt >= period) {
-      toldAt = now;
+    if (now - lastReportAt >= period) {
+      lastReportAt = now;
       for (const quota of quotas) quota.tell(now);
       sums.push({ at: now, total: own.reduce((sum, one) => sum + one, 0), own: [...own] });
     }
@@ -244,7 +251,7 @@
     sums = sums.filter(({ at }) => now - at < delay);
     const index = Math.floor(random.next() * instances);
     const size = LARGE_SIZE * (0.5 + random.next());
-    asked += size;
+    requested += size;
     const wait = quotas[index]?.take({ account: "a", quota: LARGE_QUOTA, size, now });
     if (wait !== 0) continue;
     own[index] = (own[index] ?? 0) + size;
@@ -252,11 +259,11 @@
   }
   const sumOf = (from: number, to: number): number =>
     admitted.reduce((sum, { at, size }) => sum + (at >= from && at < to ? size : 0), 0);
-  const windows = admitted.map(({ at }) => sumOf(at, at + JUDGED_WINDOW));
-  const allowed = (LARGE_QUOTA.perSecond * JUDGED_WINDOW) / 1_000 + LARGE_QUOTA.burst;
+  const windows = admitted.map(({ at }) => sumOf(at, at + MIN_WINDOW));
+  const allowed = (LARGE_QUOTA.perSecond * MIN_WINDOW) / 1_000 + LARGE_QUOTA.burst;
   return {
-    part: sumOf(start, Infinity) / asked,
-    most: Math.max(...windows) / (allowed * 1.1 + SLACK),
+    admittedFraction: sumOf(start, Infinity) / requested,
+    maxRatio: Math.max(...windows) / (allowed * 1.1 + SLACK),
   };
 }
 
@@ -264,7 +271,7 @@
 // others' counts through relays. If each admitted the whole level of its last report, the account
 // would get many times its quota.
 test.each([6, 63, 195, 300])("limits an account to its quota over %i instances", (instances) => {
-  expect(playFleet({ instances, times: 7.5, seconds: 24 }).most).toBeLessThan(1);
+  expect(simulateFleet({ instances, times: 7.5, seconds: 24 }).maxRatio).toBeLessThan(1);
 });
 
 // Each of hundreds of instances receives a small fraction of an account's requests. Refusals based
@@ -272,6 +279,8 @@
 test.each([6, 63, 195, 300])(
   "does not refuse an account within its quota at %i instances",
   (instances) => {
-    expect(playFleet({ instances, times: 0.9, seconds: 24 }).part).toBeGreaterThan(0.98);
+    expect(simulateFleet({ instances, times: 0.9, seconds: 24 }).admittedFraction).toBeGreaterThan(
+      0.98,
+    );
   },
 );
--- a/src/decision/usage_ledger.ts
+++ b/src/decision/usage_ledger.ts
@@ -20,7 +20,7 @@
  * Creates an empty object without a prototype, since accounts may have the names of inherited
  * properties.
  */
-export function createCounts(): Record<string, number> {
+export function createEmptyCounts(): Record<string, number> {
   return Object.create(null) as Record<string, number>;
 }
 
@@ -42,11 +42,11 @@
 export function countsByWindow(counts: Iterable<AccountCount>): WindowCounts[] {
   const windows = new Map<number, Record<string, number>>();
   for (const { window, account, count } of counts) {
-    const known = windows.get(window) ?? createCounts();
-    windows.set(window, known);
-    known[account] = count;
+    const windowCounts = windows.get(window) ?? createEmptyCounts();
+    windows.set(window, windowCounts);
+    windowCounts[account] = count;
   }
-  return [...windows].map(([window, known]) => ({ window, counts: known }));
+  return [...windows].map(([window, windowCounts]) => ({ window, counts: windowCounts }));
 }
 
 /** The counts of all instances, as far as they are known here. */
@@ -72,7 +72,7 @@
   forgetBefore(window: number): void;
 }
 
-const OWN = "";
+const OWN_KEY = "";
 
 /** Creates an empty ledger. */
 export function createUsageLedger(): UsageLedger {
@@ -81,17 +81,17 @@
   const countsOf = (window: number, incarnation: string): Record<string, number> => {
     const instances = windows.get(window) ?? new Map<string, Record<string, number>>();
     windows.set(window, instances);
-    const counts = instances.get(incarnation) ?? createCounts();
+    const counts = instances.get(incarnation) ?? createEmptyCounts();
     instances.set(incarnation, counts);
     return counts;
   };
   let oldest = -Infinity;
   const groups = new Set<string>();
-  const heard: UsageLedger["heard"] = (incarnation, counts) => {
-    for (const { window, counts: said } of counts) {
+  const mergeCounts: UsageLedger["heard"] = (incarnation, counts) => {
+    for (const { window, counts: received } of counts) {
       if (window < oldest) continue;
       const known = countsOf(window, incarnation);
-      for (const [account, count] of Object.entries(said)) {
+      for (const [account, count] of Object.entries(received)) {
         known[account] = Math.max(known[account] ?? 0, count);
       }
     }
@@ -100,7 +100,7 @@
     window: number,
     isCounted: (incarnation: string) => boolean,
   ): Record<string, number> => {
-    const total = createCounts();
+    const total = createEmptyCounts();
     for (const [incarnation, counts] of windows.get(window) ?? []) {
       if (!isCounted(incarnation)) continue;
       for (const [account, count] of Object.entries(counts)) {
@@ -111,18 +111,18 @@
   };
   return {
     began: (account, window) => {
-      const counts = countsOf(window, OWN);
+      const counts = countsOf(window, OWN_KEY);
       counts[account] = (counts[account] ?? 0) + 1;
     },
     own: () =>
       [...windows].flatMap(([window, instances]) => {
-        const counts = instances.get(OWN);
+        const counts = instances.get(OWN_KEY);
         return counts === undefined ? [] : [{ window, counts }];
       }),
-    heard,
+    heard: mergeCounts,
     heardGroup: (group, counts) => {
       groups.add(group);
-      heard(group, counts);
+      mergeCounts(group, counts);
     },
     group: () =>
       [...windows.keys()].map((window) => ({
@@ -132,14 +132,14 @@
     forgetOthers: () => {
       for (const instances of windows.values()) {
         for (const incarnation of instances.keys()) {
-          if (incarnation !== OWN) instances.delete(incarnation);
+          if (incarnation !== OWN_KEY) instances.delete(incarnation);
         }
       }
     },
     total: (window) => sumOf(window, () => true),
     forgetBefore: (window) => {
       oldest = window;
-      for (const known of windows.keys()) if (known < window) windows.delete(known);
+      for (const other of windows.keys()) if (other < window) windows.delete(other);
     },
   };
 }
--- a/src/decision/worker_demand.ts
+++ b/src/decision/worker_demand.ts
@@ -61,77 +61,84 @@
  * Runs per worker at which an engine still produces first tokens in a fraction of the usual
  * targets.
  */
-const RUNS_A_WORKER = 10;
+const RUNS_PER_WORKER = 10;
 /**
  * Runs per worker that count in full; those beyond wait for each other and count with this weight.
  */
-const COUNTED_RUNS = 16;
-const BEYOND_PART = 0.2;
+const FULL_WEIGHT_RUNS = 16;
+const EXCESS_RUN_WEIGHT = 0.2;
 const HALF_LIFE = 10_000;
 /**
  * Maximum fraction of its time that a worker may spend on prefill. Beyond it, first tokens wait on
  * average for at least one other prompt.
  */
-const READING_PART = 0.6;
+const MAX_PREFILL_FRACTION = 0.6;
 /**
  * Time constant in milliseconds for averaging the workers in prefill: about ten prompts per worker.
  */
-const READING_TIME = 5_000;
+const PREFILL_TIME_CONSTANT = 5_000;
 /**
  * Milliseconds that a first token takes besides prefill. Prompts count as pending during that time
  * too.
  */
-const BESIDE_READING = 35;
+const FIXED_LATENCY = 35;
 /**
  * While workers are overloaded, the previous demand may grow by this factor at once and then double
  * in this time, in milliseconds. Anything beyond is a queue that is gone by the time a worker
  * ordered for it has started.
  */
-const STRAINED_RISE = 1.25;
-const STRAINED_DOUBLING = 15_000;
+const OVERLOAD_RISE = 1.25;
+const OVERLOAD_DOUBLING_TIME = 15_000;
 /** Workers count as overloaded if this fraction of them is in prefill at once. */
-const STRAINED_READERS = 0.6;
+const OVERLOAD_PREFILL_FRACTION = 0.6;
 
 /** A number of workers at a time in milliseconds. */
-interface Level {
+interface TimedLevel {
   readonly level: number;
   readonly at: number;
 }
 
 /** Creates an estimator that has not observed any load. */
 export function createWorkerDemand(): WorkerDemand {
-  let lately: Level | undefined;
-  let latelyRead: Level | undefined;
+  let smoothedWorkers: TimedLevel | undefined;
+  let smoothedPrefill: TimedLevel | undefined;
   /** Demand when the workers were last not overloaded. */
-  let calm: Level | undefined;
+  let lastNormal: TimedLevel | undefined;
   /** Average number of workers in prefill over the last seconds. */
-  let meanReaders: Level | undefined;
-  const observeReaders = (loads: readonly ObservedLoad[], now: number): number => {
-    const reading = sum(loads.map(partRead));
-    const { level, at } = meanReaders ?? { level: reading, at: now };
-    const kept = Math.exp(-(now - at) / READING_TIME);
-    meanReaders = { level: reading + (level - reading) * kept, at: now };
-    return meanReaders.level;
+  let meanPrefill: TimedLevel | undefined;
+  const observePrefill = (loads: readonly ObservedLoad[], now: number): number => {
+    const prefillNow = sum(loads.map(prefillFraction));
+    const { level, at } = meanPrefill ?? { level: prefillNow, at: now };
+    const decay = Math.exp(-(now - at) / PREFILL_TIME_CONSTANT);
+    meanPrefill = { level: prefillNow + (level - prefillNow) * decay, at: now };
+    return meanPrefill.level;
   };
   return {
     observe: (loads, { now, first }) => {
-      const runs = sum(loads.map(({ running }) => counted(running)));
-      const readers = observeReaders(loads, now);
-      const isStrained =
-        runs > loads.length * COUNTED_RUNS || readers > loads.length * STRAINED_READERS;
-      const greatest = isStrained ? risen(calm, now) : Infinity;
-      const reading = Math.min(readers / READING_PART, greatest);
-      const workers = Math.min(runs / RUNS_A_WORKER, greatest);
-      if (!isStrained) calm = { level: Math.max(1, workers), at: now };
-      if (lately === undefined && workers === 0) {
+      const runs = sum(loads.map(({ running }) => weightedRuns(running)));
+      const prefilling = observePrefill(loads, now);
+      const isOverloaded =
+        runs > loads.length * FULL_WEIGHT_RUNS ||
+        prefilling > loads.length * OVERLOAD_PREFILL_FRACTION;
+      const maxWorkers = isOverloaded ? maxGrowth(lastNormal, now) : Infinity;
+      const prefillWorkers = Math.min(prefilling / MAX_PREFILL_FRACTION, maxWorkers);
+      const workers = Math.min(runs / RUNS_PER_WORKER, maxWorkers);
+      if (!isOverloaded) lastNormal = { level: Math.max(1, workers), at: now };
+      if (smoothedWorkers === undefined && workers === 0) {
         return { now: 0, lately: first, reading: 0, hasBegun: false };
       }
-      lately = fallen(lately ?? { level: first, at: now }, { level: workers, at: now });
-      latelyRead = fallen(latelyRead ?? { level: 0, at: now }, { level: reading, at: now });
+      smoothedWorkers = smoothLevel(smoothedWorkers ?? { level: first, at: now }, {
+        level: workers,
+        at: now,
+      });
+      smoothedPrefill = smoothLevel(smoothedPrefill ?? { level: 0, at: now }, {
+        level: prefillWorkers,
+        at: now,
+      });
       return {
         now: Math.ceil(workers),
-        lately: Math.ceil(lately.level),
-        reading: Math.ceil(latelyRead.level),
+        lately: Math.ceil(smoothedWorkers.level),
+        reading: Math.ceil(smoothedPrefill.level),
         hasBegun: true,
       };
     },
@@ -139,25 +146,27 @@
 }
 
 /** Returns the fraction of time that a worker with this load spends on prefill. */
-function partRead({ readingTime }: ObservedLoad): number {
-  return readingTime / (readingTime + BESIDE_READING);
+function prefillFraction({ readingTime }: ObservedLoad): number {
+  return readingTime / (readingTime + FIXED_LATENCY);
 }
 
 /** Applies a rise immediately and a fall slowly. */
-function fallen(before: Level, { level, at }: Level): Level {
-  const kept = 2 ** (-(at - before.at) / HALF_LIFE);
-  return { level: Math.max(level, level + (before.level - level) * kept), at };
+function smoothLevel(previous: TimedLevel, { level, at }: TimedLevel): TimedLevel {
+  const decay = 2 ** (-(at - previous.at) / HALF_LIFE);
+  return { level: Math.max(level, level + (previous.level - level) * decay), at };
 }
 
 /**
  * Returns the highest plausible demand now, given the demand when the workers were last not
  * overloaded.
  */
-function risen(calm: Level | undefined, now: number): number {
-  if (calm === undefined) return Infinity;
-  return calm.level * STRAINED_RISE * 2 ** ((now - calm.at) / STRAINED_DOUBLING);
+function maxGrowth(lastNormal: TimedLevel | undefined, now: number): number {
+  if (lastNormal === undefined) return Infinity;
+  return lastNormal.level * OVERLOAD_RISE * 2 ** ((now - lastNormal.at) / OVERLOAD_DOUBLING_TIME);
 }
 
-function counted(runs: number): number {
-  return Math.min(runs, COUNTED_RUNS) + Math.max(0, runs - COUNTED_RUNS) * BEYOND_PART;
+function weightedRuns(runs: number): number {
+  return (
+    Math.min(runs, FULL_WEIGHT_RUNS) + Math.max(0, runs - FULL_WEIGHT_RUNS) * EXCESS_RUN_WEIGHT
+  );
 }
--- a/src/decision/worker_health.ts
+++ b/src/decision/worker_health.ts
@@ -51,10 +51,10 @@
  * Successful runs assumed for a worker without history, since a single failure is weak evidence.
  */
 const PRIOR_RUNS = 2;
-const NOTHING: RunCounts = { runs: 0, failures: 0 };
+const NO_COUNTS: RunCounts = { runs: 0, failures: 0 };
 
 /** Counts whose weight decreases with their age. */
-interface Decaying extends RunCounts {
+interface DecayingCounts extends RunCounts {
   readonly at: number;
 }
 
@@ -63,69 +63,71 @@
   /**
    * Recent counts of all instances, by worker: each request looks up every worker of its service.
    */
-  const lately = new Map<WorkerHash, Decaying>();
-  const services = new Map<string, Decaying>();
-  const own = new Map<WorkerHash, RunCounts>();
+  const recentCounts = new Map<WorkerHash, DecayingCounts>();
+  const recentByService = new Map<string, DecayingCounts>();
+  const ownTotals = new Map<WorkerHash, RunCounts>();
   /** The counts of each other instance, by worker. */
-  const said = new Map<string, Map<WorkerHash, RunCounts>>();
+  const countsByInstance = new Map<string, Map<WorkerHash, RunCounts>>();
 
-  const heard: WorkerHealth["heard"] = (instance, counts, now) => {
-    const before = said.get(instance);
-    const known = before ?? new Map<WorkerHash, RunCounts>();
-    said.set(instance, known);
+  const receiveCounts: WorkerHealth["heard"] = (instance, counts, now) => {
+    const previous = countsByInstance.get(instance);
+    const known = previous ?? new Map<WorkerHash, RunCounts>();
+    countsByInstance.set(instance, known);
     for (const [worker, { runs, failures }] of counts) {
-      const { runs: runsBefore, failures: failuresBefore } = known.get(worker) ?? NOTHING;
+      const { runs: runsBefore, failures: failuresBefore } = known.get(worker) ?? NO_COUNTS;
       if (runs === 0) known.delete(worker);
       else known.set(worker, { runs, failures });
-      const more = { runs: runs - runsBefore, failures: failures - failuresBefore };
-      if (before !== undefined && more.runs > 0) add(lately, worker, { ...more, now });
+      const delta = { runs: runs - runsBefore, failures: failures - failuresBefore };
+      if (previous !== undefined && delta.runs > 0)
+        addDecayed(recentCounts, worker, { ...delta, now });
     }
   };
   return {
     ended: ({ worker, service, failed, now }) => {
       const run = { runs: 1, failures: failed ? 1 : 0 };
-      const { runs, failures } = own.get(worker) ?? NOTHING;
-      own.set(worker, { runs: runs + run.runs, failures: failures + run.failures });
-      add(lately, worker, { ...run, now });
-      add(services, service, { ...run, now });
+      const { runs, failures } = ownTotals.get(worker) ?? NO_COUNTS;
+      ownTotals.set(worker, { runs: runs + run.runs, failures: failures + run.failures });
+      addDecayed(recentCounts, worker, { ...run, now });
+      addDecayed(recentByService, service, { ...run, now });
     },
-    heard,
+    heard: receiveCounts,
     excess: (worker, service, now) => {
-      const counts = lately.get(worker);
+      const counts = recentCounts.get(worker);
       // Fast path for nearly all workers, since each request looks up every one of them.
       if (counts === undefined || counts.failures === 0) return 0;
       const { runs, failures } = decayed(counts, now);
-      const usual = decayed(services.get(service), now);
-      const usualPart = usual.failures / (usual.runs + PRIOR_RUNS);
-      return Math.max(0, failures / (runs + PRIOR_RUNS) - usualPart);
+      const serviceCounts = decayed(recentByService.get(service), now);
+      const serviceRate = serviceCounts.failures / (serviceCounts.runs + PRIOR_RUNS);
+      return Math.max(0, failures / (runs + PRIOR_RUNS) - serviceRate);
     },
-    ownCounts: (worker) => own.get(worker) ?? NOTHING,
+    ownCounts: (worker) => ownTotals.get(worker) ?? NO_COUNTS,
     keepOnly: (workers) => {
-      for (const counted of [own, lately]) {
+      for (const counted of [ownTotals, recentCounts]) {
         for (const worker of counted.keys()) if (!workers.has(worker)) counted.delete(worker);
       }
     },
     keepInstances: (instances) => {
-      for (const instance of said.keys()) if (!instances.has(instance)) said.delete(instance);
+      for (const instance of countsByInstance.keys())
+        if (!instances.has(instance)) countsByInstance.delete(instance);
     },
   };
 }
 
-function keptPart(age: number): number {
+function decayFactor(age: number): number {
   return 2 ** (-Math.max(0, age) / HALF_LIFE);
 }
 
-function decayed(counts: Decaying | undefined, now: number): RunCounts {
-  if (counts === undefined) return NOTHING;
-  const kept = keptPart(now - counts.at);
-  return { runs: counts.runs * kept, failures: counts.failures * kept };
+function decayed(counts: DecayingCounts | undefined, now: number): RunCounts {
+  if (counts === undefined) return NO_COUNTS;
+  const factor = decayFactor(now - counts.at);
+  return { runs: counts.runs * factor, failures: counts.failures * factor };
 }
 
-function add<K>(
-  counted: Map<K, Decaying>,
+function addDecayed<K>(
+  counted: Map<K, DecayingCounts>,
   key: K,
   { runs, failures, now }: RunCounts & { now: number },
 ): void {
-  const before = decayed(counted.get(key), now);
-  counted.set(key, { runs: before.runs + runs, failures: before.failures + failures, at: now });
+  const previous = decayed(counted.get(key), now);
+  counted.set(key, { runs: previous.runs + runs, failures: previous.failures + failures, at: now });
 }
--- a/src/decision/worker_health_test.ts
+++ b/src/decision/worker_health_test.ts
@@ -48,16 +48,16 @@
 // failures.
 test("adds the counts of each instance once", () => {
   const health = createWorkerHealth();
-  const say = (instance: string, failures: number, now: number): void =>
+  const receive = (instance: string, failures: number, now: number): void =>
     health.heard(instance, new Map([[0, { runs: failures + 2, failures }]]), now);
-  say("e2", 0, 0);
-  say("e3", 4, 0);
-  for (let now = 0; now <= 5_000; now += 250) say("e2", 8, 5_000);
+  receive("e2", 0, 0);
+  receive("e3", 4, 0);
+  for (let now = 0; now <= 5_000; now += 250) receive("e2", 8, 5_000);
   expect(health.excess(0, "s", 5_000)).toBeCloseTo(8 / 10, 9);
-  say("e3", 8, 5_000);
+  receive("e3", 8, 5_000);
   expect(health.excess(0, "s", 5_000)).toBeCloseTo(12 / 14, 9);
   health.heard("e3", new Map([[0, { runs: 0, failures: 0 }]]), 5_000);
-  say("e3", 3, 5_000);
+  receive("e3", 3, 5_000);
   expect(health.excess(0, "s", 5_000)).toBeCloseTo(15 / (10 + 4 + 5 + 2 - 2), 9);
 });
 
@@ -65,11 +65,11 @@
 // at once would keep requests away from a worker that has recovered.
 test("ignores what an instance counted before its first message", () => {
   const health = createWorkerHealth();
-  const say = (failures: number, now: number): void =>
+  const receive = (failures: number, now: number): void =>
     health.heard("e2", new Map([[0, { runs: 50, failures }]]), now);
-  say(40, 0);
+  receive(40, 0);
   expect(health.excess(0, "s", 0)).toBe(0);
   health.keepInstances(new Set());
-  say(45, 1_000);
+  receive(45, 1_000);
   expect(health.excess(0, "s", 1_000)).toBe(0);
 });
--- a/src/decision/worker_limits.ts
+++ b/src/decision/worker_limits.ts
@@ -62,7 +62,7 @@
 /**
  * Dependencies of {@linkcode createWorkerLimits}.
  */
-export interface WorkerLimitsParts {
+export interface WorkerLimitsOptions {
   /** Returns the time of day that the instances agree on, in milliseconds since 1970. */
   readonly time: () => number;
   /** Hash of this instance. */
@@ -78,143 +78,159 @@
  * Milliseconds for which a slot may be used from its start. A worker thus gets at most the requests
  * of five seconds within four.
  */
-const SLOT_LIFE = 1_000;
+const SLOT_TTL = 1_000;
 /**
  * Maximum number of slots per second; a worker with a higher limit accepts several requests per
  * slot.
  */
-const GREATEST_SLOTS = 16;
+const MAX_SLOTS_PER_SECOND = 16;
 /**
  * Minimum rate in requests per second. A worker with a limit of zero still gets a request every ten
  * seconds, because only its answer can lift the limit.
  */
-const LEAST_LIMIT = 0.1;
+const MIN_LIMIT = 0.1;
 /**
  * Milliseconds for which a new limit is sent to other instances, since some digests may be lost.
  */
-const TOLD_FOR = 3_000;
+const REPORT_DURATION = 3_000;
 /** Milliseconds by which the instances' times may differ. */
-const TIME_TOLERANCE = 50;
-const SECOND = 1_000;
+const CLOCK_TOLERANCE = 50;
+const MS_PER_SECOND = 1_000;
 
-interface Known {
+interface KnownLimit {
   perSecond: number | undefined;
-  at: number;
+  receivedAt: number;
   /** When this limit became known here: earlier slots belong to the previous limit. */
   changedAt: number;
   /** Requests sent in each slot. */
-  readonly used: Map<number, number>;
+  readonly requestsBySlot: Map<number, number>;
   /** Whether each slot belongs to this instance. */
-  readonly owned: Map<number, boolean>;
+  readonly ownershipBySlot: Map<number, boolean>;
 }
 
-interface Slots {
+interface SlotRange {
   /** Length of a slot in milliseconds. */
-  readonly length: number;
+  readonly slotLength: number;
   /** Requests per slot. */
-  readonly requests: number;
+  readonly requestsPerSlot: number;
   readonly first: number;
   readonly last: number;
 }
 
 /** Creates an empty set of limits. */
-export function createWorkerLimits(parts: WorkerLimitsParts): WorkerLimits {
+export function createWorkerLimits(parts: WorkerLimitsOptions): WorkerLimits {
   const { time, self } = parts;
-  const known = new Map<WorkerHash, Known>();
+  const limits = new Map<WorkerHash, KnownLimit>();
   let instances: readonly number[] = [];
 
-  const set = ({ worker, perSecond, at }: LimitStatement): void => {
-    const before = known.get(worker);
-    if (before !== undefined && before.perSecond === perSecond) {
-      before.at = at;
+  const setLimit = ({ worker, perSecond, at }: LimitStatement): void => {
+    const previous = limits.get(worker);
+    if (previous !== undefined && previous.perSecond === perSecond) {
+      previous.receivedAt = at;
       return;
     }
     const changedAt = time();
-    known.set(worker, { perSecond, at, changedAt, used: new Map(), owned: new Map() });
+    limits.set(worker, {
+      perSecond,
+      receivedAt: at,
+      changedAt,
+      requestsBySlot: new Map(),
+      ownershipBySlot: new Map(),
+    });
   };
   /** Returns the slots that may be used now, and removes older ones. */
-  const slotsOf = ({ changedAt, used, owned }: Known, perSecond: number): Slots => {
-    const limit = Math.max(LEAST_LIMIT, perSecond);
-    const requests = Math.ceil(limit / GREATEST_SLOTS);
-    const length = (requests * SECOND) / limit;
+  const currentSlots = (
+    { changedAt, requestsBySlot, ownershipBySlot }: KnownLimit,
+    perSecond: number,
+  ): SlotRange => {
+    const limit = Math.max(MIN_LIMIT, perSecond);
+    const requestsPerSlot = Math.ceil(limit / MAX_SLOTS_PER_SECOND);
+    const slotLength = (requestsPerSlot * MS_PER_SECOND) / limit;
     const now = time();
     const first = Math.max(
-      Math.floor((now - SLOT_LIFE) / length) + 1,
-      Math.ceil(changedAt / length),
+      Math.floor((now - SLOT_TTL) / slotLength) + 1,
+      Math.ceil(changedAt / slotLength),
     );
-    for (const slots of [used, owned]) {
+    for (const slots of [requestsBySlot, ownershipBySlot]) {
       for (const slot of slots.keys()) if (slot < first) slots.delete(slot);
     }
-    return { length, requests, first, last: Math.floor(now / length) };
+    return { slotLength, requestsPerSlot, first, last: Math.floor(now / slotLength) };
   };
-  const owns = (worker: WorkerHash, slot: number, { owned }: Known): boolean => {
-    const found = owned.get(slot) ?? ownerOf(mixHashes(worker, slot), instances) === self;
-    owned.set(slot, found);
+  const isOwned = (worker: WorkerHash, slot: number, { ownershipBySlot }: KnownLimit): boolean => {
+    const found = ownershipBySlot.get(slot) ?? ownerOf(mixHashes(worker, slot), instances) === self;
+    ownershipBySlot.set(slot, found);
     return found;
   };
-  const refresh = (): void => {
-    const now = parts.instances();
-    if (now === instances) return;
-    instances = now;
-    for (const { owned } of known.values()) owned.clear();
+  const refreshInstances = (): void => {
+    const current = parts.instances();
+    if (current === instances) return;
+    instances = current;
+    for (const { ownershipBySlot } of limits.values()) ownershipBySlot.clear();
   };
   /** Returns the first slot in which this instance may still send to the worker. */
-  const freeSlot = (worker: WorkerHash, of: Known, perSecond: number): number | undefined => {
-    refresh();
-    const { requests, first, last } = slotsOf(of, perSecond);
+  const freeSlot = (
+    worker: WorkerHash,
+    state: KnownLimit,
+    perSecond: number,
+  ): number | undefined => {
+    refreshInstances();
+    const { requestsPerSlot, first, last } = currentSlots(state, perSecond);
     for (let slot = first; slot <= last; slot++) {
-      if ((of.used.get(slot) ?? 0) < requests && owns(worker, slot, of)) return slot;
+      if ((state.requestsBySlot.get(slot) ?? 0) < requestsPerSlot && isOwned(worker, slot, state))
+        return slot;
     }
     return undefined;
   };
   return {
     answered: (worker, { perSecond, sentAt }) => {
-      const before = known.get(worker);
-      const at = Math.max(time(), before?.at ?? 0);
+      const previous = limits.get(worker);
+      const at = Math.max(time(), previous?.receivedAt ?? 0);
       if (perSecond !== undefined) {
-        set({ worker, perSecond, at });
+        setLimit({ worker, perSecond, at });
         return;
       }
       // An answer to a request from before the limit may arrive after an answer with the limit.
-      if (before?.perSecond !== undefined && sentAt > before.at) set({ worker, perSecond, at });
+      if (previous?.perSecond !== undefined && sentAt > previous.receivedAt)
+        setLimit({ worker, perSecond, at });
     },
     heard: ({ worker, perSecond, at }) => {
-      const before = known.get(worker);
-      if (before === undefined && perSecond === undefined) return;
-      if (at <= (before?.at ?? 0)) return;
-      set({ worker, perSecond, at: Math.min(at, time() + TIME_TOLERANCE) });
+      const previous = limits.get(worker);
+      if (previous === undefined && perSecond === undefined) return;
+      if (at <= (previous?.receivedAt ?? 0)) return;
+      setLimit({ worker, perSecond, at: Math.min(at, time() + CLOCK_TOLERANCE) });
     },
     statements: () => {
-      const from = time() - TOLD_FOR;
-      return [...known]
+      const from = time() - REPORT_DURATION;
+      return [...limits]
         .filter(([, { changedAt }]) => changedAt >= from)
-        .map(([worker, { perSecond, at }]) => ({ worker, perSecond, at }));
+        .map(([worker, { perSecond, receivedAt: at }]) => ({ worker, perSecond, at }));
     },
-    limitOf: (worker) => known.get(worker)?.perSecond,
+    limitOf: (worker) => limits.get(worker)?.perSecond,
     mayTake: (worker) => {
-      const of = known.get(worker);
-      if (of?.perSecond === undefined) return true;
-      return freeSlot(worker, of, of.perSecond) !== undefined;
+      const state = limits.get(worker);
+      if (state?.perSecond === undefined) return true;
+      return freeSlot(worker, state, state.perSecond) !== undefined;
     },
     took: (worker) => {
-      const of = known.get(worker);
-      if (of?.perSecond === undefined) return;
-      const slot = freeSlot(worker, of, of.perSecond);
-      if (slot !== undefined) of.used.set(slot, (of.used.get(slot) ?? 0) + 1);
+      const state = limits.get(worker);
+      if (state?.perSecond === undefined) return;
+      const slot = freeSlot(worker, state, state.perSecond);
+      if (slot !== undefined)
+        state.requestsBySlot.set(slot, (state.requestsBySlot.get(slot) ?? 0) + 1);
     },
     opensIn: (workers) => {
-      let least: number | undefined;
+      let shortest: number | undefined;
       for (const worker of workers) {
-        const of = known.get(worker);
-        if (of?.perSecond === undefined) continue;
-        const { length, last } = slotsOf(of, of.perSecond);
-        least = Math.min(least ?? Infinity, (last + 1) * length - time());
+        const state = limits.get(worker);
+        if (state?.perSecond === undefined) continue;
+        const { slotLength, last } = currentSlots(state, state.perSecond);
+        shortest = Math.min(shortest ?? Infinity, (last + 1) * slotLength - time());
       }
-      return least;
+      return shortest;
     },
-    forget: (worker) => void known.delete(worker),
+    forget: (worker) => void limits.delete(worker),
     keepOnly: (workers) => {
-      for (const worker of known.keys()) if (!workers.has(worker)) known.delete(worker);
+      for (const worker of limits.keys()) if (!workers.has(worker)) limits.delete(worker);
     },
   };
 }
@@ -222,11 +238,11 @@
 /** Returns the hash of the instance that a slot belongs to. */
 function ownerOf(slot: number, instances: readonly number[]): number | undefined {
   let owner: number | undefined;
-  let highest = -1;
+  let maxScore = -1;
   for (const instance of instances) {
     const score = mixHashes(instance, slot);
-    if (score <= highest) continue;
-    highest = score;
+    if (score <= maxScore) continue;
+    maxScore = score;
     owner = instance;
   }
   return owner;
--- a/src/decision/worker_limits_test.ts
+++ b/src/decision/worker_limits_test.ts
@@ -6,31 +6,31 @@
 const WORKER = 4_711;
 const WINDOW = 4_000;
 /** In any window, a worker may receive one and a half times its limit and five more requests. */
-const most = (limit: number): number => limit * 1.5 * (WINDOW / 1_000) + 5;
+const maxRequests = (limit: number): number => limit * 1.5 * (WINDOW / 1_000) + 5;
 
 interface Member {
   readonly limits: WorkerLimits;
   readonly self: number;
   /** Milliseconds by which this instance's time differs from the others'. */
-  offset: number;
+  clockOffset: number;
   /** The instances known to this one. */
-  view: number[];
+  visibleInstances: number[];
 }
 
 /** Creates instances that all know the limit and always have requests for the worker. */
-function start(size: number, limit: number) {
+function createMembers(size: number, limit: number) {
   const clock = { now: 1_700_000_000_000 };
   const random = createSeededRandom(3);
-  const all = Array.from({ length: size }, () => Math.floor(random.next() * 2 ** 32));
-  const members: Member[] = all.map((self) => {
+  const allInstances = Array.from({ length: size }, () => Math.floor(random.next() * 2 ** 32));
+  const members: Member[] = allInstances.map((self) => {
     const member: Member = {
       self,
-      offset: 0,
-      view: all,
+      clockOffset: 0,
+      visibleInstances: allInstances,
       limits: createWorkerLimits({
-        time: () => clock.now + member.offset,
+        time: () => clock.now + member.clockOffset,
         self,
-        instances: () => member.view,
+        instances: () => member.visibleInstances,
       }),
     };
     return member;
@@ -43,7 +43,7 @@
    * Advances the time. In each step, each instance has a request for the worker with this
    * probability.
    */
-  const play = (milliseconds: number, chance = 1): void => {
+  const advance = (milliseconds: number, chance = 1): void => {
     for (let end = clock.now + milliseconds; clock.now < end; clock.now += 20) {
       for (const { limits } of members) {
         if (random.next() >= chance || !limits.mayTake(WORKER)) continue;
@@ -52,17 +52,17 @@
       }
     }
   };
-  return { clock, members, sent, play };
+  return { clock, members, sent, play: advance };
 }
 
-function mostInWindow(sent: readonly number[]): number {
+function maxInWindow(sent: readonly number[]): number {
   let first = 0;
-  let found = 0;
+  let max = 0;
   for (const [last, at] of sent.entries()) {
     while ((sent[first] ?? 0) <= at - WINDOW) first++;
-    found = Math.max(found, last - first + 1);
+    max = Math.max(max, last - first + 1);
   }
-  return found;
+  return max;
 }
 
 test.each([
@@ -74,60 +74,62 @@
   [300, 1],
   [300, 40],
 ])("sends as many requests as the worker accepts (%d instances, %d per second)", (size, limit) => {
-  const { sent, play } = start(size, limit);
-  play(60_000);
-  expect(mostInWindow(sent)).toBeLessThanOrEqual(most(limit));
+  const { sent, play: advance } = createMembers(size, limit);
+  advance(60_000);
+  expect(maxInWindow(sent)).toBeLessThanOrEqual(maxRequests(limit));
   expect(sent.length).toBeGreaterThanOrEqual(60 * limit * 0.95);
   expect(sent.length).toBeLessThanOrEqual(60 * limit * 1.05 + 1);
 });
 
 test("does not use saved-up capacity all at once after a time without requests", () => {
-  const { sent, play } = start(300, 3);
-  play(20_000, 0);
-  play(10_000);
-  expect(mostInWindow(sent)).toBeLessThanOrEqual(most(3));
+  const { sent, play: advance } = createMembers(300, 3);
+  advance(20_000, 0);
+  advance(10_000);
+  expect(maxInWindow(sent)).toBeLessThanOrEqual(maxRequests(3));
 });
 
 test("stays within the limit while instances join and leave and their views differ", () => {
-  const { members, sent, play } = start(60, 5);
-  const all = members.map(({ self }) => self);
+  const { members, sent, play: advance } = createMembers(60, 5);
+  const allInstances = members.map(({ self }) => self);
   for (let round = 0; round < 40; round++) {
-    for (const [place, member] of members.entries()) {
-      const isGone = (other: number): boolean => (other + round + (place % 3)) % 9 === 0;
-      member.view = all.filter((self) => self === member.self || !isGone(self));
+    for (const [index, member] of members.entries()) {
+      const isGone = (other: number): boolean => (other + round + (index % 3)) % 9 === 0;
+      member.visibleInstances = allInstances.filter(
+        (self) => self === member.self || !isGone(self),
+      );
     }
-    play(500);
+    advance(500);
   }
-  expect(mostInWindow(sent)).toBeLessThanOrEqual(most(5));
+  expect(maxInWindow(sent)).toBeLessThanOrEqual(maxRequests(5));
 });
 
 test("stays within the limit if the instances' times differ", () => {
-  const { members, sent, play } = start(6, 2.6);
-  for (const [place, member] of members.entries()) member.offset = (place - 3) * 120;
-  play(60_000);
-  expect(mostInWindow(sent)).toBeLessThanOrEqual(most(2.6));
+  const { members, sent, play: advance } = createMembers(6, 2.6);
+  for (const [index, member] of members.entries()) member.clockOffset = (index - 3) * 120;
+  advance(60_000);
+  expect(maxInWindow(sent)).toBeLessThanOrEqual(maxRequests(2.6));
 });
 
 test("does not assign the slots again when the limit changes with each answer", () => {
-  const { clock, members, sent, play } = start(6, 3);
+  const { clock, members, sent, play: advance } = createMembers(6, 3);
   for (let round = 0; round < 150; round++) {
     for (const { limits } of members) {
       limits.answered(WORKER, { perSecond: 3 - (round % 5) / 100, sentAt: clock.now });
     }
-    play(200);
+    advance(200);
   }
-  expect(mostInWindow(sent)).toBeLessThanOrEqual(most(3));
+  expect(maxInWindow(sent)).toBeLessThanOrEqual(maxRequests(3));
 });
 
 test("sends an occasional request to a worker with a limit of zero", () => {
-  const { sent, play } = start(6, 0);
-  play(60_000);
+  const { sent, play: advance } = createMembers(6, 0);
+  advance(60_000);
   expect(sent.length).toBeGreaterThanOrEqual(4);
-  expect(mostInWindow(sent)).toBeLessThanOrEqual(2);
+  expect(maxInWindow(sent)).toBeLessThanOrEqual(2);
 });
 
 test("removes a limit after an answer without one, unless the request was sent before the limit", () => {
-  const { clock, members } = start(1, 1);
+  const { clock, members } = createMembers(1, 1);
   const limits = members[0]?.limits;
   limits?.answered(WORKER, { perSecond: undefined, sentAt: clock.now - 10 });
   expect(limits?.limitOf(WORKER)).toBe(1);
@@ -138,7 +140,7 @@
 });
 
 test("uses the latest report, and does not make a report newer by forwarding it", () => {
-  const { clock, members } = start(2, 1);
+  const { clock, members } = createMembers(2, 1);
   const [first, second] = members;
   if (first === undefined || second === undefined) throw new Error("The test has two members.");
   const early = first.limits.statements();
@@ -157,14 +159,14 @@
 });
 
 test("returns the time until a worker accepts the next request from any instance", () => {
-  const { clock, members } = start(6, 0.5);
+  const { clock, members } = createMembers(6, 0.5);
   const opensIn = members[0]?.limits.opensIn([WORKER, 1]);
   expect(opensIn).toBeCloseTo(2_000 - (clock.now % 2_000));
   expect(members[0]?.limits.opensIn([1])).toBeUndefined();
 });
 
 test("removes the limit of a worker that was replaced", () => {
-  const { members } = start(1, 1);
+  const { members } = createMembers(1, 1);
   members[0]?.limits.forget(WORKER);
   expect(members[0]?.limits.limitOf(WORKER)).toBeUndefined();
 });
--- a/src/decision/worker_mix.ts
+++ b/src/decision/worker_mix.ts
@@ -40,7 +40,7 @@
 /**
  * Input for {@linkcode planMix}.
  */
-export interface MixView {
+export interface MixContext {
   readonly scaling: ServiceScaling;
   /** Workers that accept requests, by zone. */
   readonly stock: readonly ZoneStock[];
@@ -77,30 +77,30 @@
  * Number of zones that may lose all reclaimable workers at once: one, and a second before the first
  * has recovered.
  */
-const ZONES_LOST = 2;
+const TOLERATED_ZONE_LOSSES = 2;
 /**
  * Number of zones that may be reclaimed before a worker ordered now accepts requests, while a
  * market is empty: one, or two if the last two losses were about one start-up time apart. The
  * replacement for a zone has to be ordered before the next one is reclaimed.
  */
-const ZONES_FOLLOWING = { slow: 1, fast: 2 };
+const EXPECTED_ZONE_LOSSES = { slow: 1, fast: 2 };
 /**
  * Losses count as fast up to this many start-up times apart. With a quarter more than one, workers
  * ordered at a loss are ready at about the time of the next loss.
  */
-const FAST_START_UPS = 1.25;
+const FAST_LOSS_START_UPS = 1.25;
 /**
  * Before any load, the existing on-demand workers indicate the usual demand: this many reclaimable
  * workers replace one of them.
  */
-const FIRST_PART = 0.9;
+const RECLAIMABLE_PER_ON_DEMAND = 0.9;
 /**
  * Minimum number of reclaimable workers per zone. With a single one, a crash would leave the zone's
  * sessions without a home worker.
  */
-const LEAST_A_ZONE = 2;
+const MIN_PER_ZONE = 2;
 /** Factor by which on-demand orders exceed the demand, since the measured demand lags behind. */
-const ON_DEMAND_ROOM = 1.25;
+const ON_DEMAND_HEADROOM = 1.25;
 
 /**
  * Estimates the number of workers that a service's first load will keep busy, from the workers that
@@ -112,39 +112,39 @@
   { zonePrices }: ServiceScaling,
   there: { reclaimable: number; onDemand: number },
 ): number {
-  const wanted = there.reclaimable + there.onDemand * FIRST_PART;
-  const aZone = Math.ceil(wanted / Math.max(1, zonePrices.size));
-  return aZone * Math.max(1, zonePrices.size - ZONES_LOST);
+  const wanted = there.reclaimable + there.onDemand * RECLAIMABLE_PER_ON_DEMAND;
+  const perZone = Math.ceil(wanted / Math.max(1, zonePrices.size));
+  return perZone * Math.max(1, zonePrices.size - TOLERATED_ZONE_LOSSES);
 }
 
 /** Plans a service's orders: one for each zone and type of purchase. */
-export function planMix({ scaling, stock, inUse, held, lossGap }: MixView): MixPlan {
+export function planMix({ scaling, stock, inUse, held, lossGap }: MixContext): MixPlan {
   const target = reclaimableTarget(scaling, { zones: stock.length, inUse: inUse.lately });
   // If the market is empty, only the existing workers are available; otherwise the rest will start
   // soon.
-  const reachable = stock.map(({ reclaimable, isDry }) =>
+  const available = stock.map(({ reclaimable, isDry }) =>
     isDry ? Math.min(reclaimable, target) : target,
   );
-  const isInWave = stock.some(({ isDry }) => isDry);
-  const isFast = lossGap <= scaling.startUp * FAST_START_UPS;
-  const following = isFast ? ZONES_FOLLOWING.fast : ZONES_FOLLOWING.slow;
+  const isMarketEmpty = stock.some(({ isDry }) => isDry);
+  const isFastWave = lossGap <= scaling.startUp * FAST_LOSS_START_UPS;
+  const expectedLosses = isFastWave ? EXPECTED_ZONE_LOSSES.fast : EXPECTED_ZONE_LOSSES.slow;
   const missing = Math.max(
     0,
-    Math.ceil(inUse.now * ON_DEMAND_ROOM) - sum(reachable),
-    isInWave ? inUse.reading - leftAfterMore(reachable, following) : 0,
+    Math.ceil(inUse.now * ON_DEMAND_HEADROOM) - sum(available),
+    isMarketEmpty ? inUse.reading - remainingAfterLosses(available, expectedLosses) : 0,
   );
-  const isBack = stock.every(({ reclaimable, isDry }) => !isDry && reclaimable >= target);
+  const isRecovered = stock.every(({ reclaimable, isDry }) => !isDry && reclaimable >= target);
   // Once the market has workers again, each reclaimable worker that accepts requests replaces an
   // on-demand one.
   const ready = sum(stock.map(({ reclaimable }) => reclaimable));
-  const kept = isInWave ? held : Math.min(held, Math.max(0, inUse.lately - ready));
-  const wanted = isBack ? 0 : Math.max(missing, kept);
+  const keptOnDemand = isMarketEmpty ? held : Math.min(held, Math.max(0, inUse.lately - ready));
+  const wanted = isRecovered ? 0 : Math.max(missing, keptOnDemand);
   // One place stays free for a reclaimable worker while the market is empty: only an order shows
   // when it has workers again.
-  const rooms = stock.map(({ reclaimable, isDry }) =>
+  const freePlaces = stock.map(({ reclaimable, isDry }) =>
     Math.max(0, scaling.most - Math.min(reclaimable, target) - (isDry ? 1 : 0)),
   );
-  const onDemand = spread(wanted, { stock, rooms, prices: scaling.zonePrices });
+  const onDemand = spreadOnDemand(wanted, { stock, freePlaces, prices: scaling.zonePrices });
   const orders = stock.flatMap(({ zone }, index) => {
     const bought = onDemand[index] ?? 0;
     const reclaimable = Math.max(0, Math.min(target, scaling.most - bought));
@@ -157,41 +157,43 @@
 }
 
 /**
- * Returns the number of reclaimable workers that remain after the fullest `following` zones are
+ * Returns the number of reclaimable workers that remain after the fullest `losses` zones are
  * reclaimed.
  */
-function leftAfterMore(reachable: readonly number[], following: number): number {
-  const fullestLast = [...reachable].sort((a, b) => a - b);
-  return sum(fullestLast.slice(0, Math.max(0, fullestLast.length - following)));
+function remainingAfterLosses(available: readonly number[], losses: number): number {
+  const fullestLast = [...available].sort((a, b) => a - b);
+  return sum(fullestLast.slice(0, Math.max(0, fullestLast.length - losses)));
 }
 
 /**
  * Spreads on-demand workers over the zones. Workers that are already ordered stay in their zone as
  * far as they are wanted: returning one and buying another elsewhere costs twice and takes time.
  */
-function spread(
+function spreadOnDemand(
   wanted: number,
   options: {
     stock: readonly ZoneStock[];
-    rooms: readonly number[];
+    freePlaces: readonly number[];
     prices: ReadonlyMap<string, number>;
   },
 ): number[] {
-  const { stock, rooms, prices } = options;
-  const counts = stock.map(({ ordered }, index) => Math.min(ordered, rooms[index] ?? 0));
+  const { stock, freePlaces, prices } = options;
+  const counts = stock.map(({ ordered }, index) => Math.min(ordered, freePlaces[index] ?? 0));
   const price = (index: number): number => prices.get(stock[index]?.zone ?? "") ?? 1;
   const cheapestFirst = [...stock.keys()].sort((a, b) => price(a) - price(b));
   for (let total = sum(counts); total > wanted; total--) {
-    const dearest = cheapestFirst.findLast((index) => (counts[index] ?? 0) > 0) ?? 0;
-    counts[dearest] = (counts[dearest] ?? 0) - 1;
+    const mostExpensive = cheapestFirst.findLast((index) => (counts[index] ?? 0) > 0) ?? 0;
+    counts[mostExpensive] = (counts[mostExpensive] ?? 0) - 1;
   }
   for (let total = sum(counts); total < wanted; total++) {
     // Spread evenly, so that no zone's loss removes most of them; the cheapest zone wins a tie.
-    const open = cheapestFirst.filter((index) => (counts[index] ?? 0) < (rooms[index] ?? 0));
-    const least = Math.min(...open.map((index) => counts[index] ?? 0));
-    const next = open.find((index) => counts[index] === least);
+    const zonesWithRoom = cheapestFirst.filter(
+      (index) => (counts[index] ?? 0) < (freePlaces[index] ?? 0),
+    );
+    const minCount = Math.min(...zonesWithRoom.map((index) => counts[index] ?? 0));
+    const next = zonesWithRoom.find((index) => counts[index] === minCount);
     if (next === undefined) break;
-    counts[next] = least + 1;
+    counts[next] = minCount + 1;
   }
   return counts;
 }
@@ -201,6 +203,6 @@
   { least, most }: ServiceScaling,
   { zones, inUse }: { zones: number; inUse: number },
 ): number {
-  const left = Math.max(1, zones - ZONES_LOST);
-  return Math.min(most, Math.max(least, LEAST_A_ZONE, Math.ceil(inUse / left)));
+  const remainingZones = Math.max(1, zones - TOLERATED_ZONE_LOSSES);
+  return Math.min(most, Math.max(least, MIN_PER_ZONE, Math.ceil(inUse / remainingZones)));
 }
--- a/src/decision/worker_mix_test.ts
+++ b/src/decision/worker_mix_test.ts
@@ -17,13 +17,13 @@
   ]),
 };
 
-interface Stock {
+interface StockCounts {
   readonly reclaimable?: readonly number[];
   readonly ordered?: readonly number[];
   readonly dry?: readonly string[];
 }
 
-function stock({ reclaimable = [], ordered = [], dry = [] }: Stock): ZoneStock[] {
+function createStock({ reclaimable = [], ordered = [], dry = [] }: StockCounts): ZoneStock[] {
   return [...SCALING.zonePrices.keys()].map((zone, index) => ({
     zone,
     reclaimable: reclaimable[index] ?? 0,
@@ -32,20 +32,21 @@
   }));
 }
 
-const EVERYWHERE = ["a", "b", "c", "d"];
+const ALL_ZONES = ["a", "b", "c", "d"];
 
 function plan(
-  there: Stock,
+  existing: StockCounts,
   options: { inUse: number; held?: number; lossGap?: number },
 ): MixOrder[] {
   const { inUse, held = 0, lossGap = Infinity } = options;
   const level = { now: inUse, lately: inUse, reading: inUse, hasBegun: true };
   return [
-    ...planMix({ scaling: SCALING, stock: stock(there), inUse: level, held, lossGap }).orders,
+    ...planMix({ scaling: SCALING, stock: createStock(existing), inUse: level, held, lossGap })
+      .orders,
   ];
 }
 
-function count(orders: readonly MixOrder[], purchase: Purchase): number {
+function countWorkers(orders: readonly MixOrder[], purchase: Purchase): number {
   return orders
     .filter((order) => order.purchase === purchase)
     .reduce((sum, order) => sum + order.count, 0);
@@ -54,39 +55,39 @@
 test("before any load, orders reclaimable workers by the existing ones and none on demand", () => {
   const lately = firstInUse(SCALING, { reclaimable: 0, onDemand: 13 });
   const inUse = { now: 0, lately, reading: 0, hasBegun: false };
-  const there = stock({ ordered: [4, 3, 3, 3] });
+  const existing = createStock({ ordered: [4, 3, 3, 3] });
   const orders = [
     ...planMix({
       scaling: SCALING,
-      stock: there,
+      stock: existing,
       inUse,
       held: 0,
       lossGap: Infinity,
     }).orders,
   ];
-  expect(count(orders, Purchase.Reclaimable)).toBe(12);
-  expect(count(orders, Purchase.OnDemand)).toBe(0);
+  expect(countWorkers(orders, Purchase.Reclaimable)).toBe(12);
+  expect(countWorkers(orders, Purchase.OnDemand)).toBe(0);
 });
 
 test("orders enough reclaimable workers to lose two zones", () => {
-  expect(count(plan({}, { inUse: 8 }), Purchase.Reclaimable)).toBe(16);
+  expect(countWorkers(plan({}, { inUse: 8 }), Purchase.Reclaimable)).toBe(16);
 });
 
 // Two zones' reclaimable workers are reclaimed and the market has none anywhere. The callers of the
 // whole service share the remaining workers until it does.
 test("buys missing workers on demand while the market is empty, and returns them afterwards", () => {
-  const taken = { reclaimable: [4, 4, 0, 0], dry: EVERYWHERE };
-  expect(count(plan(taken, { inUse: 12 }), Purchase.OnDemand)).toBeGreaterThanOrEqual(4);
-  const back = { reclaimable: [4, 4, 4, 4], ordered: [2, 2, 2, 1] };
-  expect(count(plan(back, { inUse: 8, held: 7 }), Purchase.OnDemand)).toBe(0);
+  const reclaimed = { reclaimable: [4, 4, 0, 0], dry: ALL_ZONES };
+  expect(countWorkers(plan(reclaimed, { inUse: 12 }), Purchase.OnDemand)).toBeGreaterThanOrEqual(4);
+  const recovered = { reclaimable: [4, 4, 4, 4], ordered: [2, 2, 2, 1] };
+  expect(countWorkers(plan(recovered, { inUse: 8, held: 7 }), Purchase.OnDemand)).toBe(0);
 });
 
 // Requests queue while the market is empty, and the load requires more workers than the limits
 // allow. Reserving all of a zone's places for unavailable reclaimable workers would leave none for
 // on-demand ones.
 test("gives places of unavailable reclaimable workers to on-demand ones", () => {
-  const orders = plan({ reclaimable: [1, 0, 1, 0], dry: EVERYWHERE }, { inUse: 30 });
-  expect(count(orders, Purchase.OnDemand)).toBeGreaterThanOrEqual(30);
+  const orders = plan({ reclaimable: [1, 0, 1, 0], dry: ALL_ZONES }, { inUse: 30 });
+  expect(countWorkers(orders, Purchase.OnDemand)).toBeGreaterThanOrEqual(30);
   // Each zone still orders one reclaimable worker more than it has.
   const asked = orders.filter(({ purchase }) => purchase === Purchase.Reclaimable);
   expect(asked.map((order) => order.count)).toEqual([2, 1, 2, 1]);
@@ -95,8 +96,8 @@
 // The load falls for a moment while the market is empty. Workers that were returned would have to
 // start again.
 test("keeps on-demand workers in place while they were wanted recently", () => {
-  const there = { reclaimable: [2, 2, 0, 0], ordered: [1, 3, 2, 2], dry: EVERYWHERE };
-  const orders = plan(there, { inUse: 6, held: 8 });
+  const existing = { reclaimable: [2, 2, 0, 0], ordered: [1, 3, 2, 2], dry: ALL_ZONES };
+  const orders = plan(existing, { inUse: 6, held: 8 });
   const kept = orders.filter(({ purchase }) => purchase === Purchase.OnDemand);
   expect(kept.map((order) => order.count)).toEqual([1, 3, 2, 2]);
 });
@@ -105,9 +106,9 @@
 // takes four seconds to start, so orders placed after the last loss would leave the service without
 // workers for that time.
 test("orders replacements before further zones are reclaimed in a fast wave", () => {
-  const there = { reclaimable: [3, 3, 0, 0], dry: EVERYWHERE };
-  const slow = count(plan(there, { inUse: 6, lossGap: 20_000 }), Purchase.OnDemand);
-  const fast = count(plan(there, { inUse: 6, lossGap: 1_400 }), Purchase.OnDemand);
+  const existing = { reclaimable: [3, 3, 0, 0], dry: ALL_ZONES };
+  const slow = countWorkers(plan(existing, { inUse: 6, lossGap: 20_000 }), Purchase.OnDemand);
+  const fast = countWorkers(plan(existing, { inUse: 6, lossGap: 1_400 }), Purchase.OnDemand);
   expect(slow).toBeGreaterThanOrEqual(3);
   expect(fast).toBeGreaterThanOrEqual(6);
 });
@@ -115,19 +116,19 @@
 // The market has workers again, and reclaimable ones return one by one. Keeping all on-demand
 // workers until the last one is back would cost twice.
 test("replaces an on-demand worker with each returning reclaimable one", () => {
-  const there = { reclaimable: [2, 2, 1, 0], ordered: [2, 2, 2, 2] };
-  expect(count(plan(there, { inUse: 8, held: 8 }), Purchase.OnDemand)).toBe(3);
+  const existing = { reclaimable: [2, 2, 1, 0], ordered: [2, 2, 2, 2] };
+  expect(countWorkers(plan(existing, { inUse: 8, held: 8 }), Purchase.OnDemand)).toBe(3);
 });
 
 test("keeps the orders of each zone within its limits", () => {
   const counts = fc.array(fc.integer({ min: 0, max: 10 }), { minLength: 4, maxLength: 4 });
   fc.assert(
     fc.property(
-      fc.record({ reclaimable: counts, ordered: counts, dry: fc.subarray(EVERYWHERE) }),
+      fc.record({ reclaimable: counts, ordered: counts, dry: fc.subarray(ALL_ZONES) }),
       fc.nat(60),
       fc.nat(40),
-      (there, inUse, held) => {
-        const orders = plan(there, { inUse, held });
+      (existing, inUse, held) => {
+        const orders = plan(existing, { inUse, held });
         for (const zone of SCALING.zonePrices.keys()) {
           const here = orders.filter((order) => order.zone === zone);
           const sum = here.reduce((total, order) => total + order.count, 0);
--- a/src/decision/worker_ranking.ts
+++ b/src/decision/worker_ranking.ts
@@ -70,29 +70,29 @@
  * Milliseconds that a concurrent run costs another run: a tenth of a millisecond per step, for a
  * few tens of steps.
  */
-const BESIDE = 4;
+const CONCURRENT_RUN_COST = 4;
 /**
  * Milliseconds that a failed attempt costs: the time to detect it and another attempt, or the
  * request itself.
  */
-const FAILED_TRY = 3_000;
+const FAILED_ATTEMPT_COST = 3_000;
 /**
  * Milliseconds for the round trip to another availability zone. It also breaks ties, because
  * traffic between zones costs money.
  */
-const ZONE_DISTANCE = 3;
+const CROSS_ZONE_COST = 3;
 /** Fraction of the remaining warm-up time that a request to a worker costs. */
-const COLD_PART = 0.1;
+const WARMUP_COST_FACTOR = 0.1;
 /** Probabilities that a session's first and second home worker have its shared parts cached. */
-const HOME_CHANCES = [1, 0.5] as const;
+const HOME_CACHE_PROBABILITIES = [1, 0.5] as const;
 
 /**
  * Maximum random cost in milliseconds, so that the instances do not all choose the first of several
  * equal workers.
  */
-const JITTER = 2;
+const MAX_JITTER = 2;
 /** Hashes have 32 bits. */
-const HASHES = 2 ** 32;
+const HASH_RANGE = 2 ** 32;
 
 /** A worker and the cost of the request there, in milliseconds. */
 export interface Ranking<W extends RankedWorker> {
@@ -123,29 +123,29 @@
     homes?: PromptHomes<W>;
   },
 ): Ranking<W>[] {
-  const { request, speed, random, homes = homesOf(workers, request.parts) } = options;
-  const all = sum(request.parts);
-  const shared = all - (request.parts.at(-1)?.tokens ?? 0);
+  const { request, speed, random, homes = findHomes(workers, request.parts) } = options;
+  const totalTokens = sumTokens(request.parts);
+  const sharedTokens = totalTokens - (request.parts.at(-1)?.tokens ?? 0);
   // Draws one random number; each worker's jitter is a hash of it and the worker.
-  const draw = Math.floor(random.next() * HASHES);
+  const seed = Math.floor(random.next() * HASH_RANGE);
   const rankings: Ranking<W>[] = [];
   for (const worker of workers) {
-    const reads = all - shared * (homes.get(worker) ?? 0);
-    const wait = waitAt(worker, { unread: reads, speed });
+    const reads = totalTokens - sharedTokens * (homes.get(worker) ?? 0);
+    const wait = expectedWait(worker, { unread: reads, speed });
     const cost =
       wait +
-      worker.running * BESIDE +
-      worker.failing * FAILED_TRY +
-      worker.coldFor * COLD_PART +
-      (mixHashes(worker.hash, draw) / HASHES) * JITTER +
-      (worker.sameZone ? 0 : ZONE_DISTANCE);
+      worker.running * CONCURRENT_RUN_COST +
+      worker.failing * FAILED_ATTEMPT_COST +
+      worker.coldFor * WARMUP_COST_FACTOR +
+      (mixHashes(worker.hash, seed) / HASH_RANGE) * MAX_JITTER +
+      (worker.sameZone ? 0 : CROSS_ZONE_COST);
     rankings.push({ worker, cost, wait, reads });
   }
   return rankings.sort((a, b) => a.cost - b.cost);
 }
 
 /** Finds the home workers of a prompt. */
-export function homesOf<W extends { readonly hash: number }>(
+export function findHomes<W extends { readonly hash: number }>(
   workers: readonly W[],
   parts: readonly PromptPart[],
 ): PromptHomes<W> {
@@ -154,10 +154,10 @@
   const shared = parts.slice(0, -1).map(({ id }) => id);
   const key = hashText(shared.join(","));
   return new Map(
-    highest(workers, {
-      count: HOME_CHANCES.length,
+    findHighest(workers, {
+      count: HOME_CACHE_PROBABILITIES.length,
       scoreOf: ({ hash }) => mixHashes(hash, key),
-    }).map((worker, place) => [worker, HOME_CHANCES[place] ?? 0]),
+    }).map((worker, index) => [worker, HOME_CACHE_PROBABILITIES[index] ?? 0]),
   );
 }
 
@@ -165,31 +165,31 @@
  * Returns the `count` workers with the highest scores in descending order, which is cheaper than
  * sorting all of them for each request.
  */
-function highest<W>(
+function findHighest<W>(
   workers: readonly W[],
   { count, scoreOf }: { count: number; scoreOf: (worker: W) => number },
 ): W[] {
-  const found: { worker: W; score: number }[] = [];
+  const top: { worker: W; score: number }[] = [];
   for (const worker of workers) {
     const score = scoreOf(worker);
-    const place = found.findIndex((other) => score > other.score);
-    if (place < 0 && found.length >= count) continue;
-    found.splice(place < 0 ? found.length : place, 0, { worker, score });
-    if (found.length > count) found.pop();
+    const index = top.findIndex((other) => score > other.score);
+    if (index < 0 && top.length >= count) continue;
+    top.splice(index < 0 ? top.length : index, 0, { worker, score });
+    if (top.length > count) top.pop();
   }
-  return found.map(({ worker }) => worker);
+  return top.map(({ worker }) => worker);
 }
 
-function waitAt(
+function expectedWait(
   { running, slots, unreadTokens }: RankedWorker,
   { unread, speed }: { unread: number; speed: ServiceSpeed },
 ): number {
-  const reading = speed.readRate === undefined ? 0 : (unreadTokens + unread) / speed.readRate;
-  const over = running + 1 - slots;
-  const queued = over > 0 ? (over * speed.runTime) / slots : 0;
-  return reading + queued;
+  const prefillWait = speed.readRate === undefined ? 0 : (unreadTokens + unread) / speed.readRate;
+  const excessRuns = running + 1 - slots;
+  const slotWait = excessRuns > 0 ? (excessRuns * speed.runTime) / slots : 0;
+  return prefillWait + slotWait;
 }
 
-function sum(parts: readonly PromptPart[]): number {
+function sumTokens(parts: readonly PromptPart[]): number {
   return parts.reduce((total, { tokens }) => total + tokens, 0);
 }
--- a/src/decision/worker_ranking_test.ts
+++ b/src/decision/worker_ranking_test.ts
@@ -5,9 +5,9 @@
 import type { RankedWorker } from "./worker_ranking.ts";
 
 const RANDOM = createSeededRandom(1);
-const SPEED = { readRate: 100, runTime: 2_000 };
+const TIMING = { readRate: 100, runTime: 2_000 };
 
-function worker(index: number, more: Partial<RankedWorker> = {}): RankedWorker {
+function worker(index: number, changes: Partial<RankedWorker> = {}): RankedWorker {
   const id = `w${index}`;
   return {
     id,
@@ -18,7 +18,7 @@
     failing: 0,
     sameZone: true,
     coldFor: 0,
-    ...more,
+    ...changes,
   };
 }
 
@@ -32,11 +32,11 @@
 };
 
 test("keeps the home worker of a session when other workers join and leave", () => {
-  const [first] = rankWorkers(WORKERS, { request: ROSTER, speed: SPEED, random: RANDOM });
+  const [first] = rankWorkers(WORKERS, { request: ROSTER, speed: TIMING, random: RANDOM });
   const others = WORKERS.filter(({ id }) => id === first?.worker.id || id !== "w3");
   const [again] = rankWorkers([...others, worker(20)], {
     request: ROSTER,
-    speed: SPEED,
+    speed: TIMING,
     random: RANDOM,
   });
   const moved = again?.worker.id !== first?.worker.id;
@@ -48,7 +48,7 @@
 test("does not queue short requests behind long prompts", () => {
   const workers = [worker(0, { running: 2, unreadTokens: 24_000 }), worker(1, { running: 8 })];
   const request = { parts: [{ id: "x", tokens: 600 }] };
-  expect(rankWorkers(workers, { request, speed: SPEED, random: RANDOM })[0]?.worker.id).toBe("w1");
+  expect(rankWorkers(workers, { request, speed: TIMING, random: RANDOM })[0]?.worker.id).toBe("w1");
 });
 
 // A quarter of the traffic shares one prefix. Its home worker alone would be overloaded while the
@@ -60,7 +60,7 @@
     const now = WORKERS.map(({ id }, index) =>
       worker(index, { running: running.get(id) ?? 0, unreadTokens: unread.get(id) ?? 0 }),
     );
-    const [best] = rankWorkers(now, { request: ROSTER, speed: SPEED, random: RANDOM });
+    const [best] = rankWorkers(now, { request: ROSTER, speed: TIMING, random: RANDOM });
     const id = best?.worker.id ?? "";
     running.set(id, (running.get(id) ?? 0) + 1);
     unread.set(id, (unread.get(id) ?? 0) + 6_600);
@@ -72,7 +72,7 @@
 test("avoids a failing worker until all others are busy", () => {
   const workers = [worker(0, { failing: 0.4 }), worker(1, { running: 20 })];
   const request = { parts: [] };
-  expect(rankWorkers(workers, { request, speed: SPEED, random: RANDOM })[0]?.worker.id).toBe("w1");
+  expect(rankWorkers(workers, { request, speed: TIMING, random: RANDOM })[0]?.worker.id).toBe("w1");
 });
 
 test("ranks a worker without free slots last", () => {
--- a/src/decision/zone_losses.ts
+++ b/src/decision/zone_losses.ts
@@ -28,26 +28,26 @@
   ): number;
 }
 
-interface Losses {
-  ready: ReadonlyMap<string, number>;
+interface ServiceLosses {
+  workersByZone: ReadonlyMap<string, number>;
   lastAt: number;
   gap: number;
 }
 
 /** Creates an empty record of losses. */
 export function createZoneLosses(): ZoneLosses {
-  const services = new Map<string, Losses>();
+  const services = new Map<string, ServiceLosses>();
   return {
     observe: (service, { stock, now }) => {
-      const before = services.get(service);
-      const losses = before ?? { ready: new Map(), lastAt: -Infinity, gap: Infinity };
+      const existing = services.get(service);
+      const losses = existing ?? { workersByZone: new Map(), lastAt: -Infinity, gap: Infinity };
       services.set(service, losses);
       for (const { zone, reclaimable } of stock) {
-        if (reclaimable > 0 || (losses.ready.get(zone) ?? 0) === 0) continue;
+        if (reclaimable > 0 || (losses.workersByZone.get(zone) ?? 0) === 0) continue;
         losses.gap = now - losses.lastAt;
         losses.lastAt = now;
       }
-      losses.ready = new Map(stock.map(({ zone, reclaimable }) => [zone, reclaimable]));
+      losses.workersByZone = new Map(stock.map(({ zone, reclaimable }) => [zone, reclaimable]));
       return losses.gap;
     },
   };
