--- a/src/decision/retry_budget.ts
+++ b/src/decision/retry_budget.ts
@@ -84,9 +84,7 @@
  */
 const DETACHED_DELAY = 20_000;
 
-/**
- * Input for {@linkcode decideRetry}.
- */
+/** Input for {@linkcode decideRetry}. */
 export interface RetryContext {
   readonly cause: RetryCause;
   /** Failed attempts of this job, including the latest one. */
--- a/src/decision/rollout_budget.ts
+++ b/src/decision/rollout_budget.ts
@@ -118,9 +118,7 @@
   readonly counts: { readonly all: number; readonly tried: number };
 }
 
-/**
- * Options of `createRolloutBudget`.
- */
+/** Options of `createRolloutBudget`. */
 export interface RolloutBudgetOptions {
   readonly bounds: RolloutBounds;
   readonly course: RolloutSchedule;
@@ -173,9 +171,7 @@
 /** Fraction of a round's active time over which the instances start. */
 const START_SPREAD = 0.5;
 
-/**
- * Input for `activeTrialWorkers`.
- */
+/** Input for `activeTrialWorkers`. */
 export interface TrialContext {
   /** Milliseconds since the rollout was ordered, the same at all instances. */
   readonly since: number;
--- a/src/decision/rollout_judge.ts
+++ b/src/decision/rollout_judge.ts
@@ -142,7 +142,8 @@
   if (rate <= tolerated) return 0;
   const maxPerWorker = MAX_EVIDENCE_SUM / Math.max(MIN_WORKERS, counts.length);
   let sum = 0;
-  for (const one of counts) sum += Math.min(maxPerWorker, logLikelihoodRatio(one, rate, tolerated));
+  for (const workerCounts of counts)
+    sum += Math.min(maxPerWorker, logLikelihoodRatio(workerCounts, rate, tolerated));
   return Math.max(0, sum);
 }
 
@@ -185,9 +186,9 @@
 export function sumCounts(counts: Iterable<RunCounts>): RunCounts {
   let runs = 0;
   let failures = 0;
-  for (const one of counts) {
-    runs += one.runs;
-    failures += one.failures;
+  for (const entry of counts) {
+    runs += entry.runs;
+    failures += entry.failures;
   }
   return { runs, failures };
 }
--- a/src/decision/rollout_tally.ts
+++ b/src/decision/rollout_tally.ts
@@ -54,7 +54,7 @@
    * Sets the version on trial for a service; undefined ends the trial. The counts restart with each
    * new version.
    */
-  expect(service: string, tried: string | undefined): void;
+  expect(service: string, trialVersion: string | undefined): void;
   /**
    * Returns all counts by the hashes of {@linkcode tallyKeys}. Pending runs that already exceed the
    * time limit count as slow.
@@ -172,9 +172,11 @@
     return mean === undefined ? undefined : Math.exp(mean) * SLOW_FACTOR + SLOW_MARGIN;
   };
   const sharedMean = ({ service, route }: CountedRun): number | undefined => {
-    const tried = trialVersions.get(service);
-    if (tried === undefined) return undefined;
-    const sums = sumOf(tallyKeys({ service, tried, route, worker: undefined }).baseline);
+    const trialVersion = trialVersions.get(service);
+    if (trialVersion === undefined) return undefined;
+    const sums = sumOf(
+      tallyKeys({ service, tried: trialVersion, route, worker: undefined }).baseline,
+    );
     if (sums === undefined || sums.runs < MIN_SAMPLES) return undefined;
     return sums.failures / sums.runs / LOG_UNITS;
   };
@@ -182,16 +184,16 @@
    * Counts the duration of a run of the base version for the other instances while a version is on
    * trial.
    */
-  const shareBaseline = ({ service, route }: CountedRun, took: number): void => {
-    const tried = trialVersions.get(service);
-    if (tried === undefined) return;
-    const { baseline: key } = tallyKeys({ service, tried, route, worker: undefined });
+  const shareBaseline = ({ service, route }: CountedRun, duration: number): void => {
+    const trialVersion = trialVersions.get(service);
+    if (trialVersion === undefined) return;
+    const { baseline: key } = tallyKeys({ service, tried: trialVersion, route, worker: undefined });
     const count = countOf(service, key);
     count.runs++;
-    count.failures += Math.round(Math.log(Math.max(1, took)) * LOG_UNITS);
+    count.failures += Math.round(Math.log(Math.max(1, duration)) * LOG_UNITS);
   };
-  const updateBaseline = (run: CountedRun, took: number): void => {
-    const logTime = Math.log(Math.max(1, took));
+  const updateBaseline = (run: CountedRun, duration: number): void => {
+    const logTime = Math.log(Math.max(1, duration));
     for (const kind of baselineKeys(run)) {
       const known = baselines.get(kind) ?? { meanLog: logTime, samples: 0 };
       known.samples++;
@@ -204,11 +206,11 @@
     entry.isTimeCounted = true;
     increment(entry.run.service, entry.keys.times, isSlow);
   };
-  const track = (run: CountedRun, tried: string): PendingRun => {
+  const track = (run: CountedRun, trialVersion: string): PendingRun => {
     const { service, route, tried: worker } = run;
     const entry = {
       run,
-      keys: tallyKeys({ service, tried, route, worker }),
+      keys: tallyKeys({ service, tried: trialVersion, route, worker }),
       isTimeCounted: run.isCold,
     };
     pending.add(entry);
@@ -216,35 +218,35 @@
   };
   return {
     begin: (run) => {
-      const tried = run.isCompared ? trialVersions.get(run.service) : undefined;
-      const entry = tried === undefined ? undefined : track(run, tried);
+      const trialVersion = run.isCompared ? trialVersions.get(run.service) : undefined;
+      const entry = trialVersion === undefined ? undefined : track(run, trialVersion);
       let isAnswered = false;
       return {
         answered: (now) => {
           if (isAnswered) return;
           isAnswered = true;
-          const took = now - run.now;
+          const duration = now - run.now;
           if (entry !== undefined) {
             const threshold = slowThreshold(run);
-            if (threshold !== undefined) recordTime(entry, took > threshold);
+            if (threshold !== undefined) recordTime(entry, duration > threshold);
             entry.isTimeCounted = true;
           }
           if (run.tried === undefined && !run.isCold) {
-            updateBaseline(run, took);
-            shareBaseline(run, took);
+            updateBaseline(run, duration);
+            shareBaseline(run, duration);
           }
         },
         ended: (result) => {
           if (entry === undefined || !pending.delete(entry) || result === "unknown") return;
-          if (trialVersions.get(run.service) !== tried) return;
+          if (trialVersions.get(run.service) !== trialVersion) return;
           increment(run.service, entry.keys.answers, result === "failed");
         },
       };
     },
-    expect: (service, tried) => {
-      if (trialVersions.get(service) === tried) return;
-      if (tried === undefined) trialVersions.delete(service);
-      else trialVersions.set(service, tried);
+    expect: (service, trialVersion) => {
+      if (trialVersions.get(service) === trialVersion) return;
+      if (trialVersion === undefined) trialVersions.delete(service);
+      else trialVersions.set(service, trialVersion);
       for (const key of keysByService.get(service) ?? []) counts.delete(key);
       keysByService.delete(service);
       for (const entry of pending) if (entry.run.service === service) pending.delete(entry);
--- a/src/decision/shared_quota.ts
+++ b/src/decision/shared_quota.ts
@@ -121,7 +121,7 @@
   const ownAdmitted = new Map<string, number>();
   const peers = new Map<string, Map<string, number>>();
   let reachableFraction = 1;
-  let members = 1;
+  let totalMembers = 1;
   let lastReportAt = startedAt;
 
   const bucketOf = (account: string, quota: Quota, now: number): Bucket => {
@@ -154,7 +154,7 @@
   /** The share of the remaining level that this instance may take until its next report. */
   const ownShare = ({ recentOwn, recentOthers }: Bucket): number => {
     const share = recentOwn + recentOthers === 0 ? 0 : recentOwn / (recentOwn + recentOthers);
-    return Math.min(1, Math.max(1 / members, share) * SHARE_HEADROOM);
+    return Math.min(1, Math.max(1 / totalMembers, share) * SHARE_HEADROOM);
   };
   /**
    * Milliseconds after which a refused request may be sent again: as soon as the level is above
@@ -194,14 +194,14 @@
     },
     heard: (incarnation, { admitted, age }) => {
       const isFirstReport = !peers.has(incarnation);
-      const known = peers.get(incarnation) ?? new Map<string, number>();
+      const previousCounts = peers.get(incarnation) ?? new Map<string, number>();
       peers.delete(incarnation);
-      peers.set(incarnation, known);
+      peers.set(incarnation, previousCounts);
       if (peers.size > MAX_PEERS) removeFirst(peers);
-      for (const [account, count] of admitted) {
+      for (const [account, total] of admitted) {
         const bucket = buckets.get(account);
-        const delta = count - (known.get(account) ?? 0);
-        known.set(account, count);
+        const delta = total - (previousCounts.get(account) ?? 0);
+        previousCounts.set(account, total);
         if (bucket === undefined) continue;
         // The first report of an instance only sets the base for later counts, since what it
         // admitted before has been refilled. If the instance has started too recently for a refill,
@@ -212,8 +212,8 @@
       }
     },
     setReach: ({ heard, members: memberCount }) => {
-      members = Math.max(1, memberCount);
-      reachableFraction = Math.min(1, heard / members);
+      totalMembers = Math.max(1, memberCount);
+      reachableFraction = Math.min(1, heard / totalMembers);
     },
     tell: (now) => {
       const decay = 2 ** (-(now - lastReportAt) / RECENT_HALF_LIFE);
--- a/src/decision/worker_demand.ts
+++ b/src/decision/worker_demand.ts
@@ -45,6 +45,7 @@
 
 /** Number of workers that a load keeps busy. */
 export interface DemandLevel {
+  /** Number of workers needed now. */
   readonly now: number;
   /** The same, with falls counted slowly. */
   readonly lately: number;
--- a/src/decision/worker_health_test.ts
+++ b/src/decision/worker_health_test.ts
@@ -3,7 +3,7 @@
 
 // A worker passes its health check and fails nearly half of its requests. It finishes failing
 // requests quickly and looks idle, so it attracts work, and callers see errors until it is avoided.
-test("detects a worker that fails half of its runs within two seconds and forgives it later", () => {
+test("detects a worker that fails half of its runs within two seconds and stops avoiding it later", () => {
   const health = createWorkerHealth();
   const workers = [0, 1, 2, 3];
   let now = 0;
--- a/src/decision/worker_limits.ts
+++ b/src/decision/worker_limits.ts
@@ -59,9 +59,7 @@
   keepOnly(workers: ReadonlySet<WorkerHash>): void;
 }
 
-/**
- * Dependencies of {@linkcode createWorkerLimits}.
- */
+/** Dependencies of {@linkcode createWorkerLimits}. */
 export interface WorkerLimitsOptions {
   /** Returns the time of day that the instances agree on, in milliseconds since 1970. */
   readonly time: () => number;
@@ -118,8 +116,8 @@
 }
 
 /** Creates an empty set of limits. */
-export function createWorkerLimits(parts: WorkerLimitsOptions): WorkerLimits {
-  const { time, self } = parts;
+export function createWorkerLimits(options: WorkerLimitsOptions): WorkerLimits {
+  const { time, self } = options;
   const limits = new Map<WorkerHash, KnownLimit>();
   let instances: readonly number[] = [];
 
@@ -162,7 +160,7 @@
     return found;
   };
   const refreshInstances = (): void => {
-    const current = parts.instances();
+    const current = options.instances();
     if (current === instances) return;
     instances = current;
     for (const { ownershipBySlot } of limits.values()) ownershipBySlot.clear();
@@ -200,9 +198,9 @@
       setLimit({ worker, perSecond, at: Math.min(at, time() + CLOCK_TOLERANCE) });
     },
     statements: () => {
-      const from = time() - REPORT_DURATION;
+      const cutoff = time() - REPORT_DURATION;
       return [...limits]
-        .filter(([, { changedAt }]) => changedAt >= from)
+        .filter(([, { changedAt }]) => changedAt >= cutoff)
         .map(([worker, { perSecond, receivedAt: at }]) => ({ worker, perSecond, at }));
     },
     limitOf: (worker) => limits.get(worker)?.perSecond,
--- a/src/decision/worker_mix.ts
+++ b/src/decision/worker_mix.ts
@@ -37,9 +37,7 @@
   readonly isDry: boolean;
 }
 
-/**
- * Input for {@linkcode planMix}.
- */
+/** Input for {@linkcode planMix}. */
 export interface MixContext {
   readonly scaling: ServiceScaling;
   /** Workers that accept requests, by zone. */
