--- a/src/decision/fleet_time.ts
+++ b/src/decision/fleet_time.ts
@@ -22,7 +22,7 @@
   /** Returns the milliseconds since 1970. */
   now(steady: number): number;
   /** Adds the time that another instance had when it sent a message, received at `steady`. */
-  heard(instance: string, said: { time: number; steady: number }): void;
+  heard(instance: string, sample: { time: number; steady: number }): void;
 }
 
 /** Milliseconds for which another instance's time is used. */
--- a/src/decision/repeat_budget.ts
+++ b/src/decision/repeat_budget.ts
@@ -71,7 +71,7 @@
   };
 }
 
-/** Removes the times before `from` from an ascending list. */
+/** Removes the times before `cutoff` from an ascending list. */
 function dropBefore(timestamps: number[], cutoff: number): void {
   const index = timestamps.findIndex((at) => at >= cutoff);
   if (index !== 0) timestamps.splice(0, index < 0 ? timestamps.length : index);
--- a/src/decision/retry_budget.ts
+++ b/src/decision/retry_budget.ts
@@ -78,10 +78,7 @@
 
 const BASE_DELAY = 50;
 const MAX_DELAY = 5_000;
-/**
- * Milliseconds within which a detached job without budget is retried, at the earliest after half of
- * it.
- */
+/** Maximum delay of a detached job without budget, in milliseconds; the minimum is half of it. */
 const DETACHED_DELAY = 20_000;
 
 /** Input for {@linkcode decideRetry}. */
--- a/src/decision/shared_quota.ts
+++ b/src/decision/shared_quota.ts
@@ -56,9 +56,9 @@
    * previous amounts.
    *
    * @param incarnation Identifies the process of the instance, as opposed to an earlier one.
-   * @param said `age` is the number of milliseconds since that process started.
+   * @param report `age` is the number of milliseconds since that process started.
    */
-  heard(incarnation: string, said: { admitted: AdmittedCounts; age: number }): void;
+  heard(incarnation: string, report: { admitted: AdmittedCounts; age: number }): void;
   /**
    * Sets the number of instances that this one receives reports from (itself included), and the
    * number of all instances.
--- a/src/decision/shared_quota_test.ts
+++ b/src/decision/shared_quota_test.ts
@@ -13,7 +13,7 @@
 
 /**
  * Simulates `instances` that each send `size` every `step` ms and exchange reports every
- * `toldEvery` ms.
+ * `reportInterval` ms.
  */
 function simulate(options: {
   instances: number;
--- a/src/decision/worker_health.ts
+++ b/src/decision/worker_health.ts
@@ -40,9 +40,9 @@
   excess(worker: WorkerHash, service: string, now: number): number;
   /** Returns this instance's counts for the worker since the start, to be sent to the others. */
   ownCounts(worker: WorkerHash): RunCounts;
-  /** Deletes all other workers. */
+  /** Keeps only the counts of the given workers. */
   keepOnly(workers: ReadonlySet<WorkerHash>): void;
-  /** Deletes the counts of all other instances. Their recent observations decay on their own. */
+  /** Keeps only the counts of the given instances. The others' recent observations decay anyway. */
   keepInstances(instances: ReadonlySet<string>): void;
 }
 
--- a/src/decision/worker_limits.ts
+++ b/src/decision/worker_limits.ts
@@ -55,7 +55,7 @@
   opensIn(workers: Iterable<WorkerHash>): number | undefined;
   /** Deletes a worker's limit because another worker has replaced it. */
   forget(worker: WorkerHash): void;
-  /** Deletes the limits of all other workers. */
+  /** Keeps only the limits of the given workers. */
   keepOnly(workers: ReadonlySet<WorkerHash>): void;
 }
 
--- a/src/decision/worker_limits_test.ts
+++ b/src/decision/worker_limits_test.ts
@@ -52,7 +52,7 @@
       }
     }
   };
-  return { clock, members, sent, play: advance };
+  return { clock, members, sent, advance };
 }
 
 function maxInWindow(sent: readonly number[]): number {
@@ -74,7 +74,7 @@
   [300, 1],
   [300, 40],
 ])("sends as many requests as the worker accepts (%d instances, %d per second)", (size, limit) => {
-  const { sent, play: advance } = createMembers(size, limit);
+  const { sent, advance } = createMembers(size, limit);
   advance(60_000);
   expect(maxInWindow(sent)).toBeLessThanOrEqual(maxRequests(limit));
   expect(sent.length).toBeGreaterThanOrEqual(60 * limit * 0.95);
@@ -82,14 +82,14 @@
 });
 
 test("does not use saved-up capacity all at once after a time without requests", () => {
-  const { sent, play: advance } = createMembers(300, 3);
+  const { sent, advance } = createMembers(300, 3);
   advance(20_000, 0);
   advance(10_000);
   expect(maxInWindow(sent)).toBeLessThanOrEqual(maxRequests(3));
 });
 
 test("stays within the limit while instances join and leave and their views differ", () => {
-  const { members, sent, play: advance } = createMembers(60, 5);
+  const { members, sent, advance } = createMembers(60, 5);
   const allInstances = members.map(({ self }) => self);
   for (let round = 0; round < 40; round++) {
     for (const [index, member] of members.entries()) {
@@ -104,14 +104,14 @@
 });
 
 test("stays within the limit if the instances' times differ", () => {
-  const { members, sent, play: advance } = createMembers(6, 2.6);
+  const { members, sent, advance } = createMembers(6, 2.6);
   for (const [index, member] of members.entries()) member.clockOffset = (index - 3) * 120;
   advance(60_000);
   expect(maxInWindow(sent)).toBeLessThanOrEqual(maxRequests(2.6));
 });
 
 test("does not assign the slots again when the limit changes with each answer", () => {
-  const { clock, members, sent, play: advance } = createMembers(6, 3);
+  const { clock, members, sent, advance } = createMembers(6, 3);
   for (let round = 0; round < 150; round++) {
     for (const { limits } of members) {
       limits.answered(WORKER, { perSecond: 3 - (round % 5) / 100, sentAt: clock.now });
@@ -122,7 +122,7 @@
 });
 
 test("sends an occasional request to a worker with a limit of zero", () => {
-  const { sent, play: advance } = createMembers(6, 0);
+  const { sent, advance } = createMembers(6, 0);
   advance(60_000);
   expect(sent.length).toBeGreaterThanOrEqual(4);
   expect(maxInWindow(sent)).toBeLessThanOrEqual(2);
