--- a/src/decision/rollout_judge.ts
+++ b/src/decision/rollout_judge.ts
@@ -68,7 +68,7 @@
 } as const;
 /**
  * Maximum sum of the log-likelihood ratios of all workers. It is divided evenly, so that a version
- * is bad only if nearly all of its workers are bad, and never because of one.
+ * is bad only if nearly all of its workers are bad, and more than one.
  */
 const MAX_EVIDENCE_SUM = 10.5;
 const MIN_WORKERS = 2;
