--- a/src/decision/crash_evidence.ts
+++ b/src/decision/crash_evidence.ts
@@ -1,214 +1,243 @@
 /**
- * Which requests crash the workers that run them.
+ * Identifies requests that crash the workers that run them.
  *
- * Load that it answers: a single request that ends every worker that begins to run it, and that its caller sends again
- * and again under new ids, to any instance. Each worker takes down what runs beside it, and that is sent again too. One
- * would notice workers that end one after the other while the load is as usual, and requests of all kinds that fail.
+ * Load: a single request that crashes every worker that starts to run it, and that its caller sends
+ * again and again under new IDs, to any instance. Each crash also ends the other runs at the
+ * worker, which are then sent again too. Symptom: workers that crash one after another under normal
+ * load, and failing requests of all kinds.
  *
- * What runs at a worker that ends was there by chance or is the reason, and one crash doesn't tell which. So it is
- * counted over all instances under how many workers a request was lost, against how often it was answered lately. The
- * reason is never answered, while what is there by chance is answered at the next worker. What much is asked for may lose
- * several workers in a moment, and its answers of the moments before speak for it.
+ * Mechanism: a request that was running at a crashed worker is either the cause or was there by
+ * chance, and one crash does not tell which. So the number of workers lost while running a request
+ * is counted over all instances and compared with its recent answers. The cause is never answered;
+ * a request that was there by chance is answered at the next worker. A frequent request may lose
+ * several workers at once, but its answers from just before count in its favor.
  *
- * What was counted ends with the instances that counted it. So what is suspected can be recalled from where it was
- * written down: crashes that are counted later come on top of it.
+ * Counts are lost when the instances that hold them end. A suspected request can therefore be
+ * restored from the store; crashes counted later are added to the restored number.
  *
  * @module
  */
 import type { RunCounts } from "./worker_health.ts";
 
-/** A request by what its caller asks for, whatever its id. */
+/** A request identified by its content, independent of its ID. */
 export interface Suspect {
-  /** Tells it from all others. */
+  /** Unique name of the request. */
   readonly name: string;
-  /** Under this number instances tell each other what they have counted. */
+  /** Key under which instances exchange their counts for the request. */
   readonly key: number;
 }
 
-/** A request under which several workers have ended. */
+/** A request during whose runs several workers have crashed. */
 export interface CrashFinding {
   readonly suspect: Suspect;
-  /** Workers that ended while they ran it, over all instances. */
+  /** Number of workers that crashed while running the request, over all instances. */
   readonly crashes: number;
-  /** Whether this instance has lost a worker with it. */
+  /** Whether a worker crashed during a run that this instance started. */
   readonly isOwn: boolean;
-  /** When it was found, in the clock's milliseconds. */
+  /** When the request was found, in milliseconds of the clock. */
   readonly since: number;
 }
 
-/** What one instance knows of requests and crashes. */
+/**
+ * What one instance knows about requests and crashes. All times are in milliseconds of the clock.
+ */
 export interface CrashEvidence {
-  /** A worker ended while it ran the request. */
+  /** Records that a worker crashed while running the request. */
   crashed(suspect: Suspect, now: number): void;
-  /** A worker gave the request a whole answer. */
+  /** Records that a worker answered the request completely. */
   answered(suspect: Suspect, now: number): void;
-  /** Whether the request is known to crash workers. */
+  /** Whether the request is proven to crash workers. */
   isProven(suspect: Suspect, now: number): boolean;
-  /** Whether any instance has had an answer of the request since workers crashed under it. */
+  /** Whether any instance has received an answer to the request since it lost workers. */
   isAnswered(suspect: Suspect): boolean;
-  /** So many workers are known to have ended under the request by now, also if those that counted them have ended. */
+  /**
+   * Restores a number of crashes that was stored earlier, even if the instances that counted them
+   * have ended.
+   */
   recall(suspect: Suspect, crashes: number): void;
-  /** Forgets all that was counted of a request here, or recalled. */
+  /** Deletes everything that was counted here or restored for a request. */
   forget(name: string): void;
-  /** All that are known to crash workers. */
+  /** Returns all requests that are proven to crash workers. */
   proven(now: number): CrashFinding[];
-  /** All that will be known to with the next crash, and have lost a worker here. */
+  /**
+   * Returns the requests that were running at a worker lost here and need only one more crash to be
+   * proven.
+   */
   suspected(now: number): CrashFinding[];
-  /** What this instance has counted, by key, for the others: workers lost and answers, and the workers lost of them. */
+  /**
+   * Returns this instance's counts by key, for the other instances: `runs` is the number of crashes
+   * and answers, `failures` the number of crashes.
+   */
   counts(now: number): ReadonlyMap<number, RunCounts>;
 }
 
-/** A request is proven by so many crashes where it was never answered, and by as many more for each answer. */
+/**
+ * Crashes that prove a request without answers; each answer raises the threshold by the same
+ * number.
+ */
 export const PROVING_CRASHES = 3;
-/** Milliseconds for which an answer speaks for a request that loses workers later. */
-const ANSWER_LIFE = 10_000;
-/** Milliseconds for which a crash is remembered after the last one. */
+/** Milliseconds for which an answer counts in favor of a request that loses workers later. */
+const ANSWER_TTL = 10_000;
+/** Milliseconds for which crashes are kept after the latest one. */
 export const CRASH_LIFE = 600_000;
-/** Milliseconds for which a request stays proven though those that counted its crashes have gone. */
-const PROOF_LIFE = 60_000;
-/** Requests whose answers, and whose crashes, are remembered; the oldest make room. */
-const GREATEST_ANSWERED = 4_096;
-const GREATEST_SUSPECTS = 512;
+/**
+ * Milliseconds for which a request stays proven after the instances that counted its crashes have
+ * ended.
+ */
+const PROOF_TTL = 60_000;
+/**
+ * Maximum number of requests whose answers, and whose crashes, are kept; the oldest are evicted.
+ */
+const MAX_ANSWERED_REQUESTS = 4_096;
+const MAX_SUSPECTS = 512;
 
-const NOTHING: RunCounts = { runs: 0, failures: 0 };
+const NO_COUNTS: RunCounts = { runs: 0, failures: 0 };
 
-interface Counted {
+interface SuspectCounts {
   readonly suspect: Suspect;
   crashes: number;
   answers: number;
   at: number;
 }
 
-interface Answered {
+interface RecentAnswers {
   answers: number;
   at: number;
 }
 
-interface Recalled {
+interface RestoredCrashes {
   readonly crashes: number;
-  /** Crashes that were counted when it was recalled, and are among them; fewer once those that counted them have ended. */
-  counted: number;
+  /**
+   * Crashes counted at the time of the restore, which `crashes` includes. Decreases when the
+   * instances that counted them end.
+   */
+  includedCrashes: number;
 }
 
-interface Total {
+interface SuspectTotals {
   readonly crashes: number;
   readonly answers: number;
   readonly isOwn: boolean;
 }
 
 /**
- * Makes evidence of nothing.
+ * Creates crash evidence without any counts.
  *
- * @param othersOf What all other instances have counted under a key; undefined where they have counted nothing.
+ * @param othersOf Returns the total that all other instances have counted under a key; undefined if
+ * they have counted nothing.
  */
 export function createCrashEvidence(
   othersOf: (key: number) => RunCounts | undefined,
 ): CrashEvidence {
-  /** By name, what this instance tells the others of. */
-  const own = new Map<string, Counted>();
-  /** By name, the answers of the last moments. */
-  const lately = new Map<string, Answered>();
-  const known = new Map<string, CrashFinding>();
-  const recalled = new Map<string, Recalled>();
-  /** By name, when what isn't proven yet was first one crash from it. */
+  /** The counts that this instance sends to the others, by request name. */
+  const ownCounts = new Map<string, SuspectCounts>();
+  /** Recent answers by request name. */
+  const recentAnswers = new Map<string, RecentAnswers>();
+  const provenFindings = new Map<string, CrashFinding>();
+  const restored = new Map<string, RestoredCrashes>();
+  /** When a request that is not yet proven was first one crash short of it, by request name. */
   const suspectedSince = new Map<string, number>();
 
-  const countedOf = (suspect: Suspect, now: number): Counted => {
-    const found = own.get(suspect.name) ?? {
+  const touchCounts = (suspect: Suspect, now: number): SuspectCounts => {
+    const found = ownCounts.get(suspect.name) ?? {
       suspect,
       crashes: 0,
       answers: answersOf(suspect.name, now),
       at: now,
     };
-    // The one that changed last is the last to make room.
-    own.delete(suspect.name);
-    own.set(suspect.name, found);
+    // Moves the entry to the end of the map, so that it is evicted last.
+    ownCounts.delete(suspect.name);
+    ownCounts.set(suspect.name, found);
     found.at = now;
     return found;
   };
   const answersOf = (name: string, now: number): number => {
-    const found = lately.get(name);
-    return found === undefined || now - found.at > ANSWER_LIFE ? 0 : found.answers;
+    const found = recentAnswers.get(name);
+    return found === undefined || now - found.at > ANSWER_TTL ? 0 : found.answers;
   };
-  const noteAnswer = ({ name }: Suspect, now: number): void => {
+  const rememberAnswer = ({ name }: Suspect, now: number): void => {
     const answers = answersOf(name, now) + 1;
-    lately.delete(name);
-    lately.set(name, { answers, at: now });
-    dropOldest(lately, { most: GREATEST_ANSWERED, before: now - ANSWER_LIFE });
+    recentAnswers.delete(name);
+    recentAnswers.set(name, { answers, at: now });
+    dropOldest(recentAnswers, { maxSize: MAX_ANSWERED_REQUESTS, cutoff: now - ANSWER_TTL });
   };
-  const countedOn = ({ name, key }: Suspect): Total => {
-    const mine = own.get(name) ?? { crashes: 0, answers: 0 };
-    const others = othersOf(key) ?? NOTHING;
+  const countTotals = ({ name, key }: Suspect): SuspectTotals => {
+    const own = ownCounts.get(name) ?? { crashes: 0, answers: 0 };
+    const others = othersOf(key) ?? NO_COUNTS;
     return {
-      crashes: mine.crashes + others.failures,
-      answers: mine.answers + others.runs - others.failures,
-      isOwn: mine.crashes > 0,
+      crashes: own.crashes + others.failures,
+      answers: own.answers + others.runs - others.failures,
+      isOwn: own.crashes > 0,
     };
   };
-  const totalOf = (suspect: Suspect): Total => {
-    const counted = countedOn(suspect);
-    const before = recalled.get(suspect.name);
-    if (before === undefined) return counted;
-    before.counted = Math.min(before.counted, counted.crashes);
-    const crashes = before.crashes + counted.crashes - before.counted;
+  const totalsOf = (suspect: Suspect): SuspectTotals => {
+    const counted = countTotals(suspect);
+    const restoredCrashes = restored.get(suspect.name);
+    if (restoredCrashes === undefined) return counted;
+    restoredCrashes.includedCrashes = Math.min(restoredCrashes.includedCrashes, counted.crashes);
+    const crashes = restoredCrashes.crashes + counted.crashes - restoredCrashes.includedCrashes;
     return { ...counted, crashes: Math.max(crashes, counted.crashes) };
   };
-  const isEnough = ({ crashes, answers }: Total): boolean =>
+  const isProof = ({ crashes, answers }: SuspectTotals): boolean =>
     crashes >= PROVING_CRASHES * (1 + answers);
   const isProven = (suspect: Suspect, now: number): boolean => {
     const { name } = suspect;
-    const total = totalOf(suspect);
-    const before = known.get(name);
-    if (isEnough(total)) {
+    const total = totalsOf(suspect);
+    const previous = provenFindings.get(name);
+    if (isProof(total)) {
       const { crashes, isOwn } = total;
-      known.set(name, { suspect, since: before?.since ?? now, crashes, isOwn });
+      provenFindings.set(name, { suspect, since: previous?.since ?? now, crashes, isOwn });
       return true;
     }
-    if (before === undefined) return false;
-    // Those that counted may have ended. An answer since then speaks for it; silence speaks for nothing.
-    if (total.answers === 0 && now - before.since < PROOF_LIFE) return true;
-    known.delete(name);
+    if (previous === undefined) return false;
+    // The instances that counted may have ended. A later answer clears the request; missing counts
+    // do not.
+    if (total.answers === 0 && now - previous.since < PROOF_TTL) return true;
+    provenFindings.delete(name);
     return false;
   };
   return {
     crashed: (suspect, now) => {
-      countedOf(suspect, now).crashes++;
-      dropOldest(own, { most: GREATEST_SUSPECTS, before: now - CRASH_LIFE });
+      touchCounts(suspect, now).crashes++;
+      dropOldest(ownCounts, { maxSize: MAX_SUSPECTS, cutoff: now - CRASH_LIFE });
     },
     answered: (suspect, now) => {
       const isSuspected =
-        own.has(suspect.name) ||
-        recalled.has(suspect.name) ||
+        ownCounts.has(suspect.name) ||
+        restored.has(suspect.name) ||
         (othersOf(suspect.key)?.failures ?? 0) > 0;
-      if (isSuspected) countedOf(suspect, now).answers++;
-      noteAnswer(suspect, now);
+      if (isSuspected) touchCounts(suspect, now).answers++;
+      rememberAnswer(suspect, now);
     },
     isProven: (suspect, now) => {
-      // Others have lost workers with what was answered here: they are told so before it is taken for the reason.
-      const isNew = !own.has(suspect.name) && answersOf(suspect.name, now) > 0;
-      if (isNew && (othersOf(suspect.key)?.failures ?? 0) > 0) countedOf(suspect, now);
+      // Other instances lost workers with a request that was answered here. Report the answers to
+      // them before the request is considered the cause.
+      const isNew = !ownCounts.has(suspect.name) && answersOf(suspect.name, now) > 0;
+      if (isNew && (othersOf(suspect.key)?.failures ?? 0) > 0) touchCounts(suspect, now);
       return isProven(suspect, now);
     },
-    isAnswered: (suspect) => countedOn(suspect).answers > 0,
+    isAnswered: (suspect) => countTotals(suspect).answers > 0,
     recall: (suspect, crashes) => {
-      recalled.set(suspect.name, {
-        crashes: Math.max(crashes, totalOf(suspect).crashes),
-        counted: countedOn(suspect).crashes,
+      restored.set(suspect.name, {
+        crashes: Math.max(crashes, totalsOf(suspect).crashes),
+        includedCrashes: countTotals(suspect).crashes,
       });
     },
     forget: (name) => {
-      own.delete(name);
-      known.delete(name);
-      recalled.delete(name);
+      ownCounts.delete(name);
+      provenFindings.delete(name);
+      restored.delete(name);
     },
     proven: (now) => {
-      const suspects = [...own.values(), ...known.values()].map(({ suspect }) => suspect);
+      const suspects = [...ownCounts.values(), ...provenFindings.values()].map(
+        ({ suspect }) => suspect,
+      );
       for (const suspect of suspects) isProven(suspect, now);
-      return [...known.values()];
+      return [...provenFindings.values()];
     },
     suspected: (now) => {
-      const found = [...own.values()].flatMap(({ suspect }) => {
-        const { crashes, answers, isOwn } = totalOf(suspect);
+      const found = [...ownCounts.values()].flatMap(({ suspect }) => {
+        const { crashes, answers, isOwn } = totalsOf(suspect);
         if (!isOwn || answers > 0 || crashes !== PROVING_CRASHES - 1) return [];
         return [{ suspect, crashes, isOwn, since: suspectedSince.get(suspect.name) ?? now }];
       });
@@ -217,9 +246,9 @@
       return found;
     },
     counts: (now) => {
-      dropOldest(own, { most: GREATEST_SUSPECTS, before: now - CRASH_LIFE });
+      dropOldest(ownCounts, { maxSize: MAX_SUSPECTS, cutoff: now - CRASH_LIFE });
       return new Map(
-        [...own.values()].map(({ suspect, crashes, answers }) => [
+        [...ownCounts.values()].map(({ suspect, crashes, answers }) => [
           suspect.key,
           { runs: crashes + answers, failures: crashes },
         ]),
@@ -228,13 +257,16 @@
   };
 }
 
-/** Drops what was last changed before a moment, and the oldest beyond a number. */
+/**
+ * Removes entries last changed before the given time, and the oldest entries beyond the maximum
+ * size.
+ */
 function dropOldest<T extends { readonly at: number }>(
   entries: Map<string, T>,
-  { most, before }: { most: number; before: number },
+  { maxSize, cutoff }: { maxSize: number; cutoff: number },
 ): void {
   for (const [name, { at }] of entries) {
-    if (at >= before && entries.size <= most) return;
+    if (at >= cutoff && entries.size <= maxSize) return;
     entries.delete(name);
   }
 }
--- a/src/decision/worker_limits_test.ts
+++ b/src/decision/worker_limits_test.ts
@@ -5,32 +5,32 @@
 
 const WORKER = 4_711;
 const WINDOW = 4_000;
-/** In any window, a worker may get half as much again as it takes, and five requests more. */
-const most = (limit: number): number => limit * 1.5 * (WINDOW / 1_000) + 5;
+/** In any window, a worker may receive one and a half times its limit and five more requests. */
+const maxRequests = (limit: number): number => limit * 1.5 * (WINDOW / 1_000) + 5;
 
 interface Member {
   readonly limits: WorkerLimits;
   readonly self: number;
-  /** Milliseconds by which its time differs from the others'. */
-  offset: number;
-  /** The instances as it knows them. */
-  view: number[];
+  /** Milliseconds by which this instance's time differs from the others'. */
+  clockOffset: number;
+  /** The instances known to this one. */
+  visibleInstances: number[];
 }
 
-/** Instances that all know the limit and have requests for the worker at any moment. */
-function start(size: number, limit: number) {
+/** Creates instances that all know the limit and always have requests for the worker. */
+function createMembers(size: number, limit: number) {
   const clock = { now: 1_700_000_000_000 };
   const random = createSeededRandom(3);
-  const all = Array.from({ length: size }, () => Math.floor(random.next() * 2 ** 32));
-  const members: Member[] = all.map((self) => {
+  const allInstances = Array.from({ length: size }, () => Math.floor(random.next() * 2 ** 32));
+  const members: Member[] = allInstances.map((self) => {
     const member: Member = {
       self,
-      offset: 0,
-      view: all,
+      clockOffset: 0,
+      visibleInstances: allInstances,
       limits: createWorkerLimits({
-        time: () => clock.now + member.offset,
+        time: () => clock.now + member.clockOffset,
         self,
-        instances: () => member.view,
+        instances: () => member.visibleInstances,
       }),
     };
     return member;
@@ -39,8 +39,11 @@
     limits.answered(WORKER, { perSecond: limit, sentAt: clock.now });
   }
   const sent: number[] = [];
-  /** Plays the time; each instance has a request for the worker in each step with this chance. */
-  const play = (milliseconds: number, chance = 1): void => {
+  /**
+   * Advances the time. In each step, each instance has a request for the worker with this
+   * probability.
+   */
+  const advance = (milliseconds: number, chance = 1): void => {
     for (let end = clock.now + milliseconds; clock.now < end; clock.now += 20) {
       for (const { limits } of members) {
         if (random.next() >= chance || !limits.mayTake(WORKER)) continue;
@@ -49,17 +52,17 @@
       }
     }
   };
-  return { clock, members, sent, play };
+  return { clock, members, sent, advance };
 }
 
-function mostInWindow(sent: readonly number[]): number {
+function maxInWindow(sent: readonly number[]): number {
   let first = 0;
-  let found = 0;
+  let max = 0;
   for (const [last, at] of sent.entries()) {
     while ((sent[first] ?? 0) <= at - WINDOW) first++;
-    found = Math.max(found, last - first + 1);
+    max = Math.max(max, last - first + 1);
   }
-  return found;
+  return max;
 }
 
 test.each([
@@ -70,64 +73,63 @@
   [60, 7],
   [300, 1],
   [300, 40],
-])(
-  "%d instances under load send a worker that takes %d a second no more, and no less",
-  (size, limit) => {
-    const { sent, play } = start(size, limit);
-    play(60_000);
-    expect(mostInWindow(sent)).toBeLessThanOrEqual(most(limit));
-    expect(sent.length).toBeGreaterThanOrEqual(60 * limit * 0.95);
-    expect(sent.length).toBeLessThanOrEqual(60 * limit * 1.05 + 1);
-  },
-);
+])("sends as many requests as the worker accepts (%d instances, %d per second)", (size, limit) => {
+  const { sent, advance } = createMembers(size, limit);
+  advance(60_000);
+  expect(maxInWindow(sent)).toBeLessThanOrEqual(maxRequests(limit));
+  expect(sent.length).toBeGreaterThanOrEqual(60 * limit * 0.95);
+  expect(sent.length).toBeLessThanOrEqual(60 * limit * 1.05 + 1);
+});
 
-test("guards against what was saved up while there was nothing to send, and then comes all at once", () => {
-  const { sent, play } = start(300, 3);
-  play(20_000, 0);
-  play(10_000);
-  expect(mostInWindow(sent)).toBeLessThanOrEqual(most(3));
+test("does not use saved-up capacity all at once after a time without requests", () => {
+  const { sent, advance } = createMembers(300, 3);
+  advance(20_000, 0);
+  advance(10_000);
+  expect(maxInWindow(sent)).toBeLessThanOrEqual(maxRequests(3));
 });
 
-test("guards against a sum that rises while instances come and go, and views differ", () => {
-  const { members, sent, play } = start(60, 5);
-  const all = members.map(({ self }) => self);
+test("stays within the limit while instances join and leave and their views differ", () => {
+  const { members, sent, advance } = createMembers(60, 5);
+  const allInstances = members.map(({ self }) => self);
   for (let round = 0; round < 40; round++) {
-    for (const [place, member] of members.entries()) {
-      const isGone = (other: number): boolean => (other + round + (place % 3)) % 9 === 0;
-      member.view = all.filter((self) => self === member.self || !isGone(self));
+    for (const [index, member] of members.entries()) {
+      const isGone = (other: number): boolean => (other + round + (index % 3)) % 9 === 0;
+      member.visibleInstances = allInstances.filter(
+        (self) => self === member.self || !isGone(self),
+      );
     }
-    play(500);
+    advance(500);
   }
-  expect(mostInWindow(sent)).toBeLessThanOrEqual(most(5));
+  expect(maxInWindow(sent)).toBeLessThanOrEqual(maxRequests(5));
 });
 
-test("guards against a sum that rises because the instances' times differ", () => {
-  const { members, sent, play } = start(6, 2.6);
-  for (const [place, member] of members.entries()) member.offset = (place - 3) * 120;
-  play(60_000);
-  expect(mostInWindow(sent)).toBeLessThanOrEqual(most(2.6));
+test("stays within the limit if the instances' times differ", () => {
+  const { members, sent, advance } = createMembers(6, 2.6);
+  for (const [index, member] of members.entries()) member.clockOffset = (index - 3) * 120;
+  advance(60_000);
+  expect(maxInWindow(sent)).toBeLessThanOrEqual(maxRequests(2.6));
 });
 
-test("guards against a limit that changes with each answer and gives every slot away anew", () => {
-  const { clock, members, sent, play } = start(6, 3);
+test("does not assign the slots again when the limit changes with each answer", () => {
+  const { clock, members, sent, advance } = createMembers(6, 3);
   for (let round = 0; round < 150; round++) {
     for (const { limits } of members) {
       limits.answered(WORKER, { perSecond: 3 - (round % 5) / 100, sentAt: clock.now });
     }
-    play(200);
+    advance(200);
   }
-  expect(mostInWindow(sent)).toBeLessThanOrEqual(most(3));
+  expect(maxInWindow(sent)).toBeLessThanOrEqual(maxRequests(3));
 });
 
-test("a worker that takes nothing is asked now and then whether that is still so", () => {
-  const { sent, play } = start(6, 0);
-  play(60_000);
+test("sends an occasional request to a worker with a limit of zero", () => {
+  const { sent, advance } = createMembers(6, 0);
+  advance(60_000);
   expect(sent.length).toBeGreaterThanOrEqual(4);
-  expect(mostInWindow(sent)).toBeLessThanOrEqual(2);
+  expect(maxInWindow(sent)).toBeLessThanOrEqual(2);
 });
 
-test("an answer without a limit ends it, unless its request was sent before the limit was named", () => {
-  const { clock, members } = start(1, 1);
+test("removes a limit after an answer without one, unless the request was sent before the limit", () => {
+  const { clock, members } = createMembers(1, 1);
   const limits = members[0]?.limits;
   limits?.answered(WORKER, { perSecond: undefined, sentAt: clock.now - 10 });
   expect(limits?.limitOf(WORKER)).toBe(1);
@@ -137,10 +139,10 @@
   expect(limits?.mayTake(WORKER)).toBe(true);
 });
 
-test("what others tell counts where it is later, and what is told on is no later for it", () => {
-  const { clock, members } = start(2, 1);
+test("uses the latest report, and does not make a report newer by forwarding it", () => {
+  const { clock, members } = createMembers(2, 1);
   const [first, second] = members;
-  if (first === undefined || second === undefined) throw new Error("There are two.");
+  if (first === undefined || second === undefined) throw new Error("The test has two members.");
   const early = first.limits.statements();
   clock.now += 500;
   first.limits.answered(WORKER, { perSecond: undefined, sentAt: clock.now - 1 });
@@ -156,15 +158,15 @@
   expect(first.limits.statements()).toEqual([]);
 });
 
-test("says when a worker takes the next request, of any instance", () => {
-  const { clock, members } = start(6, 0.5);
+test("returns the time until a worker accepts the next request from any instance", () => {
+  const { clock, members } = createMembers(6, 0.5);
   const opensIn = members[0]?.limits.opensIn([WORKER, 1]);
   expect(opensIn).toBeCloseTo(2_000 - (clock.now % 2_000));
   expect(members[0]?.limits.opensIn([1])).toBeUndefined();
 });
 
-test("a worker in another's place has its limit no more", () => {
-  const { members } = start(1, 1);
+test("removes the limit of a worker that was replaced", () => {
+  const { members } = createMembers(1, 1);
   members[0]?.limits.forget(WORKER);
   expect(members[0]?.limits.limitOf(WORKER)).toBeUndefined();
 });
