--- a/src/decision/admission.ts
+++ b/src/decision/admission.ts
@@ -35,40 +35,40 @@
   /** Tokens of work a second that the lane can count on here. */
   readonly rate: number;
   /** A worker has room for the lane now. */
-  readonly hasRoom: boolean;
+  readonly hasFreeSlot: boolean;
   /** Live workers, in use or not. */
-  readonly workers: number;
+  readonly liveWorkers: number;
   /** Milliseconds until one of this instance's runs ends, on the average. */
-  readonly turn: number;
+  readonly freeSlotInterval: number;
   /** Jobs that wait on this instance, over all services. */
-  readonly allWaitingJobs: number;
+  readonly totalWaitingJobs: number;
   /** Tokens of work that wait in the lane, and those of the account that would go first. */
   readonly waitingWork: number;
-  readonly ownWaitingWork: number;
+  readonly accountWaitingWork: number;
   /** The account's weight, and that of all accounts with waiting work in the lane, this one included. */
   readonly weight: number;
   readonly activeWeight: number;
   /** What waits for work ahead came to, as a multiple of their predictions. */
-  readonly correction: number;
+  readonly queueCorrection: number;
   /** The same for waits for a place. */
-  readonly turnCorrection: number;
+  readonly freeSlotCorrection: number;
   /** Milliseconds from dispatch to first token for nine jobs in ten; undefined before enough were seen. */
-  readonly firstToken: number | undefined;
+  readonly firstTokenLatency: number | undefined;
   /** The account's requests and tokens of work that were accepted and have not ended. */
-  readonly heldJobs: number;
-  readonly heldWork: number;
+  readonly accountJobs: number;
+  readonly accountWork: number;
   /** The account's bounds on this instance; undefined for an account without bounds. */
-  readonly bounds: Pick<AccountPolicy, "maxRequests" | "maxTokens"> | undefined;
+  readonly limits: Pick<AccountPolicy, "maxRequests" | "maxTokens"> | undefined;
   /** Until when room is promised to requests that were turned away before. */
-  readonly promisedUntil: number;
+  readonly reservedUntil: number;
 }
 
 /** What a wait mostly consists of. */
 export enum WaitKind {
   /** Work of the own account that goes first. */
-  Ahead = "ahead",
+  QueuedWork = "ahead",
   /** The time until a place becomes free. */
-  Turn = "turn",
+  FreeSlot = "slotWait",
 }
 
 /** A predicted wait, in milliseconds. */
@@ -78,90 +78,96 @@
 }
 
 /** Whether the request is let in. */
-export type Verdict =
+export type AdmissionDecision =
   | { readonly kind: "admit"; readonly predicted: PredictedWait }
   | { readonly kind: "refuse"; readonly reason: Refusal; readonly retryAfter: number };
 
 /** At some 16 kB a record, 160 MB: what a small instance can spare for work that waits. */
-const GREATEST_WAITING = 10_000;
+const MAX_WAITING_JOBS = 10_000;
 /** Waits are learned in steps of 9 in 100 either way: so much of the target is left for that error. */
-const TARGET_PART = 0.91;
+const TARGET_FRACTION = 0.91;
 /** A part of the first token's target that waiting may use in any case. */
-const LEAST_WAIT_PART = 1 / 3;
+const MIN_WAIT_FRACTION = 1 / 3;
 /** A part of the time left that waiting may use where the service time alone seems too long. */
-const LEAST_TIME_PART = 0.1;
+const MIN_TIME_FRACTION = 0.1;
 /** Below it a caller's own round trips are longer than what it is told to wait. */
-const LEAST_RETRY = 250;
+const MIN_RETRY_AFTER = 250;
 /** Beyond a minute a prediction of load means little. */
-const GREATEST_RETRY = 60_000;
+const MAX_RETRY_AFTER = 60_000;
 /** Without a worker nothing can be predicted: a start takes about this long. */
-const NO_WORKER_RETRY = 30_000;
+const NO_WORKER_RETRY_AFTER = 30_000;
 
 /** Lets a request in or turns it away. */
-export function judgeArrival(view: AdmissionView): Verdict {
-  const outOfBounds = boundsRefusal(view);
-  if (outOfBounds !== undefined) return outOfBounds;
-  if (view.deadlineAt <= view.now) return refuse(Refusal.TooLate, LEAST_RETRY);
-  if (view.workers === 0 && !view.detached) {
-    return refuse(Refusal.NoBackendServer, NO_WORKER_RETRY);
+export function decideAdmission(view: AdmissionView): AdmissionDecision {
+  const limitRefusal = checkLimits(view);
+  if (limitRefusal !== undefined) return limitRefusal;
+  if (view.deadlineAt <= view.now) return refuse(Refusal.TooLate, MIN_RETRY_AFTER);
+  if (view.liveWorkers === 0 && !view.detached) {
+    return refuse(Refusal.NoBackendServer, NO_WORKER_RETRY_AFTER);
   }
   const predicted = predictWait(view);
   const { wait } = predicted;
-  const excess = wait - allowedWait(view);
+  const excess = wait - maxWait(view);
   if (wait === 0 || excess <= 0) return { kind: "admit", predicted };
-  return refuse(Refusal.TooLate, comeBackIn(view, excess));
+  return refuse(Refusal.TooLate, retryDelay(view, excess));
 }
 
 /** How long the request is expected to wait before it is dispatched. */
 export function predictWait(view: AdmissionView): PredictedWait {
   const nothingAhead = view.waitingWork === 0;
-  if (nothingAhead && view.hasRoom) return { wait: 0, kind: WaitKind.Turn };
+  if (nothingAhead && view.hasFreeSlot) return { wait: 0, kind: WaitKind.FreeSlot };
   if (view.rate <= 0) {
-    return { wait: view.detached ? 0 : Number.POSITIVE_INFINITY, kind: WaitKind.Ahead };
+    return { wait: view.detached ? 0 : Number.POSITIVE_INFINITY, kind: WaitKind.QueuedWork };
   }
-  const fair = (view.ownWaitingWork * view.activeWeight) / view.weight;
+  const fair = (view.accountWaitingWork * view.activeWeight) / view.weight;
   const work = Math.min(view.waitingWork, fair);
-  const ahead = ((work * 1_000) / view.rate) * view.correction;
-  const turn = view.hasRoom ? 0 : view.turn * view.turnCorrection;
-  return { wait: ahead + turn, kind: turn > ahead ? WaitKind.Turn : WaitKind.Ahead };
+  const ahead = ((work * 1_000) / view.rate) * view.queueCorrection;
+  const slotWait = view.hasFreeSlot ? 0 : view.freeSlotInterval * view.freeSlotCorrection;
+  return {
+    wait: ahead + slotWait,
+    kind: slotWait > ahead ? WaitKind.FreeSlot : WaitKind.QueuedWork,
+  };
 }
 
 /** Milliseconds that the request may wait and still be in time. */
-function allowedWait(view: AdmissionView): number {
+function maxWait(view: AdmissionView): number {
   const left = view.deadlineAt - view.now;
-  const untilEnd = Math.max(left - view.estimate.serviceTime, left * LEAST_TIME_PART);
-  if (view.detached) return untilEnd;
-  const firstToken = view.target.firstToken * TARGET_PART;
-  const untilFirst = Math.max(firstToken - (view.firstToken ?? 0), firstToken * LEAST_WAIT_PART);
-  return Math.min(untilEnd, untilFirst);
+  const untilDeadline = Math.max(left - view.estimate.serviceTime, left * MIN_TIME_FRACTION);
+  if (view.detached) return untilDeadline;
+  const firstToken = view.target.firstToken * TARGET_FRACTION;
+  const untilFirstToken = Math.max(
+    firstToken - (view.firstTokenLatency ?? 0),
+    firstToken * MIN_WAIT_FRACTION,
+  );
+  return Math.min(untilDeadline, untilFirstToken);
 }
 
-function boundsRefusal(view: AdmissionView): Verdict | undefined {
-  const { bounds, heldJobs, heldWork, estimate } = view;
-  if (view.allWaitingJobs >= GREATEST_WAITING) {
-    return refuse(Refusal.QueueFull, comeBackIn(view, turnTime(view, view.waitingWork)));
+function checkLimits(view: AdmissionView): AdmissionDecision | undefined {
+  const { limits, accountJobs, accountWork, estimate } = view;
+  if (view.totalWaitingJobs >= MAX_WAITING_JOBS) {
+    return refuse(Refusal.QueueFull, retryDelay(view, drainTime(view, view.waitingWork)));
   }
-  if (bounds === undefined) return undefined;
-  const tooMany = heldJobs + 1 > bounds.maxRequests;
+  if (limits === undefined) return undefined;
+  const exceedsRequests = accountJobs + 1 > limits.maxRequests;
   // A single request above the whole bound is let in alone: it could never be let in otherwise.
-  const tooMuch = heldJobs > 0 && heldWork + estimate.work > bounds.maxTokens;
-  if (!tooMany && !tooMuch) return undefined;
-  const excessWork = Math.max(estimate.work, heldWork + estimate.work - bounds.maxTokens);
-  return refuse(Refusal.AccountLimit, turnTime(view, excessWork));
+  const exceedsTokens = accountJobs > 0 && accountWork + estimate.work > limits.maxTokens;
+  if (!exceedsRequests && !exceedsTokens) return undefined;
+  const excessWork = Math.max(estimate.work, accountWork + estimate.work - limits.maxTokens);
+  return refuse(Refusal.AccountLimit, drainTime(view, excessWork));
 }
 
 /** Milliseconds in which the account's part of the speed does so much work. */
-function turnTime(view: AdmissionView, work: number): number {
+function drainTime(view: AdmissionView, work: number): number {
   const rate = (view.rate * view.weight) / Math.max(view.weight, view.activeWeight);
-  return rate <= 0 ? GREATEST_RETRY : (work * 1_000) / rate;
+  return rate <= 0 ? MAX_RETRY_AFTER : (work * 1_000) / rate;
 }
 
-function comeBackIn(view: AdmissionView, excess: number): number {
-  const turn = view.rate <= 0 ? 0 : (view.estimate.work * 1_000) / view.rate;
-  return Math.max(excess, view.promisedUntil - view.now) + turn;
+function retryDelay(view: AdmissionView, excess: number): number {
+  const ownTime = view.rate <= 0 ? 0 : (view.estimate.work * 1_000) / view.rate;
+  return Math.max(excess, view.reservedUntil - view.now) + ownTime;
 }
 
-function refuse(reason: Refusal, after: number): Verdict {
-  const retryAfter = Math.round(Math.min(GREATEST_RETRY, Math.max(LEAST_RETRY, after)));
+function refuse(reason: Refusal, after: number): AdmissionDecision {
+  const retryAfter = Math.round(Math.min(MAX_RETRY_AFTER, Math.max(MIN_RETRY_AFTER, after)));
   return { kind: "refuse", reason, retryAfter };
 }
--- a/src/decision/concurrency_limit_test.ts
+++ b/src/decision/concurrency_limit_test.ts
@@ -13,9 +13,9 @@
   const { from, seconds, slowness = 1, load } = options;
   return Array.from({ length: seconds }, (_, second) => {
     const running = load ?? limit.value();
-    limit.loaded(running);
+    limit.recordLoad(running);
     const gap = Math.max(25, (running * 1_000) / 900) * slowness;
-    for (let index = 0; index < 100; index++) limit.gap(gap);
+    for (let index = 0; index < 100; index++) limit.recordGap(gap);
     limit.adjust(from + second * 1_000);
     return limit.value();
   });
@@ -51,9 +51,9 @@
     // The server runs eight at once and keeps the rest in a line of its own. Its gaps stay short, so gaps
     // alone would raise the limit while first tokens wait for seconds.
     const limit = createConcurrencyLimit(MACHINE, TARGET);
-    limit.reported(8, 4, 1_000);
+    limit.recordReport(8, 4, 1_000);
     expect(limit.value()).toBe(limit.initial);
-    limit.reported(8, 4, 2_000);
+    limit.recordReport(8, 4, 2_000);
     expect(limit.value()).toBe(7);
     run(limit, { from: 3_000, seconds: 20 });
     expect(limit.value()).toBeLessThanOrEqual(8);
--- a/src/decision/entry_overload.ts
+++ b/src/decision/entry_overload.ts
@@ -47,16 +47,17 @@
 
 const LOOKUPS_ONLY: Threshold = { loopDelay: 50, memory: 0.8 };
 const CONTROL_ONLY: Threshold = { loopDelay: 200, memory: 0.9 };
-const LEAVE_DELAY_PART = 0.5;
-const LEAVE_MEMORY_STEP = 0.1;
+const EXIT_DELAY_FACTOR = 0.5;
+const EXIT_MEMORY_STEP = 0.1;
 
 /** Decides what an entry instance still takes, from its readings and what it took before. */
 export function entryStance(load: EntryLoad, before: EntryStance): EntryStance {
   if (exceeds(load, CONTROL_ONLY)) return EntryStance.ControlOnly;
-  if (before === EntryStance.ControlOnly && exceeds(load, leaving(CONTROL_ONLY))) return before;
+  if (before === EntryStance.ControlOnly && exceeds(load, exitThreshold(CONTROL_ONLY)))
+    return before;
   if (before === EntryStance.ControlOnly) return EntryStance.LookupsOnly;
   if (exceeds(load, LOOKUPS_ONLY)) return EntryStance.LookupsOnly;
-  const stays = before === EntryStance.LookupsOnly && exceeds(load, leaving(LOOKUPS_ONLY));
+  const stays = before === EntryStance.LookupsOnly && exceeds(load, exitThreshold(LOOKUPS_ONLY));
   return stays ? before : EntryStance.Open;
 }
 
@@ -64,6 +65,6 @@
   return load.loopDelay > loopDelay || load.memory > memory * load.memoryLimit;
 }
 
-function leaving({ loopDelay, memory }: Threshold): Threshold {
-  return { loopDelay: loopDelay * LEAVE_DELAY_PART, memory: memory - LEAVE_MEMORY_STEP };
+function exitThreshold({ loopDelay, memory }: Threshold): Threshold {
+  return { loopDelay: loopDelay * EXIT_DELAY_FACTOR, memory: memory - EXIT_MEMORY_STEP };
 }
--- a/src/decision/estimate.ts
+++ b/src/decision/estimate.ts
@@ -6,7 +6,7 @@
  * work, deadlines are promised that can't be met, and batches run out of KV cache. One would notice it as
  * refusals that come too late and as evictions in the engines.
  *
- * The answer's length is learned as a quantile for each service, account and lane. The seventieth is used:
+ * The answer's length is statistics as a quantile for each service, account and lane. The seventieth is used:
  * for the heavy-tailed lengths that answers have (log-normal, with a spread of about 1) it lies at the mean,
  * so that sums of estimates come out right, while one outlier moves it by one rank only. A caller's own
  * bound can only lower the estimate, and only as far as its answers have kept to earlier bounds: a caller
@@ -30,81 +30,84 @@
   /** What a request of the given lengths comes to, in tokens of work. */
   workOf(promptTokens: number, answerTokens: number): number;
   /** Takes in what an answer came to. */
-  learn(job: Job, answerTokens: number): void;
+  recordAnswer(job: Job, answerTokens: number): void;
   /** Takes in the milliseconds between two tokens of a service. */
-  learnGap(service: string, milliseconds: number): void;
+  recordTokenGap(service: string, milliseconds: number): void;
 }
 
 /** Where the seventieth percentile lies at the mean of a log-normal with a spread of 1. */
-const EXPECTED = 0.7;
+const ANSWER_PERCENTILE = 0.7;
 /** Answers of an account after which its own quantile is trusted; below it the service's is used. */
-const ENOUGH_ANSWERS = 8;
+const MIN_ANSWERS = 8;
 /** A change of an account's habits shows after about this many answers. */
-const HALF_LIFE = 200;
+const ANSWER_HALF_LIFE = 200;
 /** Before anything is known: the length at which a wrong guess costs either side about the same. */
-const FIRST_GUESS = 256;
+const DEFAULT_ANSWER_TOKENS = 256;
 const GAP_HALF_LIFE = 2_000;
 /** Ratios are kept in hundredths, because the sketch counts from 1 up. */
-const HUNDREDTHS = 100;
+const RATIO_SCALE = 100;
 
-interface Learned {
-  readonly answers: QuantileSketch;
+interface AnswerStatistics {
+  readonly answerTokens: QuantileSketch;
   /** Answer lengths in hundredths of the caller's own bound. */
-  readonly excess: QuantileSketch;
+  readonly limitRatio: QuantileSketch;
 }
 
-/** Makes an estimator that has learned nothing. */
+/** Makes an estimator that has statistics nothing. */
 export function createEstimator(policy: Policy): Estimator {
-  let machine = machineAverage(policy);
-  let inForce = policy;
-  const learned = new Map<string, Learned>();
+  let averageMachine = machineAverage(policy);
+  let currentPolicy = policy;
+  const statistics = new Map<string, AnswerStatistics>();
   const gaps = new Map<string, QuantileSketch>();
 
   const workOf = (promptTokens: number, answerTokens: number): number =>
-    answerTokens + (promptTokens * machine.tokensPerSecond) / machine.prefillPerSecond;
-  const answerOf = (arrival: Arrival): number => {
-    const own = learned.get(accountKey(arrival));
-    const enough = own !== undefined && own.answers.count >= ENOUGH_ANSWERS;
-    const source = enough ? own : learned.get(serviceKey(arrival));
-    const expected = source?.answers.quantile(EXPECTED) ?? FIRST_GUESS;
+    answerTokens +
+    (promptTokens * averageMachine.tokensPerSecond) / averageMachine.prefillPerSecond;
+  const estimateAnswerTokens = (arrival: Arrival): number => {
+    const own = statistics.get(accountKey(arrival));
+    const enough = own !== undefined && own.answerTokens.count >= MIN_ANSWERS;
+    const source = enough ? own : statistics.get(serviceKey(arrival));
+    const expected = source?.answerTokens.quantile(ANSWER_PERCENTILE) ?? DEFAULT_ANSWER_TOKENS;
     if (arrival.maxTokens === undefined) return expected;
-    const excess = (own?.excess.quantile(EXPECTED) ?? 0) / HUNDREDTHS;
+    const excess = (own?.limitRatio.quantile(ANSWER_PERCENTILE) ?? 0) / RATIO_SCALE;
     return Math.min(expected, arrival.maxTokens * Math.max(1, excess));
   };
   const tokenTime = (service: string): number =>
-    gaps.get(service)?.quantile(0.5) ?? targetOf(inForce, service).betweenTokens / 2;
+    gaps.get(service)?.quantile(0.5) ?? targetOf(currentPolicy, service).betweenTokens / 2;
 
   return {
     configure: (next) => {
-      inForce = next;
-      machine = machineAverage(next);
+      currentPolicy = next;
+      averageMachine = machineAverage(next);
     },
     workOf,
     estimate: (arrival) => {
-      const answerTokens = Math.max(1, Math.round(answerOf(arrival)));
-      const prefill = (arrival.promptTokens / machine.prefillPerSecond) * 1_000;
+      const answerTokens = Math.max(1, Math.round(estimateAnswerTokens(arrival)));
+      const prefill = (arrival.promptTokens / averageMachine.prefillPerSecond) * 1_000;
       const serviceTime = prefill + answerTokens * tokenTime(arrival.service);
-      const { firstToken } = targetOf(inForce, arrival.service);
-      const forFirst = arrival.detached ? Number.POSITIVE_INFINITY : arrival.arrivedAt + firstToken;
+      const { firstToken } = targetOf(currentPolicy, arrival.service);
+      const firstTokenDueAt = arrival.detached
+        ? Number.POSITIVE_INFINITY
+        : arrival.arrivedAt + firstToken;
       return {
         work: workOf(arrival.promptTokens, answerTokens),
         answerTokens,
         cacheTokens: arrival.promptTokens + answerTokens,
         serviceTime,
-        startBy: Math.min(arrival.deadlineAt - serviceTime, forFirst),
+        startBy: Math.min(arrival.deadlineAt - serviceTime, firstTokenDueAt),
       };
     },
-    learn: (job, answerTokens) => {
+    recordAnswer: (job, answerTokens) => {
       for (const key of [accountKey(job), serviceKey(job)]) {
-        const known = learned.get(key) ?? emptyLearned();
-        learned.set(key, known);
-        known.answers.add(answerTokens);
+        const known = statistics.get(key) ?? emptyStatistics();
+        statistics.set(key, known);
+        known.answerTokens.add(answerTokens);
         if (job.maxTokens !== undefined) {
-          known.excess.add((HUNDREDTHS * answerTokens) / Math.max(1, job.maxTokens));
+          known.limitRatio.add((RATIO_SCALE * answerTokens) / Math.max(1, job.maxTokens));
         }
       }
     },
-    learnGap: (service, milliseconds) => {
+    recordTokenGap: (service, milliseconds) => {
       const known = gaps.get(service) ?? createQuantileSketch(GAP_HALF_LIFE);
       gaps.set(service, known);
       known.add(milliseconds);
@@ -112,9 +115,9 @@
   };
 }
 
-function emptyLearned(): Learned {
-  const sketch = (): QuantileSketch => createQuantileSketch(HALF_LIFE);
-  return { answers: sketch(), excess: sketch() };
+function emptyStatistics(): AnswerStatistics {
+  const sketch = (): QuantileSketch => createQuantileSketch(ANSWER_HALF_LIFE);
+  return { answerTokens: sketch(), limitRatio: sketch() };
 }
 
 function accountKey({ service, account, lane }: Arrival): string {
--- a/src/decision/estimate_test.ts
+++ b/src/decision/estimate_test.ts
@@ -2,14 +2,14 @@
 import { createEstimator } from "./estimate.ts";
 import type { Estimator } from "./estimate.ts";
 import type { Job } from "./job.ts";
-import { createPrefixBelief } from "./prefix_belief.ts";
+import { createPrefixCacheIndex } from "./prefix_cache_index.ts";
 import { someArrival, TEST_POLICY } from "./testing/load_play.ts";
 
 function learn(estimator: Estimator, changes: Partial<Job>, lengths: readonly number[]): void {
   for (const length of lengths) {
     const arrival = someArrival(changes);
     const estimate = estimator.estimate(arrival);
-    estimator.learn({ ...arrival, estimate, resumedTokens: 0 }, length);
+    estimator.recordAnswer({ ...arrival, estimate, resumedTokens: 0 }, length);
   }
 }
 
@@ -43,16 +43,16 @@
   expect(answerOf(estimator, { account: "new" })).toBeLessThan(40);
 });
 
-test("a belief in a cached prefix weakens with age and ends with an eviction", () => {
+test("a index in a cached prefix weakens with age and ends with an eviction", () => {
   // Cache events come late and some never do. Trusted for good, work would follow caches long emptied.
-  const belief = createPrefixBelief(100_000);
-  belief.stored("w1", ["a", "b", "c", "d"], 0);
-  expect(belief.match(["a", "b", "x", "y"], 0).get("w1")).toBe(0.5);
-  expect(belief.match(["a", "b", "c", "d"], 100_000).get("w1")).toBe(0.5);
-  belief.evicted("w1", ["c", "d"]);
-  const heard = belief.match(["a", "b", "c", "d"], 100_000).get("w1") ?? 0;
-  expect(heard).toBeGreaterThan(0.35);
-  expect(heard).toBeLessThanOrEqual(0.5);
-  belief.evicted("w1", ["a", "b"]);
-  expect(belief.match(["a", "b", "c", "d"], 0).size).toBe(0);
+  const index = createPrefixCacheIndex(100_000);
+  index.recordStored("w1", ["a", "b", "c", "d"], 0);
+  expect(index.match(["a", "b", "x", "y"], 0).get("w1")).toBe(0.5);
+  expect(index.match(["a", "b", "c", "d"], 100_000).get("w1")).toBe(0.5);
+  index.recordEvicted("w1", ["c", "d"]);
+  const afterEviction = index.match(["a", "b", "c", "d"], 100_000).get("w1") ?? 0;
+  expect(afterEviction).toBeGreaterThan(0.35);
+  expect(afterEviction).toBeLessThanOrEqual(0.5);
+  index.recordEvicted("w1", ["a", "b"]);
+  expect(index.match(["a", "b", "c", "d"], 0).size).toBe(0);
 });
--- a/src/decision/fair_queue.ts
+++ b/src/decision/fair_queue.ts
@@ -35,9 +35,9 @@
   /** The account's part of the service against the other accounts' weights; more than 0. */
   readonly weightOf: (account: string) => number;
   /** Whether a job of the lane may start now; a lane that may not is passed over. */
-  readonly mayStart?: (lane: Lane) => boolean;
+  readonly canStart?: (lane: Lane) => boolean;
   /** Tokens by which the account's ended work came out above its estimates since the last call. */
-  readonly takeDebt?: (account: string) => number;
+  readonly takeExcessWork?: (account: string) => number;
 }
 
 /** What is given with an element: p-queue passes the options of `add` on. */
@@ -66,34 +66,34 @@
 
 const LANE_WEIGHT: Readonly<Record<Lane, number>> = { [Lane.Lookup]: 4, [Lane.Script]: 1 };
 
-interface Waiting<Element> {
+interface QueuedItem<Element> {
   readonly run: Element;
   readonly id: string | undefined;
   readonly job: Job | undefined;
   readonly sequence: number;
-  removed: boolean;
+  isRemoved: boolean;
 }
 
 /** One account's waiting jobs in one lane. `tag` is the virtual time at which its next job starts. */
-interface AccountLine<Element> {
+interface AccountQueue<Element> {
   readonly account: string;
-  readonly jobs: Heap<Waiting<Element>>;
-  tag: number;
+  readonly jobs: Heap<QueuedItem<Element>>;
+  startTag: number;
   /** Jobs that wait and are not marked as removed. */
-  live: number;
+  waitingCount: number;
   /** In the lane's heap of accounts. */
-  queued: boolean;
+  isQueued: boolean;
 }
 
-interface LaneLine<Element> {
+interface LaneQueue<Element> {
   readonly lane: Lane;
-  readonly accounts: Map<string, AccountLine<Element>>;
-  readonly order: Heap<AccountLine<Element>>;
+  readonly accounts: Map<string, AccountQueue<Element>>;
+  readonly accountHeap: Heap<AccountQueue<Element>>;
   /** The tag of the account served last. */
-  virtual: number;
+  virtualTime: number;
   /** The lane's own tag, between the lanes. */
-  tag: number;
-  live: number;
+  startTag: number;
+  waitingCount: number;
 }
 
 /**
@@ -110,22 +110,22 @@
 export function createFairQueueClass<Element = FairRun>(
   options: FairQueueOptions,
 ): new () => FairQueue<Element> {
-  return class extends FairLines<Element> {
+  return class extends LaneFairQueue<Element> {
     constructor() {
       super(options);
     }
   };
 }
 
-class FairLines<Element> implements FairQueue<Element> {
+class LaneFairQueue<Element> implements FairQueue<Element> {
   readonly #options: FairQueueOptions;
-  readonly #lanes: readonly LaneLine<Element>[] = [Lane.Lookup, Lane.Script].map(
-    emptyLane<Element>,
+  readonly #lanes: readonly LaneQueue<Element>[] = [Lane.Lookup, Lane.Script].map(
+    emptyLaneQueue<Element>,
   );
-  readonly #system: Waiting<Element>[] = [];
-  readonly #byId = new Map<string, Waiting<Element>>();
+  readonly #system: QueuedItem<Element>[] = [];
+  readonly #byId = new Map<string, QueuedItem<Element>>();
   /** The tag of the lane served last. */
-  #virtual = 0;
+  #virtualTime = 0;
   #sequence = 0;
 
   constructor(options: FairQueueOptions) {
@@ -133,17 +133,17 @@
   }
 
   get size(): number {
-    const startable = this.#lanes.filter((line) => this.#isStartable(line));
-    return startable.reduce((sum, line) => sum + line.live, this.#system.length);
+    const startable = this.#lanes.filter((lane) => this.#isStartable(lane));
+    return startable.reduce((sum, lane) => sum + lane.waitingCount, this.#system.length);
   }
 
   get waiting(): number {
-    return this.#lanes.reduce((sum, line) => sum + line.live, this.#system.length);
+    return this.#lanes.reduce((sum, lane) => sum + lane.waitingCount, this.#system.length);
   }
 
   enqueue(run: Element, options: Partial<FairQueueEntry> = {}): void {
     const { id, job } = options;
-    const waiting = { run, id, job, sequence: this.#sequence++, removed: false };
+    const waiting = { run, id, job, sequence: this.#sequence++, isRemoved: false };
     if (id !== undefined) this.#byId.set(id, waiting);
     if (job === undefined) this.#system.push(waiting);
     else this.#enqueueJob(waiting, job);
@@ -157,7 +157,7 @@
   }
 
   filter(): Element[] {
-    const jobs = this.#allJobs().filter(({ removed }) => !removed);
+    const jobs = this.#allJobs().filter(({ isRemoved }) => !isRemoved);
     return [...this.#system, ...jobs].map(({ run }) => run);
   }
 
@@ -173,118 +173,124 @@
     else this.#removeJob(found, found.job);
   }
 
-  #enqueueJob(waiting: Waiting<Element>, job: Job): void {
-    const line = this.#lineOf(job.lane);
-    if (line.live === 0) line.tag = Math.max(line.tag, this.#virtual);
-    const account = accountLine(line, job.account);
-    if (account.live === 0) account.tag = Math.max(account.tag, line.virtual);
+  #enqueueJob(waiting: QueuedItem<Element>, job: Job): void {
+    const lane = this.#queueOf(job.lane);
+    if (lane.waitingCount === 0) lane.startTag = Math.max(lane.startTag, this.#virtualTime);
+    const account = accountQueueOf(lane, job.account);
+    if (account.waitingCount === 0) account.startTag = Math.max(account.startTag, lane.virtualTime);
     account.jobs.push(waiting);
-    account.live++;
-    line.live++;
-    queueAccount(line, account);
+    account.waitingCount++;
+    lane.waitingCount++;
+    pushAccount(lane, account);
   }
 
-  #dequeueJob(): Waiting<Element> | undefined {
-    const line = this.#nextLane();
-    if (line === undefined) return undefined;
-    const account = nextAccount(line);
-    const waiting = account === undefined ? undefined : nextJob(account);
+  #dequeueJob(): QueuedItem<Element> | undefined {
+    const lane = this.#nextLane();
+    if (lane === undefined) return undefined;
+    const account = popAccount(lane);
+    const waiting = account === undefined ? undefined : popJob(account);
     if (account === undefined || waiting?.job === undefined) return undefined;
-    account.live--;
-    line.live--;
-    this.#charge(line, account, waiting.job);
-    if (account.live > 0) queueAccount(line, account);
+    account.waitingCount--;
+    lane.waitingCount--;
+    this.#charge(lane, account, waiting.job);
+    if (account.waitingCount > 0) pushAccount(lane, account);
     return waiting;
   }
 
-  #charge(line: LaneLine<Element>, account: AccountLine<Element>, job: Job): void {
-    const debt = this.#options.takeDebt?.(account.account) ?? 0;
-    line.virtual = Math.max(line.virtual, account.tag);
+  #charge(lane: LaneQueue<Element>, account: AccountQueue<Element>, job: Job): void {
+    const excess = this.#options.takeExcessWork?.(account.account) ?? 0;
+    lane.virtualTime = Math.max(lane.virtualTime, account.startTag);
     // A credit for estimates that came out too high never reaches back before the present: saved up, it
     // would let an idle account hold all others up when it returns.
-    const charged = (job.estimate.work + debt) / this.#options.weightOf(account.account);
-    account.tag = Math.max(line.virtual, account.tag + charged);
-    const start = Math.max(line.tag, this.#virtual);
-    this.#virtual = start;
-    line.tag = start + job.estimate.work / LANE_WEIGHT[line.lane];
+    const charged = (job.estimate.work + excess) / this.#options.weightOf(account.account);
+    account.startTag = Math.max(lane.virtualTime, account.startTag + charged);
+    const start = Math.max(lane.startTag, this.#virtualTime);
+    this.#virtualTime = start;
+    lane.startTag = start + job.estimate.work / LANE_WEIGHT[lane.lane];
   }
 
-  #nextLane(): LaneLine<Element> | undefined {
-    const startable = this.#lanes.filter((line) => line.live > 0 && this.#isStartable(line));
+  #nextLane(): LaneQueue<Element> | undefined {
+    const startable = this.#lanes.filter(
+      (lane) => lane.waitingCount > 0 && this.#isStartable(lane),
+    );
     const [lookups, scripts] = startable;
     if (lookups === undefined || scripts === undefined) return lookups;
     // A lane that couldn't start for a while has an old tag: it doesn't get the time back.
-    const start = (line: LaneLine<Element>): number => Math.max(line.tag, this.#virtual);
+    const start = (lane: LaneQueue<Element>): number => Math.max(lane.startTag, this.#virtualTime);
     return start(scripts) < start(lookups) ? scripts : lookups;
   }
 
-  #isStartable(line: LaneLine<Element>): boolean {
-    return line.live > 0 && (this.#options.mayStart?.(line.lane) ?? true);
+  #isStartable(lane: LaneQueue<Element>): boolean {
+    return lane.waitingCount > 0 && (this.#options.canStart?.(lane.lane) ?? true);
   }
 
-  #lineOf(lane: Lane): LaneLine<Element> {
-    const found = this.#lanes.find((line) => line.lane === lane);
+  #queueOf(lane: Lane): LaneQueue<Element> {
+    const found = this.#lanes.find((queue) => queue.lane === lane);
     if (found === undefined) throw new Error(`No lane is called "${lane}".`);
     return found;
   }
 
-  #removeJob(waiting: Waiting<Element>, job: Job): void {
-    const line = this.#lineOf(job.lane);
-    waiting.removed = true;
-    line.live--;
-    accountLine(line, job.account).live--;
+  #removeJob(waiting: QueuedItem<Element>, job: Job): void {
+    const lane = this.#queueOf(job.lane);
+    waiting.isRemoved = true;
+    lane.waitingCount--;
+    accountQueueOf(lane, job.account).waitingCount--;
   }
 
-  #allJobs(): Waiting<Element>[] {
-    const accounts = this.#lanes.flatMap((line) => [...line.accounts.values()]);
+  #allJobs(): QueuedItem<Element>[] {
+    const accounts = this.#lanes.flatMap((lane) => [...lane.accounts.values()]);
     return accounts.flatMap((account) => [...account.jobs.values()]);
   }
 
-  #find(run: Element): Waiting<Element> | undefined {
+  #find(run: Element): QueuedItem<Element> | undefined {
     const all = [...this.#system, ...this.#allJobs()];
-    return all.find((waiting) => !waiting.removed && waiting.run === run);
+    return all.find((waiting) => !waiting.isRemoved && waiting.run === run);
   }
 }
 
-function emptyLane<Element>(lane: Lane): LaneLine<Element> {
-  const order = createHeap<AccountLine<Element>>((a, b) => a.tag < b.tag);
-  return { lane, accounts: new Map(), order, virtual: 0, tag: 0, live: 0 };
+function emptyLaneQueue<Element>(lane: Lane): LaneQueue<Element> {
+  const accountHeap = createHeap<AccountQueue<Element>>((a, b) => a.startTag < b.startTag);
+  return { lane, accounts: new Map(), accountHeap, virtualTime: 0, startTag: 0, waitingCount: 0 };
 }
 
-function accountLine<Element>(line: LaneLine<Element>, account: string): AccountLine<Element> {
-  const known = line.accounts.get(account);
+function accountQueueOf<Element>(lane: LaneQueue<Element>, account: string): AccountQueue<Element> {
+  const known = lane.accounts.get(account);
   if (known !== undefined) return known;
-  const jobs = createHeap<Waiting<Element>>(isEarlier);
-  const created = { account, jobs, tag: line.virtual, live: 0, queued: false };
-  line.accounts.set(account, created);
+  const jobs = createHeap<QueuedItem<Element>>(isEarlier);
+  const created = { account, jobs, startTag: lane.virtualTime, waitingCount: 0, isQueued: false };
+  lane.accounts.set(account, created);
   return created;
 }
 
-function isEarlier(a: Waiting<unknown>, b: Waiting<unknown>): boolean {
-  const difference = startOf(a) - startOf(b);
+function isEarlier(a: QueuedItem<unknown>, b: QueuedItem<unknown>): boolean {
+  const difference = latestStart(a) - latestStart(b);
   return difference === 0 ? a.sequence < b.sequence : difference < 0;
 }
 
-function startOf({ job }: Waiting<unknown>): number {
+function latestStart({ job }: QueuedItem<unknown>): number {
   return job?.estimate.startBy ?? job?.deadlineAt ?? 0;
 }
 
-function queueAccount<Element>(line: LaneLine<Element>, account: AccountLine<Element>): void {
-  if (account.queued) return;
-  account.queued = true;
-  line.order.push(account);
+function pushAccount<Element>(lane: LaneQueue<Element>, account: AccountQueue<Element>): void {
+  if (account.isQueued) return;
+  account.isQueued = true;
+  lane.accountHeap.push(account);
 }
 
-function nextAccount<Element>(line: LaneLine<Element>): AccountLine<Element> | undefined {
-  for (let account = line.order.pop(); account !== undefined; account = line.order.pop()) {
-    account.queued = false;
-    if (account.live > 0) return account;
+function popAccount<Element>(lane: LaneQueue<Element>): AccountQueue<Element> | undefined {
+  for (
+    let account = lane.accountHeap.pop();
+    account !== undefined;
+    account = lane.accountHeap.pop()
+  ) {
+    account.isQueued = false;
+    if (account.waitingCount > 0) return account;
   }
   return undefined;
 }
 
-function nextJob<Element>(account: AccountLine<Element>): Waiting<Element> | undefined {
+function popJob<Element>(account: AccountQueue<Element>): QueuedItem<Element> | undefined {
   let waiting = account.jobs.pop();
-  while (waiting?.removed === true) waiting = account.jobs.pop();
+  while (waiting?.isRemoved === true) waiting = account.jobs.pop();
   return waiting;
 }
--- a/src/decision/fair_queue_test.ts
+++ b/src/decision/fair_queue_test.ts
@@ -75,20 +75,20 @@
   test("an account that understates is charged what its answers came to", () => {
     // Both accounts state 100 tokens a job; one of them is sent 500 each time. Without the charge it would
     // get five times the other's share.
-    const debts = new Map<string, number>();
-    const takeDebt = (account: string): number => {
-      const debt = debts.get(account) ?? 0;
-      debts.delete(account);
-      return debt;
+    const excessWork = new Map<string, number>();
+    const takeExcessWork = (account: string): number => {
+      const excess = excessWork.get(account) ?? 0;
+      excessWork.delete(account);
+      return excess;
     };
-    const queue = someQueue({ takeDebt });
+    const queue = someQueue({ takeExcessWork });
     fill(queue, 1_000, { account: "honest" });
     fill(queue, 1_000, { account: "understating" });
     const used = { honest: 0, understating: 0 };
     for (let index = 0; index < 600; index++) {
       const account = queue.dequeue()?.account as keyof typeof used;
       used[account] += account === "honest" ? 100 : 500;
-      if (account === "understating") debts.set(account, (debts.get(account) ?? 0) + 400);
+      if (account === "understating") excessWork.set(account, (excessWork.get(account) ?? 0) + 400);
     }
     expect(used.understating / used.honest).toBeLessThan(1.1);
   });
@@ -105,7 +105,7 @@
   test("a lane that may not start holds no one up and is not counted", () => {
     // The workers' places for scripts are taken. A queue that offers the script all the same would have
     // p-queue start it, and the lookup behind it wait.
-    const queue = someQueue({ mayStart: (lane) => lane === Lane.Lookup });
+    const queue = someQueue({ canStart: (lane) => lane === Lane.Lookup });
     fill(queue, 2, { account: "reels", lane: Lane.Script });
     expect([queue.size, queue.waiting, queue.dequeue()]).toEqual([0, 2, undefined]);
     fill(queue, 1, { account: "desk" });
--- a/src/decision/fleet.ts
+++ b/src/decision/fleet.ts
@@ -13,10 +13,10 @@
  *
  * @module
  */
-import { levelOf, needOf } from "./fleet_need.ts";
-import { capacityOf, chooseLaunches } from "./fleet_pools.ts";
+import { smoothDemand, requiredCapacity } from "./fleet_need.ts";
+import { countCapacity, chooseLaunches } from "./fleet_pools.ts";
 import type { Capacity } from "./fleet_pools.ts";
-import { chooseRetirements, hasSurplus, LEAST_HOLD } from "./fleet_surplus.ts";
+import { chooseRetirements, hasSurplus, MIN_HOLD_TIME } from "./fleet_surplus.ts";
 import type { FleetPlan, FleetView, Level, Pool, ServiceDemand } from "./fleet_view.ts";
 
 /**
@@ -49,17 +49,17 @@
 
 function planService(demand: ServiceDemand, view: FleetView): ServicePlan {
   const { service } = demand;
-  const capacity = capacityOf(demand, view);
+  const capacity = countCapacity(demand, view);
   const before = view.memory?.levels?.[service];
-  const level = levelOf(demand, { before, now: view.now });
-  const need = needOf(demand, { level, startUp: capacity.startUp });
-  const launches = chooseLaunches(demand, { view, need, capacity });
-  if (launches.length > 0 || !hasSurplus(demand, { need, capacity })) {
+  const level = smoothDemand(demand, { before, now: view.now });
+  const required = requiredCapacity(demand, { level, startUp: capacity.startUp });
+  const launches = chooseLaunches(demand, { view, required, capacity });
+  if (launches.length > 0 || !hasSurplus(demand, { required, capacity })) {
     return { service, launches, retire: [], surplusSince: undefined, level };
   }
   const surplusSince = view.memory?.surplusSince[service] ?? view.now;
-  const held = view.now - surplusSince >= holdTime(capacity);
-  const retire = held ? chooseRetirements(demand, { need, capacity }) : [];
+  const isHeldLongEnough = view.now - surplusSince >= minHoldTime(capacity);
+  const retire = isHeldLongEnough ? chooseRetirements(demand, { required, capacity }) : [];
   return { service, launches: [], retire, surplusSince, level };
 }
 
@@ -68,6 +68,6 @@
  * the worker for just as long costs the same. Whoever gives it back then pays at most twice what knowing
  * the future would have cost.
  */
-function holdTime(capacity: Capacity): number {
-  return Math.max(LEAST_HOLD, capacity.startUp);
+function minHoldTime(capacity: Capacity): number {
+  return Math.max(MIN_HOLD_TIME, capacity.startUp);
 }
--- a/src/decision/fleet_need.ts
+++ b/src/decision/fleet_need.ts
@@ -2,7 +2,7 @@
  * How much work a service's workers must be able to do.
  *
  * Load that it answers: rises, backlogs and the loss of an availability zone, in a demand that is noisy: a
- * minute of 70 requests whose lengths spread as widely as answers' do is 17 in 100 off its mean by chance
+ * minute of 70 requests whose lengths spread as widely as answers' do is 17 in 100 difference its mean by chance
  * alone. Planned for the last minute, the fleet would follow the noise, and each dip would be paid for with
  * a start-up at the next rise; planned for the mean of ten minutes, it would lag every peak. One would
  * notice either by the cost, or by late first tokens on the way to every peak.
@@ -22,49 +22,52 @@
 import type { Level, ServiceDemand } from "./fleet_view.ts";
 
 /** What a service needs, in tokens of work a second. */
-export interface Need {
+export interface RequiredCapacity {
   /** With all workers there. */
   readonly usual: number;
   /** With the zone gone that has the most. */
-  readonly afterLoss: number;
+  readonly afterZoneLoss: number;
 }
 
-const USE = 0.85;
-const LOSS_PART = 0.9;
-const HALF_LIFE = 120_000;
+const TARGET_UTILIZATION = 0.85;
+const ZONE_LOSS_FRACTION = 0.9;
+const DEMAND_HALF_LIFE = 120_000;
 const RISE_DEVIATIONS = 2;
 /** The deviation of a demand that nothing is known of, as a part of it. */
-const FIRST_DEVIATION = 0.2;
-const GREATEST_RISE = 1.5;
+const INITIAL_DEVIATION = 0.2;
+const MAX_EXTRAPOLATION = 1.5;
 const MINUTE = 60_000;
 /** Backlogs of fast-starting workers are still spread over so many milliseconds. */
-const LEAST_CATCH_UP = 30_000;
+const MIN_CATCH_UP = 30_000;
 
 /** Brings the smoothed demand up to now. */
-export function levelOf(
+export function smoothDemand(
   { arriving }: ServiceDemand,
   { before, now }: { before: Level | undefined; now: number },
 ): Level {
   if (before === undefined) {
-    return { mean: arriving, deviation: arriving * FIRST_DEVIATION, at: now };
+    return { mean: arriving, deviation: arriving * INITIAL_DEVIATION, at: now };
   }
-  const kept = 2 ** (-(now - before.at) / HALF_LIFE);
-  const off = arriving - before.mean;
-  const deviation = before.deviation * kept + Math.abs(off) * (1 - kept);
-  const isRise = off > RISE_DEVIATIONS * before.deviation;
-  const mean = isRise ? arriving : before.mean + off * (1 - kept);
+  const retention = 2 ** (-(now - before.at) / DEMAND_HALF_LIFE);
+  const difference = arriving - before.mean;
+  const deviation = before.deviation * retention + Math.abs(difference) * (1 - retention);
+  const isRise = difference > RISE_DEVIATIONS * before.deviation;
+  const mean = isRise ? arriving : before.mean + difference * (1 - retention);
   return { mean, deviation, at: now };
 }
 
 /** Works out what a service needs. */
-export function needOf(
+export function requiredCapacity(
   { arriving, arrivedBefore, waiting }: ServiceDemand,
   { level, startUp }: { level: Level; startUp: number },
-): Need {
+): RequiredCapacity {
   const change = arriving - Math.max(arrivedBefore, level.mean - level.deviation);
   const isRise = change > RISE_DEVIATIONS * level.deviation;
   const rise = isRise ? change * (startUp / MINUTE) : 0;
-  const ahead = Math.min(level.mean + rise, level.mean * GREATEST_RISE);
-  const backlog = (waiting * 1_000) / Math.max(LEAST_CATCH_UP, startUp);
-  return { usual: ahead / USE + backlog, afterLoss: level.mean * LOSS_PART };
+  const predicted = Math.min(level.mean + rise, level.mean * MAX_EXTRAPOLATION);
+  const backlog = (waiting * 1_000) / Math.max(MIN_CATCH_UP, startUp);
+  return {
+    usual: predicted / TARGET_UTILIZATION + backlog,
+    afterZoneLoss: level.mean * ZONE_LOSS_FRACTION,
+  };
 }
--- a/src/decision/fleet_pools.ts
+++ b/src/decision/fleet_pools.ts
@@ -2,26 +2,26 @@
  * Where workers are launched.
  *
  * Load that it answers: prices that differ by zone and machine class, zones that are taken back, and
- * launches that are refused for minutes in one pool while another has room. Buying only the cheapest, one
+ * launches that are isBackingOff for minutes in one pool while another has room. Buying only the cheapest, one
  * would notice a whole service gone in one wave; asking a refusing pool again and again, a fleet that stays
  * too small while other pools have room.
  *
- * Workers are added one at a time, each in the pool that covers the most of what is missing for its price.
- * A worker in the fullest zone covers nothing of what is missing after that zone's loss, so the cheap zone
- * fills first and the others follow by themselves as far as the loss demands. A pool that refused is left
+ * Workers are added one at a time, each in the pool that covers the maxLaunches of what is missingSpeed for its price.
+ * A worker in the fullest zone covers nothing of what is missingSpeed after that zone's loss, so the cheap zone
+ * fills first and the others follow by themselves as far as the loss demands. A pool that isBackingOff is left
  * alone, twice as long with each refusal in a row, from 10 s, about twice the time that an answer takes, up
- * to 5 min. A zone where a notice stands gets no reclaimable worker: it would most likely be taken next.
+ * to 5 min. A zone where a notice stands gets no reclaimable worker: it would maxLaunches likely be taken next.
  * Reclaimable workers stay within the preset's part, to the nearest whole worker; on-demand ones take their place only where that part
  * or the refusals leave nothing else.
  *
- * Loads share the weight store's rate. More loads at once than it feeds in a start-up's time only make all
+ * Loads share the weight store's rate. More loads at once than it feeds in a start-up's time only make total
  * of them later, so the rest waits for the next plan.
  *
  * @module
  */
 import { Purchase, WorkerState } from "../interface/index.ts";
 import type { FleetView, Pool, ServiceDemand } from "./fleet_view.ts";
-import type { Need } from "./fleet_need.ts";
+import type { RequiredCapacity } from "./fleet_need.ts";
 
 /** One worker as the plan counts it. */
 export interface Unit {
@@ -33,7 +33,7 @@
   readonly price: number;
 }
 
-/** What a service has and what is coming. */
+/** What a service has and what is launching. */
 export interface Capacity {
   readonly units: readonly Unit[];
   readonly launching: number;
@@ -42,39 +42,39 @@
 }
 
 /** A demand at the edge of what the workers can do must not launch and retire by turns. */
-const TOLERANCE = 0.03;
-const FIRST_BACK_OFF = 10_000;
-const GREATEST_BACK_OFF = 300_000;
+const SHORTFALL_TOLERANCE = 0.03;
+const INITIAL_BACKOFF = 10_000;
+const MAX_BACKOFF = 300_000;
 
 /** Counts a service's workers that stay, and its launches under way. */
-export function capacityOf(demand: ServiceDemand, view: FleetView): Capacity {
+export function countCapacity(demand: ServiceDemand, view: FleetView): Capacity {
   const staying = demand.workers.filter(
     ({ state, reclaimAt }) =>
       reclaimAt === undefined && (state === WorkerState.Live || state === WorkerState.Starting),
   );
-  const there = staying.map((worker): Unit => {
-    const pool = view.pools.find((one) => samePlace(one, worker));
+  const running = staying.map((worker): Unit => {
+    const pool = view.pools.find((one) => isPoolOf(one, worker));
     const { id, zone, purchase } = worker;
     const { tokensPerSecond = 0, price = 0 } = pool ?? {};
     return { id, zone, purchase, tokensPerSecond, price };
   });
-  const coming = view.launching
+  const launching = view.launching
     .filter(({ service }) => service === demand.service)
     .map(({ pool }): Unit => unitOf(pool));
   const startUp = Math.max(0, ...view.pools.map((pool) => pool.startUp));
-  return { units: [...there, ...coming], launching: coming.length, startUp };
+  return { units: [...running, ...launching], launching: launching.length, startUp };
 }
 
 /** Chooses the pools to launch in now, one entry a worker. */
 export function chooseLaunches(
   demand: ServiceDemand,
-  { view, need, capacity }: { view: FleetView; need: Need; capacity: Capacity },
+  { view, required, capacity }: { view: FleetView; required: RequiredCapacity; capacity: Capacity },
 ): Pool[] {
   const units = [...capacity.units];
   const launches: Pool[] = [];
-  const most = Math.min(demand.most - units.length, launchBound(demand, { view, capacity }));
-  while (launches.length < most && isShort(units, { demand, need })) {
-    const pool = bestPool(units, { demand, view, need });
+  const maxLaunches = Math.min(demand.most - units.length, launchLimit(demand, { view, capacity }));
+  while (launches.length < maxLaunches && isShort(units, { demand, required })) {
+    const pool = bestPool(units, { demand, view, required });
     if (pool === undefined) break;
     launches.push(pool);
     units.push(unitOf(pool));
@@ -82,27 +82,30 @@
   return launches;
 }
 
-/** Says whether workers are missing, by number or by what they can do. */
+/** Says whether workers are missingSpeed, by number or by what they can do. */
 export function isShort(
   units: readonly Unit[],
-  { demand, need }: { demand: ServiceDemand; need: Need },
+  { demand, required }: { demand: ServiceDemand; required: RequiredCapacity },
 ): boolean {
-  return units.length < demand.least || missing(units, need) > need.usual * TOLERANCE;
+  return (
+    units.length < demand.least ||
+    missingSpeed(units, required) > required.usual * SHORTFALL_TOLERANCE
+  );
 }
 
-/** Tokens of work a second that are missing, usually and after the loss of the fullest zone. */
-function missing(units: readonly Unit[], need: Need): number {
-  const all = speedOf(units);
-  const usual = Math.max(0, need.usual - all);
-  return usual + Math.max(0, need.afterLoss - (all - fullestZone(units)));
+/** Tokens of work a second that are missingSpeed, usually and after the loss of the fullest zone. */
+function missingSpeed(units: readonly Unit[], required: RequiredCapacity): number {
+  const total = totalSpeed(units);
+  const usual = Math.max(0, required.usual - total);
+  return usual + Math.max(0, required.afterZoneLoss - (total - maxReclaimableZoneSpeed(units)));
 }
 
-function speedOf(units: readonly Unit[]): number {
+function totalSpeed(units: readonly Unit[]): number {
   return units.reduce((sum, unit) => sum + unit.tokensPerSecond, 0);
 }
 
 /** The speed that one zone's reclaimable workers have together, in the zone where it is greatest. */
-function fullestZone(units: readonly Unit[]): number {
+function maxReclaimableZoneSpeed(units: readonly Unit[]): number {
   const zones = new Map<string, number>();
   for (const { zone, purchase, tokensPerSecond } of units) {
     if (purchase === Purchase.OnDemand) continue;
@@ -113,15 +116,19 @@
 
 function bestPool(
   units: readonly Unit[],
-  { demand, view, need }: { demand: ServiceDemand; view: FleetView; need: Need },
+  {
+    demand,
+    view,
+    required,
+  }: { demand: ServiceDemand; view: FleetView; required: RequiredCapacity },
 ): Pool | undefined {
-  const before = missing(units, need);
+  const before = missingSpeed(units, required);
   const open = view.pools.filter(
-    (pool) => isOpen(pool, view) && isAllowed(pool, { units, demand }),
+    (pool) => isOpen(pool, view) && isWithinReclaimableShare(pool, { units, demand }),
   );
   const worth = (pool: Pool): number => {
-    const covered = before - missing([...units, unitOf(pool)], need);
-    // Where nothing is missing but the number of workers, the cheapest in the emptiest zone is taken.
+    const covered = before - missingSpeed([...units, unitOf(pool)], required);
+    // Where nothing is missingSpeed but the number of workers, the cheapest in the emptiest zone is taken.
     const spread = 1 / (1 + units.filter(({ zone }) => zone === pool.zone).length);
     return (covered + spread) / Math.max(pool.price, Number.MIN_VALUE);
   };
@@ -132,12 +139,14 @@
 }
 
 function isOpen(pool: Pool, view: FleetView): boolean {
-  const backOff = Math.min(GREATEST_BACK_OFF, FIRST_BACK_OFF * 2 ** Math.max(0, pool.refusals - 1));
-  const refused = pool.refusals > 0 && view.now < (pool.refusedAt ?? 0) + backOff;
-  return !refused && !(pool.purchase === Purchase.Reclaimable && isBeingTaken(pool.zone, view));
+  const backoff = Math.min(MAX_BACKOFF, INITIAL_BACKOFF * 2 ** Math.max(0, pool.refusals - 1));
+  const isBackingOff = pool.refusals > 0 && view.now < (pool.refusedAt ?? 0) + backoff;
+  return (
+    !isBackingOff && !(pool.purchase === Purchase.Reclaimable && hasReclaimNotice(pool.zone, view))
+  );
 }
 
-function isBeingTaken(zone: string, { services }: FleetView): boolean {
+function hasReclaimNotice(zone: string, { services }: FleetView): boolean {
   return services.some(({ workers }) =>
     workers.some(
       (worker) =>
@@ -148,7 +157,7 @@
   );
 }
 
-function isAllowed(
+function isWithinReclaimableShare(
   pool: Pool,
   { units, demand }: { units: readonly Unit[]; demand: ServiceDemand },
 ): boolean {
@@ -157,22 +166,22 @@
   return reclaimable + 1 <= Math.round(demand.reclaimable * (units.length + 1));
 }
 
-function launchBound(
+function launchLimit(
   demand: ServiceDemand,
   { view, capacity }: { view: FleetView; capacity: Capacity },
 ): number {
   const { weightStoreRate } = view;
   const weights = demand.weights ?? 0;
   if (weightStoreRate === undefined || weights === 0) return Number.POSITIVE_INFINITY;
-  const fed = Math.floor((weightStoreRate * capacity.startUp) / 1_000 / weights);
-  return Math.max(1, fed) - capacity.launching;
+  const concurrentLoads = Math.floor((weightStoreRate * capacity.startUp) / 1_000 / weights);
+  return Math.max(1, concurrentLoads) - capacity.launching;
 }
 
 function unitOf({ zone, purchase, tokensPerSecond, price }: Pool): Unit {
   return { id: undefined, zone, purchase, tokensPerSecond, price };
 }
 
-function samePlace(
+function isPoolOf(
   pool: Pool,
   worker: { zone: string; machineClass: string; purchase: Purchase },
 ): boolean {
--- a/src/decision/fleet_surplus.ts
+++ b/src/decision/fleet_surplus.ts
@@ -7,7 +7,7 @@
  * whenever it shrinks.
  *
  * A worker is surplus if the rest still covers the need with a tenth to spare, so that the same figures
- * never launch what they have just retired; a preset's greatest number is kept to in the same way, gradually.
+ * never launch what they have just retired; a preset's maxRetirements number is kept to in the same way, gradually.
  * Each plan gives back at most a tenth of the workers, the dearest for its speed first, and among equals the
  * one with the least in progress. A worker that is given back finishes what it has; and none is while the
  * others couldn't do all that is in progress within a minute.
@@ -16,20 +16,20 @@
  */
 import { Purchase } from "../interface/index.ts";
 import type { ServiceDemand } from "./fleet_view.ts";
-import type { Need } from "./fleet_need.ts";
+import type { RequiredCapacity } from "./fleet_need.ts";
 import { isShort } from "./fleet_pools.ts";
 import type { Capacity, Unit } from "./fleet_pools.ts";
 
 /** Shorter surpluses are noise of a demand that is measured over a minute. */
-export const LEAST_HOLD = 60_000;
+export const MIN_HOLD_TIME = 60_000;
 
-const SPARE = 1.1;
-const GREATEST_PART = 0.1;
+const SPARE_FACTOR = 1.1;
+const MAX_RETIRE_FRACTION = 0.1;
 /** Work in progress must be doable by what is left in this time, in seconds. */
-const IN_PROGRESS_TIME = 60;
+const DRAIN_TIME = 60;
 
 interface SurplusView {
-  readonly need: Need;
+  readonly required: RequiredCapacity;
   readonly capacity: Capacity;
 }
 
@@ -41,16 +41,18 @@
 /** Chooses the workers to give back now. */
 export function chooseRetirements(
   demand: ServiceDemand,
-  { need, capacity }: SurplusView,
+  { required, capacity }: SurplusView,
 ): string[] {
-  const greatest = Math.max(1, Math.floor(capacity.units.length * GREATEST_PART));
-  const order = [...capacity.units].sort((a, b) => rank(a, demand) - rank(b, demand));
+  const maxRetirements = Math.max(1, Math.floor(capacity.units.length * MAX_RETIRE_FRACTION));
+  const order = [...capacity.units].sort(
+    (a, b) => retirementRank(a, demand) - retirementRank(b, demand),
+  );
   let left = [...capacity.units];
   const chosen: string[] = [];
   for (const unit of order) {
-    if (chosen.length === greatest) break;
+    if (chosen.length === maxRetirements) break;
     const rest = left.filter((other) => other !== unit);
-    if (unit.id === undefined || !isEnough(rest, { demand, need })) continue;
+    if (unit.id === undefined || !isSufficient(rest, { demand, required })) continue;
     left = rest;
     chosen.push(unit.id);
   }
@@ -58,28 +60,31 @@
 }
 
 /** Lower is given back sooner: the dearest for its speed, then the emptiest. */
-function rank(unit: Unit, demand: ServiceDemand): number {
+function retirementRank(unit: Unit, demand: ServiceDemand): number {
   const work = demand.inProgress[unit.id ?? ""] ?? 0;
   const price = unit.price / Math.max(1, unit.tokensPerSecond);
   return work / 1e9 - price;
 }
 
-function isEnough(
+function isSufficient(
   rest: readonly Unit[],
-  { demand, need }: { demand: ServiceDemand; need: Need },
+  { demand, required }: { demand: ServiceDemand; required: RequiredCapacity },
 ): boolean {
   const speed = rest.reduce((sum, unit) => sum + unit.tokensPerSecond, 0);
   const ids = demand.workers.map(({ id }) => id);
   const inProgress = ids.reduce((sum, id) => sum + (demand.inProgress[id] ?? 0), 0);
-  if (speed * IN_PROGRESS_TIME < inProgress + demand.waiting) return false;
+  if (speed * DRAIN_TIME < inProgress + demand.waiting) return false;
   if (rest.length >= demand.most) return true;
-  if (!keepsShare(rest, demand)) return false;
-  const withSpare = { usual: need.usual * SPARE, afterLoss: need.afterLoss * SPARE };
-  return !isShort(rest, { demand, need: withSpare });
+  if (!keepsReclaimableShare(rest, demand)) return false;
+  const withSpare = {
+    usual: required.usual * SPARE_FACTOR,
+    afterZoneLoss: required.afterZoneLoss * SPARE_FACTOR,
+  };
+  return !isShort(rest, { demand, required: withSpare });
 }
 
 /** Giving back the last on-demand workers must not leave more than the preset's part reclaimable. */
-function keepsShare(rest: readonly Unit[], demand: ServiceDemand): boolean {
+function keepsReclaimableShare(rest: readonly Unit[], demand: ServiceDemand): boolean {
   const reclaimable = rest.filter(({ purchase }) => purchase === Purchase.Reclaimable).length;
   return reclaimable <= Math.round(demand.reclaimable * rest.length);
 }
--- a/src/decision/heap.ts
+++ b/src/decision/heap.ts
@@ -17,32 +17,32 @@
  */
 export function createHeap<Element>(before: (a: Element, b: Element) => boolean): Heap<Element> {
   const elements: Element[] = [];
-  const at = (index: number): Element => elements[index] as Element;
+  const elementAt = (index: number): Element => elements[index] as Element;
   const swap = (a: number, b: number): void => {
-    const kept = at(a);
-    elements[a] = at(b);
-    elements[b] = kept;
+    const moved = elementAt(a);
+    elements[a] = elementAt(b);
+    elements[b] = moved;
   };
-  const rise = (from: number): void => {
+  const siftUp = (from: number): void => {
     let index = from;
     while (index > 0) {
       const parent = (index - 1) >> 1;
-      if (!before(at(index), at(parent))) return;
+      if (!before(elementAt(index), elementAt(parent))) return;
       swap(index, parent);
       index = parent;
     }
   };
   const firstOf = (a: number, b: number): number => {
     if (b >= elements.length) return a;
-    return before(at(b), at(a)) ? b : a;
+    return before(elementAt(b), elementAt(a)) ? b : a;
   };
-  const sink = (): void => {
+  const siftDown = (): void => {
     let index = 0;
     for (;;) {
       const left = 2 * index + 1;
       if (left >= elements.length) return;
       const child = firstOf(left, left + 1);
-      if (!before(at(child), at(index))) return;
+      if (!before(elementAt(child), elementAt(index))) return;
       swap(index, child);
       index = child;
     }
@@ -53,7 +53,7 @@
     },
     push: (element) => {
       elements.push(element);
-      rise(elements.length - 1);
+      siftUp(elements.length - 1);
     },
     peek: () => elements[0],
     pop: () => {
@@ -61,7 +61,7 @@
       const last = elements.pop();
       if (elements.length > 0 && last !== undefined) {
         elements[0] = last;
-        sink();
+        siftDown();
       }
       return first;
     },
--- a/src/decision/hedge.ts
+++ b/src/decision/hedge.ts
@@ -19,14 +19,14 @@
 /** The percentile of the time to first token after which a hedge is due. */
 export const HEDGE_PERCENTILE = 0.95;
 /** The part of the first token's target that passes before a hedge. */
-export const HEDGE_TARGET_PART = 0.5;
+export const HEDGE_TARGET_FRACTION = 0.5;
 /** A worker used beyond this part of its limit takes no hedges. */
-export const HEDGE_USE = 0.75;
+export const MAX_HEDGE_UTILIZATION = 0.75;
 /** First tokens that must have been seen before their percentile means anything. */
-export const ENOUGH_FIRST_TOKENS = 40;
+export const MIN_FIRST_TOKENS = 40;
 
 /** Says whether hedges are made for such a job at all. */
-export function mayHedge(job: Job): boolean {
+export function canHedge(job: Job): boolean {
   return job.repeatable && !job.detached && job.lane === Lane.Lookup;
 }
 
--- a/src/decision/loads.ts
+++ b/src/decision/loads.ts
@@ -52,69 +52,77 @@
 }
 
 const ROLE = "serve";
-const LEAST_HOLDERS = 2;
+const MIN_HOLDERS = 2;
 /** Seconds of the weight store's rate that loads at the same time may take. */
-const LOAD_TIME = 60;
+const LOAD_WINDOW = 60;
 
 /** Plans the loads of a service; the result has an order for each worker that takes work. */
 export function planLoads(view: LoadsView): LoadOrder[] {
   const workers = view.workers.filter(({ state }) => state === WorkerState.Live);
-  const held = new Map(workers.map(({ id }) => [id, [...(view.loaded.get(id) ?? [])]]));
-  const demand = [...view.demand].sort((a, b) => weightOf(b) - weightOf(a));
-  const total = demand.reduce((sum, model) => sum + weightOf(model), 0);
-  const wanted = new Set(demand.filter((one) => weightOf(one) > 0).map(({ model }) => model));
-  let left = LOAD_TIME * view.weightStoreRate - loadingBytes(view);
+  const modelsByWorker = new Map(workers.map(({ id }) => [id, [...(view.loaded.get(id) ?? [])]]));
+  const demand = [...view.demand].sort((a, b) => demandWeight(b) - demandWeight(a));
+  const total = demand.reduce((sum, model) => sum + demandWeight(model), 0);
+  const inDemand = new Set(demand.filter((one) => demandWeight(one) > 0).map(({ model }) => model));
+  let byteBudget = LOAD_WINDOW * view.weightStoreRate - loadingBytes(view);
   for (const model of demand) {
-    const holders = holdersWanted(model, { total, workers: workers.length });
-    for (const models of candidates(held, model.model, view)) {
-      if (countHolders(held, model.model) >= holders || left <= 0) break;
-      if (!makeRoom(models, { wanted, perWorker: view.perWorker, held })) continue;
+    const holders = requiredHolders(model, { total, workers: workers.length });
+    for (const models of candidates(modelsByWorker, model.model, view)) {
+      if (countHolders(modelsByWorker, model.model) >= holders || byteBudget <= 0) break;
+      if (!freePlace(models, { inDemand, perWorker: view.perWorker, modelsByWorker })) continue;
       models.push(model.model);
-      left -= model.weights;
+      byteBudget -= model.weights;
     }
   }
-  return workers.map(({ id }) => ({ worker: id, models: held.get(id) ?? [], role: ROLE }));
+  return workers.map(({ id }) => ({
+    worker: id,
+    models: modelsByWorker.get(id) ?? [],
+    role: ROLE,
+  }));
 }
 
-function weightOf({ arriving, waiting }: ModelDemand): number {
-  return arriving + waiting / LOAD_TIME;
+function demandWeight({ arriving, waiting }: ModelDemand): number {
+  return arriving + waiting / LOAD_WINDOW;
 }
 
 function loadingBytes({ loading, demand }: LoadsView): number {
   return loading * Math.max(0, ...demand.map(({ weights }) => weights));
 }
 
-function holdersWanted(
+function requiredHolders(
   model: ModelDemand,
   { total, workers }: { total: number; workers: number },
 ): number {
-  if (weightOf(model) === 0) return 0;
-  const part = Math.ceil((weightOf(model) / total) * workers);
-  return Math.min(workers, Math.max(LEAST_HOLDERS, part));
+  if (demandWeight(model) === 0) return 0;
+  const part = Math.ceil((demandWeight(model) / total) * workers);
+  return Math.min(workers, Math.max(MIN_HOLDERS, part));
 }
 
 /** Workers that could load the model, those with free places first. */
 function candidates(
-  held: ReadonlyMap<string, string[]>,
+  modelsByWorker: ReadonlyMap<string, string[]>,
   model: string,
   { perWorker }: LoadsView,
 ): string[][] {
-  const without = [...held.values()].filter((models) => !models.includes(model));
+  const without = [...modelsByWorker.values()].filter((models) => !models.includes(model));
   return without.sort((a, b) => Math.min(a.length, perWorker) - Math.min(b.length, perWorker));
 }
 
-function countHolders(held: ReadonlyMap<string, string[]>, model: string): number {
-  return [...held.values()].filter((models) => models.includes(model)).length;
+function countHolders(modelsByWorker: ReadonlyMap<string, string[]>, model: string): number {
+  return [...modelsByWorker.values()].filter((models) => models.includes(model)).length;
 }
 
-/** Drops a model that nobody asks for, if the worker is full; a wanted one only where others hold it. */
-function makeRoom(
+/** Drops a model that nobody asks for, if the worker is full; a inDemand one only where others hold it. */
+function freePlace(
   models: string[],
-  options: { wanted: ReadonlySet<string>; perWorker: number; held: ReadonlyMap<string, string[]> },
+  options: {
+    inDemand: ReadonlySet<string>;
+    perWorker: number;
+    modelsByWorker: ReadonlyMap<string, string[]>;
+  },
 ): boolean {
   if (models.length < options.perWorker) return true;
-  const unwanted = models.find((model) => !options.wanted.has(model));
-  const spare = models.find((model) => countHolders(options.held, model) > LEAST_HOLDERS);
+  const unwanted = models.find((model) => !options.inDemand.has(model));
+  const spare = models.find((model) => countHolders(options.modelsByWorker, model) > MIN_HOLDERS);
   const dropped = unwanted ?? spare;
   if (dropped === undefined) return false;
   models.splice(models.indexOf(dropped), 1);
--- a/src/decision/offer.ts
+++ b/src/decision/offer.ts
@@ -31,15 +31,15 @@
 }
 
 /** What the expected time is off by: engines report late, and other instances choose at the same moment. */
-const TARGET_PART = 1.25;
-const RANK_PART = 0.75;
+const TARGET_FACTOR = 1.25;
+const RANK_FACTOR = 0.75;
 /** A returning request leaves this part of its time for the answer after its first token. */
-const RETURN_PART = 0.4;
+const RETRY_FRACTION = 0.4;
 
 /** Says whether the request is offered to a worker. */
 export function isWorthOffering({ wait, target, left, rank, isReturn }: Offer): boolean {
-  if (isReturn) return wait <= left * RETURN_PART;
-  return wait <= Math.min(left, target * TARGET_PART * RANK_PART ** rank);
+  if (isReturn) return wait <= left * RETRY_FRACTION;
+  return wait <= Math.min(left, target * TARGET_FACTOR * RANK_FACTOR ** rank);
 }
 
 /**
@@ -49,8 +49,8 @@
  * @returns Milliseconds.
  */
 export function returnAfter({ wait, target, rank }: Offer): number {
-  return Math.max(LEAST_RETURN, wait - target * TARGET_PART * RANK_PART ** rank);
+  return Math.max(MIN_RETRY_DELAY, wait - target * TARGET_FACTOR * RANK_FACTOR ** rank);
 }
 
 /** Sooner than this nothing has changed at any worker. */
-const LEAST_RETURN = 150;
+const MIN_RETRY_DELAY = 150;
--- a/src/decision/patience.ts
+++ b/src/decision/patience.ts
@@ -31,17 +31,17 @@
   readonly expected: number;
 }
 
-const WHOLE_TARGETS = 2.5;
-const STREAM_TARGETS = 3;
-const EXPECTED_PART = 3;
+const WHOLE_ANSWER_FACTOR = 2.5;
+const STREAM_FACTOR = 3;
+const EXPECTED_FACTOR = 3;
 /** Shorter silences are the way there and back and a busy process. */
-const LEAST = 200;
-const WORKER_SILENCE = 900;
+const MIN_SILENCE = 200;
+const STREAM_SILENCE = 900;
 
 /** Says whether the worker counts as silent. */
 export function isSilent(wait: Wait): boolean {
   const { isStream, hasBegun, quietFor, workerQuietFor, target, expected } = wait;
-  if (hasBegun) return quietFor > WORKER_SILENCE && workerQuietFor > WORKER_SILENCE;
-  const targets = isStream ? STREAM_TARGETS : WHOLE_TARGETS;
-  return quietFor > Math.max(LEAST, targets * target, EXPECTED_PART * expected);
+  if (hasBegun) return quietFor > STREAM_SILENCE && workerQuietFor > STREAM_SILENCE;
+  const targetFactor = isStream ? STREAM_FACTOR : WHOLE_ANSWER_FACTOR;
+  return quietFor > Math.max(MIN_SILENCE, targetFactor * target, EXPECTED_FACTOR * expected);
 }
--- a/src/decision/placement.ts
+++ b/src/decision/placement.ts
@@ -16,8 +16,8 @@
  * - the part of the prompt that must be computed there, behind the prompts that are computed before it, at
  *   the speed that was measured while the batch is busy: four times slower than alone is usual, and with
  *   the idle speed a cached prefix would seem worth a quarter of what it is;
- * - the chance that the worker is taken, times what would be computed again; work that may not be repeated
- *   counts ten times as much, because it can't be computed again;
+ * - the chance that the worker is taken, times what would be computed recomputeTime; work that may not be repeated
+ *   counts ten times as much, because it can't be computed recomputeTime;
  * - a model or adapter that isn't loaded yet;
  * - distance between availability zones, and price, which decide between equals.
  *
@@ -31,32 +31,32 @@
 export interface Candidate {
   readonly worker: string;
   /** Jobs there, as a part of its limit, from 0 to 1 and above. */
-  readonly use: number;
+  readonly utilization: number;
   /** Tokens of the job that it would have to compute before the first new one. */
-  readonly computes: number;
+  readonly uncachedTokens: number;
   /** Prompt tokens of other jobs that it computes first. */
-  readonly prefillAhead: number;
+  readonly queuedPrefillTokens: number;
   /** Prompt tokens a second, as they were lately while answers were being generated. */
   readonly prefillPerSecond: number;
   /** The chance that it is taken before the job ends. */
-  readonly risk: number;
-  readonly modelLoaded: boolean;
-  readonly sameZone: boolean;
+  readonly reclaimRisk: number;
+  readonly isModelLoaded: boolean;
+  readonly isSameZone: boolean;
   /** Its price as a part of the dearest worker's, from 0 to 1. */
   readonly price: number;
 }
 
 /** The first token's target is spent on waiting for a place in the batch in these parts. */
-const LOAD_PART = 0.1;
+const LOAD_COST_FRACTION = 0.1;
 /** Keeps the price of a full worker finite: twenty times that of a half full one. */
-const FULL = 1.05;
+const LOAD_ASYMPTOTE = 1.05;
 const NOT_REPEATABLE_FACTOR = 10;
 /** Loading an adapter takes a few seconds; the true time is seen only by whoever orders it. */
-const MODEL_LOADING = 5_000;
+const MODEL_LOAD_TIME = 5_000;
 /** There and back between availability zones, at 1.5 ms one way. */
-const ZONE_DISTANCE = 3;
+const CROSS_ZONE_ROUND_TRIP = 3;
 /** Decides between workers that are as good otherwise. */
-const PRICE_RANGE = 10;
+const MAX_PRICE_COST = 10;
 
 /** The expected cost of putting a job on a worker, in milliseconds. */
 export function placementCost(
@@ -64,25 +64,25 @@
   candidate: Candidate,
   target: ServicePolicy["target"],
 ): number {
-  const use = Math.min(1, candidate.use);
-  const load = target.firstToken * LOAD_PART * (use / (FULL - use));
-  const tokens = candidate.computes + candidate.prefillAhead;
+  const use = Math.min(1, candidate.utilization);
+  const load = target.firstToken * LOAD_COST_FRACTION * (use / (LOAD_ASYMPTOTE - use));
+  const tokens = candidate.uncachedTokens + candidate.queuedPrefillTokens;
   const prefill = (tokens * 1_000) / candidate.prefillPerSecond;
   return (
     load +
     prefill +
     reclaimCost(job, candidate) +
-    (candidate.modelLoaded ? 0 : MODEL_LOADING) +
-    (candidate.sameZone ? 0 : ZONE_DISTANCE) +
-    candidate.price * PRICE_RANGE
+    (candidate.isModelLoaded ? 0 : MODEL_LOAD_TIME) +
+    (candidate.isSameZone ? 0 : CROSS_ZONE_ROUND_TRIP) +
+    candidate.price * MAX_PRICE_COST
   );
 }
 
-/** What would be computed again if the worker is taken with the answer half done. */
-function reclaimCost(job: Job, { risk, prefillPerSecond }: Candidate): number {
+/** What would be computed recomputeTime if the worker is taken with the answer half done. */
+function reclaimCost(job: Job, { reclaimRisk, prefillPerSecond }: Candidate): number {
   const tokens = job.promptTokens + job.resumedTokens + job.estimate.answerTokens / 2;
-  const again = (tokens * 1_000) / prefillPerSecond + job.estimate.serviceTime / 2;
-  return risk * again * (job.repeatable ? 1 : NOT_REPEATABLE_FACTOR);
+  const recomputeTime = (tokens * 1_000) / prefillPerSecond + job.estimate.serviceTime / 2;
+  return reclaimRisk * recomputeTime * (job.repeatable ? 1 : NOT_REPEATABLE_FACTOR);
 }
 
 /** How many workers are compared, out of `count`: two choices do most of the work of spreading. */
--- a/src/decision/placement_test.ts
+++ b/src/decision/placement_test.ts
@@ -13,13 +13,13 @@
   const full = { ...someArrival({ promptTokens: 2_000 }), estimate, resumedTokens: 0, ...job };
   const candidate = {
     worker: "w",
-    use: 0.5,
-    computes: 2_000,
-    prefillAhead: 0,
+    utilization: 0.5,
+    uncachedTokens: 2_000,
+    queuedPrefillTokens: 0,
     prefillPerSecond: 4_000,
-    risk: 0,
-    modelLoaded: true,
-    sameZone: true,
+    reclaimRisk: 0,
+    isModelLoaded: true,
+    isSameZone: true,
     price: 0.5,
     ...changes,
   };
@@ -28,16 +28,22 @@
 
 test("a cached prefix draws work only while the worker isn't nearly full", () => {
   // Without a price on load a worker with a popular prefix would be sent all that begins with it.
-  expect(costOf({ computes: 200, use: 0.7 })).toBeLessThan(costOf({ use: 0.5 }));
-  expect(costOf({ computes: 200, use: 0.95 })).toBeGreaterThan(costOf({ use: 0.5 }));
+  expect(costOf({ uncachedTokens: 200, utilization: 0.7 })).toBeLessThan(
+    costOf({ utilization: 0.5 }),
+  );
+  expect(costOf({ uncachedTokens: 200, utilization: 0.95 })).toBeGreaterThan(
+    costOf({ utilization: 0.5 }),
+  );
 });
 
 test("prompts ahead, a model to load, a zone being taken and a price all count", () => {
   const usual = costOf({});
-  expect(costOf({ prefillAhead: 2_000 })).toBe(usual + 500);
-  expect(costOf({ modelLoaded: false })).toBeGreaterThan(usual + 1_000);
-  expect(costOf({ risk: 0.5 })).toBeGreaterThan(usual + 1_000);
-  expect(costOf({ risk: 0.01 }, { repeatable: false })).toBeGreaterThan(costOf({ risk: 0.05 }));
+  expect(costOf({ queuedPrefillTokens: 2_000 })).toBe(usual + 500);
+  expect(costOf({ isModelLoaded: false })).toBeGreaterThan(usual + 1_000);
+  expect(costOf({ reclaimRisk: 0.5 })).toBeGreaterThan(usual + 1_000);
+  expect(costOf({ reclaimRisk: 0.01 }, { repeatable: false })).toBeGreaterThan(
+    costOf({ reclaimRisk: 0.05 }),
+  );
   expect(costOf({ price: 1 })).toBeGreaterThan(usual);
 });
 
@@ -53,9 +59,9 @@
   risk.observe(noticed, 0);
   const [, other, , , , , , , sameZone] = noticed;
   if (other === undefined || sameZone === undefined) throw new Error("There are 20 workers.");
-  expect(risk.chance(sameZone, 0)).toBeCloseTo(0.4);
-  expect(risk.chance(other, 0)).toBeLessThan(0.01);
-  expect(risk.chance(sameZone, 300_000)).toBeLessThan(0.01);
+  expect(risk.probability(sameZone, 0)).toBeCloseTo(0.4);
+  expect(risk.probability(other, 0)).toBeLessThan(0.01);
+  expect(risk.probability(sameZone, 300_000)).toBeLessThan(0.01);
 });
 
 test("few workers are compared, however many there are, and never one twice", () => {
--- a/src/decision/prefix_belief.ts
+++ b/src/decision/prefix_cache_index.ts
@@ -9,8 +9,8 @@
  *
  * So a belief weakens with age. In the time in which a full batch writes the whole cache anew, the machine's
  * cache divided by its speed, half of the unused prefixes will have been evicted. Where eviction events come
- * at all, hearing of none speaks for the prefix: one in five is reckoned as missed, twice the part that is
- * usual, and the chance that it is still there follows from both. Own dispatches count as a belief as well:
+ * at all, hearing of none speaks for the prefix: one in five is reckoned as missedFraction, twice the part that is
+ * usual, and the probability that it is still there follows from both. Own dispatches count as a belief as well:
  * the prefix is computed there, whether or not an event says so.
  *
  * @module
@@ -18,10 +18,10 @@
 import { removeFirst } from "./remove_first.ts";
 
 /** Beliefs about the prefix caches of all workers. */
-export interface PrefixBelief {
+export interface PrefixCacheIndex {
   /** The worker has, or will have in a moment, these blocks. */
-  stored(worker: string, blocks: readonly string[], now: number): void;
-  evicted(worker: string, blocks: readonly string[]): void;
+  recordStored(worker: string, blocks: readonly string[], now: number): void;
+  recordEvicted(worker: string, blocks: readonly string[]): void;
   /**
    * Finds workers that probably hold the beginning of a prompt.
    *
@@ -33,56 +33,56 @@
 }
 
 /** A prompt is compared with so many holders; a prefix that is on more workers is anywhere anyway. */
-export const GREATEST_MATCHES = 4;
+export const MAX_MATCHES = 4;
 
 /** About 10 MB of memory at 100 bytes a belief. */
-const GREATEST_BLOCKS = 50_000;
-const GREATEST_HOLDERS = 8;
+const MAX_BLOCKS = 50_000;
+const MAX_HOLDERS = 8;
 /** The part of eviction events that is reckoned as lost, once any have come. */
-const MISSED_EVENTS = 0.2;
+const MISSED_EVENT_FRACTION = 0.2;
 
 /**
- * Makes beliefs about caches that nothing is known of.
+ * Makes beliefs about caches that nothing is blockHolders of.
  *
  * @param halfLife Milliseconds in which half of the unused blocks are evicted.
  */
-export function createPrefixBelief(halfLife: number): PrefixBelief {
+export function createPrefixCacheIndex(halfLife: number): PrefixCacheIndex {
   /** By block hash, the least recently renewed block first. */
   const holders = new Map<string, Map<string, number>>();
-  let missed = 1;
-  /** The chance that a block is still there, of which nothing was heard for so long. */
-  const chance = (age: number): number => {
-    const stays = 2 ** (-age / halfLife);
-    return stays / (stays + missed * (1 - stays));
+  let missedFraction = 1;
+  /** The probability that a block is still there, of which nothing was heard for so long. */
+  const probability = (age: number): number => {
+    const survival = 2 ** (-age / halfLife);
+    return survival / (survival + missedFraction * (1 - survival));
   };
   const renew = (block: string, worker: string, now: number): void => {
-    const known = holders.get(block) ?? new Map<string, number>();
+    const blockHolders = holders.get(block) ?? new Map<string, number>();
     holders.delete(block);
-    holders.set(block, known);
-    known.delete(worker);
-    known.set(worker, now);
-    if (known.size > GREATEST_HOLDERS) removeFirst(known);
+    holders.set(block, blockHolders);
+    blockHolders.delete(worker);
+    blockHolders.set(worker, now);
+    if (blockHolders.size > MAX_HOLDERS) removeFirst(blockHolders);
   };
   return {
-    stored: (worker, blocks, now) => {
+    recordStored: (worker, blocks, now) => {
       for (const block of blocks) renew(block, worker, now);
-      while (holders.size > GREATEST_BLOCKS) removeFirst(holders);
+      while (holders.size > MAX_BLOCKS) removeFirst(holders);
     },
-    evicted: (worker, blocks) => {
-      missed = MISSED_EVENTS;
+    recordEvicted: (worker, blocks) => {
+      missedFraction = MISSED_EVENT_FRACTION;
       for (const block of blocks) {
-        const known = holders.get(block);
-        known?.delete(worker);
-        if (known?.size === 0) holders.delete(block);
+        const blockHolders = holders.get(block);
+        blockHolders?.delete(worker);
+        if (blockHolders?.size === 0) holders.delete(block);
       }
     },
     match: (prefix, now) => {
       const found = new Map<string, number>();
-      for (let length = prefix.length; length > 0 && found.size < GREATEST_MATCHES; length--) {
-        const known = holders.get(prefix[length - 1] ?? "");
-        for (const [worker, at] of known ?? []) {
-          if (found.has(worker) || found.size >= GREATEST_MATCHES) continue;
-          found.set(worker, (length / prefix.length) * chance(now - at));
+      for (let length = prefix.length; length > 0 && found.size < MAX_MATCHES; length--) {
+        const blockHolders = holders.get(prefix[length - 1] ?? "");
+        for (const [worker, at] of blockHolders ?? []) {
+          if (found.has(worker) || found.size >= MAX_MATCHES) continue;
+          found.set(worker, (length / prefix.length) * probability(now - at));
         }
       }
       return found;
--- a/src/decision/quantile.ts
+++ b/src/decision/quantile.ts
@@ -19,12 +19,12 @@
   /** Counts a sample; values below 1 count as 1. */
   add(value: number): void;
   /**
-   * The value that the given part of the samples don't exceed.
+   * The value that the given fraction of the samples don't exceed.
    *
-   * @param part From 0 to 1.
+   * @param fraction From 0 to 1.
    * @returns The quantile, or undefined before the first sample.
    */
-  quantile(part: number): number | undefined;
+  quantile(fraction: number): number | undefined;
   /** Forgets all samples. */
   clear(): void;
 }
@@ -34,7 +34,7 @@
 const BUCKET_COUNT = 24 * BUCKETS_PER_DOUBLING;
 const HALF_BUCKET = 2 ** (0.5 / BUCKETS_PER_DOUBLING);
 /** New samples weigh more and more; before the weight loses precision all counts are scaled down. */
-const GREATEST_WEIGHT = 2 ** 40;
+const MAX_WEIGHT = 2 ** 40;
 
 /**
  * Makes an empty sketch.
@@ -59,14 +59,14 @@
     },
     add: (value) => {
       weight *= growth;
-      if (weight > GREATEST_WEIGHT) rescale();
+      if (weight > MAX_WEIGHT) rescale();
       const bucket = bucketOf(value);
       counts[bucket] = (counts[bucket] ?? 0) + weight;
       total += weight;
     },
-    quantile: (part) => {
+    quantile: (fraction) => {
       if (total === 0) return undefined;
-      const rank = part * total;
+      const rank = fraction * total;
       let passed = 0;
       for (let index = 0; index < BUCKET_COUNT; index++) {
         passed += counts[index] ?? 0;
--- a/src/decision/rate_meter.ts
+++ b/src/decision/rate_meter.ts
@@ -5,7 +5,7 @@
   rate(now: number, options: { span: number; ago?: number }): number;
 }
 
-const BUCKET = 1_000;
+const BUCKET_LENGTH = 1_000;
 const BUCKET_COUNT = 128;
 
 /** Makes a meter that has seen nothing. */
@@ -14,32 +14,32 @@
   let latest = Number.NEGATIVE_INFINITY;
   let first: number | undefined;
   const advance = (now: number): void => {
-    const bucket = Math.floor(now / BUCKET);
+    const bucket = Math.floor(now / BUCKET_LENGTH);
     const passed = Math.min(BUCKET_COUNT, bucket - latest);
-    for (let step = 1; step <= passed; step++) amounts[slot(bucket - passed + step)] = 0;
+    for (let step = 1; step <= passed; step++) amounts[bucketIndex(bucket - passed + step)] = 0;
     latest = Math.max(latest, bucket);
     first ??= bucket;
   };
   return {
     add: (amount, now) => {
       advance(now);
-      const index = slot(latest);
+      const index = bucketIndex(latest);
       amounts[index] = (amounts[index] ?? 0) + amount;
     },
     rate: (now, { span, ago = 0 }) => {
       advance(now);
-      const newest = Math.floor((now - ago) / BUCKET);
-      const wanted = Math.round(span / BUCKET);
+      const newest = Math.floor((now - ago) / BUCKET_LENGTH);
+      const wanted = Math.round(span / BUCKET_LENGTH);
       // A meter that was made a moment ago has seen less than the span: dividing by the span would say
       // that nearly nothing arrives.
       const seen = Math.min(wanted, Math.max(0, newest - (first ?? newest) + 1));
       let sum = 0;
-      for (let step = 0; step < seen; step++) sum += amounts[slot(newest - step)] ?? 0;
-      return seen === 0 ? 0 : sum / ((seen * BUCKET) / 1_000);
+      for (let step = 0; step < seen; step++) sum += amounts[bucketIndex(newest - step)] ?? 0;
+      return seen === 0 ? 0 : sum / ((seen * BUCKET_LENGTH) / 1_000);
     },
   };
 }
 
-function slot(bucket: number): number {
+function bucketIndex(bucket: number): number {
   return ((bucket % BUCKET_COUNT) + BUCKET_COUNT) % BUCKET_COUNT;
 }
--- a/src/decision/reclaim_risk.ts
+++ b/src/decision/reclaim_risk.ts
@@ -20,15 +20,15 @@
   /** Takes in the workers as they are known now; a notice counts when it is first seen. */
   observe(workers: readonly Worker[], now: number): void;
   /** The chance, from 0 to 1, that the worker is taken before a job of a minute ends. */
-  chance(worker: Worker, now: number): number;
+  probability(worker: Worker, now: number): number;
 }
 
-const HALF_LIFE = 30_000;
+const RISK_HALF_LIFE = 30_000;
 /** Without any notice: about one reclaim an instance in four hours, for a job of a minute. */
-const QUIET_CHANCE = 1 / 240;
+const BASE_PROBABILITY = 1 / 240;
 
 interface ZoneNotices {
-  heat: number;
+  risk: number;
   at: number;
 }
 
@@ -36,9 +36,9 @@
 export function createReclaimRisk(): ReclaimRisk {
   const seen = new Set<string>();
   const zones = new Map<string, ZoneNotices>();
-  const heatOf = (zone: string, now: number): number => {
+  const riskOf = (zone: string, now: number): number => {
     const notices = zones.get(zone);
-    return notices === undefined ? 0 : notices.heat * 2 ** (-(now - notices.at) / HALF_LIFE);
+    return notices === undefined ? 0 : notices.risk * 2 ** (-(now - notices.at) / RISK_HALF_LIFE);
   };
   return {
     observe: (workers, now) => {
@@ -46,14 +46,14 @@
       for (const worker of fresh) {
         seen.add(worker.id);
         const part = 1 / Math.max(1, reclaimableIn(workers, worker.zone));
-        zones.set(worker.zone, { heat: Math.min(1, heatOf(worker.zone, now) + part), at: now });
+        zones.set(worker.zone, { risk: Math.min(1, riskOf(worker.zone, now) + part), at: now });
       }
       const known = new Set(workers.map(({ id }) => id));
       for (const id of seen) if (!known.has(id)) seen.delete(id);
     },
-    chance: (worker, now) => {
+    probability: (worker, now) => {
       if (worker.purchase === Purchase.OnDemand) return 0;
-      return Math.max(QUIET_CHANCE, heatOf(worker.zone, now));
+      return Math.max(BASE_PROBABILITY, riskOf(worker.zone, now));
     },
   };
 }
--- a/src/decision/run_table.ts
+++ b/src/decision/run_table.ts
@@ -9,14 +9,14 @@
   readonly worker: PoolWorker;
   readonly dispatchedAt: number;
   /** Prompt tokens that the worker is expected to compute before the first token. */
-  readonly computes: number;
+  readonly uncachedTokens: number;
   lastTokenAt: number | undefined;
 }
 
 /** Runs by job id, with the workers that have failed each job. */
 export interface RunTable {
-  start(job: Job, details: { worker: PoolWorker; computes: number; now: number }): void;
-  of(id: string): readonly Run[];
+  start(job: Job, details: { worker: PoolWorker; uncachedTokens: number; now: number }): void;
+  runsOf(id: string): readonly Run[];
   /** The job's run on the worker; without a worker, its only run. */
   find(id: string, worker: string | undefined): Run | undefined;
   /** Ends a run; where `failed`, the job never goes to its worker again. */
@@ -24,11 +24,11 @@
   /** How many of the job's runs failed. */
   failures(id: string): number;
   /** Workers that must not get the job: those that failed it, those that run it, and those given. */
-  avoided(id: string, besides: ReadonlySet<string>): ReadonlySet<string>;
-  forget(id: string): void;
+  excludedWorkers(id: string, besides: ReadonlySet<string>): ReadonlySet<string>;
+  remove(id: string): void;
 }
 
-interface Entry {
+interface JobRuns {
   runs: Run[];
   readonly failedOn: Set<string>;
   failures: number;
@@ -36,28 +36,28 @@
 
 /** Makes a table without runs. */
 export function createRunTable(): RunTable {
-  const entries = new Map<string, Entry>();
-  const entryOf = (id: string): Entry => {
+  const entries = new Map<string, JobRuns>();
+  const entryOf = (id: string): JobRuns => {
     const known = entries.get(id) ?? { runs: [], failedOn: new Set(), failures: 0 };
     entries.set(id, known);
     return known;
   };
   const of = (id: string): readonly Run[] => entries.get(id)?.runs ?? [];
   return {
-    start: (job, { worker, computes, now }) => {
-      const run = { job, worker, computes, dispatchedAt: now, lastTokenAt: undefined };
+    start: (job, { worker, uncachedTokens, now }) => {
+      const run = { job, worker, uncachedTokens, dispatchedAt: now, lastTokenAt: undefined };
       entryOf(job.id).runs.push(run);
-      worker.prefillAhead += computes;
-      if (job.lane === Lane.Lookup) worker.lookups++;
+      worker.queuedPrefillTokens += uncachedTokens;
+      if (job.lane === Lane.Lookup) worker.ownLookups++;
     },
-    of,
+    runsOf: of,
     find: (id, worker) => {
       if (worker === undefined) return of(id)[0];
       return of(id).find((run) => run.worker.worker.id === worker);
     },
     end: (run, failed) => {
-      if (run.lastTokenAt === undefined) run.worker.prefillAhead -= run.computes;
-      if (run.job.lane === Lane.Lookup) run.worker.lookups--;
+      if (run.lastTokenAt === undefined) run.worker.queuedPrefillTokens -= run.uncachedTokens;
+      if (run.job.lane === Lane.Lookup) run.worker.ownLookups--;
       const entry = entryOf(run.job.id);
       entry.runs = entry.runs.filter((other) => other !== run);
       if (!failed) return;
@@ -65,12 +65,12 @@
       entry.failedOn.add(run.worker.worker.id);
     },
     failures: (id) => entries.get(id)?.failures ?? 0,
-    avoided: (id, besides) => {
+    excludedWorkers: (id, besides) => {
       const entry = entries.get(id);
       if (entry === undefined) return besides;
       const running = entry.runs.map((run) => run.worker.worker.id);
       return new Set([...besides, ...entry.failedOn, ...running]);
     },
-    forget: (id) => entries.delete(id),
+    remove: (id) => entries.delete(id),
   };
 }
--- a/src/decision/scheduler.ts
+++ b/src/decision/scheduler.ts
@@ -5,35 +5,35 @@
  */
 import { RetryCause } from "../interface/index.ts";
 import type { LoadReport, Random, Worker } from "../interface/index.ts";
-import { judgeArrival, WaitKind } from "./admission.ts";
+import { decideAdmission, WaitKind } from "./admission.ts";
 import type { AdmissionView, PredictedWait } from "./admission.ts";
 import { createEstimator } from "./estimate.ts";
 import type { FairQueueOptions } from "./fair_queue.ts";
 import {
-  ENOUGH_FIRST_TOKENS,
+  MIN_FIRST_TOKENS,
   HEDGE_PERCENTILE,
-  HEDGE_TARGET_PART,
-  HEDGE_USE,
+  HEDGE_TARGET_FRACTION,
+  MAX_HEDGE_UTILIZATION,
   hedgeDelay,
-  mayHedge,
+  canHedge,
 } from "./hedge.ts";
 import { Lane } from "./job.ts";
 import type { Admission, Arrival, Job, Placement } from "./job.ts";
 import { EMPTY_POLICY, machineAverage, targetOf } from "./policy.ts";
 import type { Policy } from "./policy.ts";
-import { createPrefixBelief } from "./prefix_belief.ts";
+import { createPrefixCacheIndex } from "./prefix_cache_index.ts";
 import { createReclaimRisk } from "./reclaim_risk.ts";
 import { createRetryBudget, decideRetry } from "./retry_budget.ts";
 import type { Retry } from "./retry_budget.ts";
 import { createRunTable } from "./run_table.ts";
 import type { Run } from "./run_table.ts";
-import { createServiceLedger, reserveFor } from "./service_ledger.ts";
-import type { ServiceLedger } from "./service_ledger.ts";
+import { createServiceState, reservedSlots } from "./service_state.ts";
+import type { ServiceState } from "./service_state.ts";
 import type { ServiceSnapshot } from "./service_snapshot.ts";
-import { createHeldWork } from "./held_work.ts";
+import { createAccountUsage } from "./account_usage.ts";
 import { chooseWorker } from "./worker_choice.ts";
-import type { Choice } from "./worker_choice.ts";
-import { createWorkerPool, learnPrefill, prefillFactor, usableLimit } from "./worker_pool.ts";
+import type { WorkerChoice } from "./worker_choice.ts";
+import { createWorkerPool, recordPrefill, prefillFactor, effectiveLimit } from "./worker_pool.ts";
 import type { PoolWorker } from "./worker_pool.ts";
 
 /** How a job's run ended, for what is learned from it. */
@@ -95,8 +95,8 @@
   /** Jobs believed to be on the worker, from all entry instances. */
   readonly load: number;
   /** Jobs of this entry instance on the worker. */
-  readonly own: number;
-  readonly ejected: boolean;
+  readonly ownJobs: number;
+  readonly isEjected: boolean;
 }
 
 /** What the scheduler believes now. */
@@ -158,12 +158,12 @@
 /** Nine first tokens in ten come within what admission counts on. */
 const ADMISSION_PERCENTILE = 0.9;
 /** The part of the speed that lookups get while scripts wait: the queue's weights, four to one. */
-const LOOKUP_PART = 0.8;
-const DRAIN_SPAN = 10_000;
+const LOOKUP_SHARE = 0.8;
+const RATE_WINDOW = 10_000;
 /** Prompts whose computing takes at most this part of the target tell how full a batch is. */
-const SHORT_PROMPT_PART = 0.25;
+const SHORT_PROMPT_FRACTION = 0.25;
 /** Accounts are bounded on each instance at twice its part: callers don't spread evenly. */
-const BOUND_FACTOR = 2;
+const LIMIT_FACTOR = 2;
 
 /**
  * Makes the scheduler of one entry instance, or of a replay.
@@ -180,129 +180,139 @@
   policy: Policy = EMPTY_POLICY,
   { zone }: SchedulerOptions = {},
 ): Scheduler {
-  let inForce = policy;
+  let currentPolicy = policy;
   let instances = 1;
-  let salted = false;
+  let hasSalt = false;
   const estimator = createEstimator(policy);
   const pool = createWorkerPool(policy);
   const runs = createRunTable();
   const budget = createRetryBudget();
-  const risk = createReclaimRisk();
+  const reclaimRisk = createReclaimRisk();
   const machine = machineAverage(policy);
-  const belief = createPrefixBelief((machine.cacheTokens * 1_000) / machine.tokensPerSecond);
-  const ledgers = new Map<string, ServiceLedger>();
-  const held = createHeldWork();
-  const debts = new Map<string, number>();
+  const prefixCache = createPrefixCacheIndex(
+    (machine.cacheTokens * 1_000) / machine.tokensPerSecond,
+  );
+  const services = new Map<string, ServiceState>();
+  const accountUsage = createAccountUsage();
+  const excessWork = new Map<string, number>();
 
-  const ledgerOf = (service: string): ServiceLedger => {
-    const known = ledgers.get(service) ?? createServiceLedger(LANES);
-    ledgers.set(service, known);
+  const stateOf = (service: string): ServiceState => {
+    const known = services.get(service) ?? createServiceState(LANES);
+    services.set(service, known);
     return known;
   };
-  const weightOf = (account: string): number => inForce.accounts[account]?.weight ?? 1;
+  const weightOf = (account: string): number => currentPolicy.accounts[account]?.weight ?? 1;
   const tick = (service: string, now: number): void => {
-    pool.setReserve(service, reserveFor(ledgerOf(service).lanes[Lane.Lookup], { now, instances }));
+    pool.setReservedSlots(
+      service,
+      reservedSlots(stateOf(service).lanes[Lane.Lookup], { now, instances }),
+    );
     pool.tick(service, now);
   };
   /** Tokens of work a second that a lane can count on at this instance. */
   const rateOf = (service: string, lane: Lane, now: number): number => {
-    const { lanes, drained } = ledgerOf(service);
+    const { lanes, completedWork } = stateOf(service);
     const nominal = pool.service(service).speed / instances;
-    const rate = Math.max(nominal, drained.rate(now, { span: DRAIN_SPAN }));
-    if (lane === Lane.Lookup) return lanes[Lane.Script].waitingJobs > 0 ? rate * LOOKUP_PART : rate;
-    const lookups = lanes[Lane.Lookup].arrived.rate(now, { span: DRAIN_SPAN });
-    return Math.max(rate * (1 - LOOKUP_PART), rate - lookups);
+    const rate = Math.max(nominal, completedWork.rate(now, { span: RATE_WINDOW }));
+    if (lane === Lane.Lookup)
+      return lanes[Lane.Script].waitingJobs > 0 ? rate * LOOKUP_SHARE : rate;
+    const lookups = lanes[Lane.Lookup].arrivedWork.rate(now, { span: RATE_WINDOW });
+    return Math.max(rate * (1 - LOOKUP_SHARE), rate - lookups);
   };
   /** Milliseconds until one of this instance's runs ends, on the average. */
-  const turnOf = ({ service, estimate }: Job): number => {
-    const { lanes } = ledgerOf(service);
+  const meanTimeToFreeSlot = ({ service, estimate }: Job): number => {
+    const { lanes } = stateOf(service);
     const { meanRun } = pool.service(service);
     const endsAt = (lane: Lane): number =>
       lanes[lane].running / (meanRun[lane] || estimate.serviceTime);
     const rate = LANES.reduce((sum, lane) => sum + endsAt(lane), 0);
     return rate === 0 ? estimate.serviceTime : 1 / rate;
   };
-  const viewOf = (job: Job, now: number): AdmissionView => {
+  const admissionView = (job: Job, now: number): AdmissionView => {
     const { account, service, lane, estimate, deadlineAt, detached } = job;
-    const ledger = ledgerOf(service);
-    const book = ledger.lanes[lane];
+    const state = stateOf(service);
+    const laneState = state.lanes[lane];
     const workers = pool.service(service);
-    const waiting = book.byAccount.get(account);
+    const waiting = laneState.byAccount.get(account);
     const weight = weightOf(account);
-    const enough = book.firstTokens.count >= ENOUGH_FIRST_TOKENS;
-    const bounds = inForce.accounts[account];
+    const enough = laneState.firstTokens.count >= MIN_FIRST_TOKENS;
+    const bounds = currentPolicy.accounts[account];
     return {
       now,
       deadlineAt,
       detached,
       estimate,
-      target: targetOf(inForce, service),
+      target: targetOf(currentPolicy, service),
       rate: rateOf(service, lane, now),
-      hasRoom: workers.room[lane] > 0,
-      workers: workers.live,
-      turn: turnOf(job),
-      allWaitingJobs: held.waitingJobs(ledgers),
-      waitingWork: book.waitingWork,
-      ownWaitingWork: (detached ? waiting?.work : waiting?.urgent) ?? 0,
+      hasFreeSlot: workers.freeSlots[lane] > 0,
+      liveWorkers: workers.liveWorkers,
+      freeSlotInterval: meanTimeToFreeSlot(job),
+      totalWaitingJobs: accountUsage.waitingJobs(services),
+      waitingWork: laneState.waitingWork,
+      accountWaitingWork: (detached ? waiting?.work : waiting?.interactiveWork) ?? 0,
       weight,
-      activeWeight: book.activeWeight + (waiting === undefined ? weight : 0),
-      correction: ledger.correction(WaitKind.Ahead),
-      turnCorrection: ledger.correction(WaitKind.Turn),
-      firstToken: enough ? book.firstTokens.quantile(ADMISSION_PERCENTILE) : undefined,
-      heldJobs: held.jobs(account),
-      heldWork: held.work(account),
-      bounds: bounds === undefined ? undefined : boundsHere(bounds, instances),
-      promisedUntil: ledger.promisedUntil,
+      activeWeight: laneState.activeWeight + (waiting === undefined ? weight : 0),
+      queueCorrection: state.correction(WaitKind.QueuedWork),
+      freeSlotCorrection: state.correction(WaitKind.FreeSlot),
+      firstTokenLatency: enough ? laneState.firstTokens.quantile(ADMISSION_PERCENTILE) : undefined,
+      accountJobs: accountUsage.jobs(account),
+      accountWork: accountUsage.work(account),
+      limits: bounds === undefined ? undefined : instanceLimits(bounds, instances),
+      reservedUntil: state.reservedUntil,
     };
   };
-  const countIn = (job: Job, now: number, predicted: PredictedWait): void => {
-    held.add(job);
-    ledgerOf(job.service).admitted(job, { now, predicted, weight: weightOf(job.account) });
+  const recordAdmitted = (job: Job, now: number, predicted: PredictedWait): void => {
+    accountUsage.add(job);
+    stateOf(job.service).recordAdmission(job, { now, predicted, weight: weightOf(job.account) });
   };
-  const start = (job: Job, { worker, computes }: Choice, now: number): void => {
-    runs.start(job, { worker, computes, now });
-    worker.load.dispatched(job.id, { cacheTokens: job.estimate.cacheTokens, now });
-    pool.service(job.service).own++;
-    belief.stored(worker.worker.id, job.prefix, now);
+  const start = (job: Job, { worker, uncachedTokens }: WorkerChoice, now: number): void => {
+    runs.start(job, { worker, uncachedTokens, now });
+    worker.load.recordDispatch(job.id, { cacheTokens: job.estimate.cacheTokens, now });
+    pool.service(job.service).ownRuns++;
+    prefixCache.recordStored(worker.worker.id, job.prefix, now);
     pool.refresh(worker, now);
   };
-  const choose = (job: Job, options: PlaceOptions, greatestUse?: number): Choice | undefined => {
+  const choose = (
+    job: Job,
+    options: PlaceOptions,
+    maxUtilization?: number,
+  ): WorkerChoice | undefined => {
     const { now, random } = options;
-    if (!salted) pool.setSalt(random.next());
-    salted = true;
+    if (!hasSalt) pool.setSalt(random.next());
+    hasSalt = true;
     tick(job.service, now);
-    const avoid = runs.avoided(job.id, options.avoid);
+    const avoid = runs.excludedWorkers(job.id, options.avoid);
     const service = pool.service(job.service);
-    const target = targetOf(inForce, job.service);
+    const target = targetOf(currentPolicy, job.service);
     return chooseWorker(job, {
       now,
       random,
       avoid,
       service,
       target,
-      belief,
-      risk,
+      prefixCache,
+      reclaimRisk,
       zone,
-      greatestUse,
+      maxUtilization,
     });
   };
-  const blame = (run: Run, end: RunEnd, { now, cause }: RunEndDetails): void => {
+  const recordOutcome = (run: Run, end: RunEnd, { now, cause }: RunEndDetails): void => {
     const isFailure = end === RunEnd.Failed;
-    if (isFailure && cause === RetryCause.ConnectFailed) pool.connectFailed(run.worker, now);
-    const failed = isFailure && !BLAMELESS.has(cause);
-    if (failed || end === RunEnd.Complete) pool.ended(run.worker, { failed, now });
+    if (isFailure && cause === RetryCause.ConnectFailed) pool.recordConnectFailure(run.worker, now);
+    const failed = isFailure && !NON_WORKER_FAILURES.has(cause);
+    if (failed || end === RunEnd.Complete) pool.recordRunEnd(run.worker, { failed, now });
     else pool.refresh(run.worker, now);
   };
-  const learnFrom = (job: Job, answerTokens: number): void => {
-    estimator.learn(job, answerTokens);
-    const key = debtKey(job.service, job.account);
-    const above = estimator.workOf(job.promptTokens, answerTokens) - job.estimate.work;
-    debts.set(key, (debts.get(key) ?? 0) + above);
+  const learnAnswer = (job: Job, answerTokens: number): void => {
+    estimator.recordAnswer(job, answerTokens);
+    const key = accountKey(job.service, job.account);
+    const excess = estimator.workOf(job.promptTokens, answerTokens) - job.estimate.work;
+    excessWork.set(key, (excessWork.get(key) ?? 0) + excess);
   };
 
   return {
     configure: (next) => {
-      inForce = next;
+      currentPolicy = next;
       estimator.configure(next);
       pool.configure(next);
     },
@@ -313,134 +323,135 @@
     admit: (arrival, now) => {
       tick(arrival.service, now);
       const job = { ...arrival, estimate: estimator.estimate(arrival), resumedTokens: 0 };
-      const ledger = ledgerOf(arrival.service);
-      ledger.offered(arrival, job.estimate.work, now);
-      const verdict = judgeArrival(viewOf(job, now));
-      if (verdict.kind === "refuse") {
-        ledger.promisedUntil = now + verdict.retryAfter;
-        return { kind: "refused", reason: verdict.reason, retryAfter: verdict.retryAfter };
+      const state = stateOf(arrival.service);
+      state.recordArrival(arrival, job.estimate.work, now);
+      const decision = decideAdmission(admissionView(job, now));
+      if (decision.kind === "refuse") {
+        state.reservedUntil = now + decision.retryAfter;
+        return { kind: "refused", reason: decision.reason, retryAfter: decision.retryAfter };
       }
-      countIn(job, now, verdict.predicted);
+      recordAdmitted(job, now, decision.predicted);
       return { kind: "admitted", job };
     },
     adopt: (arrival, now) => {
       const job = { ...arrival, estimate: estimator.estimate(arrival), resumedTokens: 0 };
-      if (!ledgerOf(job.service).has(job.id)) countIn(job, now, { wait: 0, kind: WaitKind.Ahead });
+      if (!stateOf(job.service).has(job.id))
+        recordAdmitted(job, now, { wait: 0, kind: WaitKind.QueuedWork });
       return job;
     },
     queueOptions: (service) => ({
       weightOf,
-      mayStart: (lane) => pool.service(service).room[lane] > 0,
-      takeDebt: (account) => {
-        const key = debtKey(service, account);
-        const debt = debts.get(key) ?? 0;
-        debts.delete(key);
-        return debt;
+      canStart: (lane) => pool.service(service).freeSlots[lane] > 0,
+      takeExcessWork: (account) => {
+        const key = accountKey(service, account);
+        const excess = excessWork.get(key) ?? 0;
+        excessWork.delete(key);
+        return excess;
       },
     }),
     place: (job, options) => {
       const choice = choose(job, options);
       if (choice === undefined) return { kind: "wait" };
-      ledgerOf(job.service).placed(job, options.now);
+      stateOf(job.service).recordPlacement(job, options.now);
       start(job, choice, options.now);
       return { kind: "placed", worker: choice.worker.worker.id };
     },
     hedge: (job, options) => {
-      const book = ledgerOf(job.service).lanes[job.lane];
-      const percentile = book.firstTokens.quantile(HEDGE_PERCENTILE);
-      if (!mayHedge(job) || runs.of(job.id).length !== 1) return { kind: "none" };
-      if (percentile === undefined || book.firstTokens.count < ENOUGH_FIRST_TOKENS)
+      const laneState = stateOf(job.service).lanes[job.lane];
+      const percentile = laneState.firstTokens.quantile(HEDGE_PERCENTILE);
+      if (!canHedge(job) || runs.runsOf(job.id).length !== 1) return { kind: "none" };
+      if (percentile === undefined || laneState.firstTokens.count < MIN_FIRST_TOKENS)
         return { kind: "none" };
-      const { firstToken } = targetOf(inForce, job.service);
-      const typical = Math.max(percentile, firstToken * HEDGE_TARGET_PART);
+      const { firstToken } = targetOf(currentPolicy, job.service);
+      const typical = Math.max(percentile, firstToken * HEDGE_TARGET_FRACTION);
       const delay = hedgeDelay({ ...options, typical });
       if (delay > 0) return { kind: "later", delay };
-      const choice = choose(job, options, HEDGE_USE);
+      const choice = choose(job, options, MAX_HEDGE_UTILIZATION);
       if (choice === undefined || !budget.take(job)) return { kind: "none" };
       start(job, choice, options.now);
       return { kind: "hedge", worker: choice.worker.worker.id };
     },
     capacity: (service, now) => {
       tick(service, now);
-      const { own, room } = pool.service(service);
-      return Math.max(1, own + Math.max(room[Lane.Lookup], room[Lane.Script]));
+      const { ownRuns, freeSlots } = pool.service(service);
+      return Math.max(1, ownRuns + Math.max(freeSlots[Lane.Lookup], freeSlots[Lane.Script]));
     },
     firstToken: (id, now, worker) => {
       const run = runs.find(id, worker);
       if (run === undefined) return;
       if (run.lastTokenAt !== undefined) return;
       const { job } = run;
-      run.worker.prefillAhead -= run.computes;
-      const ledger = ledgerOf(job.service);
+      run.worker.queuedPrefillTokens -= run.uncachedTokens;
+      const state = stateOf(job.service);
       const waited = now - run.dispatchedAt;
       run.lastTokenAt = now;
-      ledger.lanes[job.lane].firstTokens.add(waited);
-      ledger.drained.add(estimator.workOf(job.promptTokens, 1), now);
-      const prefill = (run.computes * 1_000) / run.worker.machine.prefillPerSecond;
+      state.lanes[job.lane].firstTokens.add(waited);
+      state.completedWork.add(estimator.workOf(job.promptTokens, 1), now);
+      const prefill = (run.uncachedTokens * 1_000) / run.worker.machine.prefillPerSecond;
       const usual = prefill * prefillFactor(pool.service(job.service));
-      const { firstToken } = targetOf(inForce, job.service);
+      const { firstToken } = targetOf(currentPolicy, job.service);
       // A long prompt's first token is late by itself, whatever the batch.
-      if (usual <= firstToken * SHORT_PROMPT_PART) run.worker.limit.firstToken(waited);
-      learnPrefill(pool.service(job.service), waited, prefill);
+      if (usual <= firstToken * SHORT_PROMPT_FRACTION) run.worker.limit.recordFirstToken(waited);
+      recordPrefill(pool.service(job.service), waited, prefill);
     },
     token: (id, now, worker) => {
       const run = runs.find(id, worker);
       if (run === undefined) return;
       const gap = now - (run.lastTokenAt ?? now);
       run.lastTokenAt = now;
-      ledgerOf(run.job.service).drained.add(1, now);
-      run.worker.limit.gap(gap);
+      stateOf(run.job.service).completedWork.add(1, now);
+      run.worker.limit.recordGap(gap);
       run.worker.gaps.add(gap);
-      estimator.learnGap(run.job.service, gap);
+      estimator.recordTokenGap(run.job.service, gap);
     },
     runEnded: (id, end, details) => {
       const run = runs.find(id, details.worker);
       if (run === undefined) return;
-      runs.end(run, end === RunEnd.Failed && !BLAMELESS.has(details.cause));
-      const took = run.worker.load.ended(id, details.now);
-      if (took !== undefined) pool.ranFor(run.job, took);
-      pool.service(run.job.service).own--;
-      blame(run, end, details);
+      runs.end(run, end === RunEnd.Failed && !NON_WORKER_FAILURES.has(details.cause));
+      const took = run.worker.load.recordEnd(id, details.now);
+      if (took !== undefined) pool.recordRunTime(run.job, took);
+      pool.service(run.job.service).ownRuns--;
+      recordOutcome(run, end, details);
       const isOver = end === RunEnd.Complete || end === RunEnd.Cancelled;
-      if (!isOver && runs.of(id).length === 0) {
-        ledgerOf(run.job.service).returned(run.job, weightOf(run.job.account));
+      if (!isOver && runs.runsOf(id).length === 0) {
+        stateOf(run.job.service).recordReturn(run.job, weightOf(run.job.account));
       }
       if (end === RunEnd.Complete) budget.succeeded(run.job);
-      if (end === RunEnd.Complete) learnFrom(run.job, details.answerTokens);
+      if (end === RunEnd.Complete) learnAnswer(run.job, details.answerTokens);
     },
     settled: (job, now) => {
-      for (const run of runs.of(job.id)) {
+      for (const run of runs.runsOf(job.id)) {
         runs.end(run, false);
-        run.worker.load.ended(job.id, now);
-        pool.service(job.service).own--;
+        run.worker.load.recordEnd(job.id, now);
+        pool.service(job.service).ownRuns--;
         pool.refresh(run.worker, now);
       }
-      runs.forget(job.id);
-      held.remove(job);
-      ledgerOf(job.service).settled(job, now);
+      runs.remove(job.id);
+      accountUsage.remove(job);
+      stateOf(job.service).recordJobEnd(job, now);
     },
     retry: (job, cause, { now, random }) => {
       const failures = Math.max(1, runs.failures(job.id));
       return decideRetry(job, { cause, failures, budget, now, random });
     },
     setWorkers: (workers, now) => {
-      risk.observe(workers, now);
+      reclaimRisk.observe(workers, now);
       pool.setWorkers(workers, now);
     },
     report: (report, now) => pool.report(report, now),
     cacheEvent: ({ worker, kind, blocks }, now) => {
-      if (kind === "stored") belief.stored(worker, blocks, now);
-      else belief.evicted(worker, blocks);
+      if (kind === "stored") prefixCache.recordStored(worker, blocks, now);
+      else prefixCache.recordEvicted(worker, blocks);
     },
     snapshot: (now) => ({
       workers: [...pool.all()].map((entry) => snapshotOf(entry, now)),
-      services: [...ledgers].map(([service, ledger]) => ledger.snapshot(service, now)),
+      services: [...services].map(([service, state]) => state.snapshot(service, now)),
     }),
   };
 }
 
 /** Failures that say nothing against the worker, or that are counted apart. */
-const BLAMELESS: ReadonlySet<RetryCause | undefined> = new Set([
+const NON_WORKER_FAILURES: ReadonlySet<RetryCause | undefined> = new Set([
   RetryCause.ConnectFailed,
   RetryCause.SilentConnection,
   RetryCause.WorkerReclaimed,
@@ -448,15 +459,15 @@
   RetryCause.StaleEpoch,
 ]);
 
-function debtKey(service: string, account: string): string {
+function accountKey(service: string, account: string): string {
   return `${service} ${account}`;
 }
 
-function boundsHere(
+function instanceLimits(
   { maxRequests, maxTokens }: { maxRequests: number; maxTokens: number },
   instances: number,
 ): { maxRequests: number; maxTokens: number } {
-  const part = Math.min(1, BOUND_FACTOR / instances);
+  const part = Math.min(1, LIMIT_FACTOR / instances);
   return { maxRequests: Math.ceil(maxRequests * part), maxTokens: Math.ceil(maxTokens * part) };
 }
 
@@ -464,9 +475,9 @@
   return {
     worker: entry.worker.id,
     service: entry.worker.service,
-    limit: usableLimit(entry, now),
+    limit: effectiveLimit(entry, now),
     load: Math.round(entry.load.load()),
-    own: entry.load.own(),
-    ejected: entry.ejection !== undefined && now < entry.ejection.until,
+    ownJobs: entry.load.ownJobs(),
+    isEjected: entry.ejection !== undefined && now < entry.ejection.until,
   };
 }
--- a/src/decision/scheduler_test.ts
+++ b/src/decision/scheduler_test.ts
@@ -5,20 +5,20 @@
 import {
   firstTokenTimes,
   percentile,
-  playLoad,
+  simulateLoad,
   someArrival,
   someWorkers,
-  steady,
+  generateArrivals,
   TEST_POLICY,
 } from "./testing/load_play.ts";
-import type { Played, PlayedArrival } from "./testing/load_play.ts";
+import type { SimulatedRequest, SimulatedArrival } from "./testing/load_play.ts";
 
 const MINUTE = 60_000;
 const HOURS = 8 * 3_600_000;
 const TARGET = 400;
 
 /** Long detached work of the account `tent`. */
-const SCRIPT: Partial<PlayedArrival> = {
+const SCRIPT: Partial<SimulatedArrival> = {
   lane: Lane.Script,
   account: "tent",
   detached: true,
@@ -27,40 +27,46 @@
   deadlineAt: HOURS,
 };
 
-function play(
-  arrivals: readonly PlayedArrival[],
-  changes: Partial<Parameters<typeof playLoad>[0]> = {},
-): Played[] {
+function simulate(
+  arrivals: readonly SimulatedArrival[],
+  changes: Partial<Parameters<typeof simulateLoad>[0]> = {},
+): SimulatedRequest[] {
   const workers = someWorkers(4);
-  return playLoad({
+  return simulateLoad({
     policy: TEST_POLICY,
     workers,
     arrivals,
-    length: MINUTE,
+    duration: MINUTE,
     seed: 1,
     ...changes,
   });
 }
 
-function lookups(perSecond: number, seed = 2): PlayedArrival[] {
-  return steady(perSecond, { from: 0, until: MINUTE, seed, name: "lookup" });
+function lookups(perSecond: number, seed = 2): SimulatedArrival[] {
+  return generateArrivals(perSecond, { from: 0, until: MINUTE, seed, name: "lookup" });
 }
 
-function named(played: readonly Played[], name: string): Played[] {
-  return played.filter(({ arrival }) => arrival.id.startsWith(name));
+function named(simulated: readonly SimulatedRequest[], name: string): SimulatedRequest[] {
+  return simulated.filter(({ arrival }) => arrival.id.startsWith(name));
 }
 
-function inTime(played: readonly Played[]): number {
-  return firstTokenTimes(played, "").filter((time) => time <= TARGET).length;
+function inTime(simulated: readonly SimulatedRequest[]): number {
+  return firstTokenTimes(simulated, "").filter((time) => time <= TARGET).length;
 }
 
 describe.each([1, 6])("under load, with %i entry instances", (instances) => {
   test("lookups among long scripts wait no longer than alone", () => {
     // A desk's lookups come in while ten scripts a second are sent, four times what the workers can do.
     // In one line the lookups would wait behind minutes of scripts, and managers at the desk with them.
-    const scripts = steady(10, { from: 0, until: MINUTE, seed: 3, name: "script", of: SCRIPT });
-    const alone = play(lookups(20), { instances });
-    const mixed = play([...scripts, ...lookups(20)], { instances });
+    const scripts = generateArrivals(10, {
+      from: 0,
+      until: MINUTE,
+      seed: 3,
+      name: "script",
+      of: SCRIPT,
+    });
+    const alone = simulate(lookups(20), { instances });
+    const mixed = simulate([...scripts, ...lookups(20)], { instances });
     expect(named(mixed, "lookup").every(({ refused }) => refused === Refusal.None)).toBe(true);
     const before = percentile(firstTokenTimes(alone, "lookup"), 0.99);
     const among = percentile(firstTokenTimes(mixed, "lookup"), 0.99);
@@ -71,8 +77,8 @@
   test("at twice what the workers can do, they still do what they can, in time", () => {
     // The finish tent asks twice as much as the workers can answer. If all were let in, all would be late;
     // so half is turned away at once with a time to come back, and the other half is answered in time.
-    const most = inTime(play(lookups(150), { instances }));
-    const flooded = play(lookups(320), { instances });
+    const most = inTime(simulate(lookups(150), { instances }));
+    const flooded = simulate(lookups(320), { instances });
     const refused = flooded.filter((one) => one.refused !== Refusal.None);
     expect(inTime(flooded)).toBeGreaterThan(0.93 * most);
     expect(refused.length).toBeGreaterThan(0.4 * flooded.length);
@@ -85,13 +91,13 @@
   test("a burst spreads over all workers", () => {
     // Entries close and 100 requests arrive in a tenth of a second, all within one report. Sent by the
     // reports alone they would all go to the worker that looked idle; its callers would wait for seconds.
-    const burst = steady(1_000, { from: 5_000, until: 5_100, seed: 4, name: "burst" });
-    const played = play([...burst, ...lookups(10)], { instances });
+    const burst = generateArrivals(1_000, { from: 5_000, until: 5_100, seed: 4, name: "burst" });
+    const simulated = simulate([...burst, ...lookups(10)], { instances });
     const perWorker = someWorkers(4).map(
-      ({ id }) => named(played, "burst").filter(({ worker }) => worker === id).length,
+      ({ id }) => named(simulated, "burst").filter(({ worker }) => worker === id).length,
     );
     expect(Math.max(...perWorker)).toBeLessThan(40);
-    const times = firstTokenTimes(played, "burst");
+    const times = firstTokenTimes(simulated, "burst");
     expect(times).toHaveLength(100);
     expect(percentile(times, 0.95)).toBeLessThan(TARGET * 2.5);
   });
@@ -99,13 +105,13 @@
   test("an account that floods the service doesn't delay another", () => {
     // One club sends ten times its share while a small one asks now and then. The small one must not be
     // turned away or wait for what the large one has piled up.
-    const flood = steady(300, { from: 0, until: MINUTE, seed: 5, name: "flood" });
+    const flood = generateArrivals(300, { from: 0, until: MINUTE, seed: 5, name: "flood" });
     const own = { account: "tent" };
-    const small = steady(10, { from: 0, until: MINUTE, seed: 6, name: "small", of: own });
-    const played = play([...flood, ...small], { instances });
-    const kept = named(played, "small").filter(({ refused }) => refused === Refusal.None);
+    const small = generateArrivals(10, { from: 0, until: MINUTE, seed: 6, name: "small", of: own });
+    const simulated = simulate([...flood, ...small], { instances });
+    const kept = named(simulated, "small").filter(({ refused }) => refused === Refusal.None);
     expect(kept.length).toBeGreaterThan(0.95 * small.length);
-    expect(percentile(firstTokenTimes(played, "small"), 0.95)).toBeLessThan(TARGET);
+    expect(percentile(firstTokenTimes(simulated, "small"), 0.95)).toBeLessThan(TARGET);
   });
 
   test("a slow worker gets little, and its share back soon after", () => {
@@ -118,8 +124,8 @@
       const seen = first?.snapshot(now).workers.find(({ worker }) => worker === "w0");
       limits.push(seen?.limit ?? 0);
     };
-    const played = play(lookups(60), { instances, slowness, observe });
-    expect(percentile(firstTokenTimes(played, "lookup"), 0.95)).toBeLessThan(TARGET);
+    const simulated = simulate(lookups(60), { instances, slowness, observe });
+    expect(percentile(firstTokenTimes(simulated, "lookup"), 0.95)).toBeLessThan(TARGET);
     expect(Math.min(...limits.slice(15, 30))).toBeLessThanOrEqual(5);
     expect(limits[50]).toBeGreaterThan(10);
   });
@@ -129,11 +135,13 @@
   // Every request of the morning begins with the same roster. Sent only where its prefix is cached, one
   // worker would carry all of them while three stand idle.
   const of = { prefix: ["a", "b", "c", "d"], promptTokens: 800 };
-  const hot = steady(80, { from: 0, until: MINUTE, seed: 7, name: "hot", of });
-  const played = play(hot);
-  const used = someWorkers(4).map(({ id }) => played.filter(({ worker }) => worker === id).length);
-  expect(Math.max(...used) / played.length).toBeLessThan(0.6);
-  expect(percentile(firstTokenTimes(played, "hot"), 0.95)).toBeLessThan(TARGET);
+  const hot = generateArrivals(80, { from: 0, until: MINUTE, seed: 7, name: "hot", of });
+  const simulated = simulate(hot);
+  const used = someWorkers(4).map(
+    ({ id }) => simulated.filter(({ worker }) => worker === id).length,
+  );
+  expect(Math.max(...used) / simulated.length).toBeLessThan(0.6);
+  expect(percentile(firstTokenTimes(simulated, "hot"), 0.95)).toBeLessThan(TARGET);
 });
 
 describe("single decisions", () => {
--- a/src/decision/testing/load_play.ts
+++ b/src/decision/testing/load_play.ts
@@ -10,13 +10,13 @@
 import type { Arrival, FairQueue, Job, Policy, Scheduler } from "../index.ts";
 
 /** A request of a load; `answerTokens` is what the worker will produce. */
-export interface PlayedArrival extends Arrival {
+export interface SimulatedArrival extends Arrival {
   readonly answerTokens: number;
 }
 
 /** What became of a request. Times in milliseconds. */
-export interface Played {
-  readonly arrival: PlayedArrival;
+export interface SimulatedRequest {
+  readonly arrival: SimulatedArrival;
   readonly refused: Refusal;
   readonly retryAfter: number;
   worker: string;
@@ -25,12 +25,12 @@
 }
 
 /** What a load is played on. */
-export interface PlaySettings {
+export interface SimulationSettings {
   readonly policy: Policy;
   readonly workers: readonly Worker[];
-  readonly arrivals: readonly PlayedArrival[];
+  readonly arrivals: readonly SimulatedArrival[];
   /** Milliseconds to play. */
-  readonly length: number;
+  readonly duration: number;
   readonly seed: number;
   /** Entry instances, among which arrivals are drawn; 1 where not given. */
   readonly instances?: number;
@@ -42,76 +42,83 @@
 
 interface Sequence {
   readonly instance: Instance;
-  readonly played: Played;
+  readonly request: SimulatedRequest;
   readonly job: Job;
-  prefillLeft: number;
-  produced: number;
-  told: number;
+  remainingPrefill: number;
+  producedTokens: number;
+  deliveredTokens: number;
 }
 
 interface Instance {
   readonly scheduler: Scheduler;
   readonly queue: FairQueue<Job>;
   /** Taken out of the queue and without a worker yet. */
-  held: Job[];
+  unplaced: Job[];
   running: number;
 }
 
-const STEP = 5;
-const REPORT_EVERY = 1_000;
-const REPORT_LAG = 500;
+const STEP_MS = 5;
+const REPORT_INTERVAL = 1_000;
+const REPORT_DELAY = 500;
 
 /** Plays the load; the result holds one entry for each arrival, in order. */
-export function playLoad(settings: PlaySettings): Played[] {
+export function simulateLoad(settings: SimulationSettings): SimulatedRequest[] {
   const random = createSeededRandom(settings.seed);
   const count = settings.instances ?? 1;
   const instances = Array.from({ length: count }, () => createInstance(settings, count));
   const batches = new Map(settings.workers.map(({ id }) => [id, [] as Sequence[]]));
   const caches = new Map<string, Set<string>>();
-  const results = new Map<string, Played>();
-  const late: { at: number; worker: string; running: number }[] = [];
+  const results = new Map<string, SimulatedRequest>();
+  const pendingReports: { at: number; worker: string; running: number }[] = [];
   const arrivals = [...settings.arrivals].sort((a, b) => a.arrivedAt - b.arrivedAt);
   let next = 0;
 
-  const takeIn = (arrival: PlayedArrival, now: number): void => {
+  const admit = (arrival: SimulatedArrival, now: number): void => {
     const instance = instances[Math.floor(random.next() * count)];
     if (instance === undefined) return;
     const admission = instance.scheduler.admit(arrival, now);
-    const isIn = admission.kind === "admitted";
+    const isAdmitted = admission.kind === "admitted";
     results.set(arrival.id, {
       arrival,
-      refused: isIn ? Refusal.None : admission.reason,
-      retryAfter: isIn ? 0 : admission.retryAfter,
+      refused: isAdmitted ? Refusal.None : admission.reason,
+      retryAfter: isAdmitted ? 0 : admission.retryAfter,
       worker: "",
       firstTokenAt: undefined,
       endedAt: undefined,
     });
-    if (isIn) instance.queue.enqueue(admission.job, { id: arrival.id, job: admission.job });
+    if (isAdmitted) instance.queue.enqueue(admission.job, { id: arrival.id, job: admission.job });
   };
   const dispatch = (instance: Instance, now: number): void => {
     const { scheduler, queue } = instance;
     const service = settings.workers[0]?.service ?? "";
     const capacity = scheduler.capacity(service, now);
-    while (queue.size > 0 && instance.running + instance.held.length < capacity) {
+    while (queue.size > 0 && instance.running + instance.unplaced.length < capacity) {
       const job = queue.dequeue();
       if (job === undefined) break;
-      instance.held.push(job);
-      instance.held = instance.held.filter((held) => !start(instance, held, now));
+      instance.unplaced.push(job);
+      instance.unplaced = instance.unplaced.filter((job) => !start(instance, job, now));
     }
-    instance.held = instance.held.filter((held) => !start(instance, held, now));
+    instance.unplaced = instance.unplaced.filter((job) => !start(instance, job, now));
   };
   const start = (instance: Instance, job: Job, now: number): boolean => {
     const placement = instance.scheduler.place(job, { now, random, avoid: new Set() });
-    const played = results.get(job.id);
-    if (placement.kind === "wait" || played === undefined) return false;
-    played.worker = placement.worker;
+    const request = results.get(job.id);
+    if (placement.kind === "wait" || request === undefined) return false;
+    request.worker = placement.worker;
     instance.running++;
-    const prefillLeft = uncached(job, placement.worker);
-    const sequence = { instance, played, job, prefillLeft, produced: 0, told: 0 };
+    const remainingPrefill = uncachedTokens(job, placement.worker);
+    const sequence = {
+      instance,
+      request,
+      job,
+      remainingPrefill,
+      producedTokens: 0,
+      deliveredTokens: 0,
+    };
     batches.get(placement.worker)?.push(sequence);
     return true;
   };
-  const uncached = (job: Job, worker: string): number => {
+  const uncachedTokens = (job: Job, worker: string): number => {
     const cache = caches.get(worker) ?? new Set();
     caches.set(worker, cache);
     const isNew = (block: string): boolean => !cache.has(block);
@@ -119,40 +126,45 @@
     for (const block of job.prefix) cache.add(block);
     return Math.max(1, job.promptTokens * part);
   };
-  const tell = (sequence: Sequence, now: number): void => {
-    const { job, played, instance } = sequence;
-    while (sequence.told < Math.floor(sequence.produced)) {
-      if (sequence.told === 0) {
-        played.firstTokenAt = now;
+  const deliverTokens = (sequence: Sequence, now: number): void => {
+    const { job, request, instance } = sequence;
+    while (sequence.deliveredTokens < Math.floor(sequence.producedTokens)) {
+      if (sequence.deliveredTokens === 0) {
+        request.firstTokenAt = now;
         instance.scheduler.firstToken(job.id, now);
       } else instance.scheduler.token(job.id, now);
-      sequence.told++;
+      sequence.deliveredTokens++;
     }
   };
   const finish = (sequence: Sequence, now: number): void => {
-    const { job, played, instance } = sequence;
-    played.endedAt = now;
+    const { job, request, instance } = sequence;
+    request.endedAt = now;
     instance.running--;
-    const answerTokens = played.arrival.answerTokens;
+    const answerTokens = request.arrival.answerTokens;
     instance.scheduler.runEnded(job.id, RunEnd.Complete, { now, answerTokens });
     instance.scheduler.settled(job, now);
   };
-  const compute = (worker: Worker, now: number): void => {
+  const runWorker = (worker: Worker, now: number): void => {
     const batch = batches.get(worker.id) ?? [];
     const machine = settings.policy.machineClasses[worker.machineClass];
     const slowness = settings.slowness?.(worker.id, now) ?? 1;
-    let prefill = ((machine?.prefillPerSecond ?? 0) * STEP) / 1_000 / slowness;
-    const decoding = batch.filter(({ prefillLeft }) => prefillLeft <= 0);
-    const pace = decodePace(machine?.tokensPerSecond ?? 0, decoding.length) / slowness;
-    for (const sequence of decoding) sequence.produced += (pace * STEP) / 1_000;
+    let prefill = ((machine?.prefillPerSecond ?? 0) * STEP_MS) / 1_000 / slowness;
+    const decoding = batch.filter(({ remainingPrefill }) => remainingPrefill <= 0);
+    const rate = tokensPerSequence(machine?.tokensPerSecond ?? 0, decoding.length) / slowness;
+    for (const sequence of decoding) sequence.producedTokens += (rate * STEP_MS) / 1_000;
     for (const sequence of byPriority(batch)) {
-      const done = Math.min(prefill, sequence.prefillLeft);
-      sequence.prefillLeft -= done;
+      const done = Math.min(prefill, sequence.remainingPrefill);
+      sequence.remainingPrefill -= done;
       prefill -= done;
-      sequence.produced = Math.min(sequence.produced, sequence.played.arrival.answerTokens);
-      tell(sequence, now);
+      sequence.producedTokens = Math.min(
+        sequence.producedTokens,
+        sequence.request.arrival.answerTokens,
+      );
+      deliverTokens(sequence, now);
     }
-    const ended = batch.filter(({ told, played }) => told >= played.arrival.answerTokens);
+    const ended = batch.filter(
+      ({ deliveredTokens, request }) => deliveredTokens >= request.arrival.answerTokens,
+    );
     batches.set(
       worker.id,
       batch.filter((sequence) => !ended.includes(sequence)),
@@ -161,7 +173,7 @@
   };
   const reportAll = (now: number): void => {
     for (const { id } of settings.workers) {
-      late.push({ at: now, worker: id, running: batches.get(id)?.length ?? 0 });
+      pendingReports.push({ at: now, worker: id, running: batches.get(id)?.length ?? 0 });
     }
     settings.observe?.(
       now,
@@ -169,27 +181,31 @@
     );
   };
   const deliverReports = (now: number): void => {
-    for (let due = late[0]; due !== undefined && due.at + REPORT_LAG <= now; due = late[0]) {
-      late.shift();
+    for (
+      let due = pendingReports[0];
+      due !== undefined && due.at + REPORT_DELAY <= now;
+      due = pendingReports[0]
+    ) {
+      pendingReports.shift();
       const { at, worker, running } = due;
       const report = { worker, takenAt: at, running, waiting: 0, cacheTokens: 0, loaded: [] };
       const full = { ...report, cacheCapacity: 1_000_000 };
       for (const { scheduler } of instances) scheduler.report(full, now);
     }
   };
-  for (let now = 0; now < settings.length; now += STEP) {
-    if (now % REPORT_EVERY === 0) reportAll(now);
+  for (let now = 0; now < settings.duration; now += STEP_MS) {
+    if (now % REPORT_INTERVAL === 0) reportAll(now);
     deliverReports(now);
     for (
       let due = arrivals[next];
       due !== undefined && due.arrivedAt <= now;
       due = arrivals[next]
     ) {
-      takeIn(due, now);
+      admit(due, now);
       next++;
     }
     for (const instance of instances) dispatch(instance, now);
-    for (const worker of settings.workers) compute(worker, now);
+    for (const worker of settings.workers) runWorker(worker, now);
   }
   return [...results.values()];
 }
@@ -201,17 +217,17 @@
 }
 
 /** Tokens a second that each of a batch gets: at most 40 alone, and the batch's full speed shared. */
-function decodePace(tokensPerSecond: number, batch: number): number {
+function tokensPerSequence(tokensPerSecond: number, batch: number): number {
   return Math.min(40, tokensPerSecond / Math.max(1, batch));
 }
 
-function createInstance(settings: PlaySettings, count: number): Instance {
+function createInstance(settings: SimulationSettings, count: number): Instance {
   const scheduler = createScheduler(settings.policy);
   scheduler.setInstances(count, 0);
   scheduler.setWorkers(settings.workers, 0);
   const service = settings.workers[0]?.service ?? "";
   const queueClass = createFairQueueClass<Job>(scheduler.queueOptions(service));
-  return { scheduler, queue: new queueClass(), held: [], running: 0 };
+  return { scheduler, queue: new queueClass(), unplaced: [], running: 0 };
 }
 
 /** Workers of one service over four availability zones, named `w0` and so on. */
@@ -228,7 +244,7 @@
 }
 
 /** A repeatable lookup of the account `club`, changed as given. */
-export function someArrival(changes: Partial<PlayedArrival> = {}): PlayedArrival {
+export function someArrival(changes: Partial<SimulatedArrival> = {}): SimulatedArrival {
   const arrivedAt = changes.arrivedAt ?? 0;
   return {
     id: "request",
@@ -263,10 +279,16 @@
 };
 
 /** Arrivals at even distances with some jitter, `perSecond` of them from `from` until `until`. */
-export function steady(
+export function generateArrivals(
   perSecond: number,
-  options: { from: number; until: number; seed: number; of?: Partial<PlayedArrival>; name: string },
-): PlayedArrival[] {
+  options: {
+    from: number;
+    until: number;
+    seed: number;
+    of?: Partial<SimulatedArrival>;
+    name: string;
+  },
+): SimulatedArrival[] {
   const random = createSeededRandom(options.seed);
   const count = Math.floor(((options.until - options.from) * perSecond) / 1_000);
   return Array.from({ length: count }, (_, index) => {
@@ -283,8 +305,8 @@
 }
 
 /** Milliseconds to the first token of all that came, of requests whose id begins so. */
-export function firstTokenTimes(played: readonly Played[], name: string): number[] {
-  const named = played.filter(({ arrival }) => arrival.id.startsWith(name));
+export function firstTokenTimes(requests: readonly SimulatedRequest[], name: string): number[] {
+  const named = requests.filter(({ arrival }) => arrival.id.startsWith(name));
   return named
     .filter(({ firstTokenAt }) => firstTokenAt !== undefined)
     .map(({ arrival, firstTokenAt }) => (firstTokenAt ?? 0) - arrival.arrivedAt);
--- a/src/decision/worker_choice.ts
+++ b/src/decision/worker_choice.ts
@@ -8,42 +8,42 @@
 import { placementCost, sample, sampleSize } from "./placement.ts";
 import type { Candidate } from "./placement.ts";
 import type { ServicePolicy } from "./policy.ts";
-import type { PrefixBelief } from "./prefix_belief.ts";
+import type { PrefixCacheIndex } from "./prefix_cache_index.ts";
 import type { ReclaimRisk } from "./reclaim_risk.ts";
-import { fitsMemory, prefillFactor, usableLimit } from "./worker_pool.ts";
+import { fitsMemory, prefillFactor, effectiveLimit } from "./worker_pool.ts";
 import type { PoolWorker, ServicePool } from "./worker_pool.ts";
 
 /** The worker that was chosen. */
-export interface Choice {
+export interface WorkerChoice {
   readonly worker: PoolWorker;
   /** Prompt tokens that it is expected to compute. */
-  readonly computes: number;
+  readonly uncachedTokens: number;
 }
 
 /** What the choice is made from. */
-export interface ChoiceView {
+export interface WorkerChoiceView {
   readonly now: number;
   readonly random: Random;
   readonly avoid: ReadonlySet<string>;
   readonly service: ServicePool;
   readonly target: ServicePolicy["target"];
-  readonly belief: PrefixBelief;
-  readonly risk: ReclaimRisk;
+  readonly prefixCache: PrefixCacheIndex;
+  readonly reclaimRisk: ReclaimRisk;
   /** This entry instance's availability zone. */
   readonly zone: string | undefined;
   /** Workers used beyond this part of their limit are left out; 1 and above where not given. */
-  readonly greatestUse: number | undefined;
+  readonly maxUtilization: number | undefined;
 }
 
 /** Chooses the worker for a job; undefined where none has room. */
-export function chooseWorker(job: Job, view: ChoiceView): Choice | undefined {
-  const cached = view.belief.match(job.prefix, view.now);
+export function chooseWorker(job: Job, view: WorkerChoiceView): WorkerChoice | undefined {
+  const cached = view.prefixCache.match(job.prefix, view.now);
   const { open, workers } = view.service;
   const drawn = sample(open, { count: sampleSize(open.length), random: view.random });
   const holders = [...cached.keys()].map((id) => workers.get(id));
-  const few = [...drawn, ...holders].filter((entry) => entry !== undefined);
-  const best = cheapest(job, { candidates: few, cached, view });
-  // Under saturation the few that were drawn may all be unfit for this job while another one isn't.
+  const sampled = [...drawn, ...holders].filter((entry) => entry !== undefined);
+  const best = cheapest(job, { candidates: sampled, cached, view });
+  // Under saturation the sampled that were drawn may all be unfit for this job while another one isn't.
   return best ?? cheapest(job, { candidates: open, cached, view });
 }
 
@@ -52,53 +52,53 @@
   options: {
     candidates: readonly PoolWorker[];
     cached: ReadonlyMap<string, number>;
-    view: ChoiceView;
+    view: WorkerChoiceView;
   },
-): Choice | undefined {
+): WorkerChoice | undefined {
   const { cached, view } = options;
-  let best: Choice | undefined;
-  let least = Number.POSITIVE_INFINITY;
+  let best: WorkerChoice | undefined;
+  let minCost = Number.POSITIVE_INFINITY;
   for (const entry of options.candidates) {
-    if (!isFit(job, entry, view)) continue;
-    const candidate = candidateOf(entry, { job, cached, view });
+    if (!canTake(job, entry, view)) continue;
+    const candidate = toCandidate(entry, { job, cached, view });
     const cost = placementCost(job, candidate, view.target);
-    if (cost >= least) continue;
-    best = { worker: entry, computes: candidate.computes };
-    least = cost;
+    if (cost >= minCost) continue;
+    best = { worker: entry, uncachedTokens: candidate.uncachedTokens };
+    minCost = cost;
   }
   return best;
 }
 
-function isFit(job: Job, entry: PoolWorker, view: ChoiceView): boolean {
-  if (entry.room[job.lane] <= 0 || view.avoid.has(entry.worker.id)) return false;
+function canTake(job: Job, entry: PoolWorker, view: WorkerChoiceView): boolean {
+  if (entry.freeSlots[job.lane] <= 0 || view.avoid.has(entry.worker.id)) return false;
   if (!fitsMemory(entry, job.estimate.cacheTokens)) return false;
-  return view.greatestUse === undefined || useOf(entry, view.now) <= view.greatestUse;
+  return view.maxUtilization === undefined || utilization(entry, view.now) <= view.maxUtilization;
 }
 
-function useOf(entry: PoolWorker, now: number): number {
-  return entry.load.load() / Math.max(1, usableLimit(entry, now));
+function utilization(entry: PoolWorker, now: number): number {
+  return entry.load.load() / Math.max(1, effectiveLimit(entry, now));
 }
 
-function candidateOf(
+function toCandidate(
   entry: PoolWorker,
-  { job, cached, view }: { job: Job; cached: ReadonlyMap<string, number>; view: ChoiceView },
+  { job, cached, view }: { job: Job; cached: ReadonlyMap<string, number>; view: WorkerChoiceView },
 ): Candidate {
-  const { worker, machine, loaded, price } = entry;
-  const known = (cached.get(worker.id) ?? 0) * coveredPart(job);
+  const { worker, machine, loadedModels: loaded, price } = entry;
+  const cachedFraction = (cached.get(worker.id) ?? 0) * coveredFraction(job);
   return {
     worker: worker.id,
-    use: useOf(entry, view.now),
-    computes: job.promptTokens * (1 - known) + job.resumedTokens,
-    prefillAhead: entry.prefillAhead,
+    utilization: utilization(entry, view.now),
+    uncachedTokens: job.promptTokens * (1 - cachedFraction) + job.resumedTokens,
+    queuedPrefillTokens: entry.queuedPrefillTokens,
     prefillPerSecond: machine.prefillPerSecond / prefillFactor(view.service),
-    risk: view.risk.chance(worker, view.now),
-    modelLoaded: job.model === "" || loaded.size === 0 || loaded.has(job.model),
-    sameZone: view.zone === undefined || view.zone === worker.zone,
-    price: price / Math.max(price, view.service.dearest, Number.MIN_VALUE),
+    reclaimRisk: view.reclaimRisk.probability(worker, view.now),
+    isModelLoaded: job.model === "" || loaded.size === 0 || loaded.has(job.model),
+    isSameZone: view.zone === undefined || view.zone === worker.zone,
+    price: price / Math.max(price, view.service.maxPrice, Number.MIN_VALUE),
   };
 }
 
 /** The part of the prompt that its list of hashes covers. */
-function coveredPart({ promptTokens, prefixTokens = promptTokens }: Job): number {
+function coveredFraction({ promptTokens, prefixTokens = promptTokens }: Job): number {
   return Math.min(1, prefixTokens / Math.max(1, promptTokens));
 }
