--- a/src/decision/concurrency_limit.ts
+++ b/src/decision/concurrency_limit.ts
@@ -37,7 +37,7 @@
   /** Jobs that may run at once, from all entry instances; at least 1. */
   value(): number;
   /** Jobs beyond which the server was seen to hold back; infinite while it wasn't. */
-  ceiling(): number;
+  serverCeiling(): number;
   /** The limit's first value, from the machine class alone. */
   readonly initial: number;
   /** A gap between two tokens, in milliseconds. */
@@ -150,7 +150,7 @@
   return {
     initial,
     value: () => Math.floor(limit),
-    ceiling: () => ceiling,
+    serverCeiling: () => ceiling,
     recordGap: (milliseconds) => countSample(gaps, milliseconds, target.betweenTokens),
     recordFirstToken: (milliseconds) => countSample(firstTokens, milliseconds, firstTokenThreshold),
     recordLoad: (now) => {
--- a/src/decision/fleet.ts
+++ b/src/decision/fleet.ts
@@ -15,9 +15,9 @@
  */
 import { smoothDemand, requiredCapacity } from "./fleet_need.ts";
 import { countCapacity, chooseLaunches } from "./fleet_pools.ts";
-import type { Capacity } from "./fleet_pools.ts";
+import type { ServiceCapacity } from "./fleet_pools.ts";
 import { chooseRetirements, hasSurplus, MIN_HOLD_TIME } from "./fleet_surplus.ts";
-import type { FleetPlan, FleetView, Level, Pool, ServiceDemand } from "./fleet_view.ts";
+import type { FleetPlan, FleetView, SmoothedDemand, Pool, ServiceDemand } from "./fleet_view.ts";
 
 /**
  * Plans the fleet.
@@ -34,7 +34,7 @@
     retire: plans.flatMap(({ retire }) => retire),
     memory: {
       surplusSince: Object.fromEntries(since),
-      levels: Object.fromEntries(plans.map(({ service, level }) => [service, level])),
+      smoothedDemand: Object.fromEntries(plans.map(({ service, level }) => [service, level])),
     },
   };
 }
@@ -44,13 +44,13 @@
   readonly launches: readonly Pool[];
   readonly retire: readonly string[];
   readonly surplusSince: number | undefined;
-  readonly level: Level;
+  readonly level: SmoothedDemand;
 }
 
 function planService(demand: ServiceDemand, view: FleetView): ServicePlan {
   const { service } = demand;
   const capacity = countCapacity(demand, view);
-  const before = view.memory?.levels?.[service];
+  const before = view.memory?.smoothedDemand?.[service];
   const level = smoothDemand(demand, { before, now: view.now });
   const required = requiredCapacity(demand, { level, startUp: capacity.startUp });
   const launches = chooseLaunches(demand, { view, required, capacity });
@@ -68,6 +68,6 @@
  * the worker for just as long costs the same. Whoever gives it back then pays at most twice what knowing
  * the future would have cost.
  */
-function minHoldTime(capacity: Capacity): number {
+function minHoldTime(capacity: ServiceCapacity): number {
   return Math.max(MIN_HOLD_TIME, capacity.startUp);
 }
--- a/src/decision/fleet_need.ts
+++ b/src/decision/fleet_need.ts
@@ -19,7 +19,7 @@
  *
  * @module
  */
-import type { Level, ServiceDemand } from "./fleet_view.ts";
+import type { SmoothedDemand, ServiceDemand } from "./fleet_view.ts";
 
 /** What a service needs, in tokens of work a second. */
 export interface RequiredCapacity {
@@ -43,8 +43,8 @@
 /** Brings the smoothed demand up to now. */
 export function smoothDemand(
   { arriving }: ServiceDemand,
-  { before, now }: { before: Level | undefined; now: number },
-): Level {
+  { before, now }: { before: SmoothedDemand | undefined; now: number },
+): SmoothedDemand {
   if (before === undefined) {
     return { mean: arriving, deviation: arriving * INITIAL_DEVIATION, at: now };
   }
@@ -59,7 +59,7 @@
 /** Works out what a service needs. */
 export function requiredCapacity(
   { arriving, arrivedBefore, waiting }: ServiceDemand,
-  { level, startUp }: { level: Level; startUp: number },
+  { level, startUp }: { level: SmoothedDemand; startUp: number },
 ): RequiredCapacity {
   const change = arriving - Math.max(arrivedBefore, level.mean - level.deviation);
   const isRise = change > RISE_DEVIATIONS * level.deviation;
--- a/src/decision/fleet_pools.ts
+++ b/src/decision/fleet_pools.ts
@@ -24,7 +24,7 @@
 import type { RequiredCapacity } from "./fleet_need.ts";
 
 /** One worker as the plan counts it. */
-export interface Unit {
+export interface PlannedWorker {
   /** The worker's id; undefined for one that is being launched. */
   readonly id: string | undefined;
   readonly zone: string;
@@ -34,8 +34,8 @@
 }
 
 /** What a service has and what is launching. */
-export interface Capacity {
-  readonly units: readonly Unit[];
+export interface ServiceCapacity {
+  readonly units: readonly PlannedWorker[];
   readonly launching: number;
   /** Milliseconds until a launch takes work. */
   readonly startUp: number;
@@ -47,12 +47,12 @@
 const MAX_BACKOFF = 300_000;
 
 /** Counts a service's workers that stay, and its launches under way. */
-export function countCapacity(demand: ServiceDemand, view: FleetView): Capacity {
+export function countCapacity(demand: ServiceDemand, view: FleetView): ServiceCapacity {
   const staying = demand.workers.filter(
     ({ state, reclaimAt }) =>
       reclaimAt === undefined && (state === WorkerState.Live || state === WorkerState.Starting),
   );
-  const running = staying.map((worker): Unit => {
+  const running = staying.map((worker): PlannedWorker => {
     const pool = view.pools.find((one) => isPoolOf(one, worker));
     const { id, zone, purchase } = worker;
     const { tokensPerSecond = 0, price = 0 } = pool ?? {};
@@ -60,7 +60,7 @@
   });
   const launching = view.launching
     .filter(({ service }) => service === demand.service)
-    .map(({ pool }): Unit => unitOf(pool));
+    .map(({ pool }): PlannedWorker => unitOf(pool));
   const startUp = Math.max(0, ...view.pools.map((pool) => pool.startUp));
   return { units: [...running, ...launching], launching: launching.length, startUp };
 }
@@ -68,12 +68,12 @@
 /** Chooses the pools to launch in now, one entry a worker. */
 export function chooseLaunches(
   demand: ServiceDemand,
-  { view, required, capacity }: { view: FleetView; required: RequiredCapacity; capacity: Capacity },
+  { view, required, capacity }: { view: FleetView; required: RequiredCapacity; capacity: ServiceCapacity },
 ): Pool[] {
   const units = [...capacity.units];
   const launches: Pool[] = [];
   const maxLaunches = Math.min(demand.most - units.length, launchLimit(demand, { view, capacity }));
-  while (launches.length < maxLaunches && isShort(units, { demand, required })) {
+  while (launches.length < maxLaunches && isUnderProvisioned(units, { demand, required })) {
     const pool = bestPool(units, { demand, view, required });
     if (pool === undefined) break;
     launches.push(pool);
@@ -83,8 +83,8 @@
 }
 
 /** Says whether workers are missingSpeed, by number or by what they can do. */
-export function isShort(
-  units: readonly Unit[],
+export function isUnderProvisioned(
+  units: readonly PlannedWorker[],
   { demand, required }: { demand: ServiceDemand; required: RequiredCapacity },
 ): boolean {
   return (
@@ -94,18 +94,18 @@
 }
 
 /** Tokens of work a second that are missingSpeed, usually and after the loss of the fullest zone. */
-function missingSpeed(units: readonly Unit[], required: RequiredCapacity): number {
+function missingSpeed(units: readonly PlannedWorker[], required: RequiredCapacity): number {
   const total = totalSpeed(units);
   const usual = Math.max(0, required.usual - total);
   return usual + Math.max(0, required.afterZoneLoss - (total - maxReclaimableZoneSpeed(units)));
 }
 
-function totalSpeed(units: readonly Unit[]): number {
+function totalSpeed(units: readonly PlannedWorker[]): number {
   return units.reduce((sum, unit) => sum + unit.tokensPerSecond, 0);
 }
 
 /** The speed that one zone's reclaimable workers have together, in the zone where it is greatest. */
-function maxReclaimableZoneSpeed(units: readonly Unit[]): number {
+function maxReclaimableZoneSpeed(units: readonly PlannedWorker[]): number {
   const zones = new Map<string, number>();
   for (const { zone, purchase, tokensPerSecond } of units) {
     if (purchase === Purchase.OnDemand) continue;
@@ -115,7 +115,7 @@
 }
 
 function bestPool(
-  units: readonly Unit[],
+  units: readonly PlannedWorker[],
   {
     demand,
     view,
@@ -142,11 +142,11 @@
   const backoff = Math.min(MAX_BACKOFF, INITIAL_BACKOFF * 2 ** Math.max(0, pool.refusals - 1));
   const isBackingOff = pool.refusals > 0 && view.now < (pool.refusedAt ?? 0) + backoff;
   return (
-    !isBackingOff && !(pool.purchase === Purchase.Reclaimable && hasReclaimNotice(pool.zone, view))
+    !isBackingOff && !(pool.purchase === Purchase.Reclaimable && zoneHasReclaimNotice(pool.zone, view))
   );
 }
 
-function hasReclaimNotice(zone: string, { services }: FleetView): boolean {
+function zoneHasReclaimNotice(zone: string, { services }: FleetView): boolean {
   return services.some(({ workers }) =>
     workers.some(
       (worker) =>
@@ -159,7 +159,7 @@
 
 function isWithinReclaimableShare(
   pool: Pool,
-  { units, demand }: { units: readonly Unit[]; demand: ServiceDemand },
+  { units, demand }: { units: readonly PlannedWorker[]; demand: ServiceDemand },
 ): boolean {
   if (pool.purchase === Purchase.OnDemand) return true;
   const reclaimable = units.filter(({ purchase }) => purchase === Purchase.Reclaimable).length;
@@ -168,7 +168,7 @@
 
 function launchLimit(
   demand: ServiceDemand,
-  { view, capacity }: { view: FleetView; capacity: Capacity },
+  { view, capacity }: { view: FleetView; capacity: ServiceCapacity },
 ): number {
   const { weightStoreRate } = view;
   const weights = demand.weights ?? 0;
@@ -177,7 +177,7 @@
   return Math.max(1, concurrentLoads) - capacity.launching;
 }
 
-function unitOf({ zone, purchase, tokensPerSecond, price }: Pool): Unit {
+function unitOf({ zone, purchase, tokensPerSecond, price }: Pool): PlannedWorker {
   return { id: undefined, zone, purchase, tokensPerSecond, price };
 }
 
--- a/src/decision/fleet_surplus.ts
+++ b/src/decision/fleet_surplus.ts
@@ -17,8 +17,8 @@
 import { Purchase } from "../interface/index.ts";
 import type { ServiceDemand } from "./fleet_view.ts";
 import type { RequiredCapacity } from "./fleet_need.ts";
-import { isShort } from "./fleet_pools.ts";
-import type { Capacity, Unit } from "./fleet_pools.ts";
+import { isUnderProvisioned } from "./fleet_pools.ts";
+import type { ServiceCapacity, PlannedWorker } from "./fleet_pools.ts";
 
 /** Shorter surpluses are noise of a demand that is measured over a minute. */
 export const MIN_HOLD_TIME = 60_000;
@@ -30,7 +30,7 @@
 
 interface SurplusView {
   readonly required: RequiredCapacity;
-  readonly capacity: Capacity;
+  readonly capacity: ServiceCapacity;
 }
 
 /** Says whether the service has a worker too many. */
@@ -60,14 +60,14 @@
 }
 
 /** Lower is given back sooner: the dearest for its speed, then the emptiest. */
-function retirementRank(unit: Unit, demand: ServiceDemand): number {
+function retirementRank(unit: PlannedWorker, demand: ServiceDemand): number {
   const work = demand.inProgress[unit.id ?? ""] ?? 0;
   const price = unit.price / Math.max(1, unit.tokensPerSecond);
   return work / 1e9 - price;
 }
 
 function isSufficient(
-  rest: readonly Unit[],
+  rest: readonly PlannedWorker[],
   { demand, required }: { demand: ServiceDemand; required: RequiredCapacity },
 ): boolean {
   const speed = rest.reduce((sum, unit) => sum + unit.tokensPerSecond, 0);
@@ -80,11 +80,11 @@
     usual: required.usual * SPARE_FACTOR,
     afterZoneLoss: required.afterZoneLoss * SPARE_FACTOR,
   };
-  return !isShort(rest, { demand, required: withSpare });
+  return !isUnderProvisioned(rest, { demand, required: withSpare });
 }
 
 /** Giving back the last on-demand workers must not leave more than the preset's part reclaimable. */
-function keepsReclaimableShare(rest: readonly Unit[], demand: ServiceDemand): boolean {
+function keepsReclaimableShare(rest: readonly PlannedWorker[], demand: ServiceDemand): boolean {
   const reclaimable = rest.filter(({ purchase }) => purchase === Purchase.Reclaimable).length;
   return reclaimable <= Math.round(demand.reclaimable * rest.length);
 }
--- a/src/decision/fleet_view.ts
+++ b/src/decision/fleet_view.ts
@@ -60,7 +60,7 @@
   /** Since when a service has had more workers than it needs, by service. */
   readonly surplusSince: Readonly<Record<string, number>>;
   /** The smoothed demand, by service. */
-  readonly levels?: Readonly<Record<string, Level>>;
+  readonly smoothedDemand?: Readonly<Record<string, SmoothedDemand>>;
 }
 
 /** What is to be done now. */
@@ -72,7 +72,7 @@
 }
 
 /** A service's demand, smoothed, in tokens of work a second. */
-export interface Level {
+export interface SmoothedDemand {
   readonly mean: number;
   /** How far minutes usually are from the mean. */
   readonly deviation: number;
--- a/src/decision/loads.ts
+++ b/src/decision/loads.ts
@@ -30,18 +30,18 @@
 }
 
 /** What the decision about loads knows of one service. */
-export interface LoadsView {
+export interface ModelLoadsView {
   readonly now: number;
   readonly workers: readonly Worker[];
   /** What each worker has loaded, by worker id, as last reported or ordered. */
-  readonly loaded: ReadonlyMap<string, readonly string[]>;
+  readonly loadedModels: ReadonlyMap<string, readonly string[]>;
   readonly demand: readonly ModelDemand[];
   /** How many models, with adapters, fit on one worker. */
-  readonly perWorker: number;
+  readonly modelsPerWorker: number;
   /** Bytes a second of the weight store. */
   readonly weightStoreRate: number;
   /** Loads under way, over all workers. */
-  readonly loading: number;
+  readonly activeLoads: number;
 }
 
 /** What a worker is to be, in absolute terms. */
@@ -57,9 +57,9 @@
 const LOAD_WINDOW = 60;
 
 /** Plans the loads of a service; the result has an order for each worker that takes work. */
-export function planLoads(view: LoadsView): LoadOrder[] {
+export function planModelLoads(view: ModelLoadsView): LoadOrder[] {
   const workers = view.workers.filter(({ state }) => state === WorkerState.Live);
-  const modelsByWorker = new Map(workers.map(({ id }) => [id, [...(view.loaded.get(id) ?? [])]]));
+  const modelsByWorker = new Map(workers.map(({ id }) => [id, [...(view.loadedModels.get(id) ?? [])]]));
   const demand = [...view.demand].sort((a, b) => demandWeight(b) - demandWeight(a));
   const total = demand.reduce((sum, model) => sum + demandWeight(model), 0);
   const inDemand = new Set(demand.filter((one) => demandWeight(one) > 0).map(({ model }) => model));
@@ -68,7 +68,7 @@
     const holders = requiredHolders(model, { total, workers: workers.length });
     for (const models of candidates(modelsByWorker, model.model, view)) {
       if (countHolders(modelsByWorker, model.model) >= holders || byteBudget <= 0) break;
-      if (!freePlace(models, { inDemand, perWorker: view.perWorker, modelsByWorker })) continue;
+      if (!freePlace(models, { inDemand, modelsPerWorker: view.modelsPerWorker, modelsByWorker })) continue;
       models.push(model.model);
       byteBudget -= model.weights;
     }
@@ -84,8 +84,8 @@
   return arriving + waiting / LOAD_WINDOW;
 }
 
-function loadingBytes({ loading, demand }: LoadsView): number {
-  return loading * Math.max(0, ...demand.map(({ weights }) => weights));
+function loadingBytes({ activeLoads, demand }: ModelLoadsView): number {
+  return activeLoads * Math.max(0, ...demand.map(({ weights }) => weights));
 }
 
 function requiredHolders(
@@ -101,10 +101,10 @@
 function candidates(
   modelsByWorker: ReadonlyMap<string, string[]>,
   model: string,
-  { perWorker }: LoadsView,
+  { modelsPerWorker }: ModelLoadsView,
 ): string[][] {
   const without = [...modelsByWorker.values()].filter((models) => !models.includes(model));
-  return without.sort((a, b) => Math.min(a.length, perWorker) - Math.min(b.length, perWorker));
+  return without.sort((a, b) => Math.min(a.length, modelsPerWorker) - Math.min(b.length, modelsPerWorker));
 }
 
 function countHolders(modelsByWorker: ReadonlyMap<string, string[]>, model: string): number {
@@ -116,11 +116,11 @@
   models: string[],
   options: {
     inDemand: ReadonlySet<string>;
-    perWorker: number;
+    modelsPerWorker: number;
     modelsByWorker: ReadonlyMap<string, string[]>;
   },
 ): boolean {
-  if (models.length < options.perWorker) return true;
+  if (models.length < options.modelsPerWorker) return true;
   const unwanted = models.find((model) => !options.inDemand.has(model));
   const spare = models.find((model) => countHolders(options.modelsByWorker, model) > MIN_HOLDERS);
   const dropped = unwanted ?? spare;
--- a/src/decision/loads_test.ts
+++ b/src/decision/loads_test.ts
@@ -1,21 +1,21 @@
 import { expect, test } from "vitest";
-import { planLoads } from "./loads.ts";
-import type { LoadsView, ModelDemand } from "./loads.ts";
+import { planModelLoads } from "./loads.ts";
+import type { ModelLoadsView, ModelDemand } from "./loads.ts";
 import { someWorkers } from "./testing/load_play.ts";
 
 function demandFor(model: string, arriving: number): ModelDemand {
   return { model, arriving, waiting: 0, weights: 1_000 };
 }
 
-function someView(changes: Partial<LoadsView>): LoadsView {
+function someView(changes: Partial<ModelLoadsView>): ModelLoadsView {
   const workers = someWorkers(8);
-  const loaded = new Map(workers.map(({ id }) => [id, ["old", "idle"]]));
-  const rates = { perWorker: 2, weightStoreRate: 1_000, loading: 0 };
-  return { now: 0, workers, loaded, demand: [], ...rates, ...changes };
+  const loadedModels = new Map(workers.map(({ id }) => [id, ["old", "idle"]]));
+  const rates = { modelsPerWorker: 2, weightStoreRate: 1_000, activeLoads: 0 };
+  return { now: 0, workers, loadedModels, demand: [], ...rates, ...changes };
 }
 
-function holders(view: LoadsView, model: string): number {
-  return planLoads(view).filter(({ models }) => models.includes(model)).length;
+function holders(view: ModelLoadsView, model: string): number {
+  return planModelLoads(view).filter(({ models }) => models.includes(model)).length;
 }
 
 test("holders follow demand, at least two a model, and models without demand make room", () => {
@@ -26,17 +26,17 @@
   expect(holders(view, "new")).toBe(6);
   expect(holders(view, "rare")).toBe(2);
   expect(holders(view, "old")).toBeGreaterThanOrEqual(2);
-  expect(planLoads(view).every(({ models }) => models.length <= 2)).toBe(true);
+  expect(planModelLoads(view).every(({ models }) => models.length <= 2)).toBe(true);
 });
 
 test("only as many loads begin at once as the weight store feeds in a minute", () => {
   // All workers load at once: each gets an eighth of the rate, and none is ready for minutes.
-  const view = someView({ demand: [demandFor("new", 700)], weightStoreRate: 40, loading: 0 });
+  const view = someView({ demand: [demandFor("new", 700)], weightStoreRate: 40, activeLoads: 0 });
   expect(holders(view, "new")).toBe(3);
-  expect(holders({ ...view, loading: 3 }, "new")).toBe(0);
+  expect(holders({ ...view, activeLoads: 3 }, "new")).toBe(0);
 });
 
 test("nothing changes while what is loaded serves the demand", () => {
   const view = someView({ demand: [demandFor("old", 500)] });
-  expect(planLoads(view).every(({ models }) => models.join() === "old,idle")).toBe(true);
+  expect(planModelLoads(view).every(({ models }) => models.join() === "old,idle")).toBe(true);
 });
--- a/src/decision/reclaim_risk.ts
+++ b/src/decision/reclaim_risk.ts
@@ -42,7 +42,7 @@
   };
   return {
     observe: (workers, now) => {
-      const fresh = workers.filter((worker) => isUnderNotice(worker) && !seen.has(worker.id));
+      const fresh = workers.filter((worker) => hasReclaimNotice(worker) && !seen.has(worker.id));
       for (const worker of fresh) {
         seen.add(worker.id);
         const part = 1 / Math.max(1, reclaimableIn(workers, worker.zone));
@@ -59,7 +59,7 @@
 }
 
 /** Says whether the cloud has said that it takes the worker's instance. */
-export function isUnderNotice(worker: Worker): boolean {
+export function hasReclaimNotice(worker: Worker): boolean {
   return worker.reclaimAt !== undefined && worker.state !== WorkerState.Gone;
 }
 
--- a/src/decision/worker_pool.ts
+++ b/src/decision/worker_pool.ts
@@ -155,8 +155,8 @@
     // Scripts that run already may exceed a limit that has fallen. The places kept free are lookups' own
     // all the same: without them a desk would be turned away until the last of those scripts has ended.
     const reservedForLookups = Math.ceil(reserve / instances) - entry.ownLookups;
-    const belowCeiling = entry.limit.ceiling() - entry.load.load();
-    const lookupLimit = Math.min(limit * LOOKUP_OVERCOMMIT_FACTOR, entry.limit.ceiling());
+    const belowCeiling = entry.limit.serverCeiling() - entry.load.load();
+    const lookupLimit = Math.min(limit * LOOKUP_OVERCOMMIT_FACTOR, entry.limit.serverCeiling());
     const sharedSlots = entry.load.freeSlots(Math.ceil(lookupLimit), { ...sharing, factor: 2 });
     const lookups = Math.max(sharedSlots, Math.min(reservedForLookups, belowCeiling));
     const scripts = entry.load.freeSlots(Math.floor(limit - reserve), { ...sharing, factor: 1 });
