--- a/src/decision/account_usage.ts
+++ b/src/decision/account_usage.ts
@@ -1,15 +1,23 @@
-/** What each account has accepted and not ended at this instance, over all services. */
+/**
+ * Counts the requests and the tokens of work that each account has accepted and not ended at this
+ * instance, over all services.
+ *
+ * @module
+ */
 import type { Job } from "./job.ts";
 import type { ServiceState } from "./service_state.ts";
 
-/** The requests and tokens of work that each account holds. */
+/** The accepted and not ended requests of each account. */
 export interface AccountUsage {
+  /** Returns the account's number of requests. */
   jobs(account: string): number;
+  /** Returns the account's tokens of work, as estimated at admission. */
   work(account: string): number;
-  /** Jobs that wait, over all services. */
+  /** Returns the number of waiting jobs over all services. */
   waitingJobs(services: ReadonlyMap<string, ServiceState>): number;
+  /** Counts a job; a job that is already counted changes nothing. */
   add(job: Job): void;
-  /** Takes a job off; one that isn't jobs changes nothing. */
+  /** Removes a job; an unknown job changes nothing. */
   remove(job: Job): void;
 }
 
@@ -18,7 +26,7 @@
   work: number;
 }
 
-/** Makes an empty account of what is jobs. */
+/** Creates the usage with no requests. */
 export function createAccountUsage(): AccountUsage {
   const accounts = new Map<string, AccountTotals>();
   const jobs = new Map<string, Job>();
--- a/src/decision/admission.ts
+++ b/src/decision/admission.ts
@@ -1,103 +1,132 @@
 /**
- * What is let in.
+ * Decides whether a request is accepted or refused on arrival.
  *
- * Load that it answers: more work than the workers can do. Everything that is let in then waits longer
- * than the one before, until all answers are late and none is of use: at twice the capacity, one would
- * notice full machines and hardly an answer within its target. Refusing late is as bad: the caller has
- * waited for nothing.
+ * Load: more work than the workers can do. Symptom without this module: every accepted request
+ * waits longer than the one before it until all answers are late; at twice the capacity the
+ * machines are full and hardly any answer meets its target. A late refusal is as bad, because the
+ * caller has waited for nothing.
  *
- * So a request is turned away at once where its first token, or its end, can't come in time behind what is
- * ahead of it; what is let in is never shed later. The wait is predicted for the account: behind its own
- * waiting work at its fair part of the speed, and never behind more than all that waits. An account that
- * asks for little is let in while one that floods the service is turned away.
+ * Mechanism: a request is refused at once if its first token or its end can't be in time behind the
+ * work ahead of it. Accepted work is never shed later. The wait is predicted per account: behind
+ * the account's own waiting work at its fair share of the speed, and never behind more than all
+ * waiting work. An account that asks for little is therefore accepted while one that floods the
+ * service is refused.
  *
- * Predictions are held against what then happened, those of work ahead and those of a free place apart:
- * the ratio's 95th percentile corrects the next ones, so
- * that a speed that is stated or measured wrongly shows in refusals, not in late answers. Where nothing
- * waits and a worker has room a request is let in whatever was learned: otherwise one slow spell would
- * teach that nothing can be met and nothing would come to teach otherwise.
+ * Each prediction is compared with the wait that followed, separately for queued work and for free
+ * slots. A percentile of the ratio corrects later predictions, so a wrong stated or measured speed
+ * leads to refusals rather than to late answers. If nothing waits and a worker has a free slot, the
+ * request is accepted whatever was learned; otherwise one slow period would cause every request to
+ * be refused, and no new samples would arrive to correct that.
  *
- * The time to come back is when the work ahead will have gone, plus a turn for each request that was told
- * the same before: told the same moment, they would all come back at once and be turned away again.
+ * The retry delay of a refusal is the time in which the work ahead will be done, plus the time of
+ * one request for each request that was refused before it. Without that spacing all refused callers
+ * would come back at the same time and be refused again.
  *
  * @module
  */
 import { Refusal } from "../interface/index.ts";
 import type { AccountPolicy, ServicePolicy } from "./policy.ts";
 
-/** What the decision knows of the service, its waiting work and the account. */
+/**
+ * The state of the service, its queue and the account on which an admission decision is based.
+ * Times are in milliseconds; `now` and `deadlineAt` are clock times.
+ */
 export interface AdmissionView {
   readonly now: number;
   readonly deadlineAt: number;
+  /** Whether no caller waits for the first token. */
   readonly detached: boolean;
+  /** The request's expected tokens of work and its service time in milliseconds. */
   readonly estimate: { readonly work: number; readonly serviceTime: number };
+  /** The latency targets of the service. */
   readonly target: ServicePolicy["target"];
-  /** Tokens of work a second that the lane can count on here. */
+  /** Tokens of work per second that the lane can count on at this instance. */
   readonly rate: number;
-  /** A worker has room for the lane now. */
+  /** Whether a worker has a free slot for the lane now. */
   readonly hasFreeSlot: boolean;
-  /** Live workers, in use or not. */
+  /** Number of live workers, idle or busy. */
   readonly liveWorkers: number;
-  /** Milliseconds until one of this instance's runs ends, on the average. */
+  /** Mean milliseconds until one of this instance's runs ends. */
   readonly freeSlotInterval: number;
   /** Jobs that wait on this instance, over all services. */
   readonly totalWaitingJobs: number;
-  /** Tokens of work that wait in the lane, and those of the account that would go first. */
+  /** Tokens of work that wait in the lane. */
   readonly waitingWork: number;
+  /** Tokens of the account's own work in the lane that would go first. */
   readonly accountWaitingWork: number;
-  /** The account's weight, and that of all accounts with waiting work in the lane, this one included. */
+  /** The account's weight. */
   readonly weight: number;
+  /** The sum of the weights of all accounts with waiting work in the lane, this one included. */
   readonly activeWeight: number;
-  /** What waits for work ahead came to, as a multiple of their predictions. */
+  /** The factor that corrects predicted waits for queued work. */
   readonly queueCorrection: number;
-  /** The same for waits for a place. */
+  /** The factor that corrects predicted waits for a free slot. */
   readonly freeSlotCorrection: number;
-  /** Milliseconds from dispatch to first token for nine jobs in ten; undefined before enough were seen. */
+  /**
+   * The 90th percentile of the milliseconds from dispatch to first token; undefined until enough
+   * samples have been received.
+   */
   readonly firstTokenLatency: number | undefined;
-  /** The account's requests and tokens of work that were accepted and have not ended. */
+  /** The account's requests that were accepted and have not ended. */
   readonly accountJobs: number;
+  /** Tokens of work of those requests. */
   readonly accountWork: number;
-  /** The account's bounds on this instance; undefined for an account without bounds. */
+  /** The account's limits on this instance; undefined for an account without limits. */
   readonly limits: Pick<AccountPolicy, "maxRequests" | "maxTokens"> | undefined;
-  /** Until when room is promised to requests that were turned away before. */
+  /**
+   * The time up to which capacity is reserved for the retries of requests that were refused before.
+   */
   readonly reservedUntil: number;
 }
 
-/** What a wait mostly consists of. */
+/** The main component of a predicted wait. */
 export enum WaitKind {
-  /** Work of the own account that goes first. */
+  /** Work of the same account that goes first. */
   QueuedWork = "ahead",
-  /** The time until a place becomes free. */
+  /** The time until a slot becomes free. */
   FreeSlot = "slotWait",
 }
 
-/** A predicted wait, in milliseconds. */
+/** A predicted wait, in milliseconds, and its main component. */
 export interface PredictedWait {
   readonly wait: number;
   readonly kind: WaitKind;
 }
 
-/** Whether the request is let in. */
+/** The result of an admission decision; `retryAfter` is in milliseconds. */
 export type AdmissionDecision =
   | { readonly kind: "admit"; readonly predicted: PredictedWait }
   | { readonly kind: "refuse"; readonly reason: Refusal; readonly retryAfter: number };
 
-/** At some 16 kB a record, 160 MB: what a small instance can spare for work that waits. */
+/**
+ * Jobs waiting on one instance. At about 16 kB per record this is 160 MB, which a small instance
+ * can spare for waiting work.
+ */
 const MAX_WAITING_JOBS = 10_000;
-/** Waits are learned in steps of 9 in 100 either way: so much of the target is left for that error. */
+/**
+ * The fraction of the first-token target that is used. Waits are learned in steps of 9 in 100
+ * either way, so the rest is kept for that error.
+ */
 const TARGET_FRACTION = 0.91;
-/** A part of the first token's target that waiting may use in any case. */
+/** The fraction of the first-token target that a request may spend waiting in any case. */
 const MIN_WAIT_FRACTION = 1 / 3;
-/** A part of the time left that waiting may use where the service time alone seems too long. */
+/**
+ * The fraction of the time left that a request may spend waiting if its estimated service time
+ * alone is too long.
+ */
 const MIN_TIME_FRACTION = 0.1;
-/** Below it a caller's own round trips are longer than what it is told to wait. */
+/** Milliseconds. A caller's own round trips take longer than a shorter delay. */
 const MIN_RETRY_AFTER = 250;
-/** Beyond a minute a prediction of load means little. */
+/** Milliseconds. Load predictions beyond a minute have little value. */
 const MAX_RETRY_AFTER = 60_000;
-/** Without a worker nothing can be predicted: a start takes about this long. */
+/** Milliseconds. Without a worker nothing can be predicted; starting one takes about this long. */
 const NO_WORKER_RETRY_AFTER = 30_000;
 
-/** Lets a request in or turns it away. */
+/**
+ * Decides whether to accept a request.
+ *
+ * @returns The predicted wait, or the reason for the refusal with the delay before a retry.
+ */
 export function decideAdmission(view: AdmissionView): AdmissionDecision {
   const limitRefusal = checkLimits(view);
   if (limitRefusal !== undefined) return limitRefusal;
@@ -112,7 +141,12 @@
   return refuse(Refusal.TooLate, retryDelay(view, excess));
 }
 
-/** How long the request is expected to wait before it is dispatched. */
+/**
+ * Predicts how long a request will wait before dispatch.
+ *
+ * @returns The wait in milliseconds; infinite if the request isn't detached and the lane makes no
+ * progress.
+ */
 export function predictWait(view: AdmissionView): PredictedWait {
   const nothingAhead = view.waitingWork === 0;
   if (nothingAhead && view.hasFreeSlot) return { wait: 0, kind: WaitKind.FreeSlot };
@@ -129,7 +163,7 @@
   };
 }
 
-/** Milliseconds that the request may wait and still be in time. */
+/** Returns how many milliseconds the request may wait and still meet its targets. */
 function maxWait(view: AdmissionView): number {
   const left = view.deadlineAt - view.now;
   const untilDeadline = Math.max(left - view.estimate.serviceTime, left * MIN_TIME_FRACTION);
@@ -149,14 +183,17 @@
   }
   if (limits === undefined) return undefined;
   const exceedsRequests = accountJobs + 1 > limits.maxRequests;
-  // A single request above the whole bound is let in alone: it could never be let in otherwise.
+  // A single request above the whole limit is accepted if the account has no other work; otherwise
+  // it could never be accepted.
   const exceedsTokens = accountJobs > 0 && accountWork + estimate.work > limits.maxTokens;
   if (!exceedsRequests && !exceedsTokens) return undefined;
   const excessWork = Math.max(estimate.work, accountWork + estimate.work - limits.maxTokens);
   return refuse(Refusal.AccountLimit, drainTime(view, excessWork));
 }
 
-/** Milliseconds in which the account's part of the speed does so much work. */
+/**
+ * Returns the milliseconds in which the account's share of the speed does this many tokens of work.
+ */
 function drainTime(view: AdmissionView, work: number): number {
   const rate = (view.rate * view.weight) / Math.max(view.weight, view.activeWeight);
   return rate <= 0 ? MAX_RETRY_AFTER : (work * 1_000) / rate;
--- a/src/decision/admission_test.ts
+++ b/src/decision/admission_test.ts
@@ -39,30 +39,31 @@
 }
 
 describe("admission", () => {
-  test("a request that can't be in time is turned away at once, with a time that fits the load", () => {
-    // Two seconds of the account's own work wait and 400 ms are allowed. Let in, it would be late; told to
-    // come back after a fixed second, it would be turned away again.
+  test("refuses a request that can't be in time, with a retry delay that fits the load", () => {
+    // Two seconds of the account's own work wait and 400 ms are allowed. An accepted request would
+    // be late; with a fixed retry delay of one second it would be refused again.
     const verdict = decideAdmission(someView({ waitingWork: 2_000, accountWaitingWork: 2_000 }));
     expect(reasonOf(verdict)).toBe(Refusal.TooLate);
     expect(retryAfter(verdict)).toBeGreaterThan(1_600);
     expect(retryAfter(verdict)).toBeLessThan(2_500);
   });
 
-  test("those turned away together aren't told to come back together", () => {
+  test("spaces the retry delays of requests refused at the same time", () => {
     const view = someView({ waitingWork: 2_000, accountWaitingWork: 2_000 });
     const first = retryAfter(decideAdmission(view));
     const second = retryAfter(decideAdmission({ ...view, reservedUntil: first }));
     expect(second - first).toBe(50);
   });
 
-  test("an account waits behind its own work, not behind all of another's", () => {
-    // Ten seconds of a large club's work wait. A small one's question is next in its own line.
+  test("an account waits behind its own work, not behind all work of another account", () => {
+    // Ten seconds of another account's work wait. The small account's request is next in its own
+    // queue.
     const view = someView({ waitingWork: 10_000, activeWeight: 2 });
     expect(decideAdmission(view).kind).toBe("admit");
     expect(decideAdmission({ ...view, accountWaitingWork: 10_000 }).kind).toBe("refuse");
   });
 
-  test("detached work is let in up to its deadline, and without workers too", () => {
+  test("accepts detached work up to its deadline, also without workers", () => {
     const night = { detached: true, deadlineAt: 8 * 3_600_000 };
     const deep = { waitingWork: 1_000_000, accountWaitingWork: 1_000_000 };
     expect(decideAdmission(someView({ ...night, ...deep })).kind).toBe("admit");
@@ -71,15 +72,15 @@
     expect(reasonOf(decideAdmission(someView({ liveWorkers: 0 })))).toBe(Refusal.NoBackendServer);
   });
 
-  test("an idle worker is used whatever was learned", () => {
-    // A slow spell taught that first tokens take ten seconds. Were everything turned away for it, nothing
-    // would ever teach that the spell is over.
+  test("uses an idle worker whatever latency was learned", () => {
+    // A slow period taught that first tokens take ten seconds. If every request were refused
+    // because of it, no sample would ever show that the period is over.
     expect(decideAdmission(someView({ hasFreeSlot: true, firstTokenLatency: 10_000 })).kind).toBe(
       "admit",
     );
   });
 
-  test("an account's bounds count work as well as requests", () => {
+  test("an account's limits apply to work as well as to requests", () => {
     const bounds = { maxRequests: 10, maxTokens: 1_000 };
     const few = someView({ hasFreeSlot: true, limits: bounds, accountJobs: 2, accountWork: 990 });
     expect(reasonOf(decideAdmission(few))).toBe(Refusal.AccountLimit);
--- a/src/decision/concurrency_limit.ts
+++ b/src/decision/concurrency_limit.ts
@@ -1,32 +1,35 @@
 /**
- * How many jobs a worker may run at once, learned from the times that its tokens take.
+ * Learns how many jobs a worker may run at once from the gaps between its tokens.
  *
- * Load that it answers: under continuous batching a backend server takes whatever it is sent and shares its
- * speed among all; too many make every token late, too few waste a machine that is paid for. The right
- * number depends on the machine, the model, the prompts and the server's health, and changes while it runs.
- * With a fixed number one would notice either gaps above the target at every peak, or a fleet that costs
+ * Load: under continuous batching a backend server accepts whatever it is sent and shares its speed
+ * among all jobs. Too many jobs make every token late; too few leave a paid machine idle. The right
+ * number depends on the machine, the model, the prompts and the server's health, and it changes
+ * over time. A fixed number would cause gaps above the target at every peak, or a fleet that costs
  * half as much again as the work needs.
  *
- * The target between tokens is known, so the limit needs no search for the point where delay begins: once
- * a second it looks at the part of the gaps that were above the target, the last seconds' with less weight,
- * because a long prompt lengthens the gaps of a second or two and the target allows that for 5 in 100.
- * Beyond 5 in 100 the limit falls by as much as those gaps were too long, at maxRunning by 30 in 100 at a time and
- * from the load that was measured rather than from a limit that was never reached. Where fewer than 5 in 100
- * come near the target (85 in 100 of it) the limit rises by 5 in 100, and only where all places but one
- * were in use: the short gaps of a worker that is half idle prove nothing. Between the two it stays, so that it doesn't swing. After a slowdown
- * spell it grows by half a second until it is back near the limit that last held. A worker whose limit has
- * become so small that it is hardly used gives no evidence that it is well again; after five seconds without
- * any, the limit grows as if it were, and the next tokens tell.
+ * Adjustment: the target between tokens is known, so the limit needs no search for the point at
+ * which delay begins. Once a second the fraction of gaps above the target is checked. Older gaps
+ * have less weight, because a long prompt lengthens the gaps for a second or two and the target
+ * allows that for 5 in 100. Above 5 in 100 the limit is reduced in proportion to the excess, by at
+ * most 30 in 100 at a time and from the measured load if that is lower than the limit. If fewer
+ * than 5 in 100 gaps exceed 85 in 100 of the target, the limit grows by 5 in 100, but only if all
+ * slots but one were in use, because the short gaps of a half idle worker prove nothing. Between
+ * the two it stays, which prevents oscillation.
  *
- * A server may itself hold back what exceeds its batch: its gaps stay short while first tokens wait in its
- * own line, where the shares and deadlines of ours don't countSample. So waiting jobs in two reports in a row (in
- * one they may just have arrived, in the middle of a step) put the limit
- * down to one below what ran, and it is tried again above that only after half a minute, twice as long
- * each time that the same is found: without that ceilingTtl one would notice first tokens that are late for a
- * few seconds in every ten.
+ * Recovery: after a slow period the limit grows by half each second until it is near the last
+ * sustained limit. A worker with a limit so small that it is hardly used gives no samples; after
+ * five seconds without enough of them the limit grows anyway, and the next tokens show whether that
+ * was right.
  *
- * The first token counts too: where a worker needs more than half of the target after dispatch for a short
- * prompt, the batch is too full of prompts.
+ * Server queue: a server may queue the jobs that exceed its batch. Its gaps then stay short while
+ * first tokens wait in a queue that ignores shares and deadlines. Two reports in a row with waiting
+ * jobs (in one report they may have arrived in the middle of a step) therefore set the limit to one
+ * below the number of running jobs. Only after half a minute is a higher limit tried again, and the
+ * time doubles each time the same ceiling is found. Without that time first tokens would be late
+ * for a few seconds in every ten.
+ *
+ * First token: if a worker needs more than half of the first-token target after dispatch for a
+ * short prompt, its batch holds too many prompts, and that counts like a long gap.
  *
  * @module
  */
@@ -34,57 +37,83 @@
 
 /** The learned limit of one worker. */
 export interface ConcurrencyLimit {
-  /** Jobs that may run at once, from all entry instances; at least 1. */
+  /** Returns the jobs that may run at once, from all entry instances; at least 1. */
   value(): number;
-  /** Jobs beyond which the server was seen to hold back; infinite while it wasn't. */
+  /**
+   * Returns the number of jobs beyond which the server was observed to queue; infinite before that.
+   */
   serverCeiling(): number;
-  /** The limit's first value, from the machine class alone. */
+  /** The first value of the limit, which depends on the machine class and the target only. */
   readonly initial: number;
-  /** A gap between two tokens, in milliseconds. */
+  /** Records a gap between two tokens, in milliseconds. */
   recordGap(milliseconds: number): void;
-  /** Milliseconds from dispatch to first token, of a job with a short prompt. */
+  /** Records the milliseconds from dispatch to first token of a job with a short prompt. */
   recordFirstToken(milliseconds: number): void;
-  /** The load that the worker is believed to have, whenever it changes. */
+  /** Records the worker's estimated load, in jobs; called whenever it changes. */
   recordLoad(load: number): void;
-  /** The server reported so many jobs that run and that wait for its batch. */
+  /** Records how many jobs the server reported as running and as waiting for its batch. */
   recordReport(running: number, waiting: number, now: number): void;
-  /** Adjusts the limit when a window is over; cheap to call often. */
+  /** Adjusts the limit at the end of an interval; cheap to call often. */
   adjust(now: number): void;
 }
 
 /**
- * Lookups may go this far above the limit: they end before a batch that is a fourth too large has lengthened
- * the gaps of scripts beyond 5 in 100, and instances that see each other late need some play.
+ * Lookups may exceed the limit by this factor. They end before a batch that is a fourth too large
+ * has lengthened the gaps of scripts beyond 5 in 100, and entry instances that learn of each
+ * other's jobs late need some margin.
  */
 export const LOOKUP_OVERCOMMIT_FACTOR = 1.25;
 
+/** Milliseconds. */
 const ADJUST_INTERVAL = 1_000;
+/**
+ * Milliseconds after the end of an interval without enough samples after which a reduced limit
+ * grows anyway.
+ */
 const NO_EVIDENCE_TIMEOUT = 4_000;
-/** What was counts in a window weighs a fifth less in each one after it. */
+/** Counts are multiplied by this factor at the end of each interval. */
 const COUNT_DECAY = 0.8;
 const MIN_GAPS = 20;
 const MIN_FIRST_TOKENS = 5;
+/** The fraction of samples that may exceed the threshold. */
 const TOLERATED_FRACTION = 0.05;
+/** The fraction of the threshold above which samples prevent an increase. */
 const INCREASE_THRESHOLD = 0.85;
 const INCREASE_STEP = 0.05;
 const RECOVERY_FACTOR = 1.5;
 const MIN_DECREASE_FACTOR = 0.7;
 const MAX_DECREASE_FACTOR = 0.95;
-/** A limit that fails is believed a little less with each window that it fails in. */
+/** The sustained limit is multiplied by this factor in each interval with a reduction. */
 const SUSTAINED_DECAY = 0.95;
+/** The fraction of the first-token target that a short prompt may take after dispatch. */
 const FIRST_TOKEN_FRACTION = 0.5;
-/** How long a limit that made the server hold jobs back isn't tried again. */
+/** Milliseconds for which a limit that made the server queue jobs isn't tried again. */
 const INITIAL_CEILING_TTL = 30_000;
-/** A server's batch doesn't grow: each time that the same limit is found again, the next try is put off. */
+/**
+ * Milliseconds. A server's batch doesn't grow, so the time doubles up to this value each time the
+ * same ceiling is found again.
+ */
 const MAX_CEILING_TTL = 600_000;
-/** One place is left for what other entry instances send between two reports. */
+/**
+ * Subtracted from the ceiling, so that after rounding down one slot is left for what other entry
+ * instances send between two reports.
+ */
 const CEILING_MARGIN = 0.5;
-/** Jobs that a full batch's speed carries at the target between tokens, less one in five for prompts. */
+/**
+ * The initial limit is the number of jobs that a full batch's speed serves at the target between
+ * tokens, less one in five for prompts.
+ */
 const PROMPT_FACTOR = 0.8;
-/** A machine class whose stated speed is four times too low is a fault in the settings. */
+/**
+ * The limit never exceeds its initial value by more than this factor; a machine class whose stated
+ * speed is more than four times too low is an error in the settings.
+ */
 const MAX_GROWTH_FACTOR = 4;
 
-/** Times held against a bound: how many, how many near and above it, and the sum of those above. */
+/**
+ * Samples counted against a threshold: how many in all, how many near and above it, and the sum of
+ * those above.
+ */
 interface SampleCounts {
   total: number;
   near: number;
@@ -92,7 +121,7 @@
   aboveSum: number;
 }
 
-/** Makes the limit of a worker that nothing is known of but its machine class. */
+/** Creates the limit of a worker of which only the machine class is known. */
 export function createConcurrencyLimit(
   machine: MachinePolicy,
   target: ServicePolicy["target"],
@@ -107,11 +136,14 @@
   let load = 0;
   let peak = 0;
   let windowEnd: number | undefined;
-  /** What ran when the server held jobs back, and until when it isn't exceeded. */
+  /**
+   * The number of jobs that ran when the server queued others; may not be exceeded until
+   * `ceilingExpiresAt`.
+   */
   let ceiling = Number.POSITIVE_INFINITY;
   let ceilingExpiresAt = 0;
   let ceilingTtl = INITIAL_CEILING_TTL;
-  /** What ran at the last report, if jobs waited then. */
+  /** The running jobs in the last report if it also contained waiting jobs. */
   let runningWhileQueued: number | undefined;
 
   const hasEvidence = (): boolean =>
@@ -124,8 +156,8 @@
   const decrease = (slowdown: number): void => {
     const factor = Math.min(MAX_DECREASE_FACTOR, Math.max(MIN_DECREASE_FACTOR, 1 / slowdown));
     sustained = Math.max(1, sustained * SUSTAINED_DECAY);
-    // While long jobs keep the load above a limit that has fallen already, their gaps say nothing against
-    // that limit: it would decrease to nothing, and then take long to come back.
+    // While long jobs keep the load above a limit that was already reduced, their gaps say nothing
+    // about that limit. Reducing it further would bring it to nothing, and it would recover slowly.
     if (load <= limit * LOOKUP_OVERCOMMIT_FACTOR + 1)
       limit = Math.max(1, Math.min(limit, peak) * factor);
     Object.assign(gaps, emptyCounts());
@@ -199,7 +231,10 @@
   counts.aboveSum *= COUNT_DECAY;
 }
 
-/** Above 1: too many times were beyond the threshold, by so much. Below `INCREASE_THRESHOLD`: hardly any came near. */
+/**
+ * Returns a value above 1 if too many samples exceed the threshold (the ratio of their mean to it),
+ * and a value below `INCREASE_THRESHOLD` if hardly any come near.
+ */
 function slownessRatio(
   { total: all, near, above, aboveSum: excess }: SampleCounts,
   threshold: number,
--- a/src/decision/concurrency_limit_test.ts
+++ b/src/decision/concurrency_limit_test.ts
@@ -5,7 +5,10 @@
 const MACHINE = { tokensPerSecond: 900, prefillPerSecond: 8_000, cacheTokens: 120_000 };
 const TARGET = { firstToken: 400, betweenTokens: 44, deadline: 20_000 };
 
-/** Runs a server that shares 900 tokens a second for some seconds, as loaded as the limit allows. */
+/**
+ * Simulates a server that shares 900 tokens per second for some seconds, loaded as far as the limit
+ * allows.
+ */
 function run(
   limit: ConcurrencyLimit,
   options: { from: number; seconds: number; slowness?: number; load?: number },
@@ -22,8 +25,9 @@
 }
 
 describe("concurrency limit", () => {
-  test("settles where gaps meet the target and stays there", () => {
-    // 900 tokens a second at 44 ms carry 39 jobs. A limit that goes on up and down lengthens gaps at each top.
+  test("converges to the limit at which gaps meet the target and stays there", () => {
+    // 900 tokens per second at 44 ms serve 39 jobs. A limit that oscillates lengthens the gaps at
+    // each maximum.
     const limit = createConcurrencyLimit(MACHINE, TARGET);
     const values = run(limit, { from: 0, seconds: 120 });
     const late = values.slice(60);
@@ -32,7 +36,7 @@
     expect(Math.min(...late)).toBeGreaterThanOrEqual(31);
   });
 
-  test("falls within seconds of a slow spell and is back soon after", () => {
+  test("falls within seconds of a slow period and recovers soon after", () => {
     const limit = createConcurrencyLimit(MACHINE, TARGET);
     const before = run(limit, { from: 0, seconds: 30 }).at(-1) ?? 0;
     const slow = run(limit, { from: 30_000, seconds: 10, slowness: 5 });
@@ -41,15 +45,15 @@
     expect(after.at(-1)).toBeGreaterThanOrEqual(0.8 * before);
   });
 
-  test("an idle worker's short gaps raise nothing", () => {
+  test("short gaps of an idle worker don't raise the limit", () => {
     const limit = createConcurrencyLimit(MACHINE, TARGET);
     run(limit, { from: 0, seconds: 60, load: 3 });
     expect(limit.value()).toBe(limit.initial);
   });
 
-  test("what the server holds back isn't sent to it, and isn't tried again at once", () => {
-    // The server runs eight at once and keeps the rest in a line of its own. Its gaps stay short, so gaps
-    // alone would raise the limit while first tokens wait for seconds.
+  test("stays below the number at which the server queues jobs, and doesn't try it again at once", () => {
+    // The server runs eight jobs at once and queues the rest. Its gaps stay short, so gaps alone would
+    // raise the limit while first tokens wait for seconds.
     const limit = createConcurrencyLimit(MACHINE, TARGET);
     limit.recordReport(8, 4, 1_000);
     expect(limit.value()).toBe(limit.initial);
@@ -59,7 +63,7 @@
     expect(limit.value()).toBeLessThanOrEqual(8);
   });
 
-  test("a limit without evidence grows back", () => {
+  test("a reduced limit recovers without samples", () => {
     const limit = createConcurrencyLimit(MACHINE, TARGET);
     run(limit, { from: 0, seconds: 10, slowness: 10 });
     const fallen = limit.value();
--- a/src/decision/entry_overload.ts
+++ b/src/decision/entry_overload.ts
@@ -1,47 +1,52 @@
 /**
- * What an entry instance still takes when it can hardly keep up itself.
+ * Decides which requests an entry instance accepts when it is itself overloaded.
  *
- * Load that it answers: more callers than one small process can serve, or large bodies that fill its memory.
- * Everything in the process shares one event loop: when it lags, heartbeats and orders lag with the
- * requests, peers believe the instance dead, its slots move to others, and their load grows until they go
- * the same way. One would notice takeovers without a death, one after another, at the hour of most load.
+ * Load: more callers than one small process can serve, or large bodies that fill its memory.
+ * Everything in the process shares one event loop: when it lags, heartbeats and peer messages lag
+ * with the requests, peers consider the instance dead, and its slots move to other instances, whose
+ * load then grows until they fail in the same way. Symptom: takeovers of live instances, one after
+ * another, at the time of peak load.
  *
- * So work is turned away in steps, while control work always runs: first new scripts, which can be sent
- * again later, then all new requests. What was accepted goes on in every step.
+ * Mechanism: work is refused in steps, while control work always runs: first new scripts, which can
+ * be sent again later, then all new requests. Accepted work continues in every step.
  *
- * A lookup passes the loop about four times on its way to the first token (taken in, copied, dispatched,
- * answered): at 50 ms each it spends half of a 400 ms target on waiting for this process. At 200 ms a
- * heartbeat of one second with its indirect probes is near its time-out. Memory at eight tenths leaves
- * room for a burst of bodies between two looks; at nine tenths collecting garbage takes most of the time.
- * Each step is left at half of its delay or a tenth less memory, one step at a time, because turning work
- * away is what brought the readings down: without that the instance would open and shut every second.
+ * Thresholds: a lookup passes through the event loop about four times before its first token
+ * (acceptance, copy, dispatch, answer); at 50 ms each it spends half of a 400 ms target waiting for
+ * this process. At 200 ms a heartbeat of one second with its indirect probes is close to its
+ * timeout. Memory use of 80 in 100 leaves room for a burst of bodies between two readings; at 90 in
+ * 100 garbage collection takes most of the time. The process leaves a step at half of its delay
+ * threshold or at memory use 10 in 100 lower, one step at a time: refusing work is what lowered the
+ * readings, and without hysteresis the instance would switch every second.
  *
  * @module
  */
 
-/** What an entry instance measures of itself. */
+/** The load that an entry instance measures of itself. */
 export interface EntryLoad {
   /** 99th percentile of the event loop's delay over the last second, in milliseconds. */
   readonly loopDelay: number;
-  /** Bytes in use and allowed. */
+  /** Bytes in use. */
   readonly memory: number;
+  /** Bytes that may be used. */
   readonly memoryLimit: number;
+  /** Requests in progress. */
   readonly inProgress: number;
 }
 
-/** What an entry instance still takes. */
+/** Which requests an entry instance accepts. */
 export enum EntryStance {
-  /** All. */
+  /** All requests. */
   Open = "open",
-  /** Work that was accepted, and lookups; new scripts are turned away. */
+  /** Lookups and work that was already accepted; new scripts are refused. */
   LookupsOnly = "lookups-only",
-  /** Only control work and what was accepted. */
+  /** Only control work and work that was already accepted. */
   ControlOnly = "control-only",
 }
 
 interface Threshold {
+  /** Milliseconds. */
   readonly loopDelay: number;
-  /** A part of the memory allowed. */
+  /** A fraction of the memory limit. */
   readonly memory: number;
 }
 
@@ -50,7 +55,7 @@
 const EXIT_DELAY_FACTOR = 0.5;
 const EXIT_MEMORY_STEP = 0.1;
 
-/** Decides what an entry instance still takes, from its readings and what it took before. */
+/** Chooses the mode from the current readings and the previous mode. */
 export function entryStance(load: EntryLoad, before: EntryStance): EntryStance {
   if (exceeds(load, CONTROL_ONLY)) return EntryStance.ControlOnly;
   if (before === EntryStance.ControlOnly && exceeds(load, exitThreshold(CONTROL_ONLY)))
--- a/src/decision/entry_overload_test.ts
+++ b/src/decision/entry_overload_test.ts
@@ -9,9 +9,10 @@
   });
 }
 
-test("scripts are turned away first, then all new work, and it comes back step by step", () => {
-  // Twice the usual callers: the event loop lags by 60 ms, then by 250. If everything were taken, the
-  // heartbeats would be late as well and the instance's slots would move while it lives.
+test("refuses scripts first, then all new work, and accepts them again step by step", () => {
+  // Twice the usual number of callers: the event loop lags by 60 ms, then by 250 ms. If all
+  // requests were accepted, heartbeats would be late and the instance's slots would move while it
+  // is alive.
   const delays = [10, 60, 250, 150, 90, 90, 40, 20].map((loopDelay) => ({ loopDelay }));
   expect(stances(delays)).toEqual([
     EntryStance.Open,
@@ -25,9 +26,9 @@
   ]);
 });
 
-test("memory near its limit turns work away before the process dies", () => {
-  // Large bodies fill the memory while the loop is quick. Without a bound the process is killed, with all
-  // requests that it has accepted.
+test("refuses work before memory reaches its limit", () => {
+  // Large bodies fill the memory while the event loop is fast. Without this the process is killed
+  // with all requests that it has accepted.
   const readings = [850, 950, 820, 750, 650].map((memory) => ({ loopDelay: 1, memory }));
   expect(stances(readings)).toEqual([
     EntryStance.LookupsOnly,
--- a/src/decision/estimate.ts
+++ b/src/decision/estimate.ts
@@ -1,19 +1,20 @@
 /**
- * What a request will cost, from its prompt and from what requests like it came to.
+ * Estimates the cost of a request from its prompt and from earlier answers.
  *
- * Load that it answers: lookups of 20 tokens and scripts of 2,000 in the same queues. Without estimates all
- * requests count alike: an account that sends long work gets many times the share of one that sends short
- * work, deadlines are promised that can't be met, and batches run out of KV cache. One would notice it as
- * refusals that come too late and as evictions in the engines.
+ * Load: lookups of 20 tokens and scripts of 2,000 in the same queues. Without estimates all
+ * requests count alike: an account that sends long work gets many times the share of one that sends
+ * short work, deadlines are accepted that can't be met, and batches run out of KV cache. Symptom:
+ * refusals that come too late, and evictions in the engines.
  *
- * The answer's length is statistics as a quantile for each service, account and lane. The seventieth is used:
- * for the heavy-tailed lengths that answers have (log-normal, with a spread of about 1) it lies at the mean,
- * so that sums of estimates come out right, while one outlier moves it by one rank only. A caller's own
- * bound can only lower the estimate, and only as far as its answers have kept to earlier bounds: a caller
- * that states 16 and is sent 400 is estimated at 400 after a few answers, and its share is charged the rest.
+ * Mechanism: the answer length is learned as a quantile per service, account and lane. The 70th
+ * percentile is used: for the heavy-tailed lengths of answers (log-normal with a spread of about 1)
+ * it lies at the mean, so sums of estimates are right, while one outlier moves it by one rank only.
+ * A caller's own limit can only lower the estimate, and only as far as its answers have kept to
+ * earlier limits: a caller that states 16 and receives 400 is estimated at 400 after a few answers,
+ * and its account is charged the difference.
  *
- * Estimates may be wrong; nothing that must hold depends on them. Shares are corrected by what was
- * measured, limits by what engines do.
+ * Estimates may be wrong; no guarantee depends on them. Shares are corrected by measured answers,
+ * and limits by what the engines do.
  *
  * @module
  */
@@ -25,35 +26,47 @@
 
 /** Learns what requests cost. */
 export interface Estimator {
+  /** Replaces the policy; learned statistics are kept. */
   configure(policy: Policy): void;
+  /** Estimates the cost of a request. */
   estimate(arrival: Arrival): Estimate;
-  /** What a request of the given lengths comes to, in tokens of work. */
+  /**
+   * Returns the tokens of work for the given prompt and answer lengths. Prompt tokens count less,
+   * by the ratio of the two speeds of the average machine.
+   */
   workOf(promptTokens: number, answerTokens: number): number;
-  /** Takes in what an answer came to. */
+  /** Records the answer length of a completed job. */
   recordAnswer(job: Job, answerTokens: number): void;
-  /** Takes in the milliseconds between two tokens of a service. */
+  /** Records the milliseconds between two tokens of a service. */
   recordTokenGap(service: string, milliseconds: number): void;
 }
 
-/** Where the seventieth percentile lies at the mean of a log-normal with a spread of 1. */
+/** The 70th percentile lies at the mean of a log-normal distribution with a spread of 1. */
 const ANSWER_PERCENTILE = 0.7;
-/** Answers of an account after which its own quantile is trusted; below it the service's is used. */
+/**
+ * Answers of an account from which its own quantile is used; below this number the service's
+ * quantile is used.
+ */
 const MIN_ANSWERS = 8;
-/** A change of an account's habits shows after about this many answers. */
+/** Answers. A change in an account's answer lengths has an effect after about this many. */
 const ANSWER_HALF_LIFE = 200;
-/** Before anything is known: the length at which a wrong guess costs either side about the same. */
+/**
+ * Used before anything is known: the length at which an error in either direction costs about the
+ * same.
+ */
 const DEFAULT_ANSWER_TOKENS = 256;
+/** Gaps between tokens. */
 const GAP_HALF_LIFE = 2_000;
-/** Ratios are kept in hundredths, because the sketch counts from 1 up. */
+/** Ratios are stored in hundredths, because the sketch counts values below 1 as 1. */
 const RATIO_SCALE = 100;
 
 interface AnswerStatistics {
   readonly answerTokens: QuantileSketch;
-  /** Answer lengths in hundredths of the caller's own bound. */
+  /** Answer lengths in hundredths of the caller's own limit. */
   readonly limitRatio: QuantileSketch;
 }
 
-/** Makes an estimator that has statistics nothing. */
+/** Creates an estimator without samples. */
 export function createEstimator(policy: Policy): Estimator {
   let averageMachine = machineAverage(policy);
   let currentPolicy = policy;
--- a/src/decision/estimate_test.ts
+++ b/src/decision/estimate_test.ts
@@ -17,17 +17,18 @@
   return estimator.estimate(someArrival(changes)).answerTokens;
 }
 
-test("one very long answer doesn't change what the next ones are taken for", () => {
-  // Of a hundred short answers one runs to 100,000 tokens. A mean would be 50 times too high for an hour.
+test("one very long answer doesn't change the next estimates", () => {
+  // One in a hundred short answers has 100,000 tokens. A mean would be 50 times too high for an
+  // hour.
   const estimator = createEstimator(TEST_POLICY);
   learn(estimator, {}, [...Array<number>(99).fill(20), 100_000]);
   expect(answerOf(estimator, {})).toBeGreaterThan(16);
   expect(answerOf(estimator, {})).toBeLessThan(25);
 });
 
-test("a caller's own bound counts only as far as it has kept to it", () => {
-  // A caller states 16 tokens each time and is sent 400. Believed, it would be let in and served as if its
-  // work were a twentieth of what it is.
+test("a caller's own limit counts only as far as its answers have kept to it", () => {
+  // A caller states 16 tokens each time and receives 400. If the statement were used, the caller's
+  // requests would be accepted and scheduled as a twentieth of their real work.
   const estimator = createEstimator(TEST_POLICY);
   learn(estimator, { account: "honest", maxTokens: 400 }, Array<number>(50).fill(300));
   learn(estimator, { account: "other", maxTokens: 16 }, Array<number>(50).fill(400));
@@ -35,7 +36,7 @@
   expect(answerOf(estimator, { account: "honest", maxTokens: 100 })).toBe(100);
 });
 
-test("an unknown account starts from what the service's answers come to", () => {
+test("the estimate for an unknown account comes from the service's answers", () => {
   const estimator = createEstimator(TEST_POLICY);
   learn(estimator, { account: "club" }, Array<number>(50).fill(1_000));
   expect(answerOf(estimator, { account: "new" })).toBeGreaterThan(800);
@@ -43,8 +44,9 @@
   expect(answerOf(estimator, { account: "new" })).toBeLessThan(40);
 });
 
-test("a index in a cached prefix weakens with age and ends with an eviction", () => {
-  // Cache events come late and some never do. Trusted for good, work would follow caches long emptied.
+test("the probability of a cached prefix falls with age and ends with an eviction", () => {
+  // Cache events come late and some never arrive. Without aging, work would follow caches that were
+  // emptied long ago.
   const index = createPrefixCacheIndex(100_000);
   index.recordStored("w1", ["a", "b", "c", "d"], 0);
   expect(index.match(["a", "b", "x", "y"], 0).get("w1")).toBe(0.5);
--- a/src/decision/fair_queue.ts
+++ b/src/decision/fair_queue.ts
@@ -1,26 +1,27 @@
 /**
- * The order of waiting work: fair shares of tokens over accounts, lookups and scripts apart.
+ * Orders waiting work by fair shares of tokens over accounts, with separate lanes for lookups and
+ * scripts.
  *
- * Load that it answers: one account sends a thousand scripts at once while another sends ten, and short
- * lookups arrive among them. In one line in order of arrival the ten wait for the thousand, and a lookup of
- * 20 tokens waits for scripts of 2,000 ahead of it. One would notice it as a time to first token that
- * follows somebody else's load: desks that wait whenever the night's scripts are sent.
+ * Load: one account sends a thousand scripts at once while another sends ten, and short lookups
+ * arrive among them. In one queue in order of arrival the ten wait for the thousand, and a lookup
+ * of 20 tokens waits for scripts of 2,000 ahead of it. Symptom: an account's time to first token
+ * depends on the load of other accounts.
  *
- * Order: start-time fair queueing twice over. Between the lanes, then between the accounts of a lane, the
- * one with the least work started for its weight goes first; inside an account the one that must start first
- * to be in time, so that a caller who waits for a first token goes before work that has until the morning.
- * Work is counted in tokens, not requests, so that splitting work in small requests or hiding it in long
- * ones gains nothing. What an account's answers came to above their estimates is added to its account
- * later, so neither does understating. Nothing starves: an account's tag only grows by its own work, and a
- * deadline only comes nearer.
+ * Order: start-time fair queueing at two levels. Between the lanes, and then between the accounts
+ * of a lane, the one with the least started work for its weight goes first. Within an account the
+ * job with the earliest latest start goes first, so that a caller who waits for a first token goes
+ * before work that has hours. Work is counted in tokens, not in requests, so that splitting work
+ * into small requests or merging it into long ones gains nothing. The excess of an account's
+ * answers over their estimates is charged to the account later, so understating gains nothing
+ * either. No account starves: its tag only grows by its own work, and a deadline only comes nearer.
  *
- * Lookups have four times the scripts' weight. They need it only while they are above their share: a tent
- * that asks for less than four fifths of the tokens never waits for a script that waits, and scripts keep at
- * least one token in five under any load of lookups, which is what finishes a night's scripts by morning
- * when lookups run all night.
+ * Lookups have four times the weight of scripts. It matters only above their share: an account that
+ * asks for less than four fifths of the tokens never waits for a waiting script, and scripts keep
+ * at least one token in five under any load of lookups, so a night's scripts finish by the morning
+ * even if lookups run all night.
  *
- * Each operation costs O(log n) of the jobs and accounts that wait. Taking an element out by id marks it
- * only; it leaves its heap when its turn comes.
+ * Cost: each operation takes O(log n) of the waiting jobs and accounts. Removal by id only marks
+ * the item; it leaves its heap when it reaches the top.
  *
  * @module
  */
@@ -30,38 +31,44 @@
 import { Lane } from "./job.ts";
 import type { Job } from "./job.ts";
 
-/** What the fair queue asks of whoever owns it. */
+/** Callbacks of a fair queue. */
 export interface FairQueueOptions {
-  /** The account's part of the service against the other accounts' weights; more than 0. */
+  /** Returns the account's weight in the service relative to the other accounts; more than 0. */
   readonly weightOf: (account: string) => number;
-  /** Whether a job of the lane may start now; a lane that may not is passed over. */
+  /** Returns whether a job of the lane may start now; otherwise the lane is skipped. */
   readonly canStart?: (lane: Lane) => boolean;
-  /** Tokens by which the account's ended work came out above its estimates since the last call. */
+  /**
+   * Returns the tokens by which the account's ended work exceeded its estimates since the last
+   * call.
+   */
   readonly takeExcessWork?: (account: string) => number;
 }
 
-/** What is given with an element: p-queue passes the options of `add` on. */
+/** Options of a queued element; p-queue passes the options of `add` on. */
 export interface FairQueueEntry extends QueueAddOptions {
-  /** Without a job the element goes first: it is the system's own. */
+  /** The job; an element without a job is the system's own and goes first. */
   readonly job?: Job;
 }
 
-/** A waiting line in fair order, in the shape that p-queue asks of its `queueClass`. */
+/** A queue in fair order that satisfies p-queue's `queueClass`. */
 export interface FairQueue<Element> {
-  /** Elements that may start now: p-queue takes one out whenever this is above 0. */
+  /** Number of elements that may start now; p-queue dequeues whenever it is above 0. */
   readonly size: number;
-  /** All elements, those of lanes that may not start now as well. */
+  /** Number of all elements, including those of lanes that may not start now. */
   readonly waiting: number;
   enqueue(run: Element, options?: Partial<FairQueueEntry>): void;
-  /** The element that goes next, taken out; undefined where none may start now. */
+  /** Removes and returns the next element; undefined if none may start now. */
   dequeue(): Element | undefined;
   filter(options: Readonly<Partial<FairQueueEntry>>): Element[];
-  /** Kept for p-queue's sake: the order is the fair share's alone. */
+  /**
+   * Does nothing except to check the id; required by p-queue. The order depends on the fair shares
+   * only.
+   */
   setPriority(id: string, priority: number): void;
   remove(idOrRun: string | Element): void;
 }
 
-/** What p-queue keeps in its queue. */
+/** The element type of p-queue. */
 export type FairRun = () => Promise<unknown>;
 
 const LANE_WEIGHT: Readonly<Record<Lane, number>> = { [Lane.Lookup]: 4, [Lane.Script]: 1 };
@@ -74,14 +81,17 @@
   isRemoved: boolean;
 }
 
-/** One account's waiting jobs in one lane. `tag` is the virtual time at which its next job starts. */
+/**
+ * One account's waiting jobs in one lane. `startTag` is the virtual time at which its next job
+ * starts.
+ */
 interface AccountQueue<Element> {
   readonly account: string;
   readonly jobs: Heap<QueuedItem<Element>>;
   startTag: number;
   /** Jobs that wait and are not marked as removed. */
   waitingCount: number;
-  /** In the lane's heap of accounts. */
+  /** Whether the account is in the lane's heap of accounts. */
   isQueued: boolean;
 }
 
@@ -89,21 +99,21 @@
   readonly lane: Lane;
   readonly accounts: Map<string, AccountQueue<Element>>;
   readonly accountHeap: Heap<AccountQueue<Element>>;
-  /** The tag of the account served last. */
+  /** The start tag of the account served last. */
   virtualTime: number;
-  /** The lane's own tag, between the lanes. */
+  /** The lane's own start tag among the lanes. */
   startTag: number;
   waitingCount: number;
 }
 
 /**
- * Makes the queue class of one service's p-queue. The replay uses an instance of it directly.
+ * Creates the queue class of one service's p-queue. The replay uses an instance of it directly.
  *
  * @example
  * ```ts
  * const queueClass = createFairQueueClass(scheduler.queueOptions("entry-model"));
  * const concurrency = scheduler.capacity("entry-model", now);
- * const queue = new PQueue<FairQueue<FairRun>, FairQueueEntry>({ queueClass, concurrency });
+ * const queue = new PQueue<FairQueue<FairQueueTask>, FairQueueEntry>({ queueClass, concurrency });
  * await queue.add(run, { id: job.id, job });
  * ```
  */
@@ -124,7 +134,7 @@
   );
   readonly #system: QueuedItem<Element>[] = [];
   readonly #byId = new Map<string, QueuedItem<Element>>();
-  /** The tag of the lane served last. */
+  /** The start tag of the lane served last. */
   #virtualTime = 0;
   #sequence = 0;
 
@@ -200,8 +210,8 @@
   #charge(lane: LaneQueue<Element>, account: AccountQueue<Element>, job: Job): void {
     const excess = this.#options.takeExcessWork?.(account.account) ?? 0;
     lane.virtualTime = Math.max(lane.virtualTime, account.startTag);
-    // A credit for estimates that came out too high never reaches back before the present: saved up, it
-    // would let an idle account hold all others up when it returns.
+    // A credit for estimates that were too high never moves the tag before the present; otherwise
+    // an idle account could save credit and block all others when it returns.
     const charged = (job.estimate.work + excess) / this.#options.weightOf(account.account);
     account.startTag = Math.max(lane.virtualTime, account.startTag + charged);
     const start = Math.max(lane.startTag, this.#virtualTime);
@@ -215,7 +225,7 @@
     );
     const [lookups, scripts] = startable;
     if (lookups === undefined || scripts === undefined) return lookups;
-    // A lane that couldn't start for a while has an old tag: it doesn't get the time back.
+    // A lane that couldn't start for a while has an old tag; it gets no credit for that time.
     const start = (lane: LaneQueue<Element>): number => Math.max(lane.startTag, this.#virtualTime);
     return start(scripts) < start(lookups) ? scripts : lookups;
   }
@@ -226,7 +236,7 @@
 
   #queueOf(lane: Lane): LaneQueue<Element> {
     const found = this.#lanes.find((queue) => queue.lane === lane);
-    if (found === undefined) throw new Error(`No lane is called "${lane}".`);
+    if (found === undefined) throw new Error(`The lane "${lane}" does not exist.`);
     return found;
   }
 
--- a/src/decision/fair_queue_test.ts
+++ b/src/decision/fair_queue_test.ts
@@ -23,7 +23,7 @@
   }
 }
 
-/** Takes out jobs until so much work has come; returns the work by account. */
+/** Dequeues jobs until the given amount of work is reached; returns the work by account. */
 function drain(queue: FairQueue<Job>, work: number): Record<string, number> {
   const done: Record<string, number> = {};
   for (let sum = 0; sum < work;) {
@@ -36,9 +36,9 @@
 }
 
 describe("fair queue", () => {
-  test("shares work, not requests, between accounts", () => {
-    // One account sends few long jobs, one many short ones. Counted in requests the long ones would get
-    // twenty times the tokens.
+  test("shares work instead of requests between accounts", () => {
+    // One account sends few long jobs, another many short ones. If requests were counted, the long
+    // jobs would get twenty times the tokens.
     const queue = someQueue();
     fill(queue, 100, { account: "long", work: 2_000 });
     fill(queue, 2_000, { account: "short", work: 100 });
@@ -46,7 +46,7 @@
     expect((done["long"] ?? 0) / (done["short"] ?? 1)).toBeCloseTo(1, 1);
   });
 
-  test("follows the weights", () => {
+  test("shares work in proportion to the weights", () => {
     const queue = someQueue({ weightOf: (account) => (account === "large" ? 3 : 1) });
     fill(queue, 500, { account: "large" });
     fill(queue, 500, { account: "small" });
@@ -54,8 +54,8 @@
     expect((done["large"] ?? 0) / (done["small"] ?? 1)).toBeCloseTo(3, 0);
   });
 
-  test("an account that comes late isn't held up by one that came first", () => {
-    // A thousand scripts were sent at midnight; one cue sheet comes at six and must not wait for them.
+  test("an account that arrives late doesn't wait for all work of an earlier one", () => {
+    // A thousand scripts were sent at midnight; one script arrives at six and must not wait for them.
     const queue = someQueue();
     fill(queue, 1_000, { account: "early" });
     drain(queue, 10_000);
@@ -63,7 +63,7 @@
     expect(drain(queue, 200)["late"]).toBe(100);
   });
 
-  test("the earliest deadline goes first inside an account", () => {
+  test("the earliest deadline goes first within an account", () => {
     const queue = someQueue();
     for (const deadlineAt of [300, 100, 200]) {
       const job = someJob({ deadlineAt, id: `d${deadlineAt}` });
@@ -72,9 +72,9 @@
     expect([1, 2, 3].map(() => queue.dequeue()?.deadlineAt)).toEqual([100, 200, 300]);
   });
 
-  test("an account that understates is charged what its answers came to", () => {
-    // Both accounts state 100 tokens a job; one of them is sent 500 each time. Without the charge it would
-    // get five times the other's share.
+  test("charges the real answer lengths to an account that understates them", () => {
+    // Both accounts state 100 tokens per job, but one of them receives 500 each time. Without the
+    // charge it would get five times the other's share.
     const excessWork = new Map<string, number>();
     const takeExcessWork = (account: string): number => {
       const excess = excessWork.get(account) ?? 0;
@@ -93,8 +93,8 @@
     expect(used.understating / used.honest).toBeLessThan(1.1);
   });
 
-  test("lookups go before scripts, and scripts still move under any load of lookups", () => {
-    // Lookups that come without end must not keep the night's scripts from ever starting.
+  test("lookups go before scripts, and scripts still start under any load of lookups", () => {
+    // An endless sequence of lookups must not prevent scripts from starting.
     const queue = someQueue();
     fill(queue, 2_000, { account: "desk", lane: Lane.Lookup, work: 50 });
     fill(queue, 200, { account: "reels", lane: Lane.Script, work: 1_000 });
@@ -102,9 +102,9 @@
     expect((done["reels"] ?? 0) / 50_000).toBeCloseTo(0.2, 1);
   });
 
-  test("a lane that may not start holds no one up and is not counted", () => {
-    // The workers' places for scripts are taken. A queue that offers the script all the same would have
-    // p-queue start it, and the lookup behind it wait.
+  test("a lane that may not start blocks no other lane and is not counted", () => {
+    // No worker has a free slot for scripts. If the queue returned a script anyway, p-queue would
+    // start it, and the lookup behind it would wait.
     const queue = someQueue({ canStart: (lane) => lane === Lane.Lookup });
     fill(queue, 2, { account: "reels", lane: Lane.Script });
     expect([queue.size, queue.waiting, queue.dequeue()]).toEqual([0, 2, undefined]);
@@ -113,7 +113,7 @@
     expect(queue.dequeue()?.account).toBe("desk");
   });
 
-  test("a job that was taken out doesn't come back", () => {
+  test("a removed job is never dequeued", () => {
     const queue = someQueue();
     fill(queue, 3, { account: "a" });
     queue.remove("a-0");
@@ -132,7 +132,7 @@
     expect(queue.size).toBe(0);
   });
 
-  test("plugs into p-queue", async () => {
+  test("works as the queue class of p-queue", async () => {
     const queueClass = createFairQueueClass({ weightOf: () => 1 });
     const options = { queueClass, concurrency: 1, autoStart: false };
     const queue = new PQueue<FairQueue<FairRun>, FairQueueEntry>(options);
--- a/src/decision/fleet.ts
+++ b/src/decision/fleet.ts
@@ -1,15 +1,18 @@
 /**
- * How many workers of which machine class in which availability zone, bought how.
+ * Plans how many workers of which machine class run in which availability zone, and how they are
+ * bought.
  *
- * Load that it answers: work that doubles within minutes and is gone an hour later; a cloud that takes back
- * a whole availability zone of reclaimable instances in seconds and then refuses new ones there. Too few
- * workers, and every first token is late until the next ones have started and loaded; too many, and the
- * contract is lost on cost. Each plan compares what is needed with what is there and coming, and says what
- * to launch and what to retire; nothing is remembered but the smoothed demand and since when there
- * has been too much.
+ * Load: work that doubles within minutes and is gone an hour later, and a cloud that reclaims a
+ * whole availability zone of reclaimable instances in seconds and then refuses new ones there. With
+ * too few workers every first token is late until the next ones have started and loaded their
+ * model; with too many the cost exceeds the contract.
  *
- * How much is needed is in `fleet_need.ts`, where it is bought in `fleet_pools.ts`, what is given back in
- * `fleet_surplus.ts`; each has its reasons with it.
+ * Mechanism: each plan compares the required capacity with the running and launching workers and
+ * returns what to launch and what to retire. Only the smoothed demand and the start of the current
+ * surplus are kept between plans.
+ *
+ * `fleet_need.ts` computes the required capacity, `fleet_pools.ts` chooses the launches and
+ * `fleet_surplus.ts` the retirements; each explains its own rules.
  *
  * @module
  */
@@ -20,9 +23,9 @@
 import type { FleetPlan, FleetView, SmoothedDemand, Pool, ServiceDemand } from "./fleet_view.ts";
 
 /**
- * Plans the fleet.
+ * Plans the fleet of all services.
  *
- * @returns What to launch and to retire now, and what the next plan is to be given.
+ * @returns The workers to launch and to retire now, and the state for the next plan.
  */
 export function planFleet(view: FleetView): FleetPlan {
   const plans = view.services.map((demand) => planService(demand, view));
@@ -64,9 +67,9 @@
 }
 
 /**
- * How long a surplus is kept. To launch again costs a start-up that is paid for and does nothing; keeping
- * the worker for just as long costs the same. Whoever gives it back then pays at most twice what knowing
- * the future would have cost.
+ * Returns the milliseconds for which a surplus is kept. A new launch costs a start-up time that is
+ * paid for and produces nothing; keeping the worker for the same time costs as much. Retiring after
+ * that time costs at most twice what a plan with knowledge of the future would cost.
  */
 function minHoldTime(capacity: ServiceCapacity): number {
   return Math.max(MIN_HOLD_TIME, capacity.startUp);
--- a/src/decision/fleet_need.ts
+++ b/src/decision/fleet_need.ts
@@ -1,46 +1,51 @@
 /**
- * How much work a service's workers must be able to do.
+ * Computes the capacity that a service's workers must have.
  *
- * Load that it answers: rises, backlogs and the loss of an availability zone, in a demand that is noisy: a
- * minute of 70 requests whose lengths spread as widely as answers' do is 17 in 100 difference its mean by chance
- * alone. Planned for the last minute, the fleet would follow the noise, and each dip would be paid for with
- * a start-up at the next rise; planned for the mean of ten minutes, it would lag every peak. One would
- * notice either by the cost, or by late first tokens on the way to every peak.
+ * Load: rises, backlogs and the loss of an availability zone, in a noisy demand: a minute of 70
+ * requests with lengths as widely spread as those of answers is off its mean by 17 in 100 by chance
+ * alone. A plan for the last minute would follow the noise and pay a start-up at the next rise
+ * after each dip; a plan for the mean of ten minutes would lag every peak. Symptom: high cost, or
+ * late first tokens during every rise.
  *
- * - The demand is smoothed over about three minutes, and its usual deviation with it. A minute that is
- *   more than twice the deviation above is a rise and is taken at once; a lower one only by and by.
- * - A rise is carried on for one start-up, as fast as it came: what is launched now is there then. At most
- *   by half, since a burst of a few seconds looks like any rise.
- * - A backlog is to be gone within a start-up. Sooner can't be had by launching.
- * - Workers are used to 85 in 100: the rest is what independent arrivals need not to wait for each other.
- *   With eight and more places a worker, waiting begins there; each part more costs as much as it saves.
- * - When the fullest zone goes at once, the others must still do nine tenths of the work, fully used. What
- *   is left over for the start-up that follows is less than what waits detached at any time.
+ * - The demand and its usual deviation are smoothed over about three minutes. A minute that is
+ *   above the mean by more than twice the deviation is a rise and replaces the mean at once; a
+ *   lower one has a gradual effect.
+ * - A rise is extrapolated over one start-up time, at its present rate, because a worker launched
+ *   now is available then. The extrapolation adds at most half, because a burst of a few seconds
+ *   looks like any rise.
+ * - A backlog is to be completed within a start-up time. Launches can't complete it sooner.
+ * - Workers are planned at a utilization of 85 in 100. The rest is what independent arrivals need
+ *   in order not to wait for each other: with eight or more slots per worker, waiting begins there,
+ *   and each further step costs as much as it saves.
+ * - If the zone with the most capacity is lost at once, the others must still do nine tenths of the
+ *   work at full utilization. The remainder, during the following start-up time, is less than the
+ *   detached work that waits at any time.
  *
  * @module
  */
 import type { SmoothedDemand, ServiceDemand } from "./fleet_view.ts";
 
-/** What a service needs, in tokens of work a second. */
+/** The required capacity of a service, in tokens of work per second. */
 export interface RequiredCapacity {
-  /** With all workers there. */
+  /** With all workers available. */
   readonly usual: number;
-  /** With the zone gone that has the most. */
+  /** After the loss of the zone with the most reclaimable capacity. */
   readonly afterZoneLoss: number;
 }
 
 const TARGET_UTILIZATION = 0.85;
 const ZONE_LOSS_FRACTION = 0.9;
+/** Milliseconds. */
 const DEMAND_HALF_LIFE = 120_000;
 const RISE_DEVIATIONS = 2;
-/** The deviation of a demand that nothing is known of, as a part of it. */
+/** The deviation of an unknown demand, as a fraction of the demand. */
 const INITIAL_DEVIATION = 0.2;
 const MAX_EXTRAPOLATION = 1.5;
 const MINUTE = 60_000;
-/** Backlogs of fast-starting workers are still spread over so many milliseconds. */
+/** Milliseconds. A backlog is spread over at least this time, even if workers start faster. */
 const MIN_CATCH_UP = 30_000;
 
-/** Brings the smoothed demand up to now. */
+/** Updates the smoothed demand to the present. */
 export function smoothDemand(
   { arriving }: ServiceDemand,
   { before, now }: { before: SmoothedDemand | undefined; now: number },
@@ -56,7 +61,7 @@
   return { mean, deviation, at: now };
 }
 
-/** Works out what a service needs. */
+/** Computes the capacity that a service requires. */
 export function requiredCapacity(
   { arriving, arrivedBefore, waiting }: ServiceDemand,
   { level, startUp }: { level: SmoothedDemand; startUp: number },
--- a/src/decision/fleet_pools.ts
+++ b/src/decision/fleet_pools.ts
@@ -1,21 +1,22 @@
 /**
- * Where workers are launched.
+ * Chooses the pools in which workers are launched.
  *
- * Load that it answers: prices that differ by zone and machine class, zones that are taken back, and
- * launches that are isBackingOff for minutes in one pool while another has room. Buying only the cheapest, one
- * would notice a whole service gone in one wave; asking a refusing pool again and again, a fleet that stays
- * too small while other pools have room.
+ * Load: prices that differ by zone and machine class, zones that are reclaimed, and launches that
+ * are refused for minutes in one pool while another has capacity. If only the cheapest pool were
+ * used, a whole service could be lost in one wave of reclaims; if a refusing pool were asked again
+ * and again, the fleet would stay too small while other pools have capacity.
  *
- * Workers are added one at a time, each in the pool that covers the maxLaunches of what is missingSpeed for its price.
- * A worker in the fullest zone covers nothing of what is missingSpeed after that zone's loss, so the cheap zone
- * fills first and the others follow by themselves as far as the loss demands. A pool that isBackingOff is left
- * alone, twice as long with each refusal in a row, from 10 s, about twice the time that an answer takes, up
- * to 5 min. A zone where a notice stands gets no reclaimable worker: it would maxLaunches likely be taken next.
- * Reclaimable workers stay within the preset's part, to the nearest whole worker; on-demand ones take their place only where that part
- * or the refusals leave nothing else.
+ * Workers are added one at a time, each in the pool that covers the most missing capacity for its
+ * price. A worker in the zone with the most capacity covers nothing of what is missing after the
+ * loss of that zone, so the cheap zone fills first and the others follow as far as the loss
+ * requires. After a refusal a pool is skipped for 10 s, about twice the time that a response takes;
+ * the time doubles with each consecutive refusal up to 5 min. A zone with a reclaim notice gets no
+ * reclaimable worker, which would most likely be reclaimed next. Reclaimable workers stay within
+ * the preset's share, rounded to the nearest whole worker; on-demand workers are used only if that
+ * share or the refusals leave no other choice.
  *
- * Loads share the weight store's rate. More loads at once than it feeds in a start-up's time only make total
- * of them later, so the rest waits for the next plan.
+ * All model loads share the rate of the weight store. More loads at once than it can serve within a
+ * start-up time would only make all of them later, so the rest waits for the next plan.
  *
  * @module
  */
@@ -23,30 +24,37 @@
 import type { FleetView, Pool, ServiceDemand } from "./fleet_view.ts";
 import type { RequiredCapacity } from "./fleet_need.ts";
 
-/** One worker as the plan counts it. */
+/** One worker as counted by the plan. */
 export interface PlannedWorker {
-  /** The worker's id; undefined for one that is being launched. */
+  /** The worker's id; undefined for a worker that is being launched. */
   readonly id: string | undefined;
   readonly zone: string;
   readonly purchase: Purchase;
   readonly tokensPerSecond: number;
+  /** Euros per hour. */
   readonly price: number;
 }
 
-/** What a service has and what is launching. */
+/** The running and launching workers of a service. */
 export interface ServiceCapacity {
   readonly units: readonly PlannedWorker[];
+  /** Number of launches in progress. */
   readonly launching: number;
-  /** Milliseconds until a launch takes work. */
+  /** Milliseconds from a launch until the worker accepts work. */
   readonly startUp: number;
 }
 
-/** A demand at the edge of what the workers can do must not launch and retire by turns. */
+/**
+ * A fraction of the required capacity. A demand close to what the workers can do must not cause
+ * launches and retirements by turns.
+ */
 const SHORTFALL_TOLERANCE = 0.03;
+/** Milliseconds. */
 const INITIAL_BACKOFF = 10_000;
+/** Milliseconds. */
 const MAX_BACKOFF = 300_000;
 
-/** Counts a service's workers that stay, and its launches under way. */
+/** Counts a service's workers that stay, and its launches in progress. */
 export function countCapacity(demand: ServiceDemand, view: FleetView): ServiceCapacity {
   const staying = demand.workers.filter(
     ({ state, reclaimAt }) =>
@@ -65,10 +73,14 @@
   return { units: [...running, ...launching], launching: launching.length, startUp };
 }
 
-/** Chooses the pools to launch in now, one entry a worker. */
+/** Chooses the pools to launch in now, one entry per worker. */
 export function chooseLaunches(
   demand: ServiceDemand,
-  { view, required, capacity }: { view: FleetView; required: RequiredCapacity; capacity: ServiceCapacity },
+  {
+    view,
+    required,
+    capacity,
+  }: { view: FleetView; required: RequiredCapacity; capacity: ServiceCapacity },
 ): Pool[] {
   const units = [...capacity.units];
   const launches: Pool[] = [];
@@ -82,7 +94,7 @@
   return launches;
 }
 
-/** Says whether workers are missingSpeed, by number or by what they can do. */
+/** Returns whether the service has too few workers, by number or by capacity. */
 export function isUnderProvisioned(
   units: readonly PlannedWorker[],
   { demand, required }: { demand: ServiceDemand; required: RequiredCapacity },
@@ -93,7 +105,10 @@
   );
 }
 
-/** Tokens of work a second that are missingSpeed, usually and after the loss of the fullest zone. */
+/**
+ * Returns the missing tokens of work per second: in ordinary operation plus after the loss of the
+ * zone with the most reclaimable capacity.
+ */
 function missingSpeed(units: readonly PlannedWorker[], required: RequiredCapacity): number {
   const total = totalSpeed(units);
   const usual = Math.max(0, required.usual - total);
@@ -104,7 +119,7 @@
   return units.reduce((sum, unit) => sum + unit.tokensPerSecond, 0);
 }
 
-/** The speed that one zone's reclaimable workers have together, in the zone where it is greatest. */
+/** Returns the highest total speed of one zone's reclaimable workers. */
 function maxReclaimableZoneSpeed(units: readonly PlannedWorker[]): number {
   const zones = new Map<string, number>();
   for (const { zone, purchase, tokensPerSecond } of units) {
@@ -128,7 +143,8 @@
   );
   const worth = (pool: Pool): number => {
     const covered = before - missingSpeed([...units, unitOf(pool)], required);
-    // Where nothing is missingSpeed but the number of workers, the cheapest in the emptiest zone is taken.
+    // If only the number of workers is too small, the cheapest pool in the zone with the fewest
+    // workers is used.
     const spread = 1 / (1 + units.filter(({ zone }) => zone === pool.zone).length);
     return (covered + spread) / Math.max(pool.price, Number.MIN_VALUE);
   };
@@ -142,7 +158,8 @@
   const backoff = Math.min(MAX_BACKOFF, INITIAL_BACKOFF * 2 ** Math.max(0, pool.refusals - 1));
   const isBackingOff = pool.refusals > 0 && view.now < (pool.refusedAt ?? 0) + backoff;
   return (
-    !isBackingOff && !(pool.purchase === Purchase.Reclaimable && zoneHasReclaimNotice(pool.zone, view))
+    !isBackingOff &&
+    !(pool.purchase === Purchase.Reclaimable && zoneHasReclaimNotice(pool.zone, view))
   );
 }
 
--- a/src/decision/fleet_surplus.ts
+++ b/src/decision/fleet_surplus.ts
@@ -1,16 +1,17 @@
 /**
- * Which workers are given back.
+ * Chooses the workers to retire.
  *
- * Load that it answers: the hour after a peak, and a switch to a smaller preset. Given back too early,
- * workers are launched again minutes later and their start-up is paid twice; given back all at once, what
- * they still do is pressed onto the rest. One would notice a fleet that swings, and gaps that lengthen
- * whenever it shrinks.
+ * Load: the hour after a peak, and a switch to a smaller preset. Workers that are retired too early
+ * are launched again minutes later, and their start-up is paid for twice; if all are retired at
+ * once, their work in progress is added to the rest. Symptom: a fleet size that oscillates, and
+ * longer gaps between tokens whenever the fleet shrinks.
  *
- * A worker is surplus if the rest still covers the need with a tenth to spare, so that the same figures
- * never launch what they have just retired; a preset's maxRetirements number is kept to in the same way, gradually.
- * Each plan gives back at most a tenth of the workers, the dearest for its speed first, and among equals the
- * one with the least in progress. A worker that is given back finishes what it has; and none is while the
- * others couldn't do all that is in progress within a minute.
+ * Mechanism: a worker is surplus if the rest still covers the required capacity with a tenth to
+ * spare, so that the same figures never launch what they have just retired. A preset's maximum
+ * number is reached gradually in the same way. Each plan retires at most a tenth of the workers,
+ * those with the highest price for their speed first, and among equals the one with the least work
+ * in progress. A retired worker finishes its work in progress, and none is retired while the others
+ * couldn't do all work in progress within a minute.
  *
  * @module
  */
@@ -20,12 +21,17 @@
 import { isUnderProvisioned } from "./fleet_pools.ts";
 import type { ServiceCapacity, PlannedWorker } from "./fleet_pools.ts";
 
-/** Shorter surpluses are noise of a demand that is measured over a minute. */
+/** Milliseconds. Shorter surpluses are noise of a demand that is measured over a minute. */
 export const MIN_HOLD_TIME = 60_000;
 
+/** The rest of the workers must cover the required capacity multiplied by this factor. */
 const SPARE_FACTOR = 1.1;
+/** The fraction of the workers that one plan may retire. */
 const MAX_RETIRE_FRACTION = 0.1;
-/** Work in progress must be doable by what is left in this time, in seconds. */
+/**
+ * Seconds in which the remaining workers must be able to do all waiting work and all work in
+ * progress.
+ */
 const DRAIN_TIME = 60;
 
 interface SurplusView {
@@ -33,12 +39,12 @@
   readonly capacity: ServiceCapacity;
 }
 
-/** Says whether the service has a worker too many. */
+/** Returns whether the service has at least one surplus worker and no launches in progress. */
 export function hasSurplus(demand: ServiceDemand, view: SurplusView): boolean {
   return view.capacity.launching === 0 && chooseRetirements(demand, view).length > 0;
 }
 
-/** Chooses the workers to give back now. */
+/** Chooses the ids of the workers to retire now. */
 export function chooseRetirements(
   demand: ServiceDemand,
   { required, capacity }: SurplusView,
@@ -59,7 +65,10 @@
   return chosen;
 }
 
-/** Lower is given back sooner: the dearest for its speed, then the emptiest. */
+/**
+ * Returns a sort key. Workers with a lower key are retired first: the most expensive for their
+ * speed, then those with the least work in progress.
+ */
 function retirementRank(unit: PlannedWorker, demand: ServiceDemand): number {
   const work = demand.inProgress[unit.id ?? ""] ?? 0;
   const price = unit.price / Math.max(1, unit.tokensPerSecond);
@@ -83,7 +92,10 @@
   return !isUnderProvisioned(rest, { demand, required: withSpare });
 }
 
-/** Giving back the last on-demand workers must not leave more than the preset's part reclaimable. */
+/**
+ * Returns whether the reclaimable workers stay within the preset's share; retiring the last
+ * on-demand workers must not exceed it.
+ */
 function keepsReclaimableShare(rest: readonly PlannedWorker[], demand: ServiceDemand): boolean {
   const reclaimable = rest.filter(({ purchase }) => purchase === Purchase.Reclaimable).length;
   return reclaimable <= Math.round(demand.reclaimable * rest.length);
--- a/src/decision/fleet_test.ts
+++ b/src/decision/fleet_test.ts
@@ -61,7 +61,7 @@
   return workers.filter((worker) => worker.zone === zone).length;
 }
 
-/** Plans every five seconds; returns the first plan that retires, and when. */
+/** Plans every five seconds; returns the first plan that retires a worker, with its time. */
 function firstRetirement(
   demand: ServiceDemand,
   until: number,
@@ -76,9 +76,9 @@
 }
 
 describe("fleet", () => {
-  test("enough is left when the fullest zone is taken at once", () => {
-    // All reclaimable instances of a zone go within seconds. What is left must carry nine tenths of the
-    // work, or every first token is late until new workers have started.
+  test("enough capacity is left when the zone with the most workers is reclaimed at once", () => {
+    // All reclaimable instances of a zone are reclaimed within seconds. The rest must do nine
+    // tenths of the work; otherwise every first token is late until new workers have started.
     const workers = launched(planFleet(someView(someDemand(1_500))));
     const fullest = Math.max(...ZONES.map((zone) => countOf(workers, zone)));
     expect((workers.length - fullest) * SPEED).toBeGreaterThanOrEqual(1_350);
@@ -86,9 +86,9 @@
     expect(workers.every(({ purchase }) => purchase === Purchase.Reclaimable)).toBe(true);
   });
 
-  test("a pool that refuses is left alone, and others take its part", () => {
-    // The cheapest zone refuses launches for minutes. Asked again and again it would keep the fleet too
-    // small; the other zones have room.
+  test("skips a pool that refuses launches and uses others", () => {
+    // The cheapest zone refuses launches for minutes. If it were asked again and again, the fleet
+    // would stay too small although other zones have capacity.
     const refusing = somePools((zone) => (zone === "a" ? { refusals: 3, refusedAt: 0 } : {}));
     const demand = someDemand(900);
     const soon = launched(planFleet(someView(demand, { now: 30_000, pools: refusing })));
@@ -98,7 +98,7 @@
     expect(countOf(later, "a")).toBeGreaterThan(0);
   });
 
-  test("no reclaimable worker is launched into a zone that is being taken", () => {
+  test("launches no reclaimable worker in a zone that is being reclaimed", () => {
     const gone = { state: WorkerState.Leaving, reclaimAt: 10_000 };
     const [first] = launched(planFleet(someView(someDemand(100))));
     if (first === undefined) throw new Error("Nothing was launched.");
@@ -107,22 +107,23 @@
     expect(countOf(launched(plan), "a")).toBe(0);
   });
 
-  test("the preset's part of reclaimable workers is kept to", () => {
+  test("keeps to the preset's share of reclaimable workers", () => {
     const workers = launched(planFleet(someView(someDemand(1_500, { reclaimable: 0.5 }))));
     const reclaimable = workers.filter(({ purchase }) => purchase === Purchase.Reclaimable).length;
     expect(reclaimable / workers.length).toBeLessThanOrEqual(0.55);
   });
 
-  test("loads are begun only as fast as the weight store feeds them", () => {
-    // Ten workers that load 16 GB each from a store of 2 GB/s at once are all ready after 80 s instead of
-    // the first after 8.
+  test("starts no more loads than the weight store can serve", () => {
+    // If ten workers load 16 GB each from a store of 2 GB/s at once, all are ready after 80 s
+    // instead of the first after 8 s.
     const demand = someDemand(2_000, { weights: 16_000_000_000 });
     const plan = planFleet(someView(demand, { weightStoreRate: 1_000_000_000 }));
     expect(plan.launches).toHaveLength(2);
   });
 
-  test("a dip of a minute gives nothing back, an hour of less does, the dearest first", () => {
-    // A worker that is given back in a dip is launched again at the next rise, and its start-up paid twice.
+  test("a dip of a minute retires no worker, an hour of lower demand does, the most expensive first", () => {
+    // A worker that is retired in a dip is launched again at the next rise, and its start-up is
+    // paid for twice.
     const workers = launched(planFleet(someView(someDemand(1_500))));
     const [cheapest] = workers;
     if (cheapest === undefined) throw new Error("Nothing was launched.");
@@ -133,8 +134,9 @@
     expect(found?.plan.retire).toEqual(["dear"]);
   });
 
-  test("a smaller preset is reached by and by, never below what is in progress", () => {
-    // Maintenance allows four workers; ten are busy. Stopped at once, their scripts would be cut.
+  test("a smaller preset is reached gradually, with enough workers for the work in progress", () => {
+    // The maintenance preset allows four workers; ten are busy. If they were stopped at once, their
+    // scripts would be cut off.
     const workers = launched(planFleet(someView(someDemand(1_800))));
     const inProgress = Object.fromEntries(workers.map(({ id }) => [id, 5_000]));
     const smaller = { workers, least: 0, most: 4, inProgress };
@@ -146,8 +148,9 @@
     ).toBe(undefined);
   });
 
-  test("noise doesn't move the fleet, a rise does at once", () => {
-    // A minute's demand is 17 in 100 off by chance. A fleet that follows it pays a start-up at each turn.
+  test("noise changes nothing, a rise launches workers at once", () => {
+    // The demand of a minute is off by 17 in 100 by chance. A fleet that follows it pays for a
+    // start-up at each change.
     const workers = launched(planFleet(someView(someDemand(1_000))));
     let { memory } = planFleet(someView(someDemand(1_000, { workers })));
     for (let now = 5_000; now < 600_000; now += 5_000) {
--- a/src/decision/heap.ts
+++ b/src/decision/heap.ts
@@ -1,19 +1,22 @@
-/** A binary heap: the first element by `before` comes out first, each operation in O(log n). */
+/**
+ * A binary heap: the first element according to `before` is removed first. Each operation takes
+ * O(log n).
+ */
 export interface Heap<Element> {
   readonly size: number;
   push(element: Element): void;
-  /** The first element, left in. */
+  /** Returns the first element without removing it. */
   peek(): Element | undefined;
-  /** The first element, taken out. */
+  /** Removes and returns the first element. */
   pop(): Element | undefined;
-  /** All elements, in no order. */
+  /** Returns all elements, in no particular order. */
   values(): readonly Element[];
 }
 
 /**
- * Makes an empty heap.
+ * Creates an empty heap.
  *
- * @param before Says whether `a` comes out before `b`.
+ * @param before Returns whether `a` is removed before `b`.
  */
 export function createHeap<Element>(before: (a: Element, b: Element) => boolean): Heap<Element> {
   const elements: Element[] = [];
--- a/src/decision/hedge.ts
+++ b/src/decision/hedge.ts
@@ -1,15 +1,16 @@
 /**
- * Whether a lookup whose first token is late is sent to a second worker as well.
+ * Decides whether a lookup with a late first token is also sent to a second worker.
  *
- * Load that it answers: a worker stalls for a second (a long prompt ahead, a pause) while its peers are
- * well. The lookups on it miss their target though there is room elsewhere. One would notice a p99 far
- * above the p95 at moderate load.
+ * Load: a worker stalls for a second (a long prompt ahead, a pause) while the others are healthy.
+ * Its lookups miss their target although other workers have free slots. Symptom: a p99 far above
+ * the p95 at moderate load.
  *
- * A hedge goes out when a first token takes longer than 95 in 100 do and over half of its target has gone:
- * one that comes in time needs no second run, and from half of the target on a healthy worker still meets
- * it. It pays from the retry budget, so that hedges stop by themselves when the whole service is slow. Only
- * lookups, whose doubled work is small, that may be repeated, and only onto a worker under three quarters of
- * its limit: under saturation a hedge takes the place of somebody's first try.
+ * Mechanism: a hedge is sent if a first token takes longer than 95 in 100 do and more than half of
+ * its target has passed. A token that arrives in time needs no second run, and from half of the
+ * target on a healthy worker still meets it. A hedge is paid from the retry budget, so hedges stop
+ * when the whole service is slow. Only repeatable lookups are hedged, because repeating them costs
+ * little, and only on a worker below three quarters of its limit: under saturation a hedge would
+ * take the slot of another request's first attempt.
  *
  * @module
  */
@@ -18,22 +19,23 @@
 
 /** The percentile of the time to first token after which a hedge is due. */
 export const HEDGE_PERCENTILE = 0.95;
-/** The part of the first token's target that passes before a hedge. */
+/** The fraction of the first-token target that passes before a hedge. */
 export const HEDGE_TARGET_FRACTION = 0.5;
-/** A worker used beyond this part of its limit takes no hedges. */
+/** The fraction of its limit above which a worker gets no hedges. */
 export const MAX_HEDGE_UTILIZATION = 0.75;
-/** First tokens that must have been seen before their percentile means anything. */
+/** The number of first tokens from which their percentile is used. */
 export const MIN_FIRST_TOKENS = 40;
 
-/** Says whether hedges are made for such a job at all. */
+/** Returns whether the job may be hedged at all. */
 export function canHedge(job: Job): boolean {
   return job.repeatable && !job.detached && job.lane === Lane.Lookup;
 }
 
 /**
- * Milliseconds until a hedge is due; 0 or less when it is due now.
+ * Returns the milliseconds until a hedge is due; 0 or less if it is due now.
  *
- * @param options `typical`: the percentile of the time to first token after dispatch.
+ * @param options `typical` is the percentile of the time from dispatch to first token, in
+ * milliseconds.
  */
 export function hedgeDelay(options: {
   now: number;
--- a/src/decision/job.ts
+++ b/src/decision/job.ts
@@ -1,12 +1,17 @@
+/**
+ * The types of requests as the scheduling decisions use them.
+ *
+ * @module
+ */
 import type { Refusal } from "../interface/index.ts";
 
-/** Short and long work are kept apart, so that neither waits behind the other. */
+/** Short and long work have separate lanes, so that neither waits behind the other. */
 export enum Lane {
   Lookup = "lookup",
   Script = "script",
 }
 
-/** A request as the decisions see it. All times are the clock's milliseconds. */
+/** An incoming request. All times are clock times in milliseconds. */
 export interface Arrival {
   readonly id: string;
   readonly account: string;
@@ -15,25 +20,26 @@
   readonly model: string;
   readonly lane: Lane;
   readonly promptTokens: number;
-  /** The caller's own bound on the answer, if it gave one. */
+  /** The caller's own limit on the answer, if given. */
   readonly maxTokens?: number;
   /**
-   * Hashes of the prompt's leading blocks, each over all blocks up to it, so that two prompts share a
-   * prefix exactly as far as their lists agree.
+   * Hashes of the prompt's leading blocks, each over all blocks up to it, so that two prompts share
+   * a prefix exactly as far as their lists are equal.
    */
   readonly prefix: readonly string[];
-  /** Tokens of the prompt that the whole list of hashes covers; all of them where not given. */
+  /** Prompt tokens that the whole list of hashes covers; all prompt tokens by default. */
   readonly prefixTokens?: number;
+  /** Whether the request may be run more than once. */
   readonly repeatable: boolean;
-  /** Nobody waits for the first token. */
+  /** Whether no caller waits for the first token. */
   readonly detached: boolean;
   readonly arrivedAt: number;
   readonly deadlineAt: number;
 }
 
-/** What a request is expected to cost. */
+/** The expected cost of a request. */
 export interface Estimate {
-  /** Tokens of work, prompt and answer, as queues and limits count them. */
+  /** Tokens of work for prompt and answer, as counted by queues and limits. */
   readonly work: number;
   /** Tokens of the answer. */
   readonly answerTokens: number;
@@ -41,29 +47,32 @@
   readonly cacheTokens: number;
   /** Milliseconds from dispatch to the last token on an unloaded worker. */
   readonly serviceTime: number;
-  /** When it must be dispatched to meet its targets; its deadline where not given. */
+  /**
+   * Latest dispatch time to meet the targets, in the clock's milliseconds; the request's deadline
+   * if not given.
+   */
   readonly startBy?: number;
 }
 
 /** An admitted request that waits or runs. */
 export interface Job extends Arrival {
   readonly estimate: Estimate;
-  /** Tokens that the caller has already, after a resume. */
+  /** Answer tokens that the caller already has, after a resume. */
   readonly resumedTokens: number;
 }
 
-/** Whether a request is let in. */
+/** Whether a request was admitted. */
 export type Admission =
   | { readonly kind: "admitted"; readonly job: Job }
   | {
       readonly kind: "refused";
       readonly reason: Refusal;
-      /** Milliseconds after which a new try is likely to be admitted. */
+      /** Milliseconds after which a new attempt is likely to be admitted. */
       readonly retryAfter: number;
     };
 
-/** Where a job goes. */
+/** The worker of a job, if any has a free slot. */
 export type Placement =
   | { readonly kind: "placed"; readonly worker: string }
-  /** No worker has room now. */
+  /** No worker has a free slot now. */
   | { readonly kind: "wait" };
--- a/src/decision/loads.ts
+++ b/src/decision/loads.ts
@@ -1,27 +1,29 @@
 /**
- * Which models and adapters each worker of a service holds.
+ * Plans which models and adapters each worker of a service has loaded.
  *
- * Load that it answers: many adapters, few of them in demand at any hour, and workers that hold only some.
- * Loading on the first request makes its caller wait for seconds; loading all that changes at once fills
- * the weight store's rate, and every load is late. One would notice first tokens late by a load's time
- * whenever demand moves, and workers that load and drop the same adapter by turns.
+ * Load: many adapters of which few are in demand at any hour, and workers that can hold only some
+ * of them. Loading on the first request makes its caller wait for seconds; loading all changes at
+ * once exhausts the rate of the weight store and makes every load late. Symptom: first tokens that
+ * are late by the load time whenever demand changes, and workers that load and drop the same
+ * adapter by turns.
  *
- * Each model with demand is held by a part of the workers equal to its part of the work, at least by two
- * (one may be taken any second), those first that hold it already. A model without demand stays where it
- * is as long as its place isn't needed: dropping it gains nothing. A worker changes only if a model is
- * missing, and only as many workers change at once as the weight store feeds in a minute: each plan reads
- * what is loaded now, so the rest follows in the next ones.
+ * Mechanism: each model with demand is loaded on a fraction of the workers equal to its fraction of
+ * the work, but on at least two of them (one may be reclaimed at any time), first on those that
+ * already have it. A model without demand stays loaded as long as its place isn't needed, because
+ * dropping it gains nothing. A worker changes only if a model is missing, and no more workers
+ * change at once than the weight store can serve in a minute. Each plan reads what is loaded now,
+ * so later plans complete the rest.
  *
  * @module
  */
 import { WorkerState } from "../interface/index.ts";
 import type { Worker } from "../interface/index.ts";
 
-/** Demand for one model, adapter or version of a service. */
+/** The demand for one model, adapter or version of a service. */
 export interface ModelDemand {
   /** `MODEL` or `MODEL+ADAPTER`. */
   readonly model: string;
-  /** Tokens of work a second. */
+  /** Tokens of work per second. */
   readonly arriving: number;
   /** Tokens of work that wait. */
   readonly waiting: number;
@@ -29,22 +31,22 @@
   readonly weights: number;
 }
 
-/** What the decision about loads knows of one service. */
+/** The input of the plan for one service. */
 export interface ModelLoadsView {
   readonly now: number;
   readonly workers: readonly Worker[];
-  /** What each worker has loaded, by worker id, as last reported or ordered. */
+  /** The loaded models of each worker, by worker id, as last reported or ordered. */
   readonly loadedModels: ReadonlyMap<string, readonly string[]>;
   readonly demand: readonly ModelDemand[];
-  /** How many models, with adapters, fit on one worker. */
+  /** The number of models, including adapters, that fit on one worker. */
   readonly modelsPerWorker: number;
-  /** Bytes a second of the weight store. */
+  /** Bytes per second of the weight store. */
   readonly weightStoreRate: number;
-  /** Loads under way, over all workers. */
+  /** Loads in progress, over all workers. */
   readonly activeLoads: number;
 }
 
-/** What a worker is to be, in absolute terms. */
+/** The complete target state of a worker. */
 export interface LoadOrder {
   readonly worker: string;
   readonly models: readonly string[];
@@ -52,14 +54,20 @@
 }
 
 const ROLE = "serve";
+/**
+ * The minimum number of workers that have a model with demand loaded; one of them may be reclaimed
+ * at any time.
+ */
 const MIN_HOLDERS = 2;
-/** Seconds of the weight store's rate that loads at the same time may take. */
+/** Seconds of the weight store's rate that simultaneous loads may use. */
 const LOAD_WINDOW = 60;
 
-/** Plans the loads of a service; the result has an order for each worker that takes work. */
+/** Plans the loads of a service; returns an order for each live worker. */
 export function planModelLoads(view: ModelLoadsView): LoadOrder[] {
   const workers = view.workers.filter(({ state }) => state === WorkerState.Live);
-  const modelsByWorker = new Map(workers.map(({ id }) => [id, [...(view.loadedModels.get(id) ?? [])]]));
+  const modelsByWorker = new Map(
+    workers.map(({ id }) => [id, [...(view.loadedModels.get(id) ?? [])]]),
+  );
   const demand = [...view.demand].sort((a, b) => demandWeight(b) - demandWeight(a));
   const total = demand.reduce((sum, model) => sum + demandWeight(model), 0);
   const inDemand = new Set(demand.filter((one) => demandWeight(one) > 0).map(({ model }) => model));
@@ -68,7 +76,8 @@
     const holders = requiredHolders(model, { total, workers: workers.length });
     for (const models of candidates(modelsByWorker, model.model, view)) {
       if (countHolders(modelsByWorker, model.model) >= holders || byteBudget <= 0) break;
-      if (!freePlace(models, { inDemand, modelsPerWorker: view.modelsPerWorker, modelsByWorker })) continue;
+      if (!freePlace(models, { inDemand, modelsPerWorker: view.modelsPerWorker, modelsByWorker }))
+        continue;
       models.push(model.model);
       byteBudget -= model.weights;
     }
@@ -97,21 +106,26 @@
   return Math.min(workers, Math.max(MIN_HOLDERS, part));
 }
 
-/** Workers that could load the model, those with free places first. */
+/** Returns the model lists of the workers without the model, those with free places first. */
 function candidates(
   modelsByWorker: ReadonlyMap<string, string[]>,
   model: string,
   { modelsPerWorker }: ModelLoadsView,
 ): string[][] {
   const without = [...modelsByWorker.values()].filter((models) => !models.includes(model));
-  return without.sort((a, b) => Math.min(a.length, modelsPerWorker) - Math.min(b.length, modelsPerWorker));
+  return without.sort(
+    (a, b) => Math.min(a.length, modelsPerWorker) - Math.min(b.length, modelsPerWorker),
+  );
 }
 
 function countHolders(modelsByWorker: ReadonlyMap<string, string[]>, model: string): number {
   return [...modelsByWorker.values()].filter((models) => models.includes(model)).length;
 }
 
-/** Drops a model that nobody asks for, if the worker is full; a inDemand one only where others hold it. */
+/**
+ * Drops a model from a full worker: one without demand, otherwise one that more than the minimum
+ * number of workers have loaded. Returns whether there is a free place.
+ */
 function freePlace(
   models: string[],
   options: {
--- a/src/decision/loads_test.ts
+++ b/src/decision/loads_test.ts
@@ -18,9 +18,9 @@
   return planModelLoads(view).filter(({ models }) => models.includes(model)).length;
 }
 
-test("holders follow demand, at least two a model, and models without demand make room", () => {
-  // Desks switch to another adapter in the morning. Loaded by their first request, each worker would keep
-  // a caller waiting for the load.
+test("the workers per model follow demand, at least two per model, and models without demand are dropped", () => {
+  // Demand moves to another adapter in the morning. If it were loaded by the first request, each
+  // worker would keep a caller waiting for the load.
   const demand = [demandFor("new", 700), demandFor("old", 250), demandFor("rare", 10)];
   const view = someView({ demand });
   expect(holders(view, "new")).toBe(6);
@@ -29,14 +29,14 @@
   expect(planModelLoads(view).every(({ models }) => models.length <= 2)).toBe(true);
 });
 
-test("only as many loads begin at once as the weight store feeds in a minute", () => {
-  // All workers load at once: each gets an eighth of the rate, and none is ready for minutes.
+test("starts no more loads at once than the weight store can serve in a minute", () => {
+  // If all workers load at once, each gets an eighth of the rate and none is ready for minutes.
   const view = someView({ demand: [demandFor("new", 700)], weightStoreRate: 40, activeLoads: 0 });
   expect(holders(view, "new")).toBe(3);
   expect(holders({ ...view, activeLoads: 3 }, "new")).toBe(0);
 });
 
-test("nothing changes while what is loaded serves the demand", () => {
+test("changes nothing while the loaded models serve the demand", () => {
   const view = someView({ demand: [demandFor("old", 500)] });
   expect(planModelLoads(view).every(({ models }) => models.join() === "old,idle")).toBe(true);
 });
--- a/src/decision/patience.ts
+++ b/src/decision/patience.ts
@@ -1,44 +1,51 @@
 /**
- * How long a worker may be silent before a request that may be repeated is sought elsewhere.
+ * Decides when a silent worker is given up and a repeatable request is sent to another worker.
  *
- * Load that it answers: a worker that hangs or falls mute. Its connection stays open, its health check may be good,
- * and no error ever comes; without a limit the caller waits until its deadline. With one that is too short, a burst
- * or a long prompt looks like a worker that hangs, and sending its requests elsewhere makes the burst worse.
+ * Load: a worker that hangs or stops responding. Its connection stays open, its health check may
+ * succeed, and no error occurs; without a limit the caller waits until its deadline. With a limit
+ * that is too short, a burst or a long prompt looks like a hanging worker, and sending its requests
+ * elsewhere makes the burst worse.
  *
- * - A whole answer is sought elsewhere after two and a half times its target: one in a hundred takes that long by
- *   itself.
- * - A stream's first event after three times its target, or three times what it was expected to take: a prompt of
- *   60,000 tokens takes a second to read, and is read again from its beginning elsewhere.
- * - A stream that has begun only if its worker has sent nothing to anybody for 0.9 s: engines make tokens for all
- *   their requests in turn, so one stream alone is never silent for long. Callers give a stream up after two seconds
- *   or more.
+ * - A complete answer is requested elsewhere after two and a half times its target; one in a
+ *   hundred takes that long in ordinary operation.
+ * - The first event of a stream is requested elsewhere after three times its target or three times
+ *   its expected time, whichever is longer: a prompt of 60,000 tokens takes a second to process,
+ *   and would be processed from the beginning elsewhere.
+ * - A stream that has begun is given up only if its worker has sent nothing on any stream for 0.9
+ *   s: engines generate tokens for all their requests in turn, so a stream is not silent for long
+ *   by itself. Callers give a stream up after two seconds or more.
  *
  * @module
  */
 
-/** What is known of a try; times in milliseconds. */
+/** The progress of an attempt; times are in milliseconds. */
 export interface Wait {
+  /** Whether the answer is streamed. */
   readonly isStream: boolean;
-  /** Whether any event has come. */
+  /** Whether any event has been received. */
   readonly hasBegun: boolean;
-  /** Since anything came of this try. */
+  /** Time since data of this attempt was received. */
   readonly quietFor: number;
-  /** Since the worker sent anything to this instance. */
+  /** Time since the worker sent anything to this instance. */
   readonly workerQuietFor: number;
-  /** The route's target. */
+  /** The latency target of the route. */
   readonly target: number;
-  /** How long the first token was expected to take. */
+  /** The expected time to the first token. */
   readonly expected: number;
 }
 
+/** Factor on the target of a complete answer. */
 const WHOLE_ANSWER_FACTOR = 2.5;
+/** Factor on the target of a stream's first event. */
 const STREAM_FACTOR = 3;
+/** Factor on the expected time to the first token. */
 const EXPECTED_FACTOR = 3;
-/** Shorter silences are the way there and back and a busy process. */
+/** Milliseconds. A shorter silence is explained by the round trip and a busy process. */
 const MIN_SILENCE = 200;
+/** Milliseconds after which a worker that sends nothing on any stream counts as silent. */
 const STREAM_SILENCE = 900;
 
-/** Says whether the worker counts as silent. */
+/** Returns whether the worker counts as silent. */
 export function isSilent(wait: Wait): boolean {
   const { isStream, hasBegun, quietFor, workerQuietFor, target, expected } = wait;
   if (hasBegun) return quietFor > STREAM_SILENCE && workerQuietFor > STREAM_SILENCE;
--- a/src/decision/placement_test.ts
+++ b/src/decision/placement_test.ts
@@ -26,8 +26,9 @@
   return placementCost(full, candidate, TARGET);
 }
 
-test("a cached prefix draws work only while the worker isn't nearly full", () => {
-  // Without a price on load a worker with a popular prefix would be sent all that begins with it.
+test("a cached prefix attracts work only while the worker isn't nearly full", () => {
+  // Without a cost of load a worker with a popular prefix would get all requests that begin with
+  // it.
   expect(costOf({ uncachedTokens: 200, utilization: 0.7 })).toBeLessThan(
     costOf({ utilization: 0.5 }),
   );
@@ -36,7 +37,7 @@
   );
 });
 
-test("prompts ahead, a model to load, a zone being taken and a price all count", () => {
+test("queued prompts, a model load, a reclaim risk and the price all add to the cost", () => {
   const usual = costOf({});
   expect(costOf({ queuedPrefillTokens: 2_000 })).toBe(usual + 500);
   expect(costOf({ isModelLoaded: false })).toBeGreaterThan(usual + 1_000);
@@ -47,8 +48,8 @@
   expect(costOf({ price: 1 })).toBeGreaterThan(usual);
 });
 
-test("a notice in a zone warns of the zone's other workers for a while", () => {
-  // Two of a zone's five workers get notice; the other three usually follow within seconds.
+test("a reclaim notice raises the risk of the zone's other workers for a while", () => {
+  // Two of a zone's five workers get a notice; the other three usually follow within seconds.
   const risk = createReclaimRisk();
   const workers = someWorkers(20);
   const noticed = workers.map((worker, index) =>
@@ -64,7 +65,7 @@
   expect(risk.probability(sameZone, 300_000)).toBeLessThan(0.01);
 });
 
-test("few workers are compared, however many there are, and never one twice", () => {
+test("compares few workers, however many there are, and none twice", () => {
   const random = createSeededRandom(3);
   const drawn = sample(someWorkers(770), { count: sampleSize(770), random });
   expect(new Set(drawn).size).toBe(drawn.length);
--- a/src/decision/policy.ts
+++ b/src/decision/policy.ts
@@ -1,46 +1,46 @@
 /**
- * What the decisions take from the configuration in force. A deployment document fits as it is: these
- * types name the part of it that decisions read.
+ * The settings that the scheduling decisions read from the current configuration. A deployment
+ * document satisfies these types; they name the part of it that decisions read.
  *
  * @module
  */
 import type { Lane } from "./job.ts";
 
-/** What the decisions need to know of a service. */
+/** The settings of a service. */
 export interface ServicePolicy {
   /** The lane of requests that don't name one. */
   readonly lane: `${Lane}`;
   readonly target: {
     /** Milliseconds within which 95 in 100 first tokens are to arrive. */
     readonly firstToken: number;
-    /** Milliseconds that 95 in 100 gaps between tokens are to stay under. */
+    /** Milliseconds that 95 in 100 gaps between tokens are to stay below. */
     readonly betweenTokens: number;
-    /** Milliseconds that a request may take when the caller names no deadline. */
+    /** Milliseconds that a request may take if the caller gives no deadline. */
     readonly deadline: number;
   };
 }
 
-/** What the decisions need to know of a client account. */
+/** The settings of a client account. */
 export interface AccountPolicy {
-  /** The account's part of a contended service, against the others' weights. */
+  /** The account's weight in a contended service, relative to the other accounts. */
   readonly weight: number;
-  /** Requests accepted and not ended, over all entry instances. */
+  /** Maximum number of accepted and not ended requests, over all entry instances. */
   readonly maxRequests: number;
-  /** Tokens of work accepted and not ended, over all entry instances. */
+  /** Maximum tokens of work of accepted and not ended requests, over all entry instances. */
   readonly maxTokens: number;
 }
 
-/** What a machine class can do. */
+/** The performance of a machine class. */
 export interface MachinePolicy {
-  /** Tokens generated a second by a full batch. */
+  /** Tokens generated per second by a full batch. */
   readonly tokensPerSecond: number;
-  /** Prompt tokens computed a second. */
+  /** Prompt tokens computed per second. */
   readonly prefillPerSecond: number;
-  /** Tokens of KV cache. */
+  /** Capacity of the KV cache, in tokens. */
   readonly cacheTokens: number;
 }
 
-/** Prices of a machine class in an availability zone, in euros an hour. */
+/** Prices of a machine class in an availability zone, in euros per hour. */
 export interface PricePolicy {
   readonly zone: string;
   readonly machineClass: string;
@@ -49,7 +49,7 @@
 }
 
 /**
- * The settings of all decisions of one entry instance; a `Deployment` is one.
+ * The settings of all decisions of one entry instance; a `Deployment` satisfies it.
  *
  * @example
  * ```ts
@@ -63,12 +63,12 @@
   readonly offers: readonly PricePolicy[];
 }
 
-/** A policy that names nothing: every service and account gets the defaults. */
+/** A policy without entries: every service and machine class gets the defaults. */
 export const EMPTY_POLICY: Policy = { services: {}, accounts: {}, machineClasses: {}, offers: [] };
 
 /**
- * Used for a service that the policy doesn't name: the latency that the system is built for, 1.6 s to the
- * first token and 44 ms between tokens for 95 in 100.
+ * Used for a service that the policy doesn't contain: the latency for which the system is designed,
+ * 1.6 s to the first token and 44 ms between tokens for 95 in 100.
  */
 const DEFAULT_TARGET: ServicePolicy["target"] = {
   firstToken: 1_600,
@@ -76,24 +76,24 @@
   deadline: 300_000,
 };
 
-/** Used for a machine class that the policy doesn't name: a small accelerator of today. */
+/** Used for a machine class that the policy doesn't contain: a small present-day accelerator. */
 const DEFAULT_MACHINE: MachinePolicy = {
   tokensPerSecond: 900,
   prefillPerSecond: 8_000,
   cacheTokens: 100_000,
 };
 
-/** The target of a service. */
+/** Returns the latency targets of a service. */
 export function targetOf(policy: Policy, service: string): ServicePolicy["target"] {
   return policy.services[service]?.target ?? DEFAULT_TARGET;
 }
 
-/** What a machine class can do. */
+/** Returns the performance of a machine class. */
 export function machineOf(policy: Policy, machineClass: string): MachinePolicy {
   return policy.machineClasses[machineClass] ?? DEFAULT_MACHINE;
 }
 
-/** The middle of all machine classes, for work whose machine isn't chosen yet. */
+/** Returns the mean of all machine classes, for work without a chosen machine. */
 export function machineAverage(policy: Policy): MachinePolicy {
   const machines = Object.values(policy.machineClasses);
   if (machines.length === 0) return DEFAULT_MACHINE;
--- a/src/decision/prefix_cache_index.ts
+++ b/src/decision/prefix_cache_index.ts
@@ -1,56 +1,66 @@
 /**
- * Which worker probably still has which prompt prefix in its cache.
+ * Estimates which workers have which prompt prefixes in their cache.
  *
- * Load that it answers: many prompts that begin alike, such as a club's roster or a reel's house rules.
- * Computing a prefix of 2,000 tokens again takes a quarter of a second of a worker; a worker that has it
- * answers at once. Cache events say who has what, but they come late and some never come, and the cache is
- * small: a belief that isn't renewed goes stale. Trusting it for good, one would notice work that follows
- * caches long emptied, onto busy workers, for nothing.
+ * Load: many prompts with the same beginning, such as the same instructions or the same list of
+ * names. Computing a prefix of 2,000 tokens again takes a quarter of a second of a worker; a worker
+ * that has it cached answers at once. Cache events report what each worker has, but they arrive
+ * late, some never arrive, and the cache is small, so old entries become wrong. Symptom without
+ * aging: work follows caches that were emptied long ago, to busy workers and without benefit.
  *
- * So a belief weakens with age. In the time in which a full batch writes the whole cache anew, the machine's
- * cache divided by its speed, half of the unused prefixes will have been evicted. Where eviction events come
- * at all, hearing of none speaks for the prefix: one in five is reckoned as missedFraction, twice the part that is
- * usual, and the probability that it is still there follows from both. Own dispatches count as a belief as well:
- * the prefix is computed there, whether or not an event says so.
+ * Mechanism: the probability of an entry falls with its age. In the time in which a full batch
+ * overwrites the whole cache, the machine's cache size divided by its speed, half of the unused
+ * prefixes will have been evicted. Once eviction events arrive at all, the absence of one is
+ * evidence that the prefix is still there: one in five events is assumed to be lost, twice the
+ * usual fraction, and the probability follows from both. The index also records the instance's own
+ * dispatches, because the prefix is computed there whether or not an event reports it.
  *
  * @module
  */
 import { removeFirst } from "./remove_first.ts";
 
-/** Beliefs about the prefix caches of all workers. */
+/** An estimate of the prefix caches of all workers. */
 export interface PrefixCacheIndex {
-  /** The worker has, or will have in a moment, these blocks. */
+  /** Records that the worker has these blocks or will have them in a moment. */
   recordStored(worker: string, blocks: readonly string[], now: number): void;
+  /** Records that the worker has evicted these blocks. */
   recordEvicted(worker: string, blocks: readonly string[]): void;
   /**
-   * Finds workers that probably hold the beginning of a prompt.
+   * Finds workers that probably have the beginning of a prompt cached.
    *
    * @param prefix Hashes of the prompt's leading blocks, each over all blocks up to it.
-   * @returns For each worker found, at most {@linkcode GREATEST_MATCHES}, the part of the prefix, from 0 to
-   * 1, that is expected to be there.
+   * @returns For each worker found, at most {@linkcode MAX_MATCHES}, the expected fraction of the
+   * prefix, from 0 to 1, that is cached there.
    */
   match(prefix: readonly string[], now: number): Map<string, number>;
 }
 
-/** A prompt is compared with so many holders; a prefix that is on more workers is anywhere anyway. */
+/**
+ * The maximum number of workers with which a prompt is matched; a prefix on more workers is easy to
+ * find by chance.
+ */
 export const MAX_MATCHES = 4;
 
-/** About 10 MB of memory at 100 bytes a belief. */
+/** About 10 MB of memory at 100 bytes per entry. */
 const MAX_BLOCKS = 50_000;
 const MAX_HOLDERS = 8;
-/** The part of eviction events that is reckoned as lost, once any have come. */
+/** The fraction of eviction events that is assumed to be lost, once any have arrived. */
 const MISSED_EVENT_FRACTION = 0.2;
 
 /**
- * Makes beliefs about caches that nothing is blockHolders of.
+ * Creates an empty index.
  *
  * @param halfLife Milliseconds in which half of the unused blocks are evicted.
  */
 export function createPrefixCacheIndex(halfLife: number): PrefixCacheIndex {
-  /** By block hash, the least recently renewed block first. */
+  /**
+   * The time of the last update by block hash and worker, the least recently updated block first.
+   */
   const holders = new Map<string, Map<string, number>>();
   let missedFraction = 1;
-  /** The probability that a block is still there, of which nothing was heard for so long. */
+  /**
+   * Returns the probability that a block is still cached, with no event about it for `age`
+   * milliseconds.
+   */
   const probability = (age: number): number => {
     const survival = 2 ** (-age / halfLife);
     return survival / (survival + missedFraction * (1 - survival));
--- a/src/decision/quantile.ts
+++ b/src/decision/quantile.ts
@@ -1,45 +1,46 @@
 /**
- * Quantiles of a stream in constant memory.
+ * Computes quantiles of a stream in constant memory.
  *
- * Lengths and times of answers have heavy tails: one script of 4,000 tokens among a hundred lookups of 20
- * triples their mean, and every decision made from the mean is wrong for all of them. A quantile moves by
- * one rank for one sample, whatever its size.
+ * Lengths and times of answers have heavy tails: one script of 4,000 tokens among a hundred lookups
+ * of 20 triples their mean, and every decision based on the mean is wrong for all of them. A
+ * quantile moves by one rank per sample, whatever the sample's size.
  *
- * Samples are counted in buckets a quarter of a power of two wide, so a quantile is at most 9 in 100 off,
- * which is less than the spread of the quantities themselves. Old samples lose weight by the number of
- * later ones, so that a change of load shows after about one half-life.
+ * Samples are counted in buckets a quarter of a power of two wide, so a quantile is off by at most
+ * 9 in 100, which is less than the spread of the values themselves. A sample's weight falls with
+ * the number of later samples, so that a change of load has an effect after about one half-life.
  *
  * @module
  */
 
-/** Counts samples, the later ones with more weight. */
+/** Counts samples, with more weight for later ones. */
 export interface QuantileSketch {
-  /** Samples counted, old ones with less weight. */
+  /** The sum of the samples' weights; the latest sample has weight 1. */
   readonly count: number;
   /** Counts a sample; values below 1 count as 1. */
   add(value: number): void;
   /**
-   * The value that the given fraction of the samples don't exceed.
+   * Returns the value that the given fraction of the samples doesn't exceed.
    *
    * @param fraction From 0 to 1.
    * @returns The quantile, or undefined before the first sample.
    */
   quantile(fraction: number): number | undefined;
-  /** Forgets all samples. */
+  /** Removes all samples. */
   clear(): void;
 }
 
 const BUCKETS_PER_DOUBLING = 4;
-/** Values up to 2^24: a day in milliseconds is 2^26.4, but nothing here waits longer than a few hours. */
+/** Values up to 2^24. A day in milliseconds is 2^26.4, but no value here exceeds a few hours. */
 const BUCKET_COUNT = 24 * BUCKETS_PER_DOUBLING;
+/** The factor from the lower end of a bucket to its geometric middle. */
 const HALF_BUCKET = 2 ** (0.5 / BUCKETS_PER_DOUBLING);
-/** New samples weigh more and more; before the weight loses precision all counts are scaled down. */
+/** The weight of new samples grows; all counts are scaled down before it loses precision. */
 const MAX_WEIGHT = 2 ** 40;
 
 /**
- * Makes an empty sketch.
+ * Creates an empty sketch.
  *
- * @param halfLife Samples after which a sample's weight has halved.
+ * @param halfLife Number of samples after which a sample's weight has halved.
  */
 export function createQuantileSketch(halfLife: number): QuantileSketch {
   const counts = new Float64Array(BUCKET_COUNT);
--- a/src/decision/rate_meter.ts
+++ b/src/decision/rate_meter.ts
@@ -1,14 +1,19 @@
-/** A rate over the last two minutes, a bucket a second. */
+/** Measures a rate over the last two minutes, in buckets of one second. */
 export interface RateMeter {
+  /** Adds an amount at the given time. */
   add(amount: number, now: number): void;
-  /** Amount a second over the last `span` milliseconds, ending `ago` milliseconds before now. */
+  /**
+   * Returns the amount per second over the last `span` milliseconds, ending `ago` milliseconds
+   * before now.
+   */
   rate(now: number, options: { span: number; ago?: number }): number;
 }
 
+/** Milliseconds. */
 const BUCKET_LENGTH = 1_000;
 const BUCKET_COUNT = 128;
 
-/** Makes a meter that has seen nothing. */
+/** Creates a meter without samples. */
 export function createRateMeter(): RateMeter {
   const amounts = new Float64Array(BUCKET_COUNT);
   let latest = Number.NEGATIVE_INFINITY;
@@ -30,8 +35,8 @@
       advance(now);
       const newest = Math.floor((now - ago) / BUCKET_LENGTH);
       const wanted = Math.round(span / BUCKET_LENGTH);
-      // A meter that was made a moment ago has seen less than the span: dividing by the span would say
-      // that nearly nothing arrives.
+      // A new meter has measured less than the span. Dividing by the span would give a rate close
+      // to 0.
       const seen = Math.min(wanted, Math.max(0, newest - (first ?? newest) + 1));
       let sum = 0;
       for (let step = 0; step < seen; step++) sum += amounts[bucketIndex(newest - step)] ?? 0;
--- a/src/decision/reclaim_risk.ts
+++ b/src/decision/reclaim_risk.ts
@@ -1,30 +1,37 @@
 /**
- * How likely a worker is to be taken back soon.
+ * Estimates the probability that a worker is reclaimed soon.
  *
- * Load that it answers: reclaims come in waves. When a few instances of an availability zone get notice,
- * the rest of the zone usually follows within seconds. Work that is moved from the first onto the next is
- * moved again, and recomputed each time. One would notice it as requests with three and more attempts
- * during a wave.
+ * Load: reclaims come in waves. When a few instances of an availability zone get a notice, the rest
+ * of the zone usually follows within seconds. Work that is moved from the first to the next is
+ * moved again and computed again each time. Symptom: requests with three or more attempts during a
+ * wave.
  *
- * The part of a zone's reclaimable workers that got notice lately is taken as the chance that any other of
- * them gets it next. It halves in 30 s: a wave that hasn't reached a worker within a minute has most likely
- * passed it by, and a zone that is avoided for much longer is capacity that is paid for and unused.
+ * Mechanism: the fraction of a zone's reclaimable workers that got a notice recently is used as the
+ * probability that any other of them gets one next. It halves in 30 s: a wave that hasn't reached a
+ * worker within a minute has most likely ended, and avoiding a zone for much longer leaves paid
+ * capacity unused.
  *
  * @module
  */
 import { Purchase, WorkerState } from "../interface/index.ts";
 import type { Worker } from "../interface/index.ts";
 
-/** What is believed about reclaims, by availability zone. */
+/** The reclaim risk by availability zone. */
 export interface ReclaimRisk {
-  /** Takes in the workers as they are known now; a notice counts when it is first seen. */
+  /**
+   * Updates the risk from the current list of workers; a notice counts when it is first observed.
+   */
   observe(workers: readonly Worker[], now: number): void;
-  /** The chance, from 0 to 1, that the worker is taken before a job of a minute ends. */
+  /**
+   * Returns the probability, from 0 to 1, that the worker is reclaimed before a job of one minute
+   * ends.
+   */
   probability(worker: Worker, now: number): number;
 }
 
+/** Milliseconds. */
 const RISK_HALF_LIFE = 30_000;
-/** Without any notice: about one reclaim an instance in four hours, for a job of a minute. */
+/** Without any notice: about one reclaim per instance in four hours, for a job of one minute. */
 const BASE_PROBABILITY = 1 / 240;
 
 interface ZoneNotices {
@@ -32,7 +39,7 @@
   at: number;
 }
 
-/** Makes a belief that has seen no notice. */
+/** Creates the risk estimate before any notice. */
 export function createReclaimRisk(): ReclaimRisk {
   const seen = new Set<string>();
   const zones = new Map<string, ZoneNotices>();
@@ -58,7 +65,7 @@
   };
 }
 
-/** Says whether the cloud has said that it takes the worker's instance. */
+/** Returns whether the cloud has announced that it reclaims the worker's instance. */
 export function hasReclaimNotice(worker: Worker): boolean {
   return worker.reclaimAt !== undefined && worker.state !== WorkerState.Gone;
 }
--- a/src/decision/run_table.ts
+++ b/src/decision/run_table.ts
@@ -1,30 +1,41 @@
-/** The runs of this instance's jobs: one a job, two while a hedge is out. */
+/**
+ * The runs of this instance's jobs: one per job, two while a hedge runs.
+ *
+ * @module
+ */
 import { Lane } from "./job.ts";
 import type { Job } from "./job.ts";
 import type { PoolWorker } from "./worker_pool.ts";
 
-/** A job on a worker. */
+/** One run of a job on a worker. */
 export interface Run {
   readonly job: Job;
   readonly worker: PoolWorker;
   readonly dispatchedAt: number;
   /** Prompt tokens that the worker is expected to compute before the first token. */
   readonly uncachedTokens: number;
+  /** Time of the run's last token; undefined before the first. */
   lastTokenAt: number | undefined;
 }
 
-/** Runs by job id, with the workers that have failed each job. */
+/** Runs by job id, with the workers on which each job failed. */
 export interface RunTable {
+  /** Adds a run. */
   start(job: Job, details: { worker: PoolWorker; uncachedTokens: number; now: number }): void;
+  /** Returns the job's current runs. */
   runsOf(id: string): readonly Run[];
-  /** The job's run on the worker; without a worker, its only run. */
+  /** Returns the job's run on the worker; without a worker, its first run. */
   find(id: string, worker: string | undefined): Run | undefined;
-  /** Ends a run; where `failed`, the job never goes to its worker again. */
+  /** Ends a run. If it failed, its worker is excluded for the job from now on. */
   end(run: Run, failed: boolean): void;
-  /** How many of the job's runs failed. */
+  /** Returns how many of the job's runs failed. */
   failures(id: string): number;
-  /** Workers that must not get the job: those that failed it, those that run it, and those given. */
+  /**
+   * Returns the workers that must not get the job: those on which it failed, those on which it
+   * runs, and the given ones.
+   */
   excludedWorkers(id: string, besides: ReadonlySet<string>): ReadonlySet<string>;
+  /** Removes the job and its history. */
   remove(id: string): void;
 }
 
@@ -34,7 +45,7 @@
   failures: number;
 }
 
-/** Makes a table without runs. */
+/** Creates a table without runs. */
 export function createRunTable(): RunTable {
   const entries = new Map<string, JobRuns>();
   const entryOf = (id: string): JobRuns => {
--- a/src/decision/scheduler.ts
+++ b/src/decision/scheduler.ts
@@ -1,5 +1,6 @@
 /**
- * The face of all decisions about requests under load, and how they are put together.
+ * The interface to all decisions about requests under load, and their composition: admission, queue
+ * order, placement, hedges, retries and the statistics that they learn from.
  *
  * @module
  */
@@ -36,16 +37,16 @@
 import { createWorkerPool, recordPrefill, prefillFactor, effectiveLimit } from "./worker_pool.ts";
 import type { PoolWorker } from "./worker_pool.ts";
 
-/** How a job's run ended, for what is learned from it. */
+/** How a job's run ended; determines what is learned from it. */
 export enum RunEnd {
   Complete = "complete",
   Failed = "failed",
   Cancelled = "cancelled",
-  /** Goes on elsewhere. */
+  /** The job continues on another worker. */
   Moved = "moved",
 }
 
-/** A cache event of a backend server: late, and some are missing. */
+/** A cache event of a backend server. Events arrive late, and some are missing. */
 export interface CacheEvent {
   readonly worker: string;
   readonly kind: "stored" | "evicted";
@@ -53,122 +54,148 @@
   readonly blocks: readonly string[];
 }
 
-/** What {@linkcode Scheduler.place} may use besides the job. */
+/** Options of {@linkcode Scheduler.place}. */
 export interface PlaceOptions {
   readonly now: number;
   readonly random: Random;
-  /** Workers that have failed this job: never the same one twice. */
+  /** Workers on which this job failed; it is never placed on the same one twice. */
   readonly avoid: ReadonlySet<string>;
 }
 
-/** Whether a job whose first token is late is sent to a second worker as well. */
+/** Whether a job with a late first token is also sent to a second worker. */
 export type Hedge =
   | { readonly kind: "hedge"; readonly worker: string }
-  /** Ask again after `delay` milliseconds if the first token hasn't come by then. */
+  /** Ask again after `delay` milliseconds if the first token hasn't arrived by then. */
   | { readonly kind: "later"; readonly delay: number }
-  /** Not to be repeated, no budget, or no other worker with room. */
+  /** The job may not be repeated, the budget is used up, or no other worker has a free slot. */
   | { readonly kind: "none" };
 
-/** What {@linkcode Scheduler.hedge} may use besides the job. */
+/** Options of {@linkcode Scheduler.hedge}. */
 export interface HedgeOptions extends PlaceOptions {
   /** When the job was dispatched. */
   readonly dispatchedAt: number;
 }
 
-/** How a run ended, besides {@linkcode RunEnd}. */
+/** Details of a run's end besides {@linkcode RunEnd}. */
 export interface RunEndDetails {
   readonly now: number;
-  /** What the answer came to, tokens resumed from included. */
+  /** Tokens of the answer, including those resumed from. */
   readonly answerTokens: number;
-  /** The run's worker, where a hedge makes two runs of one job; else the job's only run is meant. */
+  /**
+   * The run's worker, needed if a hedge makes two runs of one job; otherwise the job's only run is
+   * meant.
+   */
   readonly worker?: string;
-  /** Why a run failed: a connection that went silent says nothing against the worker. */
+  /** Why a run failed. A silent connection, for example, is not held against the worker. */
   readonly cause?: RetryCause;
 }
 
-/** What the scheduler believes of one worker, for status pages and tests. */
+/** The scheduler's estimate of one worker, for status pages and tests. */
 export interface WorkerSnapshot {
   readonly worker: string;
   readonly service: string;
   /** Jobs that may run at once on the worker, from all entry instances. */
   readonly limit: number;
-  /** Jobs believed to be on the worker, from all entry instances. */
+  /** Estimated jobs on the worker, from all entry instances. */
   readonly load: number;
   /** Jobs of this entry instance on the worker. */
   readonly ownJobs: number;
+  /** Whether the worker gets no jobs for a while because it was slow or failed. */
   readonly isEjected: boolean;
 }
 
-/** What the scheduler believes now. */
+/** The scheduler's present state. */
 export interface SchedulerSnapshot {
   readonly workers: readonly WorkerSnapshot[];
   readonly services: readonly ServiceSnapshot[];
 }
 
 /**
- * All decisions about requests under load, of one entry instance. The entry instance and the replay use
- * the same one. It has no clock, no randomness and no network of its own: every call passes `now`.
+ * All decisions about requests under load, of one entry instance. The entry instance and the replay
+ * use the same one. It has no clock, no randomness and no network of its own: every call passes
+ * `now`, in the clock's milliseconds.
  */
 export interface Scheduler {
-  /** Puts a new revision's settings in force; what was learned and accepted stays. */
+  /** Replaces the settings; learned statistics and accepted jobs are kept. */
   configure(policy: Policy, now: number): void;
-  /** Says how many entry instances share the workers and the accounts' bounds; 1 at first. */
+  /**
+   * Sets the number of entry instances that share the workers and the accounts' limits; 1 at first.
+   */
   setInstances(count: number, now: number): void;
-  /** Lets a request in or turns it away at once; counts it in when admitted. */
+  /** Accepts or refuses a request at once; counts it if it is accepted. */
   admit(arrival: Arrival, now: number): Admission;
   /**
-   * Counts in a job that another entry instance has accepted and this one inherits. Never refused.
+   * Counts a job that another entry instance has accepted and this one inherits. Such a job is
+   * never refused.
    *
    * @returns The job, with this instance's own estimate.
    */
   adopt(arrival: Arrival, now: number): Job;
-  /** What the queue class of the service's p-queue is made with. */
+  /** Returns the options for the queue class of the service's p-queue. */
   queueOptions(service: string): FairQueueOptions;
   /**
-   * Chooses the worker of a waiting job and counts the job as running there. On `wait` the job keeps its
-   * place: ask again when a run has ended or a report has come.
+   * Chooses the worker of a waiting job and counts the job as running there. On `wait` the job
+   * keeps its place in the queue: ask again after a run has ended or a report has been received.
    */
   place(job: Job, options: PlaceOptions): Placement;
-  /** Says whether a job whose first token is late is sent to a second worker; counts that run in. */
+  /**
+   * Decides whether a job with a late first token is also sent to a second worker, and counts that
+   * run.
+   */
   hedge(job: Job, options: HedgeOptions): Hedge;
-  /** How many jobs of the service this instance may run at once, over all its workers; at least 1. */
+  /**
+   * Returns how many jobs of the service this instance may run at once, over all its workers; at
+   * least 1.
+   */
   capacity(service: string, now: number): number;
-  /** The first token of a run has come; `worker` as in {@linkcode RunEndDetails}. */
+  /** Records the first token of a run; `worker` as in {@linkcode RunEndDetails}. */
   firstToken(id: string, now: number, worker?: string): void;
-  /** A further token of a run has come. */
+  /** Records a further token of a run. */
   token(id: string, now: number, worker?: string): void;
   /** Ends the job's run on its worker. */
   runEnded(id: string, end: RunEnd, details: RunEndDetails): void;
-  /** Forgets the job: it has its end. */
+  /** Ends the job and any run that it still has. */
   settled(job: Job, now: number): void;
+  /** Decides whether a failed job is sent again, and when. */
   retry(job: Job, cause: RetryCause, details: { now: number; random: Random }): Retry;
+  /** Replaces the list of workers. */
   setWorkers(workers: readonly Worker[], now: number): void;
+  /** Records a worker's load report. */
   report(report: LoadReport, now: number): void;
+  /** Records a cache event. */
   cacheEvent(event: CacheEvent, now: number): void;
+  /** Returns the present state. */
   snapshot(now: number): SchedulerSnapshot;
 }
 
-/** What does not change while the scheduler lives. */
+/** Options that stay the same during the scheduler's lifetime. */
 export interface SchedulerOptions {
-  /** The entry instance's availability zone, to prefer near workers among equals. */
+  /** The entry instance's availability zone; workers in it are preferred among equals. */
   readonly zone?: string;
 }
 
 const LANES = [Lane.Lookup, Lane.Script];
-/** Nine first tokens in ten come within what admission counts on. */
+/** The percentile of the time to first token that admission uses. */
 const ADMISSION_PERCENTILE = 0.9;
-/** The part of the speed that lookups get while scripts wait: the queue's weights, four to one. */
+/** Lookups' share of the speed while scripts wait: the queue's weights, four to one. */
 const LOOKUP_SHARE = 0.8;
+/** Milliseconds over which rates of work are measured. */
 const RATE_WINDOW = 10_000;
-/** Prompts whose computing takes at most this part of the target tell how full a batch is. */
+/**
+ * A prompt is short if its computation takes at most this fraction of the first-token target; only
+ * short prompts show how full a batch is.
+ */
 const SHORT_PROMPT_FRACTION = 0.25;
-/** Accounts are bounded on each instance at twice its part: callers don't spread evenly. */
+/**
+ * Each instance allows an account twice its even share of the limits, because callers don't spread
+ * evenly over the instances.
+ */
 const LIMIT_FACTOR = 2;
 
 /**
- * Makes the scheduler of one entry instance, or of a replay.
+ * Creates the scheduler of one entry instance or of a replay.
  *
- * @param policy The settings in force; a `Deployment` is one.
+ * @param policy The current settings; a `Deployment` satisfies the type.
  *
  * @example
  * ```ts
@@ -209,7 +236,7 @@
     );
     pool.tick(service, now);
   };
-  /** Tokens of work a second that a lane can count on at this instance. */
+  /** Returns the tokens of work per second that a lane can count on at this instance. */
   const rateOf = (service: string, lane: Lane, now: number): number => {
     const { lanes, completedWork } = stateOf(service);
     const nominal = pool.service(service).speed / instances;
@@ -219,7 +246,7 @@
     const lookups = lanes[Lane.Lookup].arrivedWork.rate(now, { span: RATE_WINDOW });
     return Math.max(rate * (1 - LOOKUP_SHARE), rate - lookups);
   };
-  /** Milliseconds until one of this instance's runs ends, on the average. */
+  /** Returns the mean milliseconds until one of this instance's runs ends. */
   const meanTimeToFreeSlot = ({ service, estimate }: Job): number => {
     const { lanes } = stateOf(service);
     const { meanRun } = pool.service(service);
@@ -390,7 +417,7 @@
       const prefill = (run.uncachedTokens * 1_000) / run.worker.machine.prefillPerSecond;
       const usual = prefill * prefillFactor(pool.service(job.service));
       const { firstToken } = targetOf(currentPolicy, job.service);
-      // A long prompt's first token is late by itself, whatever the batch.
+      // The first token of a long prompt is late by itself, whatever the batch.
       if (usual <= firstToken * SHORT_PROMPT_FRACTION) run.worker.limit.recordFirstToken(waited);
       recordPrefill(pool.service(job.service), waited, prefill);
     },
@@ -450,7 +477,7 @@
   };
 }
 
-/** Failures that say nothing against the worker, or that are counted apart. */
+/** Failures that are not the worker's fault or that are counted separately. */
 const NON_WORKER_FAILURES: ReadonlySet<RetryCause | undefined> = new Set([
   RetryCause.ConnectFailed,
   RetryCause.SilentConnection,
--- a/src/decision/scheduler_test.ts
+++ b/src/decision/scheduler_test.ts
@@ -56,8 +56,8 @@
 
 describe.each([1, 6])("under load, with %i entry instances", (instances) => {
   test("lookups among long scripts wait no longer than alone", () => {
-    // A desk's lookups come in while ten scripts a second are sent, four times what the workers can do.
-    // In one line the lookups would wait behind minutes of scripts, and managers at the desk with them.
+    // Lookups arrive while ten scripts per second are sent, four times the capacity of the workers.
+    // In one queue the lookups would wait behind minutes of scripts.
     const scripts = generateArrivals(10, {
       from: 0,
       until: MINUTE,
@@ -74,9 +74,9 @@
     expect(firstTokenTimes(mixed, "script").length).toBeGreaterThan(60);
   });
 
-  test("at twice what the workers can do, they still do what they can, in time", () => {
-    // The finish tent asks twice as much as the workers can answer. If all were let in, all would be late;
-    // so half is turned away at once with a time to come back, and the other half is answered in time.
+  test("at twice the capacity the workers still answer as many requests in time", () => {
+    // Lookups arrive at twice the capacity of the workers. If all were accepted, all would be late.
+    // Half of them must be refused at once with a retry delay, and the other half answered in time.
     const most = inTime(simulate(lookups(150), { instances }));
     const flooded = simulate(lookups(320), { instances });
     const refused = flooded.filter((one) => one.refused !== Refusal.None);
@@ -88,9 +88,9 @@
     expect(early.every(({ endedAt }) => endedAt !== undefined)).toBe(true);
   });
 
-  test("a burst spreads over all workers", () => {
-    // Entries close and 100 requests arrive in a tenth of a second, all within one report. Sent by the
-    // reports alone they would all go to the worker that looked idle; its callers would wait for seconds.
+  test("spreads a burst over all workers", () => {
+    // 100 requests arrive in a tenth of a second, all within one report interval. If only reports
+    // were used, all would go to the worker that looked idle, and wait there for seconds.
     const burst = generateArrivals(1_000, { from: 5_000, until: 5_100, seed: 4, name: "burst" });
     const simulated = simulate([...burst, ...lookups(10)], { instances });
     const perWorker = someWorkers(4).map(
@@ -103,8 +103,8 @@
   });
 
   test("an account that floods the service doesn't delay another", () => {
-    // One club sends ten times its share while a small one asks now and then. The small one must not be
-    // turned away or wait for what the large one has piled up.
+    // One account sends ten times its share while a small one sends a few requests. The small one
+    // must not be refused or wait for the large account's backlog.
     const flood = generateArrivals(300, { from: 0, until: MINUTE, seed: 5, name: "flood" });
     const own = { account: "tent" };
     const small = generateArrivals(10, { from: 0, until: MINUTE, seed: 6, name: "small", of: own });
@@ -114,9 +114,9 @@
     expect(percentile(firstTokenTimes(simulated, "small"), 0.95)).toBeLessThan(TARGET);
   });
 
-  test("a slow worker gets little, and its share back soon after", () => {
-    // One backend server runs five times slower for 20 s. Callers whose request lands there would wait;
-    // once it is well again it must not stay unused, for it is paid for.
+  test("a slow worker gets few jobs, and its full share soon after it recovers", () => {
+    // One backend server runs five times slower for 20 s. Requests placed there would wait. After
+    // its recovery it must not stay unused.
     const slowness = (worker: string, now: number): number =>
       worker === "w0" && now > 10_000 && now < 30_000 ? 5 : 1;
     const limits: number[] = [];
@@ -131,9 +131,9 @@
   });
 });
 
-test("one hot prefix spreads over workers by itself", () => {
-  // Every request of the morning begins with the same roster. Sent only where its prefix is cached, one
-  // worker would carry all of them while three stand idle.
+test("spreads a popular prefix over several workers", () => {
+  // Every request begins with the same prefix. If requests went only where it is cached, one worker
+  // would run all of them while three are idle.
   const of = { prefix: ["a", "b", "c", "d"], promptTokens: 800 };
   const hot = generateArrivals(80, { from: 0, until: MINUTE, seed: 7, name: "hot", of });
   const simulated = simulate(hot);
@@ -163,8 +163,8 @@
     return placement.kind === "placed" ? placement.worker : "none";
   }
 
-  test("a leaving worker gets nothing", () => {
-    // Three of four workers are under notice; what is sent to them would be lost within seconds.
+  test("a leaving worker gets no jobs", () => {
+    // Three of four workers have a reclaim notice; jobs sent to them would be lost within seconds.
     const workers = someWorkers(4).map((worker, index) =>
       index === 2 ? worker : { ...worker, state: WorkerState.Leaving, reclaimAt: 5_000 },
     );
@@ -175,8 +175,8 @@
     }
   });
 
-  test("a job that failed on a worker never goes there again", () => {
-    // A request that a worker can't digest would fail there again, however idle the worker looks.
+  test("a job is never placed again on a worker on which it failed", () => {
+    // A request that a worker can't process would fail there again, however idle the worker looks.
     const scheduler = ready(someWorkers(2));
     const job = jobOf(scheduler.admit(someArrival(), 0));
     const first = placed(scheduler, job, 0);
@@ -188,7 +188,7 @@
     expect(placed(scheduler, job, 40)).toBe("none");
   });
 
-  test("what ended is no longer held against its account", () => {
+  test("an ended job no longer counts against its account's limits", () => {
     const policy = {
       ...TEST_POLICY,
       accounts: { club: { weight: 1, maxRequests: 1, maxTokens: 1_000_000 } },
@@ -205,8 +205,8 @@
     expect(scheduler.snapshot(20).services[0]).toMatchObject({ waitingJobs: 1, runningJobs: 0 });
   });
 
-  test("a lookup whose first token is late is sent to a second worker, once", () => {
-    // A worker stalls. Its lookups would wait with it, though another worker has room.
+  test("sends a lookup with a late first token to a second worker, once", () => {
+    // A worker stalls. Its lookups would wait with it although another worker has free slots.
     const scheduler = ready();
     for (let index = 0; index < 50; index++) {
       const job = jobOf(scheduler.admit(someArrival({ id: `r${index}` }), index));
@@ -224,8 +224,9 @@
     expect(scheduler.hedge(late, { ...options, now: 1_300 }).kind).toBe("none");
   });
 
-  test("an inherited job is counted in, never refused", () => {
-    // Another entry instance accepted the request before it was taken; to refuse it now would lose it.
+  test("counts an inherited job and never refuses it", () => {
+    // Another entry instance accepted the request before this one took it over; refusing it now
+    // would lose it.
     const scheduler = ready([]);
     const job = scheduler.adopt(someArrival({ id: "inherited" }), 0);
     expect(placed(scheduler, job, 0)).toBe("none");
--- a/src/decision/service_state.ts
+++ b/src/decision/service_state.ts
@@ -1,5 +1,6 @@
 /**
- * The lanes of one service at this instance: what was admitted, waits, runs and was done.
+ * Counts the jobs of one service at this instance: what was admitted, what waits and runs, and how
+ * much work was done.
  *
  * @module
  */
@@ -12,34 +13,36 @@
 import type { RateMeter } from "./rate_meter.ts";
 import type { ServiceSnapshot } from "./service_snapshot.ts";
 
-/** What waits of one account, with the weight that it was counted with. */
+/** The waiting jobs of one account, with the weight that was used when they were counted. */
 interface AccountWaiting {
   jobs: number;
   work: number;
-  /** The part of the work whose callers addWaiting for a first token. */
+  /** The part of the work for which callers wait for a first token. */
   interactiveWork: number;
   readonly weight: number;
 }
 
-/** One lane of a service. */
+/** The jobs of one lane of a service. */
 export interface LaneState {
+  /** Jobs that wait, and their tokens of work. */
   waitingJobs: number;
   waitingWork: number;
   readonly byAccount: Map<string, AccountWaiting>;
-  /** Weights of the accounts with waiting work, summed. */
+  /** Sum of the weights of the accounts with waiting work. */
   activeWeight: number;
   running: number;
-  /** How many ran at once on the average lately, as of `meanAt`. */
+  /** Recent mean of the number of running jobs, as of `meanAt`. */
   meanRunning: number;
   meanAt: number;
-  /** Seconds that the mean is taken over, older ones with less weight. */
+  /** Seconds over which the mean is taken, with less weight for older ones. */
   meanWeight: number;
+  /** Tokens of work that arrived. */
   readonly arrivedWork: RateMeter;
   /** Milliseconds from dispatch to first token. */
   readonly firstTokens: QuantileSketch;
 }
 
-/** What was done with one admitted job so far. */
+/** The state of one admitted job. */
 interface JobEntry {
   readonly job: Job;
   readonly admittedAt: number;
@@ -48,51 +51,71 @@
   hasBeenPlaced: boolean;
 }
 
-/** The lanes of one service. */
+/** The jobs of one service. */
 export interface ServiceState {
   readonly lanes: Readonly<Record<Lane, LaneState>>;
   /** Tokens of work done. */
   readonly completedWork: RateMeter;
-  /** When room is promised until, to requests that were turned away. */
+  /** The time up to which capacity is reserved for the retries of refused requests. */
   reservedUntil: number;
-  /** The 95th percentile of waits as multiples of their predictions. */
+  /**
+   * Returns the factor that corrects predicted waits of this kind; 1 until enough waits have been
+   * measured.
+   */
   correction(kind: WaitKind): number;
+  /** Counts the work of a request that arrived, admitted or not. */
   recordArrival(arrival: { lane: Lane }, work: number, now: number): void;
+  /** Counts an admitted job as waiting. */
   recordAdmission(
     job: Job,
     details: { now: number; predicted: PredictedWait; weight: number },
   ): void;
-  /** The job goes to a worker. */
+  /** Counts a waiting job as running. */
   recordPlacement(job: Job, now: number): void;
-  /** The job's last run ended before the job did: it waits again. */
+  /** Counts a running job as waiting again, after its last run ended before the job did. */
   recordReturn(job: Job, weight: number): void;
+  /** Removes a job that ended. */
   recordJobEnd(job: Job, now: number): void;
+  /** Returns whether the job is counted. */
   has(id: string): boolean;
+  /** Returns the present counts and rates. */
   snapshot(service: string, now: number): ServiceSnapshot;
 }
 
+/** Samples. */
 const SAMPLE_HALF_LIFE = 200;
+/** Ratios of waits are stored in percent. */
 const PERCENT = 100;
 const MIN_WAITS = 10;
-/** Shorter waits are a matter of single turns, not of the speed that a correction is about. */
+/**
+ * Milliseconds. Shorter waits depend on single runs rather than on the speed, which is what a
+ * correction is about.
+ */
 const MIN_PREDICTION = { [WaitKind.QueuedWork]: 50, [WaitKind.FreeSlot]: 1 };
 /**
- * For work ahead that of the target, 95 in 100. A single turn is as often double as half of its mean by
- * chance: only what it is off by on the whole is corrected.
+ * For queued work this is the percentile of the target, 95 in 100. The wait for a single slot is
+ * double its mean as often by chance as it is half of it, so only its median error is corrected.
  */
 const CORRECTION_PERCENTILE = { [WaitKind.QueuedWork]: 0.95, [WaitKind.FreeSlot]: 0.5 };
-/** Beyond these the cause is another than a wrong speed, and a correction would overshoot. */
+/**
+ * Beyond these limits the cause is something other than a wrong speed, and a correction would
+ * overshoot.
+ */
 const MIN_CORRECTION = 0.5;
 const MAX_CORRECTION = { [WaitKind.QueuedWork]: 3, [WaitKind.FreeSlot]: 10 };
 const MINUTE = 60_000;
-/** Callers at a desk come in rounds of about a minute. */
+/** Milliseconds. Interactive callers arrive in cycles of about a minute. */
 const MEAN_HALF_LIFE = 60_000;
-/** Seconds: beyond it, a time in which nothing ran would outweigh what runs now. */
+/**
+ * Seconds. With a longer window, a period in which no job ran would outweigh the jobs that run now.
+ */
 const MAX_MEAN_WINDOW = 60;
-/** Below one lookup in twenty seconds of a second each, a place kept free costs more than it saves. */
+/**
+ * Below one lookup of one second every twenty seconds, a reserved slot costs more than it saves.
+ */
 const MIN_MEAN_RUNNING = 0.05;
 
-/** Opens the lanes of a service. */
+/** Creates the state of a service without jobs. */
 export function createServiceState(names: readonly Lane[]): ServiceState {
   const lanes = Object.fromEntries(names.map((lane) => [lane, emptyLane()])) as Record<
     Lane,
@@ -225,8 +248,9 @@
 }
 
 /**
- * Places to keep free of scripts, over all entry instances: the lookups that run on the average, and three
- * times the root of it, which independent arrivals exceed in one moment of a thousand.
+ * Returns the number of slots to reserve for lookups, over all entry instances: the mean number of
+ * running lookups plus three times its square root. Independent arrivals exceed that at one moment
+ * in a thousand.
  */
 export function reservedSlots(
   lane: LaneState,
@@ -237,7 +261,7 @@
   return mean < MIN_MEAN_RUNNING ? 0 : Math.ceil(mean + 3 * Math.sqrt(mean));
 }
 
-/** Brings the mean of what ran at once up to now. */
+/** Updates the mean number of running jobs to the present. */
 function updateMeanRunning(lane: LaneState, now: number): void {
   const passed = Math.max(0, now - lane.meanAt) / 1_000;
   const kept = 2 ** ((-passed * 1_000) / MEAN_HALF_LIFE);
--- a/src/decision/testing/load_play.ts
+++ b/src/decision/testing/load_play.ts
@@ -1,5 +1,5 @@
 /**
- * Plays a load through schedulers against small continuous-batching workers, on a time of its own, for the
+ * Simulates a load on schedulers and small continuous-batching workers, in simulated time, for the
  * tests of the decisions.
  *
  * @module
@@ -9,12 +9,12 @@
 import { createFairQueueClass, createScheduler, Lane, RunEnd } from "../index.ts";
 import type { Arrival, FairQueue, Job, Policy, Scheduler } from "../index.ts";
 
-/** A request of a load; `answerTokens` is what the worker will produce. */
+/** A request of a load; `answerTokens` is the number of tokens that the worker will generate. */
 export interface SimulatedArrival extends Arrival {
   readonly answerTokens: number;
 }
 
-/** What became of a request. Times in milliseconds. */
+/** The result of a request. Times are in milliseconds. */
 export interface SimulatedRequest {
   readonly arrival: SimulatedArrival;
   readonly refused: Refusal;
@@ -24,19 +24,19 @@
   endedAt: number | undefined;
 }
 
-/** What a load is played on. */
+/** The settings of a simulation. */
 export interface SimulationSettings {
   readonly policy: Policy;
   readonly workers: readonly Worker[];
   readonly arrivals: readonly SimulatedArrival[];
-  /** Milliseconds to play. */
+  /** Milliseconds to simulate. */
   readonly duration: number;
   readonly seed: number;
-  /** Entry instances, among which arrivals are drawn; 1 where not given. */
+  /** Number of entry instances; each arrival goes to a random one. 1 by default. */
   readonly instances?: number;
-  /** How many times slower than its class a worker is, now. */
+  /** Returns how many times slower than its class a worker is now. */
   readonly slowness?: (worker: string, now: number) => number;
-  /** Called once a second. */
+  /** Called once per second. */
   readonly observe?: (now: number, schedulers: readonly Scheduler[]) => void;
 }
 
@@ -52,7 +52,7 @@
 interface Instance {
   readonly scheduler: Scheduler;
   readonly queue: FairQueue<Job>;
-  /** Taken out of the queue and without a worker yet. */
+  /** Jobs that were dequeued and have no worker yet. */
   unplaced: Job[];
   running: number;
 }
@@ -61,7 +61,7 @@
 const REPORT_INTERVAL = 1_000;
 const REPORT_DELAY = 500;
 
-/** Plays the load; the result holds one entry for each arrival, in order. */
+/** Simulates the load; the result has one entry per arrival, in order. */
 export function simulateLoad(settings: SimulationSettings): SimulatedRequest[] {
   const random = createSeededRandom(settings.seed);
   const count = settings.instances ?? 1;
@@ -210,13 +210,19 @@
   return [...results.values()];
 }
 
-/** Engines compute prompts in the order of the priorities that they are given: lookups first. */
+/**
+ * Sorts a batch by priority, lookups first; engines compute prompts in the order of the priorities
+ * that they are given.
+ */
 function byPriority(batch: readonly Sequence[]): Sequence[] {
   const isLookup = ({ job }: Sequence): boolean => job.lane === Lane.Lookup;
   return [...batch.filter(isLookup), ...batch.filter((sequence) => !isLookup(sequence))];
 }
 
-/** Tokens a second that each of a batch gets: at most 40 alone, and the batch's full speed shared. */
+/**
+ * Returns the tokens per second of each sequence in a batch: at most 40 alone, otherwise an equal
+ * share of the batch's full speed.
+ */
 function tokensPerSequence(tokensPerSecond: number, batch: number): number {
   return Math.min(40, tokensPerSecond / Math.max(1, batch));
 }
@@ -230,7 +236,7 @@
   return { scheduler, queue: new queueClass(), unplaced: [], running: 0 };
 }
 
-/** Workers of one service over four availability zones, named `w0` and so on. */
+/** Creates workers of one service over four availability zones, named `w0` and so on. */
 export function someWorkers(count: number, service = "desk"): Worker[] {
   return Array.from({ length: count }, (_, index) => ({
     id: `w${index}`,
@@ -243,7 +249,7 @@
   }));
 }
 
-/** A repeatable lookup of the account `club`, changed as given. */
+/** Creates a repeatable lookup of the account `club`, with the given changes. */
 export function someArrival(changes: Partial<SimulatedArrival> = {}): SimulatedArrival {
   const arrivedAt = changes.arrivedAt ?? 0;
   return {
@@ -278,7 +284,10 @@
   offers: [],
 };
 
-/** Arrivals at even distances with some jitter, `perSecond` of them from `from` until `until`. */
+/**
+ * Creates arrivals at even intervals with some jitter, `perSecond` of them from `from` until
+ * `until`.
+ */
 export function generateArrivals(
   perSecond: number,
   options: {
@@ -298,13 +307,16 @@
   });
 }
 
-/** The value that the given part of the numbers doesn't exceed. */
+/** Returns the value that the given fraction of the numbers doesn't exceed. */
 export function percentile(values: readonly number[], part: number): number {
   const sorted = [...values].sort((a, b) => a - b);
   return sorted[Math.min(sorted.length - 1, Math.floor(part * sorted.length))] ?? Number.NaN;
 }
 
-/** Milliseconds to the first token of all that came, of requests whose id begins so. */
+/**
+ * Returns the milliseconds to the first token of the requests that got one and have an id with this
+ * prefix.
+ */
 export function firstTokenTimes(requests: readonly SimulatedRequest[], name: string): number[] {
   const named = requests.filter(({ arrival }) => arrival.id.startsWith(name));
   return named
--- a/src/decision/triage.ts
+++ b/src/decision/triage.ts
@@ -1,81 +1,89 @@
 /**
- * What becomes of each request in progress on a worker whose instance is about to be taken.
+ * Decides what happens to each request in progress on a worker that is about to be reclaimed.
  *
- * Load that it answers: a wave of reclaims with seconds of notice, each worker full of long scripts. Left
- * until the end, every answer is cut and computed recomputeTime from its prompt; moved at random, work lands on the
- * next instance to be taken, or the KV caches of all leave at once and none arrives in time. One would notice
- * recomputed tokens of several times the work in progress, and entries that may or may not have run.
+ * Load: a wave of reclaims with seconds of notice, with each worker full of long scripts. If the
+ * requests stay until the end, every answer is cut off and computed again from its prompt. If they
+ * are moved at random, work lands on the next worker to be reclaimed, or all KV caches leave at
+ * once and none arrives in time. Symptom: several times the work in progress in recomputed tokens,
+ * and requests that may or may not have run.
  *
- * What a request costs is decided for each, in this order:
+ * The choice is made for each request in this order:
  *
- * - its KV cache is exported, which recomputes nothing. The instance's sending rate is shared by all its
- *   exports, one after another, so that each arrives whole: requests that may not be repeated first (nothing
- *   else saves them), then those whose deadline leaves no time to compute recomputeTime, then the largest, since each
- *   export has the same fixed cost; last those that will most likely have ended. Exports begin as late as
- *   their time allows, four times over, because other entry instances export from the same worker and aren't
- *   seen from here: until then all go on, and what ends by itself needs no export;
- * - without a turn it canFinish, where it most likely ends before the instance goes, with a fifth of the time
- *   to spare. An answer that is beyond its estimate is taken to have as much to come as it has produced:
- *   so it is with lengths that spread this widely, and "nearly done" would be wrong half of the time;
- * - else it resumes elsewhere from its tokens, at once where there is room: each token that it still produced
- *   here would be one more to compute recomputeTime there. Without room it goes on here until the last moment;
- * - what may not be repeated and can't be exported stays, and is asked after.
+ * - Its KV cache is exported, which recomputes nothing. All exports of the instance share its
+ *   sending rate and run one after another, so that each arrives complete. Requests that may not be
+ *   repeated go first (nothing else saves them), then those whose deadline leaves no time to
+ *   compute them again, then the largest, since each export has the same fixed cost; last those
+ *   that will most likely have ended. Exports begin as late as four times their total time allows:
+ *   other entry instances export from the same worker at the same time and their exports aren't
+ *   visible here. Until then all requests continue, and those that end need no export.
+ * - Without an export it finishes, if it most likely ends before the instance is reclaimed, with a
+ *   fifth of the time to spare. An answer that has exceeded its estimate is assumed to have as many
+ *   tokens to come as it has produced: that is so for widely spread lengths, and an assumption that
+ *   it is nearly done would be wrong half of the time.
+ * - Otherwise it resumes on another worker from its tokens, at once if one has capacity: each
+ *   further token produced here would have to be computed again there. Without capacity elsewhere
+ *   it continues here until the last moment.
+ * - A request that may not be repeated and can't be exported stays, and its outcome is queried
+ *   later.
  *
- * Targets are workers with room that won't be taken next: none under notice, and no reclaimable ones in a
- * zone where a notice stands, as long as there are others.
+ * Targets are workers with capacity that won't be reclaimed next: none with a reclaim notice, and
+ * no reclaimable ones in a zone with a notice as long as there are others.
  *
  * @module
  */
 import { Purchase, WorkerState } from "../interface/index.ts";
 import type { Worker } from "../interface/index.ts";
 
-/** What becomes of a request whose worker is under notice. */
+/** The choice for a request on a worker with a reclaim notice. */
 export enum TriageChoice {
-  /** It ends before the instance is taken. */
+  /** It ends before the instance is reclaimed. */
   Finish = "finish",
-  /** Its KV cache is exported and imported elsewhere. */
+  /** Its KV cache is exported and imported by another worker. */
   ExportCache = "export-cache",
-  /** It runs until shortly before the end, then resumes elsewhere from its tokens. */
+  /** It runs until shortly before the reclaim, then resumes on another worker from its tokens. */
   ResumeLate = "resume-late",
-  /** It resumes elsewhere at once. */
+  /** It resumes on another worker at once. */
   ResumeNow = "resume-now",
-  /** It can't be moved and may not be repeated: it stays and is asked after. */
+  /** It can't be moved and may not be repeated: it stays, and its outcome is queried later. */
   Stay = "stay",
 }
 
-/** A request in progress on a worker under notice. Times in milliseconds. */
+/** A request in progress on a worker with a reclaim notice. Times are in milliseconds. */
 export interface Endangered {
   readonly id: string;
   readonly repeatable: boolean;
   readonly promptTokens: number;
   readonly producedTokens: number;
-  /** Expected tokens still to come. */
+  /** Expected number of tokens still to come. */
   readonly remainingTokens: number;
-  /** Milliseconds a token at the worker's present pace. */
+  /** Milliseconds per token at the worker's present speed. */
   readonly tokenTime: number;
   readonly deadlineAt: number;
-  /** Prompt and answer tokens that only this worker has computed; all of them where it isn't known. */
+  /** Prompt and answer tokens that only this worker has computed; all of them by default. */
   readonly cacheTokens?: number;
 }
 
-/** What triage knows of a worker under notice. */
+/** The state of a worker with a reclaim notice and of the possible targets. */
 export interface TriageView {
   readonly now: number;
-  /** When the instance is taken, in the clock's milliseconds. */
+  /** Time of the reclaim, in the clock's milliseconds. */
   readonly reclaimAt: number;
-  /** KV cache bytes a second that the instance can send. */
+  /** Bytes of KV cache per second that the instance can send. */
   readonly transferRate: number;
-  /** Bytes of KV cache a token. */
+  /** Bytes of KV cache per token. */
   readonly bytesPerToken: number;
-  /** Workers that could take what moves. */
+  /** Workers to which requests could move. */
   readonly targets: readonly Worker[];
-  /** Prompt tokens a second at which a target computes anew what wasn't moved. */
+  /** Prompt tokens per second that a target computes. */
   readonly prefillPerSecond: number;
-  /** All workers of the service under notice or leaving, to see a wave; only this one where not given. */
+  /**
+   * All workers of the service that have a notice or are leaving, to detect a wave; only this
+   * worker by default.
+   */
   readonly underNotice?: readonly Worker[];
-  /** Tokens of KV cache free on each target, by worker id; unbounded where not given. */
+  /** Free KV cache tokens of each target, by worker id; unlimited by default. */
   readonly room?: ReadonlyMap<string, number>;
-  /** Exports by other workers that share the transfer rate; 0 where not given. */
+  /** Number of exports by other workers that share the transfer rate; 0 by default. */
   readonly otherExports?: number;
 }
 
@@ -83,26 +91,35 @@
 export interface Triage {
   readonly id: string;
   readonly choice: TriageChoice;
-  /** Where it goes, for an export and a move; absent where the placement decides when it moves. */
+  /**
+   * The target of an export or a resume; absent if the placement chooses the worker at the time of
+   * the move.
+   */
   readonly target?: string;
-  /** When it is to begin: an export's turn, or the last moment of a late resume. */
+  /** Start time of an export or of a late resume, in the clock's milliseconds. */
   readonly at?: number;
 }
 
-/** The part of the time left that an answer may need and still be left to finish. */
+/** The fraction of the time left that an answer may need in order to finish here. */
 const FINISH_TIME_FRACTION = 0.8;
-/** The last token's way to the caller, and the end's record at the backup. */
+/** Milliseconds for the last token's way to the caller and for the backup's record of the end. */
 const END_MARGIN = 250;
-/** Asking for an export, and its import at the other end. */
+/** Milliseconds to request an export and to import it at the other end. */
 const EXPORT_OVERHEAD = 20;
-/** Below this part of what was produced, an estimate of the rest has most likely been exceeded. */
+/**
+ * If the estimated rest is below this fraction of the produced tokens, the estimate has most likely
+ * been exceeded.
+ */
 const OVERRUN_FRACTION = 0.05;
-/** How many times over the exports' time is kept free for them. */
+/** The exports get their total time multiplied by this factor. */
 const EXPORT_TIME_FACTOR = 4;
-/** Before an instance goes, late resumes leave it. */
+/** Milliseconds before the reclaim at which late resumes leave the instance. */
 const LATE_RESUME_MARGIN = 500;
 
-/** Chooses for each request in progress on a worker under notice, in the order of the requests. */
+/**
+ * Chooses for each request in progress on a worker with a reclaim notice; the result has the order
+ * of the requests.
+ */
 export function triage(requests: readonly Endangered[], view: TriageView): Triage[] {
   const chosen = new Map<string, Triage>();
   const targets = createTargets(view);
@@ -120,7 +137,7 @@
   return remainingTokens > OVERRUN_FRACTION * producedTokens ? remainingTokens : producedTokens;
 }
 
-/** Gives exports their turns; returns the requests that got none. */
+/** Schedules the exports one after another; returns the requests without an export. */
 function scheduleExports(
   requests: readonly Endangered[],
   options: { view: TriageView; targets: Targets; chosen: Map<string, Triage> },
@@ -151,7 +168,7 @@
 function compareExports(a: Endangered, b: Endangered, view: TriageView): number {
   const difference = exportPriority(b, view) - exportPriority(a, view);
   if (difference !== 0) return difference;
-  // Of those that may not be repeated, the small ones first: as many as possible are saved.
+  // Of those that may not be repeated the small ones go first, to save as many as possible.
   const bySize = cachedTokens(b) - cachedTokens(a);
   return a.repeatable ? bySize : -bySize;
 }
@@ -177,7 +194,10 @@
   return request.cacheTokens ?? contextTokens(request);
 }
 
-/** Milliseconds that a request's KV cache takes to leave, with what it grows by until then. */
+/**
+ * Returns the milliseconds for the export of a request's KV cache, including the tokens that it
+ * grows by until then.
+ */
 function exportTime(request: Endangered, view: TriageView): number {
   const rate = view.transferRate / (1 + (view.otherExports ?? 0));
   const longest = (view.reclaimAt - view.now) / Math.max(1, request.tokenTime);
@@ -195,9 +215,11 @@
   return { id, choice: TriageChoice.ResumeLate, at };
 }
 
-/** The workers that take what moves. */
+/** The workers to which requests move. */
 interface Targets {
-  /** The target with the most room, if it has enough; its room is taken down. */
+  /**
+   * Returns the target with the most free tokens and reduces them; undefined if they aren't enough.
+   */
   reserve(tokens: number): string | undefined;
 }
 
--- a/src/decision/triage_test.ts
+++ b/src/decision/triage_test.ts
@@ -34,9 +34,9 @@
 }
 
 describe("triage", () => {
-  test("exports what can be sent in time, one after another", () => {
-    // A worker with three long scripts gets five seconds of notice. Sent all at once, their caches would
-    // share the rate, and a slow link would bring none of them across whole.
+  test("exports the caches that can be sent in time, one after another", () => {
+    // A worker with three long scripts gets five seconds of notice. If their caches were sent all
+    // at once, they would share the rate, and a slow link would transfer none of them completely.
     const requests = ["a", "b", "c"].map((id) => someRequest({ id }));
     const chosen = triage(requests, someView());
     expect(chosen.map(({ choice }) => choice)).toEqual(Array(3).fill(TriageChoice.ExportCache));
@@ -45,9 +45,9 @@
     expect(new Set(chosen.map(({ target }) => target)).size).toBe(3);
   });
 
-  test("what may not be repeated is exported before all else", () => {
-    // The link has time for one cache only. A repeatable script can be computed again; a billed summary
-    // can't, and would end as one that may have run.
+  test("exports requests that may not be repeated first", () => {
+    // The link has time for one cache only. A repeatable script can be computed again; the other
+    // request can't, and would end with an unknown outcome.
     const requests = [
       someRequest({ id: "large", promptTokens: 4_000 }),
       someRequest({ id: "billed", repeatable: false }),
@@ -58,8 +58,9 @@
     ]);
   });
 
-  test("without time to export, what may not be repeated stays and the rest goes on elsewhere", () => {
-    // A third of a second of notice: no cache can leave. A second run of an entry would make a club pay twice.
+  test("without time for exports, requests that may not be repeated stay and the others move", () => {
+    // With 300 ms of notice no cache can be sent. A second run of a non-repeatable request would be
+    // billed twice.
     const requests = [someRequest({ repeatable: false }), someRequest({ id: "other" })];
     expect(choices(requests, { reclaimAt: 300 })).toEqual([
       TriageChoice.Stay,
@@ -67,9 +68,9 @@
     ]);
   });
 
-  test("an answer beyond its estimate isn't taken for nearly done", () => {
-    // The estimate said 500 tokens, 1,500 have come, and one is said to remain. Left to finish, it is cut
-    // with the instance and computed again.
+  test("doesn't treat an answer beyond its estimate as nearly done", () => {
+    // The estimate was 500 tokens, 1,500 have been produced, and one is reported to remain. If the
+    // request stayed, it would be cut off with the instance and computed again.
     const beyond = someRequest({ producedTokens: 1_500, remainingTokens: 1 });
     const nearly = someRequest({ id: "nearly", producedTokens: 50, remainingTokens: 20 });
     expect(choices([beyond, nearly], { transferRate: 1 })).toEqual([
@@ -78,9 +79,9 @@
     ]);
   });
 
-  test("nothing moves onto what will be taken next", () => {
-    // Zone 0 is being taken: one of its workers has notice, the other will have it in a second. Work that
-    // moves there would move again.
+  test("moves no request to a worker that will be reclaimed next", () => {
+    // Zone 0 is being reclaimed: one of its workers has a notice, the other will get one in a
+    // second. Work moved there would move again.
     const workers = someWorkers(6).map((worker, index) =>
       index === 0 ? { ...worker, state: WorkerState.Leaving, reclaimAt: 5_000 } : worker,
     );
@@ -93,8 +94,9 @@
     expect(kept.some(({ target }) => target === "w4")).toBe(true);
   });
 
-  test("without room elsewhere, work goes on here until the last moment", () => {
-    // Every other worker is full. Moved at once, scripts would wait in a line while this worker idles.
+  test("without capacity elsewhere, requests continue until the last moment", () => {
+    // Every other worker is full. If the scripts moved at once, they would wait in a queue while
+    // this worker is idle.
     const room = new Map(someWorkers(4).map(({ id }) => [id, 0]));
     const [chosen] = triage([someRequest()], someView({ room }));
     expect(chosen).toMatchObject({ choice: TriageChoice.ResumeLate, at: 4_500 });
--- a/src/decision/worker_choice.ts
+++ b/src/decision/worker_choice.ts
@@ -1,5 +1,6 @@
 /**
- * Draws the workers that a job is compared on, and takes the best: see `placement.ts` for the reasons.
+ * Samples the workers that are compared for a job and chooses the one with the lowest cost; see
+ * `placement.ts` for the cost.
  *
  * @module
  */
@@ -13,17 +14,18 @@
 import { fitsMemory, prefillFactor, effectiveLimit } from "./worker_pool.ts";
 import type { PoolWorker, ServicePool } from "./worker_pool.ts";
 
-/** The worker that was chosen. */
+/** The chosen worker. */
 export interface WorkerChoice {
   readonly worker: PoolWorker;
-  /** Prompt tokens that it is expected to compute. */
+  /** Prompt tokens that the worker is expected to compute. */
   readonly uncachedTokens: number;
 }
 
-/** What the choice is made from. */
+/** The input of the choice. */
 export interface WorkerChoiceView {
   readonly now: number;
   readonly random: Random;
+  /** Workers that must not get the job. */
   readonly avoid: ReadonlySet<string>;
   readonly service: ServicePool;
   readonly target: ServicePolicy["target"];
@@ -31,11 +33,11 @@
   readonly reclaimRisk: ReclaimRisk;
   /** This entry instance's availability zone. */
   readonly zone: string | undefined;
-  /** Workers used beyond this part of their limit are left out; 1 and above where not given. */
+  /** Workers above this utilization are left out; no limit if not given. */
   readonly maxUtilization: number | undefined;
 }
 
-/** Chooses the worker for a job; undefined where none has room. */
+/** Chooses the worker for a job; undefined if none has a free slot. */
 export function chooseWorker(job: Job, view: WorkerChoiceView): WorkerChoice | undefined {
   const cached = view.prefixCache.match(job.prefix, view.now);
   const { open, workers } = view.service;
@@ -43,7 +45,7 @@
   const holders = [...cached.keys()].map((id) => workers.get(id));
   const sampled = [...drawn, ...holders].filter((entry) => entry !== undefined);
   const best = cheapest(job, { candidates: sampled, cached, view });
-  // Under saturation the sampled that were drawn may all be unfit for this job while another one isn't.
+  // Under saturation none of the sampled workers may be able to run this job while another one is.
   return best ?? cheapest(job, { candidates: open, cached, view });
 }
 
@@ -98,7 +100,7 @@
   };
 }
 
-/** The part of the prompt that its list of hashes covers. */
+/** Returns the fraction of the prompt that its list of hashes covers. */
 function coveredFraction({ promptTokens, prefixTokens = promptTokens }: Job): number {
   return Math.min(1, prefixTokens / Math.max(1, promptTokens));
 }
--- a/src/decision/worker_load.ts
+++ b/src/decision/worker_load.ts
@@ -1,61 +1,63 @@
 /**
- * How loaded a worker is now, from a report that is late and from what this instance did itself.
+ * Estimates the present load of a worker from its last report and from this instance's own jobs.
  *
- * Load that it answers: bursts, and many entry instances that act on the same report. Reports are about a
- * second old; a worker that was idle then still looks idle after forty dispatches, and one that was busy
- * with lookups still looks busy when they have long ended. If every instance estimatedOthers each reading until
- * the next, all would send to the same idle-looking worker for a second, then all to another. One would
- * notice load that swings between the workers in the rhythm of the reports, and late first tokens at half
- * of the fleet's speed.
+ * Load: bursts, and many entry instances that act on the same report. Reports are about a second
+ * old: a worker that was idle then still looks idle after forty dispatches, and one that was busy
+ * with lookups still looks busy long after they have ended. If every instance used each report
+ * until the next one, all would send to the same idle-looking worker for a second and then all to
+ * another. Symptom: load that moves between the workers at the report interval, and late first
+ * tokens at half of the fleet's capacity.
  *
- * So own jobs are counted exactly, as they are now, and only the others' share is taken from the report.
- * That share is extraSlot towards the mean of all workers as it ages: after the time that a job takes, a reading
- * says nothing more about this worker than that it is one of them. For long scripts it stays true for a
- * minute, for lookups for half a second.
+ * Mechanism: own jobs are counted exactly, and only the number of other instances' jobs comes from
+ * the report. As a report ages, that number moves towards the mean of all workers: after the run
+ * time of a job a report has no more information about this worker than about any other. For long
+ * scripts it stays valid for a minute, for lookups for half a second.
  *
- * The room that a report showed is divided among the instances: each takes its even share before the next
- * report, twice that for lookups, which end soon. What doesn't divide falls to some of them by a hash of
- * the report, another few each time. Without this a place that one script could have used gets a script
- * from every instance, and the places kept free for lookups are gone for as long as scripts take. The even
- * share of the limit itself, rounded down, is always an instance's own: all of them together can't exceed
- * the limit by it, and a stale report can't keep an instance from a worker altogether.
+ * The free slots in a report are divided among the instances: each may use its even share before
+ * the next report, or twice that for lookups, which end soon. The remainder goes to some of the
+ * instances, chosen by a hash of the report so that they differ each time. Without this, a slot for
+ * one script would get a script from every instance, and the slots reserved for lookups would be
+ * occupied for as long as scripts run. In any case an instance may use its even share of the limit
+ * itself, rounded down: all instances together can't exceed the limit by it, and an old report
+ * can't exclude an instance from a worker altogether.
  *
  * @module
  */
 import type { LoadReport } from "../interface/index.ts";
 
-/** How a worker's room is shared with the other entry instances. */
+/** How a worker's free slots are shared with the other entry instances. */
 export interface Sharing {
-  /** Entry instances that send to the worker. */
+  /** Number of entry instances that send to the worker. */
   readonly instances: number;
-  /** This instance's own number for drawing its share, from 0 to 1. */
+  /** This instance's number for the pseudo-random distribution of the remainder, from 0 to 1. */
   readonly salt: number;
-  /** How many times its even share an instance may take. */
+  /** How many times its even share an instance may use. */
   readonly factor: number;
 }
 
-/** What is known of one worker's load. */
+/** The estimated load of one worker. */
 export interface WorkerLoad {
-  /** Jobs estimatedOthers to be there, from all entry instances. */
+  /** Returns the estimated number of jobs, from all entry instances. */
   load(): number;
-  /** Jobs of this instance. */
+  /** Returns the number of jobs of this instance. */
   ownJobs(): number;
-  /** Jobs of other instances when the last report was taken. */
+  /** Returns the number of jobs of other instances at the time of the last report. */
   otherJobs(): number;
-  /** When the last report was taken; undefined before the first. */
+  /** Returns the time of the last report; undefined before the first. */
   takenAt(): number | undefined;
-  /** Sets what the others' share is estimatedOthers to be now. */
+  /** Sets the estimated present number of other instances' jobs. */
   setOthers(others: number): void;
-  /** Tokens of KV cache estimatedOthers to be bound by running jobs. */
+  /** Returns the estimated tokens of KV cache used by running jobs. */
   cacheTokens(): number;
-  /** Tokens of KV cache in all, once a report has said. */
+  /** Returns the capacity of the KV cache in tokens; undefined before the first report. */
   cacheCapacity(): number | undefined;
-  /** Jobs that this instance may add. */
+  /** Returns the number of jobs that this instance may add. */
   freeSlots(limit: number, sharing: Sharing): number;
+  /** Counts a run of this instance. */
   recordDispatch(run: string, options: { cacheTokens: number; now: number }): void;
-  /** Ends a run; returns how long it took, or undefined where it isn't known. */
+  /** Ends a run; returns its milliseconds since dispatch, or undefined for an unknown run. */
   recordEnd(run: string, now: number): number | undefined;
-  /** Takes in a report; an older one than the last changes nothing. */
+  /** Records a report; a report that is older than the last one changes nothing. */
   recordReport(report: LoadReport): void;
 }
 
@@ -69,10 +71,13 @@
   readonly endedAt: number;
 }
 
-/** Ended runs that a late report may still count; past this many, reports don't come at all. */
+/**
+ * Ended runs that a late report may still include. With more than this many, no reports are
+ * arriving at all.
+ */
 const MAX_ENDED_RUNS = 1_000;
 
-/** Makes the load of a worker that nothing is known of. */
+/** Creates the load of an unknown worker. */
 export function createWorkerLoad(): WorkerLoad {
   const runs = new Map<string, OwnRun>();
   let ended: EndedRun[] = [];
@@ -128,7 +133,7 @@
   };
 }
 
-/** A number from 0 to 1 that two salts, and two reports, give independently of each other. */
+/** Returns a number from 0 to 1 that differs independently by salt and by report time. */
 function pseudoRandom(salt: number, takenAt: number): number {
   const mixed = Math.sin(salt * 12_345.678 + takenAt * 0.618) * 43_758.545;
   return mixed - Math.floor(mixed);
