--- a/src/decision/worker_pool.ts
+++ b/src/decision/worker_pool.ts
@@ -1,6 +1,7 @@
 /**
- * The workers as the scheduler knows them: limit, load, health and free room of each, and the room of each
- * service in all, kept up to date change by change so that asking costs nothing.
+ * The scheduler's view of the workers: limit, load, health and free slots of each worker, and the
+ * total free slots of each service. Totals are updated with each change, so that reading them costs
+ * nothing.
  *
  * @module
  */
@@ -19,32 +20,40 @@
 import { createWorkerLoad } from "./worker_load.ts";
 import type { WorkerLoad } from "./worker_load.ts";
 
-/** One worker with all that was learned of it. */
+/** One worker with everything learned about it. */
 export interface PoolWorker {
   worker: Worker;
   readonly machine: MachinePolicy;
   readonly limit: ConcurrencyLimit;
   readonly load: WorkerLoad;
-  /** Milliseconds between tokens, to compare it with its peers. */
+  /** Milliseconds between tokens, for the comparison with the other workers. */
   readonly gaps: QuantileSketch;
+  /** Models that the worker reported as loaded. */
   loadedModels: ReadonlySet<string>;
+  /** Ended runs and how many of them failed, with less weight for older runs. */
   runs: number;
   failures: number;
   ejection: EjectionState | undefined;
-  /** Connects fail: it gets nothing until then. */
+  /** The worker gets no jobs until this time because connecting to it failed. */
   unreachableUntil: number;
+  /** Consecutive connect failures. */
   connectFailures: number;
-  /** Euros an hour. */
+  /** Euros per hour. */
   price: number;
-  /** Jobs that it takes now, by lane. */
+  /** Jobs that the worker can accept now, by lane. */
   freeSlots: Readonly<Record<Lane, number>>;
-  /** Where it stands in the service's list of workers with room, or -1. */
+  /** Index in the service's list of workers with a free slot, or -1. */
   openIndex: number;
-  /** Its place among the service's live workers in the order of their ids: alike on all instances. */
+  /**
+   * Index among the service's live workers in the order of their ids; the same on all instances.
+   */
   rank: number;
-  /** Tells its room's draws from the other workers'. */
+  /**
+   * Makes the distribution of this worker's remainder of free slots independent of the other
+   * workers'.
+   */
   readonly salt: number;
-  /** Prompt tokens of this instance's jobs that the worker is still to compute. */
+  /** Prompt tokens of this instance's jobs that the worker has yet to compute. */
   queuedPrefillTokens: number;
   /** Lookups of this instance that run on the worker. */
   ownLookups: number;
@@ -53,27 +62,33 @@
 /** All workers of one service. */
 export interface ServicePool {
   readonly workers: Map<string, PoolWorker>;
-  /** Workers with room for a lookup, in no order. */
+  /** Workers with a free slot for a lookup, in no particular order. */
   readonly open: PoolWorker[];
+  /** Free slots of all workers, by lane. */
   readonly freeSlots: Record<Lane, number>;
-  /** Jobs of this instance that run. */
+  /** Running jobs of this instance. */
   ownRuns: number;
+  /** Number of live workers. */
   liveWorkers: number;
-  /** Tokens of work a second of all live workers, as far as their limits say that they are well. */
+  /** Tokens of work per second of all live workers, reduced for workers with a reduced limit. */
   speed: number;
+  /** The highest price of a live worker, in euros per hour. */
   maxPrice: number;
-  /** Places kept free of scripts over all workers. */
+  /** Slots reserved for lookups over all workers. */
   reservedSlots: number;
-  /** Jobs of other instances and limits, summed over the workers, as of the last second. */
+  /** Jobs of other instances, summed over the workers, as of the last evaluation. */
   otherJobs: number;
+  /** Limits, summed over the workers, as of the last evaluation. */
   limitSum: number;
-  /** Sums of run times and of their squares, old runs with less weight. */
+  /** Sum of run times in milliseconds, with less weight for older runs. */
   runTimeSum: number;
+  /** Sum of the squares of run times, with less weight for older runs. */
   runTimeSquareSum: number;
-  /** Times to first token in hundredths of what computing the prompt alone would take. */
+  /** Times to first token in hundredths of the time that computing the prompt alone would take. */
   readonly prefillRatios: QuantileSketch;
-  /** Mean run time by lane, old runs with less weight; 0 before the first. */
+  /** Mean run time in milliseconds by lane, with less weight for older runs; 0 before the first. */
   readonly meanRun: Record<Lane, number>;
+  /** Time of the last evaluation. */
   evaluatedAt: number;
 }
 
@@ -83,51 +98,65 @@
   service(service: string): ServicePool;
   configure(policy: Policy): void;
   setInstances(count: number): void;
-  /** Gives this instance a number of its own, to tell its part of a shared room from the others'. */
+  /** Sets this instance's number for the distribution of shared free slots. */
   setSalt(salt: number): void;
   setWorkers(workers: readonly Worker[], now: number): void;
+  /** Records a load report. */
   report(report: LoadReport, now: number): void;
-  /** Brings a worker's room up to date after its load or limit has changed. */
+  /** Updates a worker's free slots after a change of its load or limit. */
   refresh(worker: PoolWorker, now: number): void;
-  /** Sets how many places of a service are kept free of scripts. */
+  /** Sets how many slots of a service are reserved for lookups. */
   setReservedSlots(service: string, places: number): void;
-  /** Takes in how long a run took. */
+  /** Records the run time of a job. */
   recordRunTime(job: Job, milliseconds: number): void;
-  /** A run on the worker ended; `failed` where it says something against the worker. */
+  /** Records the end of a run; `failed` if the failure is held against the worker. */
   recordRunEnd(worker: PoolWorker, details: { failed: boolean; now: number }): void;
+  /** Excludes the worker for a time that doubles with each consecutive failure. */
   recordConnectFailure(worker: PoolWorker, now: number): void;
-  /** Compares the service's workers and lets time pass for them; does nothing within a second. */
+  /**
+   * Compares the service's workers with each other and updates limits and loads; does nothing if
+   * called again within a second.
+   */
   tick(service: string, now: number): void;
   all(): Iterable<PoolWorker>;
 }
 
-/** However many lookups come, scripts may use this part of each worker. */
+/** Scripts may use this fraction of each worker, however many lookups arrive. */
 const MIN_SCRIPT_FRACTION = 0.5;
+/** Gaps between tokens from which their median is used. */
 const MIN_GAPS = 20;
+/** Gaps. */
 const GAP_HALF_LIFE = 200;
+/** First tokens. */
 const PREFILL_HALF_LIFE = 200;
+/** Ratios are stored in hundredths. */
 const RATIO_SCALE = 100;
-/** Engines give prompts a quarter of each step or more: what is slower than that is a line of prompts. */
+/** Engines give prompts at least a quarter of each step; anything slower is a queue of prompts. */
 const MAX_PREFILL_FACTOR = 4;
-/** The count of runs halves in about 35 runs: a worker that fails is known after a few. */
+/** The count of runs halves in about 35 runs, so a failing worker is detected after a few. */
 const RUN_DECAY = 0.98;
-/** Run times are remembered for about a hundred runs. */
+/** Run times have an effect for about a hundred runs. */
 const RUN_TIME_DECAY = 0.99;
+/** The weight of a run in the mean run time. */
 const MEAN_RUN_WEIGHT = 0.05;
-/** Gaps are compared once a second, as often as limits change. */
+/** Milliseconds. Gaps are compared once per second, as often as limits change. */
 const EVALUATION_INTERVAL = 1_000;
-/** An engine that is full to the last token evicts what it runs. */
+/** An engine with a completely full cache evicts running requests. */
 const USABLE_CACHE_FRACTION = 0.95;
-/** Any step will do that keeps the numbers of thousands of workers apart. */
+/** Any divisor works that keeps the salts of thousands of workers distinct. */
 const SALT_STEP = 7_919;
-/** Reports that stay away for so long say nothing about now. */
+/** Milliseconds after which a report no longer says anything about the present. */
 const REPORT_TTL = 30_000;
-/** Milliseconds of computing below which a first token says nothing about the speed of prompts. */
+/**
+ * Milliseconds of computation below which a first token says nothing about the speed of prompts.
+ */
 const MIN_PREFILL_TIME = 50;
+/** Milliseconds. */
 const INITIAL_UNREACHABLE_TIME = 1_000;
+/** Milliseconds. */
 const MAX_UNREACHABLE_TIME = 10_000;
 
-/** Makes a pool without workers. */
+/** Creates a pool without workers. */
 export function createWorkerPool(policy: Policy): WorkerPool {
   const services = new Map<string, ServicePool>();
   const byId = new Map<string, PoolWorker>();
@@ -152,8 +181,9 @@
     const reserve = Math.min(reservedSlotsOf(pool, entry), limit * MIN_SCRIPT_FRACTION);
     const memorySlots = cacheSlots(entry);
     const sharing = { instances, salt: entry.salt + salt };
-    // Scripts that run already may exceed a limit that has fallen. The places kept free are lookups' own
-    // all the same: without them a desk would be turned away until the last of those scripts has ended.
+    // Running scripts may exceed a limit that has been reduced. The reserved slots stay available
+    // to lookups anyway; otherwise lookups would be refused until the last of those scripts has
+    // ended.
     const reservedForLookups = Math.ceil(reserve / instances) - entry.ownLookups;
     const belowCeiling = entry.limit.serverCeiling() - entry.load.load();
     const lookupLimit = Math.min(limit * LOOKUP_OVERCOMMIT_FACTOR, entry.limit.serverCeiling());
@@ -331,12 +361,15 @@
   return worker.purchase === Purchase.Reclaimable ? offer.reclaimable : offer.onDemand;
 }
 
-/** Says whether the worker may be given new work at all. */
+/** Returns whether the worker may get new work at all. */
 export function isLive({ worker }: PoolWorker): boolean {
   return worker.state === WorkerState.Live && worker.reclaimAt === undefined;
 }
 
-/** Jobs that may run at once on the worker now, from all entry instances; 0 where it gets nothing. */
+/**
+ * Returns the number of jobs that may run at once on the worker now, from all entry instances; 0
+ * for a worker that gets none.
+ */
 export function effectiveLimit(entry: PoolWorker, now: number): number {
   if (!isLive(entry) || now < entry.unreachableUntil) return 0;
   const part = usablePart(entry.ejection, now);
@@ -344,21 +377,24 @@
 }
 
 /**
- * How many times longer a prompt takes than on an idle worker: engines compute prompts in small pieces
- * between the tokens of what runs.
+ * Returns how many times longer a prompt takes than on an idle worker; engines compute prompts in
+ * small pieces between the tokens of the running requests.
  */
 export function prefillFactor({ prefillRatios: prefill }: ServicePool): number {
   const factor = (prefill.quantile(0.5) ?? RATIO_SCALE) / RATIO_SCALE;
   return Math.min(MAX_PREFILL_FACTOR, Math.max(1, factor));
 }
 
-/** Takes in a time to first token, and what computing the prompt alone would have taken. */
+/**
+ * Records a time to first token, and the time that computing the prompt alone would have taken, in
+ * milliseconds.
+ */
 export function recordPrefill(pool: ServicePool, waited: number, alone: number): void {
-  // A short prompt's time is mostly the step that was under way.
+  // The time of a short prompt is mostly that of the current step.
   if (alone >= MIN_PREFILL_TIME) pool.prefillRatios.add((RATIO_SCALE * waited) / alone);
 }
 
-/** How many more jobs of the usual size fit in the worker's KV cache. */
+/** Returns how many more jobs of average size fit into the worker's KV cache. */
 function cacheSlots({ load, machine }: PoolWorker): number {
   const jobs = load.load();
   if (jobs === 0) return Number.POSITIVE_INFINITY;
@@ -367,34 +403,41 @@
   return used === 0 ? Number.POSITIVE_INFINITY : Math.floor((capacity - used) / (used / jobs));
 }
 
-/** Says whether a job's KV cache fits on the worker; an empty worker takes any. */
+/** Returns whether a job's KV cache fits on the worker; an empty worker accepts any job. */
 export function fitsMemory({ load, machine }: PoolWorker, cacheTokens: number): boolean {
   if (load.load() === 0) return true;
   const capacity = load.cacheCapacity() ?? machine.cacheTokens;
   return load.cacheTokens() + cacheTokens <= capacity * USABLE_CACHE_FRACTION;
 }
 
-/** This worker's part of the places kept free of scripts: whole places, on the first workers by id. */
+/**
+ * Returns this worker's part of the reserved slots: whole slots, with the remainder on the first
+ * workers by id.
+ */
 function reservedSlotsOf(pool: ServicePool, entry: PoolWorker): number {
   const live = Math.max(1, pool.liveWorkers);
   const whole = Math.floor(pool.reservedSlots / live);
   return whole + (entry.rank < pool.reservedSlots - whole * live ? 1 : 0);
 }
 
-/** Sums up what the means of the service are taken from. */
+/** Updates the sums from which the service's means are computed. */
 function updateLoadTotals(pool: ServicePool, now: number): void {
   const usable = [...pool.workers.values()].filter((entry) => effectiveLimit(entry, now) > 0);
   pool.otherJobs = usable.reduce((sum, { load }) => sum + load.otherJobs(), 0);
   pool.limitSum = usable.reduce((sum, entry) => sum + effectiveLimit(entry, now), 0);
 }
 
-/** The other instances' jobs on a worker: what was reported, drawn towards the mean as it ages. */
+/**
+ * Estimates the other instances' jobs on a worker: the reported number, moved towards the mean as
+ * the report ages.
+ */
 function estimateOtherJobs(pool: ServicePool, entry: PoolWorker, now: number): number {
   const { load } = entry;
   const takenAt = load.takenAt();
   if (takenAt === undefined || now - takenAt > REPORT_TTL) return 0;
   const mean = (pool.otherJobs * effectiveLimit(entry, now)) / Math.max(1, pool.limitSum);
-  // What runs at a given moment is mostly long runs: their mean is that of times weighted by themselves.
+  // The jobs that run at a given moment are mostly long ones, so their mean run time is weighted by
+  // run time.
   const runTime = Math.max(1, pool.runTimeSquareSum / Math.max(1, pool.runTimeSum));
   const reportWeight = Math.exp(-(now - takenAt) / runTime);
   return mean + (load.otherJobs() - mean) * reportWeight;
@@ -433,7 +476,10 @@
   };
 }
 
-/** Takes the worker out and forgets what was held against it: it is judged anew when it comes back. */
+/**
+ * Takes the worker out of use and resets its statistics, so that it is evaluated anew when it
+ * returns.
+ */
 function eject(entry: PoolWorker, now: number): void {
   entry.ejection = ejectedAgain(entry.ejection, now);
   entry.gaps.clear();
