--- a/src/decision/admission.ts
+++ b/src/decision/admission.ts
@@ -84,7 +84,7 @@
   /** Work of the same account that goes first. */
   QueuedWork = "ahead",
   /** The time until a slot becomes free. */
-  FreeSlot = "slotWait",
+  FreeSlot = "turn",
 }
 
 /** A predicted wait, in milliseconds, and its main component. */
@@ -148,8 +148,8 @@
  * progress.
  */
 export function predictWait(view: AdmissionView): PredictedWait {
-  const nothingAhead = view.waitingWork === 0;
-  if (nothingAhead && view.hasFreeSlot) return { wait: 0, kind: WaitKind.FreeSlot };
+  const isQueueEmpty = view.waitingWork === 0;
+  if (isQueueEmpty && view.hasFreeSlot) return { wait: 0, kind: WaitKind.FreeSlot };
   if (view.rate <= 0) {
     return { wait: view.detached ? 0 : Number.POSITIVE_INFINITY, kind: WaitKind.QueuedWork };
   }
--- a/src/decision/admission_test.ts
+++ b/src/decision/admission_test.ts
@@ -81,10 +81,10 @@
   });
 
   test("an account's limits apply to work as well as to requests", () => {
-    const bounds = { maxRequests: 10, maxTokens: 1_000 };
-    const few = someView({ hasFreeSlot: true, limits: bounds, accountJobs: 2, accountWork: 990 });
+    const limits = { maxRequests: 10, maxTokens: 1_000 };
+    const few = someView({ hasFreeSlot: true, limits, accountJobs: 2, accountWork: 990 });
     expect(reasonOf(decideAdmission(few))).toBe(Refusal.AccountLimit);
-    const many = someView({ hasFreeSlot: true, limits: bounds, accountJobs: 10, accountWork: 10 });
+    const many = someView({ hasFreeSlot: true, limits, accountJobs: 10, accountWork: 10 });
     expect(reasonOf(decideAdmission(many))).toBe(Refusal.AccountLimit);
     const full = someView({ hasFreeSlot: true, totalWaitingJobs: 10_000 });
     expect(reasonOf(decideAdmission(full))).toBe(Refusal.QueueFull);
--- a/src/decision/concurrency_limit.ts
+++ b/src/decision/concurrency_limit.ts
@@ -73,15 +73,20 @@
 const NO_EVIDENCE_TIMEOUT = 4_000;
 /** Counts are multiplied by this factor at the end of each interval. */
 const COUNT_DECAY = 0.8;
+/** Samples from which a fraction is meaningful. */
 const MIN_GAPS = 20;
 const MIN_FIRST_TOKENS = 5;
 /** The fraction of samples that may exceed the threshold. */
 const TOLERATED_FRACTION = 0.05;
 /** The fraction of the threshold above which samples prevent an increase. */
 const INCREASE_THRESHOLD = 0.85;
+/** The fraction by which a fully used limit grows in each interval. */
 const INCREASE_STEP = 0.05;
+/** The factor by which a limit below the sustained limit grows in each interval. */
 const RECOVERY_FACTOR = 1.5;
+/** A reduction multiplies the limit by at least this factor. */
 const MIN_DECREASE_FACTOR = 0.7;
+/** A reduction multiplies the limit by at most this factor. */
 const MAX_DECREASE_FACTOR = 0.95;
 /** The sustained limit is multiplied by this factor in each interval with a reduction. */
 const SUSTAINED_DECAY = 0.95;
@@ -185,9 +190,9 @@
     serverCeiling: () => ceiling,
     recordGap: (milliseconds) => countSample(gaps, milliseconds, target.betweenTokens),
     recordFirstToken: (milliseconds) => countSample(firstTokens, milliseconds, firstTokenThreshold),
-    recordLoad: (now) => {
-      load = now;
-      peak = Math.max(peak, now);
+    recordLoad: (jobs) => {
+      load = jobs;
+      peak = Math.max(peak, jobs);
     },
     recordReport: (running, waiting, now) => {
       const before = runningWhileQueued;
@@ -235,10 +240,7 @@
  * Returns a value above 1 if too many samples exceed the threshold (the ratio of their mean to it),
  * and a value below `INCREASE_THRESHOLD` if hardly any come near.
  */
-function slownessRatio(
-  { total: all, near, above, aboveSum: excess }: SampleCounts,
-  threshold: number,
-): number {
-  if (above > TOLERATED_FRACTION * all) return excess / above / threshold;
-  return near > TOLERATED_FRACTION * all ? 1 : 0;
+function slownessRatio({ total, near, above, aboveSum }: SampleCounts, threshold: number): number {
+  if (above > TOLERATED_FRACTION * total) return aboveSum / above / threshold;
+  return near > TOLERATED_FRACTION * total ? 1 : 0;
 }
--- a/src/decision/fleet.ts
+++ b/src/decision/fleet.ts
@@ -37,7 +37,7 @@
     retire: plans.flatMap(({ retire }) => retire),
     memory: {
       surplusSince: Object.fromEntries(since),
-      smoothedDemand: Object.fromEntries(plans.map(({ service, level }) => [service, level])),
+      smoothedDemand: Object.fromEntries(plans.map(({ service, smoothed }) => [service, smoothed])),
     },
   };
 }
@@ -47,23 +47,23 @@
   readonly launches: readonly Pool[];
   readonly retire: readonly string[];
   readonly surplusSince: number | undefined;
-  readonly level: SmoothedDemand;
+  readonly smoothed: SmoothedDemand;
 }
 
 function planService(demand: ServiceDemand, view: FleetView): ServicePlan {
   const { service } = demand;
   const capacity = countCapacity(demand, view);
   const before = view.memory?.smoothedDemand?.[service];
-  const level = smoothDemand(demand, { before, now: view.now });
-  const required = requiredCapacity(demand, { level, startUp: capacity.startUp });
+  const smoothed = smoothDemand(demand, { before, now: view.now });
+  const required = requiredCapacity(demand, { smoothed, startUp: capacity.startUp });
   const launches = chooseLaunches(demand, { view, required, capacity });
   if (launches.length > 0 || !hasSurplus(demand, { required, capacity })) {
-    return { service, launches, retire: [], surplusSince: undefined, level };
+    return { service, launches, retire: [], surplusSince: undefined, smoothed };
   }
   const surplusSince = view.memory?.surplusSince[service] ?? view.now;
   const isHeldLongEnough = view.now - surplusSince >= minHoldTime(capacity);
   const retire = isHeldLongEnough ? chooseRetirements(demand, { required, capacity }) : [];
-  return { service, launches: [], retire, surplusSince, level };
+  return { service, launches: [], retire, surplusSince, smoothed };
 }
 
 /**
--- a/src/decision/fleet_need.ts
+++ b/src/decision/fleet_need.ts
@@ -64,15 +64,15 @@
 /** Computes the capacity that a service requires. */
 export function requiredCapacity(
   { arriving, arrivedBefore, waiting }: ServiceDemand,
-  { level, startUp }: { level: SmoothedDemand; startUp: number },
+  { smoothed, startUp }: { smoothed: SmoothedDemand; startUp: number },
 ): RequiredCapacity {
-  const change = arriving - Math.max(arrivedBefore, level.mean - level.deviation);
-  const isRise = change > RISE_DEVIATIONS * level.deviation;
+  const change = arriving - Math.max(arrivedBefore, smoothed.mean - smoothed.deviation);
+  const isRise = change > RISE_DEVIATIONS * smoothed.deviation;
   const rise = isRise ? change * (startUp / MINUTE) : 0;
-  const predicted = Math.min(level.mean + rise, level.mean * MAX_EXTRAPOLATION);
+  const predicted = Math.min(smoothed.mean + rise, smoothed.mean * MAX_EXTRAPOLATION);
   const backlog = (waiting * 1_000) / Math.max(MIN_CATCH_UP, startUp);
   return {
     usual: predicted / TARGET_UTILIZATION + backlog,
-    afterZoneLoss: level.mean * ZONE_LOSS_FRACTION,
+    afterZoneLoss: smoothed.mean * ZONE_LOSS_FRACTION,
   };
 }
--- a/src/decision/scheduler.ts
+++ b/src/decision/scheduler.ts
@@ -263,7 +263,7 @@
     const waiting = laneState.byAccount.get(account);
     const weight = weightOf(account);
     const enough = laneState.firstTokens.count >= MIN_FIRST_TOKENS;
-    const bounds = currentPolicy.accounts[account];
+    const accountLimits = currentPolicy.accounts[account];
     return {
       now,
       deadlineAt,
@@ -284,7 +284,7 @@
       firstTokenLatency: enough ? laneState.firstTokens.quantile(ADMISSION_PERCENTILE) : undefined,
       accountJobs: accountUsage.jobs(account),
       accountWork: accountUsage.work(account),
-      limits: bounds === undefined ? undefined : instanceLimits(bounds, instances),
+      limits: accountLimits === undefined ? undefined : instanceLimits(accountLimits, instances),
       reservedUntil: state.reservedUntil,
     };
   };
--- a/src/decision/service_state.ts
+++ b/src/decision/service_state.ts
@@ -122,7 +122,7 @@
     LaneState
   >;
   const entries = new Map<string, JobEntry>();
-  const drained = createRateMeter();
+  const completedWork = createRateMeter();
   const arrived = createRateMeter();
   const waits = {
     [WaitKind.QueuedWork]: createQuantileSketch(SAMPLE_HALF_LIFE),
@@ -166,7 +166,7 @@
   };
   return {
     lanes,
-    completedWork: drained,
+    completedWork,
     get reservedUntil() {
       return reservedUntil;
     },
@@ -226,7 +226,7 @@
         runningJobs: all.reduce((sum, lane) => sum + lane.running, 0),
         arriving: arrived.rate(now, { span: MINUTE }),
         arrivedBefore: arrived.rate(now, { span: MINUTE, ago: MINUTE }),
-        draining: drained.rate(now, { span: MINUTE }),
+        draining: completedWork.rate(now, { span: MINUTE }),
       };
     },
   };
@@ -264,8 +264,8 @@
 /** Updates the mean number of running jobs to the present. */
 function updateMeanRunning(lane: LaneState, now: number): void {
   const passed = Math.max(0, now - lane.meanAt) / 1_000;
-  const kept = 2 ** ((-passed * 1_000) / MEAN_HALF_LIFE);
-  const before = lane.meanWeight * kept;
+  const retention = 2 ** ((-passed * 1_000) / MEAN_HALF_LIFE);
+  const before = lane.meanWeight * retention;
   const weight = before + passed;
   if (weight > 0) lane.meanRunning = (lane.meanRunning * before + lane.running * passed) / weight;
   lane.meanWeight = Math.min(weight, MAX_MEAN_WINDOW);
--- a/src/decision/worker_choice.ts
+++ b/src/decision/worker_choice.ts
@@ -85,7 +85,7 @@
   entry: PoolWorker,
   { job, cached, view }: { job: Job; cached: ReadonlyMap<string, number>; view: WorkerChoiceView },
 ): Candidate {
-  const { worker, machine, loadedModels: loaded, price } = entry;
+  const { worker, machine, loadedModels, price } = entry;
   const cachedFraction = (cached.get(worker.id) ?? 0) * coveredFraction(job);
   return {
     worker: worker.id,
@@ -94,7 +94,7 @@
     queuedPrefillTokens: entry.queuedPrefillTokens,
     prefillPerSecond: machine.prefillPerSecond / prefillFactor(view.service),
     reclaimRisk: view.reclaimRisk.probability(worker, view.now),
-    isModelLoaded: job.model === "" || loaded.size === 0 || loaded.has(job.model),
+    isModelLoaded: job.model === "" || loadedModels.size === 0 || loadedModels.has(job.model),
     isSameZone: view.zone === undefined || view.zone === worker.zone,
     price: price / Math.max(price, view.service.maxPrice, Number.MIN_VALUE),
   };
--- a/src/decision/worker_pool.ts
+++ b/src/decision/worker_pool.ts
@@ -106,7 +106,7 @@
   /** Updates a worker's free slots after a change of its load or limit. */
   refresh(worker: PoolWorker, now: number): void;
   /** Sets how many slots of a service are reserved for lookups. */
-  setReservedSlots(service: string, places: number): void;
+  setReservedSlots(service: string, slots: number): void;
   /** Records the run time of a job. */
   recordRunTime(job: Job, milliseconds: number): void;
   /** Records the end of a run; `failed` if the failure is held against the worker. */
@@ -201,8 +201,8 @@
     pool.speed = 0;
     for (const entry of pool.workers.values()) {
       refresh(entry, now);
-      const part = Math.min(1, effectiveLimit(entry, now) / entry.limit.initial);
-      pool.speed += entry.machine.tokensPerSecond * part;
+      const usableFraction = Math.min(1, effectiveLimit(entry, now) / entry.limit.initial);
+      pool.speed += entry.machine.tokensPerSecond * usableFraction;
     }
   };
   const evaluate = (service: string, now: number): void => {
@@ -272,8 +272,8 @@
       evaluate(entry.worker.service, now);
     },
     refresh,
-    setReservedSlots: (service, places) => {
-      serviceOf(service).reservedSlots = places;
+    setReservedSlots: (service, slots) => {
+      serviceOf(service).reservedSlots = slots;
     },
     recordRunTime: ({ service, lane }, milliseconds) => {
       const pool = serviceOf(service);
@@ -291,12 +291,12 @@
       evaluate(entry.worker.service, now);
     },
     recordConnectFailure: (entry, now) => {
-      const pause = Math.min(
+      const unreachableTime = Math.min(
         MAX_UNREACHABLE_TIME,
         INITIAL_UNREACHABLE_TIME * 2 ** entry.connectFailures,
       );
       entry.connectFailures++;
-      entry.unreachableUntil = now + pause;
+      entry.unreachableUntil = now + unreachableTime;
       refresh(entry, now);
     },
     tick: evaluate,
@@ -380,8 +380,8 @@
  * Returns how many times longer a prompt takes than on an idle worker; engines compute prompts in
  * small pieces between the tokens of the running requests.
  */
-export function prefillFactor({ prefillRatios: prefill }: ServicePool): number {
-  const factor = (prefill.quantile(0.5) ?? RATIO_SCALE) / RATIO_SCALE;
+export function prefillFactor({ prefillRatios }: ServicePool): number {
+  const factor = (prefillRatios.quantile(0.5) ?? RATIO_SCALE) / RATIO_SCALE;
   return Math.min(MAX_PREFILL_FACTOR, Math.max(1, factor));
 }
 
