--- a/src/decision/fleet_pools.ts
+++ b/src/decision/fleet_pools.ts
@@ -37,7 +37,7 @@
 
 /** The running and launching workers of a service. */
 export interface ServiceCapacity {
-  readonly units: readonly PlannedWorker[];
+  readonly workers: readonly PlannedWorker[];
   /** Number of launches in progress. */
   readonly launching: number;
   /** Milliseconds from a launch until the worker accepts work. */
@@ -68,9 +68,9 @@
   });
   const launching = view.launching
     .filter(({ service }) => service === demand.service)
-    .map(({ pool }): PlannedWorker => unitOf(pool));
+    .map(({ pool }): PlannedWorker => toPlannedWorker(pool));
   const startUp = Math.max(0, ...view.pools.map((pool) => pool.startUp));
-  return { units: [...running, ...launching], launching: launching.length, startUp };
+  return { workers: [...running, ...launching], launching: launching.length, startUp };
 }
 
 /** Chooses the pools to launch in now, one entry per worker. */
@@ -82,26 +82,29 @@
     capacity,
   }: { view: FleetView; required: RequiredCapacity; capacity: ServiceCapacity },
 ): Pool[] {
-  const units = [...capacity.units];
+  const workers = [...capacity.workers];
   const launches: Pool[] = [];
-  const maxLaunches = Math.min(demand.most - units.length, launchLimit(demand, { view, capacity }));
-  while (launches.length < maxLaunches && isUnderProvisioned(units, { demand, required })) {
-    const pool = bestPool(units, { demand, view, required });
+  const maxLaunches = Math.min(
+    demand.most - workers.length,
+    launchLimit(demand, { view, capacity }),
+  );
+  while (launches.length < maxLaunches && isUnderProvisioned(workers, { demand, required })) {
+    const pool = bestPool(workers, { demand, view, required });
     if (pool === undefined) break;
     launches.push(pool);
-    units.push(unitOf(pool));
+    workers.push(toPlannedWorker(pool));
   }
   return launches;
 }
 
 /** Returns whether the service has too few workers, by number or by capacity. */
 export function isUnderProvisioned(
-  units: readonly PlannedWorker[],
+  workers: readonly PlannedWorker[],
   { demand, required }: { demand: ServiceDemand; required: RequiredCapacity },
 ): boolean {
   return (
-    units.length < demand.least ||
-    missingSpeed(units, required) > required.usual * SHORTFALL_TOLERANCE
+    workers.length < demand.least ||
+    missingSpeed(workers, required) > required.usual * SHORTFALL_TOLERANCE
   );
 }
 
@@ -109,20 +112,20 @@
  * Returns the missing tokens of work per second: in ordinary operation plus after the loss of the
  * zone with the most reclaimable capacity.
  */
-function missingSpeed(units: readonly PlannedWorker[], required: RequiredCapacity): number {
-  const total = totalSpeed(units);
+function missingSpeed(workers: readonly PlannedWorker[], required: RequiredCapacity): number {
+  const total = totalSpeed(workers);
   const usual = Math.max(0, required.usual - total);
-  return usual + Math.max(0, required.afterZoneLoss - (total - maxReclaimableZoneSpeed(units)));
+  return usual + Math.max(0, required.afterZoneLoss - (total - maxReclaimableZoneSpeed(workers)));
 }
 
-function totalSpeed(units: readonly PlannedWorker[]): number {
-  return units.reduce((sum, unit) => sum + unit.tokensPerSecond, 0);
+function totalSpeed(workers: readonly PlannedWorker[]): number {
+  return workers.reduce((sum, worker) => sum + worker.tokensPerSecond, 0);
 }
 
 /** Returns the highest total speed of one zone's reclaimable workers. */
-function maxReclaimableZoneSpeed(units: readonly PlannedWorker[]): number {
+function maxReclaimableZoneSpeed(workers: readonly PlannedWorker[]): number {
   const zones = new Map<string, number>();
-  for (const { zone, purchase, tokensPerSecond } of units) {
+  for (const { zone, purchase, tokensPerSecond } of workers) {
     if (purchase === Purchase.OnDemand) continue;
     zones.set(zone, (zones.get(zone) ?? 0) + tokensPerSecond);
   }
@@ -130,22 +133,22 @@
 }
 
 function bestPool(
-  units: readonly PlannedWorker[],
+  workers: readonly PlannedWorker[],
   {
     demand,
     view,
     required,
   }: { demand: ServiceDemand; view: FleetView; required: RequiredCapacity },
 ): Pool | undefined {
-  const before = missingSpeed(units, required);
+  const before = missingSpeed(workers, required);
   const open = view.pools.filter(
-    (pool) => isOpen(pool, view) && isWithinReclaimableShare(pool, { units, demand }),
+    (pool) => isOpen(pool, view) && isWithinReclaimableShare(pool, { workers, demand }),
   );
   const worth = (pool: Pool): number => {
-    const covered = before - missingSpeed([...units, unitOf(pool)], required);
+    const covered = before - missingSpeed([...workers, toPlannedWorker(pool)], required);
     // If only the number of workers is too small, the cheapest pool in the zone with the fewest
     // workers is used.
-    const spread = 1 / (1 + units.filter(({ zone }) => zone === pool.zone).length);
+    const spread = 1 / (1 + workers.filter(({ zone }) => zone === pool.zone).length);
     return (covered + spread) / Math.max(pool.price, Number.MIN_VALUE);
   };
   return open.reduce<Pool | undefined>(
@@ -176,11 +179,11 @@
 
 function isWithinReclaimableShare(
   pool: Pool,
-  { units, demand }: { units: readonly PlannedWorker[]; demand: ServiceDemand },
+  { workers, demand }: { workers: readonly PlannedWorker[]; demand: ServiceDemand },
 ): boolean {
   if (pool.purchase === Purchase.OnDemand) return true;
-  const reclaimable = units.filter(({ purchase }) => purchase === Purchase.Reclaimable).length;
-  return reclaimable + 1 <= Math.round(demand.reclaimable * (units.length + 1));
+  const reclaimable = workers.filter(({ purchase }) => purchase === Purchase.Reclaimable).length;
+  return reclaimable + 1 <= Math.round(demand.reclaimable * (workers.length + 1));
 }
 
 function launchLimit(
@@ -194,7 +197,7 @@
   return Math.max(1, concurrentLoads) - capacity.launching;
 }
 
-function unitOf({ zone, purchase, tokensPerSecond, price }: Pool): PlannedWorker {
+function toPlannedWorker({ zone, purchase, tokensPerSecond, price }: Pool): PlannedWorker {
   return { id: undefined, zone, purchase, tokensPerSecond, price };
 }
 
--- a/src/decision/fleet_surplus.ts
+++ b/src/decision/fleet_surplus.ts
@@ -49,18 +49,18 @@
   demand: ServiceDemand,
   { required, capacity }: SurplusView,
 ): string[] {
-  const maxRetirements = Math.max(1, Math.floor(capacity.units.length * MAX_RETIRE_FRACTION));
-  const order = [...capacity.units].sort(
+  const maxRetirements = Math.max(1, Math.floor(capacity.workers.length * MAX_RETIRE_FRACTION));
+  const order = [...capacity.workers].sort(
     (a, b) => retirementRank(a, demand) - retirementRank(b, demand),
   );
-  let left = [...capacity.units];
+  let left = [...capacity.workers];
   const chosen: string[] = [];
-  for (const unit of order) {
+  for (const worker of order) {
     if (chosen.length === maxRetirements) break;
-    const rest = left.filter((other) => other !== unit);
-    if (unit.id === undefined || !isSufficient(rest, { demand, required })) continue;
+    const rest = left.filter((other) => other !== worker);
+    if (worker.id === undefined || !isSufficient(rest, { demand, required })) continue;
     left = rest;
-    chosen.push(unit.id);
+    chosen.push(worker.id);
   }
   return chosen;
 }
@@ -69,9 +69,9 @@
  * Returns a sort key. Workers with a lower key are retired first: the most expensive for their
  * speed, then those with the least work in progress.
  */
-function retirementRank(unit: PlannedWorker, demand: ServiceDemand): number {
-  const work = demand.inProgress[unit.id ?? ""] ?? 0;
-  const price = unit.price / Math.max(1, unit.tokensPerSecond);
+function retirementRank(worker: PlannedWorker, demand: ServiceDemand): number {
+  const work = demand.inProgress[worker.id ?? ""] ?? 0;
+  const price = worker.price / Math.max(1, worker.tokensPerSecond);
   return work / 1e9 - price;
 }
 
@@ -79,7 +79,7 @@
   rest: readonly PlannedWorker[],
   { demand, required }: { demand: ServiceDemand; required: RequiredCapacity },
 ): boolean {
-  const speed = rest.reduce((sum, unit) => sum + unit.tokensPerSecond, 0);
+  const speed = rest.reduce((sum, worker) => sum + worker.tokensPerSecond, 0);
   const ids = demand.workers.map(({ id }) => id);
   const inProgress = ids.reduce((sum, id) => sum + (demand.inProgress[id] ?? 0), 0);
   if (speed * DRAIN_TIME < inProgress + demand.waiting) return false;
--- a/src/decision/run_table.ts
+++ b/src/decision/run_table.ts
@@ -53,7 +53,7 @@
     entries.set(id, known);
     return known;
   };
-  const of = (id: string): readonly Run[] => entries.get(id)?.runs ?? [];
+  const runsOf = (id: string): readonly Run[] => entries.get(id)?.runs ?? [];
   return {
     start: (job, { worker, uncachedTokens, now }) => {
       const run = { job, worker, uncachedTokens, dispatchedAt: now, lastTokenAt: undefined };
@@ -61,10 +61,10 @@
       worker.queuedPrefillTokens += uncachedTokens;
       if (job.lane === Lane.Lookup) worker.ownLookups++;
     },
-    runsOf: of,
+    runsOf,
     find: (id, worker) => {
-      if (worker === undefined) return of(id)[0];
-      return of(id).find((run) => run.worker.worker.id === worker);
+      if (worker === undefined) return runsOf(id)[0];
+      return runsOf(id).find((run) => run.worker.worker.id === worker);
     },
     end: (run, failed) => {
       if (run.lastTokenAt === undefined) run.worker.queuedPrefillTokens -= run.uncachedTokens;
--- a/src/decision/testing/load_play.ts
+++ b/src/decision/testing/load_play.ts
@@ -96,9 +96,9 @@
       const job = queue.dequeue();
       if (job === undefined) break;
       instance.unplaced.push(job);
-      instance.unplaced = instance.unplaced.filter((job) => !start(instance, job, now));
+      instance.unplaced = instance.unplaced.filter((waiting) => !start(instance, waiting, now));
     }
-    instance.unplaced = instance.unplaced.filter((job) => !start(instance, job, now));
+    instance.unplaced = instance.unplaced.filter((waiting) => !start(instance, waiting, now));
   };
   const start = (instance: Instance, job: Job, now: number): boolean => {
     const placement = instance.scheduler.place(job, { now, random, avoid: new Set() });
@@ -122,9 +122,10 @@
     const cache = caches.get(worker) ?? new Set();
     caches.set(worker, cache);
     const isNew = (block: string): boolean => !cache.has(block);
-    const part = job.prefix.length === 0 ? 1 : job.prefix.filter(isNew).length / job.prefix.length;
+    const newFraction =
+      job.prefix.length === 0 ? 1 : job.prefix.filter(isNew).length / job.prefix.length;
     for (const block of job.prefix) cache.add(block);
-    return Math.max(1, job.promptTokens * part);
+    return Math.max(1, job.promptTokens * newFraction);
   };
   const deliverTokens = (sequence: Sequence, now: number): void => {
     const { job, request, instance } = sequence;
--- a/src/decision/triage.ts
+++ b/src/decision/triage.ts
@@ -123,8 +123,9 @@
 export function triage(requests: readonly Endangered[], view: TriageView): Triage[] {
   const chosen = new Map<string, Triage>();
   const targets = createTargets(view);
-  const left = scheduleExports(requests, { view, targets, chosen });
-  for (const request of left) chosen.set(request.id, chooseWithoutExport(request, view, targets));
+  const remaining = scheduleExports(requests, { view, targets, chosen });
+  for (const request of remaining)
+    chosen.set(request.id, chooseWithoutExport(request, view, targets));
   return requests.map(({ id }) => chosen.get(id) ?? { id, choice: TriageChoice.Stay });
 }
 
@@ -143,26 +144,26 @@
   options: { view: TriageView; targets: Targets; chosen: Map<string, Triage> },
 ): Endangered[] {
   const { view, targets, chosen } = options;
-  const left: Endangered[] = [];
-  const turns: { readonly id: string; readonly target: string; readonly time: number }[] = [];
-  let free = view.reclaimAt - END_MARGIN - view.now;
+  const remaining: Endangered[] = [];
+  const scheduled: { readonly id: string; readonly target: string; readonly time: number }[] = [];
+  let timeLeft = view.reclaimAt - END_MARGIN - view.now;
   for (const request of [...requests].sort((a, b) => compareExports(a, b, view))) {
     const time = exportTime(request, view);
-    const target = time <= free ? targets.reserve(cachedTokens(request)) : undefined;
+    const target = time <= timeLeft ? targets.reserve(cachedTokens(request)) : undefined;
     if (target === undefined) {
-      left.push(request);
+      remaining.push(request);
       continue;
     }
-    turns.push({ id: request.id, target, time });
-    free -= time;
+    scheduled.push({ id: request.id, target, time });
+    timeLeft -= time;
   }
-  const total = turns.reduce((sum, { time }) => sum + time, 0);
+  const total = scheduled.reduce((sum, { time }) => sum + time, 0);
   let at = Math.max(view.now, view.reclaimAt - LATE_RESUME_MARGIN - total * EXPORT_TIME_FACTOR);
-  for (const { id, target, time } of turns) {
+  for (const { id, target, time } of scheduled) {
     chosen.set(id, { id, choice: TriageChoice.ExportCache, target, at });
     at += time;
   }
-  return left;
+  return remaining;
 }
 
 function compareExports(a: Endangered, b: Endangered, view: TriageView): number {
