--- a/src/decision/entry_overload.ts
+++ b/src/decision/entry_overload.ts
@@ -52,7 +52,9 @@
 
 const LOOKUPS_ONLY: Threshold = { loopDelay: 50, memory: 0.8 };
 const CONTROL_ONLY: Threshold = { loopDelay: 200, memory: 0.9 };
+/** The delay threshold for leaving a mode is this fraction of the one for entering it. */
 const EXIT_DELAY_FACTOR = 0.5;
+/** The memory threshold for leaving a mode is lower by this fraction of the memory limit. */
 const EXIT_MEMORY_STEP = 0.1;
 
 /** Chooses the mode from the current readings and the previous mode. */
--- a/src/decision/fair_queue.ts
+++ b/src/decision/fair_queue.ts
@@ -56,21 +56,25 @@
   readonly size: number;
   /** Number of all elements, including those of lanes that may not start now. */
   readonly waiting: number;
+  /** Adds an element. */
   enqueue(run: Element, options?: Partial<FairQueueEntry>): void;
   /** Removes and returns the next element; undefined if none may start now. */
   dequeue(): Element | undefined;
+  /** Returns all waiting elements; the options are ignored. */
   filter(options: Readonly<Partial<FairQueueEntry>>): Element[];
   /**
    * Does nothing except to check the id; required by p-queue. The order depends on the fair shares
    * only.
    */
   setPriority(id: string, priority: number): void;
+  /** Removes an element; an unknown one changes nothing. */
   remove(idOrRun: string | Element): void;
 }
 
 /** The element type of p-queue. */
 export type FairRun = () => Promise<unknown>;
 
+/** The weights of the lanes; lookups get up to four fifths of the tokens. */
 const LANE_WEIGHT: Readonly<Record<Lane, number>> = { [Lane.Lookup]: 4, [Lane.Script]: 1 };
 
 interface QueuedItem<Element> {
--- a/src/decision/fleet_need.ts
+++ b/src/decision/fleet_need.ts
@@ -33,13 +33,17 @@
   readonly afterZoneLoss: number;
 }
 
+/** The fraction of their capacity at which workers are planned to run. */
 const TARGET_UTILIZATION = 0.85;
+/** The fraction of the demand that must still be served after the loss of a zone. */
 const ZONE_LOSS_FRACTION = 0.9;
 /** Milliseconds. */
 const DEMAND_HALF_LIFE = 120_000;
+/** A demand above the mean by more than this many deviations is a rise. */
 const RISE_DEVIATIONS = 2;
 /** The deviation of an unknown demand, as a fraction of the demand. */
 const INITIAL_DEVIATION = 0.2;
+/** Maximum factor by which an extrapolated rise exceeds the smoothed demand. */
 const MAX_EXTRAPOLATION = 1.5;
 const MINUTE = 60_000;
 /** Milliseconds. A backlog is spread over at least this time, even if workers start faster. */
--- a/src/decision/placement.ts
+++ b/src/decision/placement.ts
@@ -51,6 +51,7 @@
 const LOAD_COST_FRACTION = 0.1;
 /** Keeps the cost of a full worker finite: twenty times that of a half full one. */
 const LOAD_ASYMPTOTE = 1.05;
+/** Factor on the reclaim cost of jobs that may not be repeated. */
 const NOT_REPEATABLE_FACTOR = 10;
 /**
  * Milliseconds. Loading an adapter takes a few seconds; only the component that orders the load
--- a/src/decision/prefix_cache_index.ts
+++ b/src/decision/prefix_cache_index.ts
@@ -42,6 +42,7 @@
 
 /** About 10 MB of memory at 100 bytes per entry. */
 const MAX_BLOCKS = 50_000;
+/** Workers stored per block; the least recently updated is dropped. */
 const MAX_HOLDERS = 8;
 /** The fraction of eviction events that is assumed to be lost, once any have arrived. */
 const MISSED_EVENT_FRACTION = 0.2;
--- a/src/decision/service_state.ts
+++ b/src/decision/service_state.ts
@@ -27,9 +27,11 @@
   /** Jobs that wait, and their tokens of work. */
   waitingJobs: number;
   waitingWork: number;
+  /** Waiting jobs by account. */
   readonly byAccount: Map<string, AccountWaiting>;
   /** Sum of the weights of the accounts with waiting work. */
   activeWeight: number;
+  /** Jobs that run. */
   running: number;
   /** Recent mean of the number of running jobs, as of `meanAt`. */
   meanRunning: number;
@@ -86,6 +88,7 @@
 const SAMPLE_HALF_LIFE = 200;
 /** Ratios of waits are stored in percent. */
 const PERCENT = 100;
+/** Waits from which a correction is computed. */
 const MIN_WAITS = 10;
 /**
  * Milliseconds. Shorter waits depend on single runs rather than on the speed, which is what a
--- a/src/decision/testing/load_play.ts
+++ b/src/decision/testing/load_play.ts
@@ -57,8 +57,11 @@
   running: number;
 }
 
+/** Length of a simulation step. */
 const STEP_MS = 5;
+/** Milliseconds between two load reports of a worker. */
 const REPORT_INTERVAL = 1_000;
+/** Milliseconds until a load report reaches the entry instances. */
 const REPORT_DELAY = 500;
 
 /** Simulates the load; the result has one entry per arrival, in order. */
--- a/src/decision/worker_pool.ts
+++ b/src/decision/worker_pool.ts
@@ -94,12 +94,17 @@
 
 /** The workers of all services. */
 export interface WorkerPool {
+  /** Returns the worker with this id; undefined for an unknown one. */
   find(worker: string): PoolWorker | undefined;
+  /** Returns the workers of a service; an unknown service has none. */
   service(service: string): ServicePool;
+  /** Replaces the policy; learned limits and statistics are kept. */
   configure(policy: Policy): void;
+  /** Sets the number of entry instances that share the workers. */
   setInstances(count: number): void;
   /** Sets this instance's number for the distribution of shared free slots. */
   setSalt(salt: number): void;
+  /** Replaces the list of workers; those that stay keep their statistics. */
   setWorkers(workers: readonly Worker[], now: number): void;
   /** Records a load report. */
   report(report: LoadReport, now: number): void;
@@ -118,6 +123,7 @@
    * called again within a second.
    */
   tick(service: string, now: number): void;
+  /** Returns the workers of all services. */
   all(): Iterable<PoolWorker>;
 }
 
