--- a/src/decision/fleet_pools.ts
+++ b/src/decision/fleet_pools.ts
@@ -1,110 +1,131 @@
 /**
- * Where workers are launched.
+ * Chooses the pools in which workers are launched.
  *
- * Load that it answers: prices that differ by zone and machine class, zones that are taken back, and
- * launches that are refused for minutes in one pool while another has room. Buying only the cheapest, one
- * would notice a whole service gone in one wave; asking a refusing pool again and again, a fleet that stays
- * too small while other pools have room.
+ * Load: prices that differ by zone and machine class, zones that are reclaimed, and launches that
+ * are refused for minutes in one pool while another has capacity. If only the cheapest pool were
+ * used, a whole service could be lost in one wave of reclaims; if a refusing pool were asked again
+ * and again, the fleet would stay too small while other pools have capacity.
  *
- * Workers are added one at a time, each in the pool that covers the most of what is missing for its price.
- * A worker in the fullest zone covers nothing of what is missing after that zone's loss, so the cheap zone
- * fills first and the others follow by themselves as far as the loss demands. A pool that refused is left
- * alone, twice as long with each refusal in a row, from 10 s, about twice the time that an answer takes, up
- * to 5 min. A zone where a notice stands gets no reclaimable worker: it would most likely be taken next.
- * Reclaimable workers stay within the preset's part, to the nearest whole worker; on-demand ones take their place only where that part
- * or the refusals leave nothing else.
+ * Workers are added one at a time, each in the pool that covers the most missing capacity for its
+ * price. A worker in the zone with the most capacity covers nothing of what is missing after the
+ * loss of that zone, so the cheap zone fills first and the others follow as far as the loss
+ * requires. After a refusal a pool is skipped for 10 s, about twice the time that a response takes;
+ * the time doubles with each consecutive refusal up to 5 min. A zone with a reclaim notice gets no
+ * reclaimable worker, which would most likely be reclaimed next. Reclaimable workers stay within
+ * the preset's share, rounded to the nearest whole worker; on-demand workers are used only if that
+ * share or the refusals leave no other choice.
  *
- * Loads share the weight store's rate. More loads at once than it feeds in a start-up's time only make all
- * of them later, so the rest waits for the next plan.
+ * All model loads share the rate of the weight store. More loads at once than it can serve within a
+ * start-up time would only make all of them later, so the rest waits for the next plan.
  *
  * @module
  */
 import { Purchase, WorkerState } from "../interface/index.ts";
 import type { FleetView, Pool, ServiceDemand } from "./fleet_view.ts";
-import type { Need } from "./fleet_need.ts";
+import type { RequiredCapacity } from "./fleet_need.ts";
 
-/** One worker as the plan counts it. */
-export interface Unit {
-  /** The worker's id; undefined for one that is being launched. */
+/** One worker as counted by the plan. */
+export interface PlannedWorker {
+  /** The worker's id; undefined for a worker that is being launched. */
   readonly id: string | undefined;
   readonly zone: string;
   readonly purchase: Purchase;
   readonly tokensPerSecond: number;
+  /** Euros per hour. */
   readonly price: number;
 }
 
-/** What a service has and what is coming. */
-export interface Capacity {
-  readonly units: readonly Unit[];
+/** The running and launching workers of a service. */
+export interface ServiceCapacity {
+  readonly workers: readonly PlannedWorker[];
+  /** Number of launches in progress. */
   readonly launching: number;
-  /** Milliseconds until a launch takes work. */
+  /** Milliseconds from a launch until the worker accepts work. */
   readonly startUp: number;
 }
 
-/** A demand at the edge of what the workers can do must not launch and retire by turns. */
-const TOLERANCE = 0.03;
-const FIRST_BACK_OFF = 10_000;
-const GREATEST_BACK_OFF = 300_000;
-
-/** Counts a service's workers that stay, and its launches under way. */
-export function capacityOf(demand: ServiceDemand, view: FleetView): Capacity {
+/**
+ * A fraction of the required capacity. A demand close to what the workers can do must not cause
+ * launches and retirements by turns.
+ */
+const SHORTFALL_TOLERANCE = 0.03;
+/** Milliseconds. */
+const INITIAL_BACKOFF = 10_000;
+/** Milliseconds. */
+const MAX_BACKOFF = 300_000;
+
+/** Counts a service's workers that stay, and its launches in progress. */
+export function countCapacity(demand: ServiceDemand, view: FleetView): ServiceCapacity {
   const staying = demand.workers.filter(
     ({ state, reclaimAt }) =>
       reclaimAt === undefined && (state === WorkerState.Live || state === WorkerState.Starting),
   );
-  const there = staying.map((worker): Unit => {
-    const pool = view.pools.find((one) => samePlace(one, worker));
+  const running = staying.map((worker): PlannedWorker => {
+    const pool = view.pools.find((one) => isPoolOf(one, worker));
     const { id, zone, purchase } = worker;
     const { tokensPerSecond = 0, price = 0 } = pool ?? {};
     return { id, zone, purchase, tokensPerSecond, price };
   });
-  const coming = view.launching
+  const launching = view.launching
     .filter(({ service }) => service === demand.service)
-    .map(({ pool }): Unit => unitOf(pool));
+    .map(({ pool }): PlannedWorker => toPlannedWorker(pool));
   const startUp = Math.max(0, ...view.pools.map((pool) => pool.startUp));
-  return { units: [...there, ...coming], launching: coming.length, startUp };
+  return { workers: [...running, ...launching], launching: launching.length, startUp };
 }
 
-/** Chooses the pools to launch in now, one entry a worker. */
+/** Chooses the pools to launch in now, one entry per worker. */
 export function chooseLaunches(
   demand: ServiceDemand,
-  { view, need, capacity }: { view: FleetView; need: Need; capacity: Capacity },
+  {
+    view,
+    required,
+    capacity,
+  }: { view: FleetView; required: RequiredCapacity; capacity: ServiceCapacity },
 ): Pool[] {
-  const units = [...capacity.units];
+  const workers = [...capacity.workers];
   const launches: Pool[] = [];
-  const most = Math.min(demand.most - units.length, launchBound(demand, { view, capacity }));
-  while (launches.length < most && isShort(units, { demand, need })) {
-    const pool = bestPool(units, { demand, view, need });
+  const maxLaunches = Math.min(
+    demand.most - workers.length,
+    launchLimit(demand, { view, capacity }),
+  );
+  while (launches.length < maxLaunches && isUnderProvisioned(workers, { demand, required })) {
+    const pool = bestPool(workers, { demand, view, required });
     if (pool === undefined) break;
     launches.push(pool);
-    units.push(unitOf(pool));
+    workers.push(toPlannedWorker(pool));
   }
   return launches;
 }
 
-/** Says whether workers are missing, by number or by what they can do. */
-export function isShort(
-  units: readonly Unit[],
-  { demand, need }: { demand: ServiceDemand; need: Need },
+/** Returns whether the service has too few workers, by number or by capacity. */
+export function isUnderProvisioned(
+  workers: readonly PlannedWorker[],
+  { demand, required }: { demand: ServiceDemand; required: RequiredCapacity },
 ): boolean {
-  return units.length < demand.least || missing(units, need) > need.usual * TOLERANCE;
+  return (
+    workers.length < demand.least ||
+    missingSpeed(workers, required) > required.usual * SHORTFALL_TOLERANCE
+  );
 }
 
-/** Tokens of work a second that are missing, usually and after the loss of the fullest zone. */
-function missing(units: readonly Unit[], need: Need): number {
-  const all = speedOf(units);
-  const usual = Math.max(0, need.usual - all);
-  return usual + Math.max(0, need.afterLoss - (all - fullestZone(units)));
+/**
+ * Returns the missing tokens of work per second: in ordinary operation plus after the loss of the
+ * zone with the most reclaimable capacity.
+ */
+function missingSpeed(workers: readonly PlannedWorker[], required: RequiredCapacity): number {
+  const total = totalSpeed(workers);
+  const usual = Math.max(0, required.usual - total);
+  return usual + Math.max(0, required.afterZoneLoss - (total - maxReclaimableZoneSpeed(workers)));
 }
 
-function speedOf(units: readonly Unit[]): number {
-  return units.reduce((sum, unit) => sum + unit.tokensPerSecond, 0);
+function totalSpeed(workers: readonly PlannedWorker[]): number {
+  return workers.reduce((sum, worker) => sum + worker.tokensPerSecond, 0);
 }
 
-/** The speed that one zone's reclaimable workers have together, in the zone where it is greatest. */
-function fullestZone(units: readonly Unit[]): number {
+/** Returns the highest total speed of one zone's reclaimable workers. */
+function maxReclaimableZoneSpeed(workers: readonly PlannedWorker[]): number {
   const zones = new Map<string, number>();
-  for (const { zone, purchase, tokensPerSecond } of units) {
+  for (const { zone, purchase, tokensPerSecond } of workers) {
     if (purchase === Purchase.OnDemand) continue;
     zones.set(zone, (zones.get(zone) ?? 0) + tokensPerSecond);
   }
@@ -112,17 +133,22 @@
 }
 
 function bestPool(
-  units: readonly Unit[],
-  { demand, view, need }: { demand: ServiceDemand; view: FleetView; need: Need },
+  workers: readonly PlannedWorker[],
+  {
+    demand,
+    view,
+    required,
+  }: { demand: ServiceDemand; view: FleetView; required: RequiredCapacity },
 ): Pool | undefined {
-  const before = missing(units, need);
+  const before = missingSpeed(workers, required);
   const open = view.pools.filter(
-    (pool) => isOpen(pool, view) && isAllowed(pool, { units, demand }),
+    (pool) => isOpen(pool, view) && isWithinReclaimableShare(pool, { workers, demand }),
   );
   const worth = (pool: Pool): number => {
-    const covered = before - missing([...units, unitOf(pool)], need);
-    // Where nothing is missing but the number of workers, the cheapest in the emptiest zone is taken.
-    const spread = 1 / (1 + units.filter(({ zone }) => zone === pool.zone).length);
+    const covered = before - missingSpeed([...workers, toPlannedWorker(pool)], required);
+    // If only the number of workers is too small, the cheapest pool in the zone with the fewest
+    // workers is used.
+    const spread = 1 / (1 + workers.filter(({ zone }) => zone === pool.zone).length);
     return (covered + spread) / Math.max(pool.price, Number.MIN_VALUE);
   };
   return open.reduce<Pool | undefined>(
@@ -132,12 +158,15 @@
 }
 
 function isOpen(pool: Pool, view: FleetView): boolean {
-  const backOff = Math.min(GREATEST_BACK_OFF, FIRST_BACK_OFF * 2 ** Math.max(0, pool.refusals - 1));
-  const refused = pool.refusals > 0 && view.now < (pool.refusedAt ?? 0) + backOff;
-  return !refused && !(pool.purchase === Purchase.Reclaimable && isBeingTaken(pool.zone, view));
+  const backoff = Math.min(MAX_BACKOFF, INITIAL_BACKOFF * 2 ** Math.max(0, pool.refusals - 1));
+  const isBackingOff = pool.refusals > 0 && view.now < (pool.refusedAt ?? 0) + backoff;
+  return (
+    !isBackingOff &&
+    !(pool.purchase === Purchase.Reclaimable && zoneHasReclaimNotice(pool.zone, view))
+  );
 }
 
-function isBeingTaken(zone: string, { services }: FleetView): boolean {
+function zoneHasReclaimNotice(zone: string, { services }: FleetView): boolean {
   return services.some(({ workers }) =>
     workers.some(
       (worker) =>
@@ -148,31 +177,31 @@
   );
 }
 
-function isAllowed(
+function isWithinReclaimableShare(
   pool: Pool,
-  { units, demand }: { units: readonly Unit[]; demand: ServiceDemand },
+  { workers, demand }: { workers: readonly PlannedWorker[]; demand: ServiceDemand },
 ): boolean {
   if (pool.purchase === Purchase.OnDemand) return true;
-  const reclaimable = units.filter(({ purchase }) => purchase === Purchase.Reclaimable).length;
-  return reclaimable + 1 <= Math.round(demand.reclaimable * (units.length + 1));
+  const reclaimable = workers.filter(({ purchase }) => purchase === Purchase.Reclaimable).length;
+  return reclaimable + 1 <= Math.round(demand.reclaimable * (workers.length + 1));
 }
 
-function launchBound(
+function launchLimit(
   demand: ServiceDemand,
-  { view, capacity }: { view: FleetView; capacity: Capacity },
+  { view, capacity }: { view: FleetView; capacity: ServiceCapacity },
 ): number {
   const { weightStoreRate } = view;
   const weights = demand.weights ?? 0;
   if (weightStoreRate === undefined || weights === 0) return Number.POSITIVE_INFINITY;
-  const fed = Math.floor((weightStoreRate * capacity.startUp) / 1_000 / weights);
-  return Math.max(1, fed) - capacity.launching;
+  const concurrentLoads = Math.floor((weightStoreRate * capacity.startUp) / 1_000 / weights);
+  return Math.max(1, concurrentLoads) - capacity.launching;
 }
 
-function unitOf({ zone, purchase, tokensPerSecond, price }: Pool): Unit {
+function toPlannedWorker({ zone, purchase, tokensPerSecond, price }: Pool): PlannedWorker {
   return { id: undefined, zone, purchase, tokensPerSecond, price };
 }
 
-function samePlace(
+function isPoolOf(
   pool: Pool,
   worker: { zone: string; machineClass: string; purchase: Purchase },
 ): boolean {
--- a/src/decision/fleet_surplus.ts
+++ b/src/decision/fleet_surplus.ts
@@ -1,85 +1,102 @@
 /**
- * Which workers are given back.
+ * Chooses the workers to retire.
  *
- * Load that it answers: the hour after a peak, and a switch to a smaller preset. Given back too early,
- * workers are launched again minutes later and their start-up is paid twice; given back all at once, what
- * they still do is pressed onto the rest. One would notice a fleet that swings, and gaps that lengthen
- * whenever it shrinks.
+ * Load: the hour after a peak, and a switch to a smaller preset. Workers that are retired too early
+ * are launched again minutes later, and their start-up is paid for twice; if all are retired at
+ * once, their work in progress is added to the rest. Symptom: a fleet size that oscillates, and
+ * longer gaps between tokens whenever the fleet shrinks.
  *
- * A worker is surplus if the rest still covers the need with a tenth to spare, so that the same figures
- * never launch what they have just retired; a preset's greatest number is kept to in the same way, gradually.
- * Each plan gives back at most a tenth of the workers, the dearest for its speed first, and among equals the
- * one with the least in progress. A worker that is given back finishes what it has; and none is while the
- * others couldn't do all that is in progress within a minute.
+ * Mechanism: a worker is surplus if the rest still covers the required capacity with a tenth to
+ * spare, so that the same figures never launch what they have just retired. A preset's maximum
+ * number is reached gradually in the same way. Each plan retires at most a tenth of the workers,
+ * those with the highest price for their speed first, and among equals the one with the least work
+ * in progress. A retired worker finishes its work in progress, and none is retired while the others
+ * couldn't do all work in progress within a minute.
  *
  * @module
  */
 import { Purchase } from "../interface/index.ts";
 import type { ServiceDemand } from "./fleet_view.ts";
-import type { Need } from "./fleet_need.ts";
-import { isShort } from "./fleet_pools.ts";
-import type { Capacity, Unit } from "./fleet_pools.ts";
+import type { RequiredCapacity } from "./fleet_need.ts";
+import { isUnderProvisioned } from "./fleet_pools.ts";
+import type { ServiceCapacity, PlannedWorker } from "./fleet_pools.ts";
 
-/** Shorter surpluses are noise of a demand that is measured over a minute. */
-export const LEAST_HOLD = 60_000;
+/** Milliseconds. Shorter surpluses are noise of a demand that is measured over a minute. */
+export const MIN_HOLD_TIME = 60_000;
 
-const SPARE = 1.1;
-const GREATEST_PART = 0.1;
-/** Work in progress must be doable by what is left in this time, in seconds. */
-const IN_PROGRESS_TIME = 60;
+/** The rest of the workers must cover the required capacity multiplied by this factor. */
+const SPARE_FACTOR = 1.1;
+/** The fraction of the workers that one plan may retire. */
+const MAX_RETIRE_FRACTION = 0.1;
+/**
+ * Seconds in which the remaining workers must be able to do all waiting work and all work in
+ * progress.
+ */
+const DRAIN_TIME = 60;
 
 interface SurplusView {
-  readonly need: Need;
-  readonly capacity: Capacity;
+  readonly required: RequiredCapacity;
+  readonly capacity: ServiceCapacity;
 }
 
-/** Says whether the service has a worker too many. */
+/** Returns whether the service has at least one surplus worker and no launches in progress. */
 export function hasSurplus(demand: ServiceDemand, view: SurplusView): boolean {
   return view.capacity.launching === 0 && chooseRetirements(demand, view).length > 0;
 }
 
-/** Chooses the workers to give back now. */
+/** Chooses the ids of the workers to retire now. */
 export function chooseRetirements(
   demand: ServiceDemand,
-  { need, capacity }: SurplusView,
+  { required, capacity }: SurplusView,
 ): string[] {
-  const greatest = Math.max(1, Math.floor(capacity.units.length * GREATEST_PART));
-  const order = [...capacity.units].sort((a, b) => rank(a, demand) - rank(b, demand));
-  let left = [...capacity.units];
+  const maxRetirements = Math.max(1, Math.floor(capacity.workers.length * MAX_RETIRE_FRACTION));
+  const order = [...capacity.workers].sort(
+    (a, b) => retirementRank(a, demand) - retirementRank(b, demand),
+  );
+  let left = [...capacity.workers];
   const chosen: string[] = [];
-  for (const unit of order) {
-    if (chosen.length === greatest) break;
-    const rest = left.filter((other) => other !== unit);
-    if (unit.id === undefined || !isEnough(rest, { demand, need })) continue;
+  for (const worker of order) {
+    if (chosen.length === maxRetirements) break;
+    const rest = left.filter((other) => other !== worker);
+    if (worker.id === undefined || !isSufficient(rest, { demand, required })) continue;
     left = rest;
-    chosen.push(unit.id);
+    chosen.push(worker.id);
   }
   return chosen;
 }
 
-/** Lower is given back sooner: the dearest for its speed, then the emptiest. */
-function rank(unit: Unit, demand: ServiceDemand): number {
-  const work = demand.inProgress[unit.id ?? ""] ?? 0;
-  const price = unit.price / Math.max(1, unit.tokensPerSecond);
+/**
+ * Returns a sort key. Workers with a lower key are retired first: the most expensive for their
+ * speed, then those with the least work in progress.
+ */
+function retirementRank(worker: PlannedWorker, demand: ServiceDemand): number {
+  const work = demand.inProgress[worker.id ?? ""] ?? 0;
+  const price = worker.price / Math.max(1, worker.tokensPerSecond);
   return work / 1e9 - price;
 }
 
-function isEnough(
-  rest: readonly Unit[],
-  { demand, need }: { demand: ServiceDemand; need: Need },
+function isSufficient(
+  rest: readonly PlannedWorker[],
+  { demand, required }: { demand: ServiceDemand; required: RequiredCapacity },
 ): boolean {
-  const speed = rest.reduce((sum, unit) => sum + unit.tokensPerSecond, 0);
+  const speed = rest.reduce((sum, worker) => sum + worker.tokensPerSecond, 0);
   const ids = demand.workers.map(({ id }) => id);
   const inProgress = ids.reduce((sum, id) => sum + (demand.inProgress[id] ?? 0), 0);
-  if (speed * IN_PROGRESS_TIME < inProgress + demand.waiting) return false;
+  if (speed * DRAIN_TIME < inProgress + demand.waiting) return false;
   if (rest.length >= demand.most) return true;
-  if (!keepsShare(rest, demand)) return false;
-  const withSpare = { usual: need.usual * SPARE, afterLoss: need.afterLoss * SPARE };
-  return !isShort(rest, { demand, need: withSpare });
+  if (!keepsReclaimableShare(rest, demand)) return false;
+  const withSpare = {
+    usual: required.usual * SPARE_FACTOR,
+    afterZoneLoss: required.afterZoneLoss * SPARE_FACTOR,
+  };
+  return !isUnderProvisioned(rest, { demand, required: withSpare });
 }
 
-/** Giving back the last on-demand workers must not leave more than the preset's part reclaimable. */
-function keepsShare(rest: readonly Unit[], demand: ServiceDemand): boolean {
+/**
+ * Returns whether the reclaimable workers stay within the preset's share; retiring the last
+ * on-demand workers must not exceed it.
+ */
+function keepsReclaimableShare(rest: readonly PlannedWorker[], demand: ServiceDemand): boolean {
   const reclaimable = rest.filter(({ purchase }) => purchase === Purchase.Reclaimable).length;
   return reclaimable <= Math.round(demand.reclaimable * rest.length);
 }
--- a/src/decision/rate_meter.ts
+++ b/src/decision/rate_meter.ts
@@ -1,45 +1,50 @@
-/** A rate over the last two minutes, a bucket a second. */
+/** Measures a rate over the last two minutes, in buckets of one second. */
 export interface RateMeter {
+  /** Adds an amount at the given time. */
   add(amount: number, now: number): void;
-  /** Amount a second over the last `span` milliseconds, ending `ago` milliseconds before now. */
+  /**
+   * Returns the amount per second over the last `span` milliseconds, ending `ago` milliseconds
+   * before now.
+   */
   rate(now: number, options: { span: number; ago?: number }): number;
 }
 
-const BUCKET = 1_000;
+/** Milliseconds. */
+const BUCKET_LENGTH = 1_000;
 const BUCKET_COUNT = 128;
 
-/** Makes a meter that has seen nothing. */
+/** Creates a meter without samples. */
 export function createRateMeter(): RateMeter {
   const amounts = new Float64Array(BUCKET_COUNT);
   let latest = Number.NEGATIVE_INFINITY;
   let first: number | undefined;
   const advance = (now: number): void => {
-    const bucket = Math.floor(now / BUCKET);
+    const bucket = Math.floor(now / BUCKET_LENGTH);
     const passed = Math.min(BUCKET_COUNT, bucket - latest);
-    for (let step = 1; step <= passed; step++) amounts[slot(bucket - passed + step)] = 0;
+    for (let step = 1; step <= passed; step++) amounts[bucketIndex(bucket - passed + step)] = 0;
     latest = Math.max(latest, bucket);
     first ??= bucket;
   };
   return {
     add: (amount, now) => {
       advance(now);
-      const index = slot(latest);
+      const index = bucketIndex(latest);
       amounts[index] = (amounts[index] ?? 0) + amount;
     },
     rate: (now, { span, ago = 0 }) => {
       advance(now);
-      const newest = Math.floor((now - ago) / BUCKET);
-      const wanted = Math.round(span / BUCKET);
-      // A meter that was made a moment ago has seen less than the span: dividing by the span would say
-      // that nearly nothing arrives.
+      const newest = Math.floor((now - ago) / BUCKET_LENGTH);
+      const wanted = Math.round(span / BUCKET_LENGTH);
+      // A new meter has measured less than the span. Dividing by the span would give a rate close
+      // to 0.
       const seen = Math.min(wanted, Math.max(0, newest - (first ?? newest) + 1));
       let sum = 0;
-      for (let step = 0; step < seen; step++) sum += amounts[slot(newest - step)] ?? 0;
-      return seen === 0 ? 0 : sum / ((seen * BUCKET) / 1_000);
+      for (let step = 0; step < seen; step++) sum += amounts[bucketIndex(newest - step)] ?? 0;
+      return seen === 0 ? 0 : sum / ((seen * BUCKET_LENGTH) / 1_000);
     },
   };
 }
 
-function slot(bucket: number): number {
+function bucketIndex(bucket: number): number {
   return ((bucket % BUCKET_COUNT) + BUCKET_COUNT) % BUCKET_COUNT;
 }
--- a/src/decision/worker_pool.ts
+++ b/src/decision/worker_pool.ts
@@ -1,12 +1,13 @@
 /**
- * The workers as the scheduler knows them: limit, load, health and free room of each, and the room of each
- * service in all, kept up to date change by change so that asking costs nothing.
+ * The scheduler's view of the workers: limit, load, health and free slots of each worker, and the
+ * total free slots of each service. Totals are updated with each change, so that reading them costs
+ * nothing.
  *
  * @module
  */
 import { Purchase, WorkerState } from "../interface/index.ts";
 import type { LoadReport, Worker } from "../interface/index.ts";
-import { createConcurrencyLimit, LOOKUP_OVERFLOW } from "./concurrency_limit.ts";
+import { createConcurrencyLimit, LOOKUP_OVERCOMMIT_FACTOR } from "./concurrency_limit.ts";
 import type { ConcurrencyLimit } from "./concurrency_limit.ts";
 import { chooseEjections, ejectedAgain, usablePart } from "./ejection.ts";
 import type { EjectionState, PeerReading } from "./ejection.ts";
@@ -19,119 +20,153 @@
 import { createWorkerLoad } from "./worker_load.ts";
 import type { WorkerLoad } from "./worker_load.ts";
 
-/** One worker with all that was learned of it. */
+/** One worker with everything learned about it. */
 export interface PoolWorker {
   worker: Worker;
   readonly machine: MachinePolicy;
   readonly limit: ConcurrencyLimit;
   readonly load: WorkerLoad;
-  /** Milliseconds between tokens, to compare it with its peers. */
+  /** Milliseconds between tokens, for the comparison with the other workers. */
   readonly gaps: QuantileSketch;
-  loaded: ReadonlySet<string>;
+  /** Models that the worker reported as loaded. */
+  loadedModels: ReadonlySet<string>;
+  /** Ended runs and how many of them failed, with less weight for older runs. */
   runs: number;
   failures: number;
   ejection: EjectionState | undefined;
-  /** Connects fail: it gets nothing until then. */
+  /** The worker gets no jobs until this time because connecting to it failed. */
   unreachableUntil: number;
+  /** Consecutive connect failures. */
   connectFailures: number;
-  /** Euros an hour. */
+  /** Euros per hour. */
   price: number;
-  /** Jobs that it takes now, by lane. */
-  room: Readonly<Record<Lane, number>>;
-  /** Where it stands in the service's list of workers with room, or -1. */
+  /** Jobs that the worker can accept now, by lane. */
+  freeSlots: Readonly<Record<Lane, number>>;
+  /** Index in the service's list of workers with a free slot, or -1. */
   openIndex: number;
-  /** Its place among the service's live workers in the order of their ids: alike on all instances. */
+  /**
+   * Index among the service's live workers in the order of their ids; the same on all instances.
+   */
   rank: number;
-  /** Tells its room's draws from the other workers'. */
+  /**
+   * Makes the distribution of this worker's remainder of free slots independent of the other
+   * workers'.
+   */
   readonly salt: number;
-  /** Prompt tokens of this instance's jobs that the worker is still to compute. */
-  prefillAhead: number;
+  /** Prompt tokens of this instance's jobs that the worker has yet to compute. */
+  queuedPrefillTokens: number;
   /** Lookups of this instance that run on the worker. */
-  lookups: number;
+  ownLookups: number;
 }
 
 /** All workers of one service. */
 export interface ServicePool {
   readonly workers: Map<string, PoolWorker>;
-  /** Workers with room for a lookup, in no order. */
+  /** Workers with a free slot for a lookup, in no particular order. */
   readonly open: PoolWorker[];
-  readonly room: Record<Lane, number>;
-  /** Jobs of this instance that run. */
-  own: number;
-  live: number;
-  /** Tokens of work a second of all live workers, as far as their limits say that they are well. */
+  /** Free slots of all workers, by lane. */
+  readonly freeSlots: Record<Lane, number>;
+  /** Running jobs of this instance. */
+  ownRuns: number;
+  /** Number of live workers. */
+  liveWorkers: number;
+  /** Tokens of work per second of all live workers, reduced for workers with a reduced limit. */
   speed: number;
-  dearest: number;
-  /** Places kept free of scripts over all workers. */
-  reserve: number;
-  /** Jobs of other instances and limits, summed over the workers, as of the last second. */
-  others: number;
-  limits: number;
-  /** Sums of run times and of their squares, old runs with less weight. */
-  runTime: number;
-  runTimeSquared: number;
-  /** Times to first token in hundredths of what computing the prompt alone would take. */
-  readonly prefill: QuantileSketch;
-  /** Mean run time by lane, old runs with less weight; 0 before the first. */
+  /** The highest price of a live worker, in euros per hour. */
+  maxPrice: number;
+  /** Slots reserved for lookups over all workers. */
+  reservedSlots: number;
+  /** Jobs of other instances, summed over the workers, as of the last evaluation. */
+  otherJobs: number;
+  /** Limits, summed over the workers, as of the last evaluation. */
+  limitSum: number;
+  /** Sum of run times in milliseconds, with less weight for older runs. */
+  runTimeSum: number;
+  /** Sum of the squares of run times, with less weight for older runs. */
+  runTimeSquareSum: number;
+  /** Times to first token in hundredths of the time that computing the prompt alone would take. */
+  readonly prefillRatios: QuantileSketch;
+  /** Mean run time in milliseconds by lane, with less weight for older runs; 0 before the first. */
   readonly meanRun: Record<Lane, number>;
-  judgedAt: number;
+  /** Time of the last evaluation. */
+  evaluatedAt: number;
 }
 
 /** The workers of all services. */
 export interface WorkerPool {
+  /** Returns the worker with this id; undefined for an unknown one. */
   find(worker: string): PoolWorker | undefined;
+  /** Returns the workers of a service; an unknown service has none. */
   service(service: string): ServicePool;
+  /** Replaces the policy; learned limits and statistics are kept. */
   configure(policy: Policy): void;
+  /** Sets the number of entry instances that share the workers. */
   setInstances(count: number): void;
-  /** Gives this instance a number of its own, to tell its part of a shared room from the others'. */
+  /** Sets this instance's number for the distribution of shared free slots. */
   setSalt(salt: number): void;
+  /** Replaces the list of workers; those that stay keep their statistics. */
   setWorkers(workers: readonly Worker[], now: number): void;
+  /** Records a load report. */
   report(report: LoadReport, now: number): void;
-  /** Brings a worker's room up to date after its load or limit has changed. */
+  /** Updates a worker's free slots after a change of its load or limit. */
   refresh(worker: PoolWorker, now: number): void;
-  /** Sets how many places of a service are kept free of scripts. */
-  setReserve(service: string, places: number): void;
-  /** Takes in how long a run took. */
-  ranFor(job: Job, milliseconds: number): void;
-  /** A run on the worker ended; `failed` where it says something against the worker. */
-  ended(worker: PoolWorker, details: { failed: boolean; now: number }): void;
-  connectFailed(worker: PoolWorker, now: number): void;
-  /** Compares the service's workers and lets time pass for them; does nothing within a second. */
+  /** Sets how many slots of a service are reserved for lookups. */
+  setReservedSlots(service: string, slots: number): void;
+  /** Records the run time of a job. */
+  recordRunTime(job: Job, milliseconds: number): void;
+  /** Records the end of a run; `failed` if the failure is held against the worker. */
+  recordRunEnd(worker: PoolWorker, details: { failed: boolean; now: number }): void;
+  /** Excludes the worker for a time that doubles with each consecutive failure. */
+  recordConnectFailure(worker: PoolWorker, now: number): void;
+  /**
+   * Compares the service's workers with each other and updates limits and loads; does nothing if
+   * called again within a second.
+   */
   tick(service: string, now: number): void;
+  /** Returns the workers of all services. */
   all(): Iterable<PoolWorker>;
 }
 
-/** However many lookups come, scripts may use this part of each worker. */
-const LEAST_SCRIPT_PART = 0.5;
-const ENOUGH_GAPS = 20;
+/** Scripts may use this fraction of each worker, however many lookups arrive. */
+const MIN_SCRIPT_FRACTION = 0.5;
+/** Gaps between tokens from which their median is used. */
+const MIN_GAPS = 20;
+/** Gaps. */
 const GAP_HALF_LIFE = 200;
+/** First tokens. */
 const PREFILL_HALF_LIFE = 200;
-const HUNDREDTHS = 100;
-/** Engines give prompts a quarter of each step or more: what is slower than that is a line of prompts. */
-const GREATEST_PREFILL_FACTOR = 4;
-/** The count of runs halves in about 35 runs: a worker that fails is known after a few. */
+/** Ratios are stored in hundredths. */
+const RATIO_SCALE = 100;
+/** Engines give prompts at least a quarter of each step; anything slower is a queue of prompts. */
+const MAX_PREFILL_FACTOR = 4;
+/** The count of runs halves in about 35 runs, so a failing worker is detected after a few. */
 const RUN_DECAY = 0.98;
-/** Run times are remembered for about a hundred runs. */
+/** Run times have an effect for about a hundred runs. */
 const RUN_TIME_DECAY = 0.99;
-const MEAN_STEP = 0.05;
-/** Gaps are compared once a second, as often as limits change. */
-const JUDGE_EVERY = 1_000;
-/** An engine that is full to the last token evicts what it runs. */
-const CACHE_PART = 0.95;
-/** Any step will do that keeps the numbers of thousands of workers apart. */
+/** The weight of a run in the mean run time. */
+const MEAN_RUN_WEIGHT = 0.05;
+/** Milliseconds. Gaps are compared once per second, as often as limits change. */
+const EVALUATION_INTERVAL = 1_000;
+/** An engine with a completely full cache evicts running requests. */
+const USABLE_CACHE_FRACTION = 0.95;
+/** Any divisor works that keeps the salts of thousands of workers distinct. */
 const SALT_STEP = 7_919;
-/** Reports that stay away for so long say nothing about now. */
-const REPORT_EXPIRY = 30_000;
-/** Milliseconds of computing below which a first token says nothing about the speed of prompts. */
-const LEAST_PREFILL = 50;
-const FIRST_UNREACHABLE = 1_000;
-const GREATEST_UNREACHABLE = 10_000;
+/** Milliseconds after which a report no longer says anything about the present. */
+const REPORT_TTL = 30_000;
+/**
+ * Milliseconds of computation below which a first token says nothing about the speed of prompts.
+ */
+const MIN_PREFILL_TIME = 50;
+/** Milliseconds. */
+const INITIAL_UNREACHABLE_TIME = 1_000;
+/** Milliseconds. */
+const MAX_UNREACHABLE_TIME = 10_000;
 
-/** Makes a pool without workers. */
+/** Creates a pool without workers. */
 export function createWorkerPool(policy: Policy): WorkerPool {
   const services = new Map<string, ServicePool>();
   const byId = new Map<string, PoolWorker>();
-  let inForce = policy;
+  let currentPolicy = policy;
   let instances = 1;
   let salt = 0;
   let added = 0;
@@ -145,42 +180,43 @@
   };
   const refresh = (entry: PoolWorker, now: number): void => {
     const pool = serviceOf(entry.worker.service);
-    const limit = usableLimit(entry, now);
-    entry.load.believe(othersNow(pool, entry, now));
-    entry.limit.loaded(entry.load.load());
+    const limit = effectiveLimit(entry, now);
+    entry.load.setOthers(estimateOtherJobs(pool, entry, now));
+    entry.limit.recordLoad(entry.load.load());
     entry.limit.adjust(now);
-    const reserve = Math.min(reserveOf(pool, entry), limit * LEAST_SCRIPT_PART);
-    const memory = memoryRoom(entry);
+    const reserve = Math.min(reservedSlotsOf(pool, entry), limit * MIN_SCRIPT_FRACTION);
+    const memorySlots = cacheSlots(entry);
     const sharing = { instances, salt: entry.salt + salt };
-    // Scripts that run already may exceed a limit that has fallen. The places kept free are lookups' own
-    // all the same: without them a desk would be turned away until the last of those scripts has ended.
-    const kept = Math.ceil(reserve / instances) - entry.lookups;
-    const held = entry.limit.ceiling() - entry.load.load();
-    const lookupLimit = Math.min(limit * LOOKUP_OVERFLOW, entry.limit.ceiling());
-    const shared = entry.load.room(Math.ceil(lookupLimit), { ...sharing, factor: 2 });
-    const lookups = Math.max(shared, Math.min(kept, held));
-    const scripts = entry.load.room(Math.floor(limit - reserve), { ...sharing, factor: 1 });
-    setRoom(pool, entry, {
-      [Lane.Lookup]: limit === 0 ? 0 : Math.max(0, Math.floor(Math.min(memory, lookups))),
-      [Lane.Script]: limit === 0 ? 0 : Math.max(0, Math.floor(Math.min(memory, scripts))),
+    // Running scripts may exceed a limit that has been reduced. The reserved slots stay available
+    // to lookups anyway; otherwise lookups would be refused until the last of those scripts has
+    // ended.
+    const reservedForLookups = Math.ceil(reserve / instances) - entry.ownLookups;
+    const belowCeiling = entry.limit.serverCeiling() - entry.load.load();
+    const lookupLimit = Math.min(limit * LOOKUP_OVERCOMMIT_FACTOR, entry.limit.serverCeiling());
+    const sharedSlots = entry.load.freeSlots(Math.ceil(lookupLimit), { ...sharing, factor: 2 });
+    const lookups = Math.max(sharedSlots, Math.min(reservedForLookups, belowCeiling));
+    const scripts = entry.load.freeSlots(Math.floor(limit - reserve), { ...sharing, factor: 1 });
+    setFreeSlots(pool, entry, {
+      [Lane.Lookup]: limit === 0 ? 0 : Math.max(0, Math.floor(Math.min(memorySlots, lookups))),
+      [Lane.Script]: limit === 0 ? 0 : Math.max(0, Math.floor(Math.min(memorySlots, scripts))),
     });
   };
   const refreshService = (service: string, now: number): void => {
     const pool = serviceOf(service);
-    sumLoads(pool, now);
+    updateLoadTotals(pool, now);
     pool.speed = 0;
     for (const entry of pool.workers.values()) {
       refresh(entry, now);
-      const part = Math.min(1, usableLimit(entry, now) / entry.limit.initial);
-      pool.speed += entry.machine.tokensPerSecond * part;
+      const usableFraction = Math.min(1, effectiveLimit(entry, now) / entry.limit.initial);
+      pool.speed += entry.machine.tokensPerSecond * usableFraction;
     }
   };
-  const judge = (service: string, now: number): void => {
+  const evaluate = (service: string, now: number): void => {
     const pool = serviceOf(service);
-    if (now - pool.judgedAt < JUDGE_EVERY) return;
-    pool.judgedAt = now;
-    const peers = [...pool.workers.values()].filter(isLive).map((entry) => reading(entry, now));
-    const { betweenTokens } = targetOf(inForce, service);
+    if (now - pool.evaluatedAt < EVALUATION_INTERVAL) return;
+    pool.evaluatedAt = now;
+    const peers = [...pool.workers.values()].filter(isLive).map((entry) => peerReading(entry, now));
+    const { betweenTokens } = targetOf(currentPolicy, service);
     for (const id of chooseEjections(peers, { gapTarget: betweenTokens })) {
       const entry = byId.get(id);
       if (entry !== undefined) eject(entry, now);
@@ -189,7 +225,7 @@
   };
   const remove = (entry: PoolWorker): void => {
     const pool = serviceOf(entry.worker.service);
-    setRoom(pool, entry, NO_ROOM);
+    setFreeSlots(pool, entry, NO_SLOTS);
     pool.workers.delete(entry.worker.id);
     byId.delete(entry.worker.id);
   };
@@ -199,17 +235,17 @@
       known.worker = worker;
       return;
     }
-    const entry = emptyWorker(worker, { policy: inForce, salt: added++ / SALT_STEP });
+    const entry = emptyWorker(worker, { policy: currentPolicy, salt: added++ / SALT_STEP });
     byId.set(worker.id, entry);
     serviceOf(worker.service).workers.set(worker.id, entry);
   };
-  const recount = (now: number): void => {
+  const updateTotals = (now: number): void => {
     for (const [service, pool] of services) {
       const live = [...pool.workers.values()].filter(isLive);
       live.sort((a, b) => (a.worker.id < b.worker.id ? -1 : 1));
       for (const [rank, entry] of live.entries()) entry.rank = rank;
-      pool.live = live.length;
-      pool.dearest = live.reduce((most, { price }) => Math.max(most, price), 0);
+      pool.liveWorkers = live.length;
+      pool.maxPrice = live.reduce((most, { price }) => Math.max(most, price), 0);
       refreshService(service, now);
     }
   };
@@ -217,7 +253,7 @@
     find: (worker) => byId.get(worker),
     service: serviceOf,
     configure: (next) => {
-      inForce = next;
+      currentPolicy = next;
       for (const entry of byId.values()) entry.price = priceOf(entry.worker, next);
     },
     setInstances: (count) => {
@@ -227,68 +263,72 @@
       salt = own;
     },
     setWorkers: (workers, now) => {
-      const named = new Set(workers.map(({ id }) => id));
-      for (const entry of byId.values()) if (!named.has(entry.worker.id)) remove(entry);
+      const listed = new Set(workers.map(({ id }) => id));
+      for (const entry of byId.values()) if (!listed.has(entry.worker.id)) remove(entry);
       for (const worker of workers) add(worker);
-      recount(now);
+      updateTotals(now);
     },
     report: (report, now) => {
       const entry = byId.get(report.worker);
       if (entry === undefined) return;
-      entry.load.report(report);
-      entry.limit.reported(report.running, report.waiting, now);
-      entry.loaded = new Set(report.loaded);
+      entry.load.recordReport(report);
+      entry.limit.recordReport(report.running, report.waiting, now);
+      entry.loadedModels = new Set(report.loaded);
       refresh(entry, now);
-      judge(entry.worker.service, now);
+      evaluate(entry.worker.service, now);
     },
     refresh,
-    setReserve: (service, places) => {
-      serviceOf(service).reserve = places;
+    setReservedSlots: (service, slots) => {
+      serviceOf(service).reservedSlots = slots;
     },
-    ranFor: ({ service, lane }, milliseconds) => {
+    recordRunTime: ({ service, lane }, milliseconds) => {
       const pool = serviceOf(service);
       const mean = pool.meanRun[lane];
-      pool.meanRun[lane] = mean === 0 ? milliseconds : mean + (milliseconds - mean) * MEAN_STEP;
-      pool.runTime = pool.runTime * RUN_TIME_DECAY + milliseconds;
-      pool.runTimeSquared = pool.runTimeSquared * RUN_TIME_DECAY + milliseconds ** 2;
+      pool.meanRun[lane] =
+        mean === 0 ? milliseconds : mean + (milliseconds - mean) * MEAN_RUN_WEIGHT;
+      pool.runTimeSum = pool.runTimeSum * RUN_TIME_DECAY + milliseconds;
+      pool.runTimeSquareSum = pool.runTimeSquareSum * RUN_TIME_DECAY + milliseconds ** 2;
     },
-    ended: (entry, { failed, now }) => {
+    recordRunEnd: (entry, { failed, now }) => {
       entry.runs = entry.runs * RUN_DECAY + 1;
       entry.failures = entry.failures * RUN_DECAY + (failed ? 1 : 0);
       if (!failed) entry.connectFailures = 0;
       refresh(entry, now);
-      judge(entry.worker.service, now);
+      evaluate(entry.worker.service, now);
     },
-    connectFailed: (entry, now) => {
-      const pause = Math.min(GREATEST_UNREACHABLE, FIRST_UNREACHABLE * 2 ** entry.connectFailures);
+    recordConnectFailure: (entry, now) => {
+      const unreachableTime = Math.min(
+        MAX_UNREACHABLE_TIME,
+        INITIAL_UNREACHABLE_TIME * 2 ** entry.connectFailures,
+      );
       entry.connectFailures++;
-      entry.unreachableUntil = now + pause;
+      entry.unreachableUntil = now + unreachableTime;
       refresh(entry, now);
     },
-    tick: judge,
+    tick: evaluate,
     all: () => byId.values(),
   };
 }
 
-const NO_ROOM: Readonly<Record<Lane, number>> = { [Lane.Lookup]: 0, [Lane.Script]: 0 };
+const NO_SLOTS: Readonly<Record<Lane, number>> = { [Lane.Lookup]: 0, [Lane.Script]: 0 };
 
 function emptyService(): ServicePool {
   return {
     workers: new Map(),
     open: [],
-    room: { ...NO_ROOM },
-    own: 0,
-    live: 0,
+    freeSlots: { ...NO_SLOTS },
+    ownRuns: 0,
+    liveWorkers: 0,
     speed: 0,
-    dearest: 0,
-    reserve: 0,
-    others: 0,
-    limits: 0,
-    runTime: 0,
-    runTimeSquared: 0,
-    prefill: createQuantileSketch(PREFILL_HALF_LIFE),
-    meanRun: { ...NO_ROOM },
-    judgedAt: Number.NEGATIVE_INFINITY,
+    maxPrice: 0,
+    reservedSlots: 0,
+    otherJobs: 0,
+    limitSum: 0,
+    runTimeSum: 0,
+    runTimeSquareSum: 0,
+    prefillRatios: createQuantileSketch(PREFILL_HALF_LIFE),
+    meanRun: { ...NO_SLOTS },
+    evaluatedAt: Number.NEGATIVE_INFINITY,
   };
 }
 
@@ -303,19 +343,19 @@
     limit: createConcurrencyLimit(machine, targetOf(policy, worker.service)),
     load: createWorkerLoad(),
     gaps: createQuantileSketch(GAP_HALF_LIFE),
-    loaded: new Set(),
+    loadedModels: new Set(),
     runs: 0,
     failures: 0,
     ejection: undefined,
     unreachableUntil: Number.NEGATIVE_INFINITY,
     connectFailures: 0,
     price: priceOf(worker, policy),
-    room: NO_ROOM,
+    freeSlots: NO_SLOTS,
     openIndex: -1,
     rank: 0,
     salt,
-    prefillAhead: 0,
-    lookups: 0,
+    queuedPrefillTokens: 0,
+    ownLookups: 0,
   };
 }
 
@@ -327,90 +367,103 @@
   return worker.purchase === Purchase.Reclaimable ? offer.reclaimable : offer.onDemand;
 }
 
-/** Says whether the worker may be given new work at all. */
+/** Returns whether the worker may get new work at all. */
 export function isLive({ worker }: PoolWorker): boolean {
   return worker.state === WorkerState.Live && worker.reclaimAt === undefined;
 }
 
-/** Jobs that may run at once on the worker now, from all entry instances; 0 where it gets nothing. */
-export function usableLimit(entry: PoolWorker, now: number): number {
+/**
+ * Returns the number of jobs that may run at once on the worker now, from all entry instances; 0
+ * for a worker that gets none.
+ */
+export function effectiveLimit(entry: PoolWorker, now: number): number {
   if (!isLive(entry) || now < entry.unreachableUntil) return 0;
   const part = usablePart(entry.ejection, now);
   return part === 0 ? 0 : Math.max(1, Math.floor(entry.limit.value() * part));
 }
 
 /**
- * How many times longer a prompt takes than on an idle worker: engines compute prompts in small pieces
- * between the tokens of what runs.
+ * Returns how many times longer a prompt takes than on an idle worker; engines compute prompts in
+ * small pieces between the tokens of the running requests.
  */
-export function prefillFactor({ prefill }: ServicePool): number {
-  const factor = (prefill.quantile(0.5) ?? HUNDREDTHS) / HUNDREDTHS;
-  return Math.min(GREATEST_PREFILL_FACTOR, Math.max(1, factor));
+export function prefillFactor({ prefillRatios }: ServicePool): number {
+  const factor = (prefillRatios.quantile(0.5) ?? RATIO_SCALE) / RATIO_SCALE;
+  return Math.min(MAX_PREFILL_FACTOR, Math.max(1, factor));
 }
 
-/** Takes in a time to first token, and what computing the prompt alone would have taken. */
-export function learnPrefill(pool: ServicePool, waited: number, alone: number): void {
-  // A short prompt's time is mostly the step that was under way.
-  if (alone >= LEAST_PREFILL) pool.prefill.add((HUNDREDTHS * waited) / alone);
+/**
+ * Records a time to first token, and the time that computing the prompt alone would have taken, in
+ * milliseconds.
+ */
+export function recordPrefill(pool: ServicePool, waited: number, alone: number): void {
+  // The time of a short prompt is mostly that of the current step.
+  if (alone >= MIN_PREFILL_TIME) pool.prefillRatios.add((RATIO_SCALE * waited) / alone);
 }
 
-/** How many more jobs of the usual size fit in the worker's KV cache. */
-function memoryRoom({ load, machine }: PoolWorker): number {
+/** Returns how many more jobs of average size fit into the worker's KV cache. */
+function cacheSlots({ load, machine }: PoolWorker): number {
   const jobs = load.load();
   if (jobs === 0) return Number.POSITIVE_INFINITY;
   const used = load.cacheTokens();
-  const capacity = (load.cacheCapacity() ?? machine.cacheTokens) * CACHE_PART;
+  const capacity = (load.cacheCapacity() ?? machine.cacheTokens) * USABLE_CACHE_FRACTION;
   return used === 0 ? Number.POSITIVE_INFINITY : Math.floor((capacity - used) / (used / jobs));
 }
 
-/** Says whether a job's KV cache fits on the worker; an empty worker takes any. */
+/** Returns whether a job's KV cache fits on the worker; an empty worker accepts any job. */
 export function fitsMemory({ load, machine }: PoolWorker, cacheTokens: number): boolean {
   if (load.load() === 0) return true;
   const capacity = load.cacheCapacity() ?? machine.cacheTokens;
-  return load.cacheTokens() + cacheTokens <= capacity * CACHE_PART;
+  return load.cacheTokens() + cacheTokens <= capacity * USABLE_CACHE_FRACTION;
 }
 
-/** This worker's part of the places kept free of scripts: whole places, on the first workers by id. */
-function reserveOf(pool: ServicePool, entry: PoolWorker): number {
-  const live = Math.max(1, pool.live);
-  const whole = Math.floor(pool.reserve / live);
-  return whole + (entry.rank < pool.reserve - whole * live ? 1 : 0);
+/**
+ * Returns this worker's part of the reserved slots: whole slots, with the remainder on the first
+ * workers by id.
+ */
+function reservedSlotsOf(pool: ServicePool, entry: PoolWorker): number {
+  const live = Math.max(1, pool.liveWorkers);
+  const whole = Math.floor(pool.reservedSlots / live);
+  return whole + (entry.rank < pool.reservedSlots - whole * live ? 1 : 0);
 }
 
-/** Sums up what the means of the service are taken from. */
-function sumLoads(pool: ServicePool, now: number): void {
-  const usable = [...pool.workers.values()].filter((entry) => usableLimit(entry, now) > 0);
-  pool.others = usable.reduce((sum, { load }) => sum + load.others(), 0);
-  pool.limits = usable.reduce((sum, entry) => sum + usableLimit(entry, now), 0);
+/** Updates the sums from which the service's means are computed. */
+function updateLoadTotals(pool: ServicePool, now: number): void {
+  const usable = [...pool.workers.values()].filter((entry) => effectiveLimit(entry, now) > 0);
+  pool.otherJobs = usable.reduce((sum, { load }) => sum + load.otherJobs(), 0);
+  pool.limitSum = usable.reduce((sum, entry) => sum + effectiveLimit(entry, now), 0);
 }
 
-/** The other instances' jobs on a worker: what was reported, drawn towards the mean as it ages. */
-function othersNow(pool: ServicePool, entry: PoolWorker, now: number): number {
+/**
+ * Estimates the other instances' jobs on a worker: the reported number, moved towards the mean as
+ * the report ages.
+ */
+function estimateOtherJobs(pool: ServicePool, entry: PoolWorker, now: number): number {
   const { load } = entry;
   const takenAt = load.takenAt();
-  if (takenAt === undefined || now - takenAt > REPORT_EXPIRY) return 0;
-  const mean = (pool.others * usableLimit(entry, now)) / Math.max(1, pool.limits);
-  // What runs at a given moment is mostly long runs: their mean is that of times weighted by themselves.
-  const runTime = Math.max(1, pool.runTimeSquared / Math.max(1, pool.runTime));
-  const belief = Math.exp(-(now - takenAt) / runTime);
-  return mean + (load.others() - mean) * belief;
+  if (takenAt === undefined || now - takenAt > REPORT_TTL) return 0;
+  const mean = (pool.otherJobs * effectiveLimit(entry, now)) / Math.max(1, pool.limitSum);
+  // The jobs that run at a given moment are mostly long ones, so their mean run time is weighted by
+  // run time.
+  const runTime = Math.max(1, pool.runTimeSquareSum / Math.max(1, pool.runTimeSum));
+  const reportWeight = Math.exp(-(now - takenAt) / runTime);
+  return mean + (load.otherJobs() - mean) * reportWeight;
 }
 
-function setRoom(pool: ServicePool, entry: PoolWorker, room: PoolWorker["room"]): void {
-  pool.room[Lane.Lookup] += room[Lane.Lookup] - entry.room[Lane.Lookup];
-  pool.room[Lane.Script] += room[Lane.Script] - entry.room[Lane.Script];
-  entry.room = room;
+function setFreeSlots(pool: ServicePool, entry: PoolWorker, room: PoolWorker["freeSlots"]): void {
+  pool.freeSlots[Lane.Lookup] += room[Lane.Lookup] - entry.freeSlots[Lane.Lookup];
+  pool.freeSlots[Lane.Script] += room[Lane.Script] - entry.freeSlots[Lane.Script];
+  entry.freeSlots = room;
   const isOpen = room[Lane.Lookup] > 0;
-  if (isOpen && entry.openIndex === -1) open(pool, entry);
-  if (!isOpen && entry.openIndex !== -1) shut(pool, entry);
+  if (isOpen && entry.openIndex === -1) addOpen(pool, entry);
+  if (!isOpen && entry.openIndex !== -1) removeOpen(pool, entry);
 }
 
-function open(pool: ServicePool, entry: PoolWorker): void {
+function addOpen(pool: ServicePool, entry: PoolWorker): void {
   entry.openIndex = pool.open.length;
   pool.open.push(entry);
 }
 
-function shut(pool: ServicePool, entry: PoolWorker): void {
+function removeOpen(pool: ServicePool, entry: PoolWorker): void {
   const last = pool.open.pop();
   if (last !== undefined && last !== entry) {
     pool.open[entry.openIndex] = last;
@@ -419,17 +472,20 @@
   entry.openIndex = -1;
 }
 
-function reading(entry: PoolWorker, now: number): PeerReading {
+function peerReading(entry: PoolWorker, now: number): PeerReading {
   return {
     worker: entry.worker.id,
-    gap: entry.gaps.count < ENOUGH_GAPS ? undefined : entry.gaps.quantile(0.5),
+    gap: entry.gaps.count < MIN_GAPS ? undefined : entry.gaps.quantile(0.5),
     runs: entry.runs,
     failures: entry.failures,
     isOut: usablePart(entry.ejection, now) === 0,
   };
 }
 
-/** Takes the worker out and forgets what was held against it: it is judged anew when it comes back. */
+/**
+ * Takes the worker out of use and resets its statistics, so that it is evaluated anew when it
+ * returns.
+ */
 function eject(entry: PoolWorker, now: number): void {
   entry.ejection = ejectedAgain(entry.ejection, now);
   entry.gaps.clear();
