--- a/src/process/control.ts
+++ b/src/process/control.ts
@@ -66,7 +66,7 @@
     count,
   });
   // Sends a newly active version to peers immediately instead of with the next probe.
-  const spreading = configuration.onChange(() => members.spreadVersions());
+  const subscription = configuration.onChange(() => members.spreadVersions());
   return {
     members,
     configuration,
@@ -77,7 +77,7 @@
       slots.start();
     },
     close: () => {
-      spreading.close();
+      subscription.close();
       slots.close();
       members.close();
       configuration.close();
--- a/src/process/counters.ts
+++ b/src/process/counters.ts
@@ -27,7 +27,7 @@
  * Histograms store integer microseconds, because many gaps between tokens are shorter than a millisecond. Microseconds
  * per millisecond.
  */
-const MICROSECONDS = 1_000;
+const MICROSECONDS_PER_MILLISECOND = 1_000;
 const PERCENTILES = [50, 95, 99] as const;
 const PERCENT = 100;
 
@@ -40,8 +40,8 @@
 export function createCounters(sink?: CounterSink): CounterTable {
   const values = new Map<string, number>();
   const firstTokens = new Map<string, Histogram>();
-  const gaps = new Map<string, Histogram>();
-  for (const reason of reasons()) values.set(`refused.${reason}`, 0);
+  const tokenGaps = new Map<string, Histogram>();
+  for (const reason of refusalReasons()) values.set(`refused.${reason}`, 0);
   for (const cause of Object.values(RetryCause)) {
     values.set(`retried.${cause}`, 0);
     values.set(`recomputed.${cause}`, 0);
@@ -50,7 +50,7 @@
     values.set(name, (values.get(name) ?? 0) + amount);
     sink?.add(name, amount);
   };
-  const part = (prefix: string): Readonly<Record<string, number>> =>
+  const withPrefix = (prefix: string): Readonly<Record<string, number>> =>
     Object.fromEntries(
       [...values]
         .filter(([name]) => name.startsWith(prefix))
@@ -62,37 +62,41 @@
     retried: (cause) => add(`retried.${cause}`),
     recomputed: (cause, tokens) => add(`recomputed.${cause}`, tokens),
     firstToken: (service, milliseconds) => {
-      record(firstTokens, service, milliseconds);
+      recordDuration(firstTokens, service, milliseconds);
       sink?.time(`first-token.${service}`, milliseconds);
     },
     betweenTokens: (service, milliseconds) => {
-      record(gaps, service, milliseconds);
+      recordDuration(tokenGaps, service, milliseconds);
       sink?.time(`between-tokens.${service}`, milliseconds);
     },
     count: (name) => add(name),
-    refusals: () => part("refused."),
-    retries: () => part("retried."),
+    refusals: () => withPrefix("refused."),
+    retries: () => withPrefix("retried."),
     text: () =>
       [
         ...[...values].map(([name, value]) => countLine(name, value)),
         ...quantileLines("samphireshore_first_token_milliseconds", firstTokens),
-        ...quantileLines("samphireshore_between_tokens_milliseconds", gaps),
+        ...quantileLines("samphireshore_between_tokens_milliseconds", tokenGaps),
         "",
       ].join("\n"),
   };
 }
 
-function reasons(): readonly Refusal[] {
+function refusalReasons(): readonly Refusal[] {
   return Object.values(Refusal).filter((reason) => reason !== Refusal.None);
 }
 
-function record(histograms: Map<string, Histogram>, service: string, milliseconds: number): void {
+function recordDuration(
+  histograms: Map<string, Histogram>,
+  service: string,
+  milliseconds: number,
+): void {
   let histogram = histograms.get(service);
   if (histogram === undefined) {
     histogram = build({ numberOfSignificantValueDigits: 2, autoResize: true });
     histograms.set(service, histogram);
   }
-  histogram.recordValue(Math.max(0, Math.round(milliseconds * MICROSECONDS)));
+  histogram.recordValue(Math.max(0, Math.round(milliseconds * MICROSECONDS_PER_MILLISECOND)));
 }
 
 /** Formats one counter: `refused.queue-full` becomes `samphireshore_refused_total{name="queue-full"}`. */
@@ -105,7 +109,7 @@
 function quantileLines(family: string, histograms: ReadonlyMap<string, Histogram>): string[] {
   return [...histograms].flatMap(([service, histogram]) => [
     ...PERCENTILES.map((percentile) => {
-      const value = histogram.getValueAtPercentile(percentile) / MICROSECONDS;
+      const value = histogram.getValueAtPercentile(percentile) / MICROSECONDS_PER_MILLISECOND;
       return `${family}{service="${service}",quantile="${percentile / PERCENT}"} ${value}`;
     }),
     `${family}_count{service="${service}"} ${histogram.totalCount}`,
--- a/src/process/crash_record.ts
+++ b/src/process/crash_record.ts
@@ -7,7 +7,7 @@
 /** A request during which workers crashed, as recorded in the store. */
 export interface CrashRecord {
   /** Fingerprint of the request. */
-  readonly print: RequestPrint;
+  readonly fingerprint: RequestPrint;
   /** Number of workers that had crashed while running it when the record was written. */
   readonly crashes: number;
   /** Time of the write, in milliseconds since the Unix epoch. */
@@ -35,7 +35,7 @@
 }: FeedObject): CrashRecord | undefined {
   const value = valueSchema.safeParse(parseText(text));
   if (!NAME.test(name) || !value.success) return undefined;
-  return { print: printNamed(name), version, ...value.data };
+  return { fingerprint: printNamed(name), version, ...value.data };
 }
 
 /** Formats the value of a record for the store. */
--- a/src/process/entry_core.ts
+++ b/src/process/entry_core.ts
@@ -31,7 +31,7 @@
 import type { WorkerDirectory } from "./worker_directory.ts";
 
 /** External services of an entry instance: real clients in the binary, fakes in the failure tests. */
-export interface Outside {
+export interface EntryDependencies {
   readonly clock: Clock;
   readonly random: Random;
   readonly store: ObjectStore;
@@ -84,47 +84,50 @@
 }
 
 /** Creates an entry instance. It does nothing until `start` is called. */
-export function createEntryCore(settings: CoreSettings, outside: Outside): EntryCore {
+export function createEntryCore(
+  settings: CoreSettings,
+  dependencies: EntryDependencies,
+): EntryCore {
   const counters = createCounters(settings.sink);
   const count = (name: string): void => counters.count(name);
-  const control = createControl({ ...settings, ...outside, requests: () => requests, count });
+  const control = createControl({ ...settings, ...dependencies, requests: () => requests, count });
   const { configuration, members } = control;
-  const workers = createWorkerDirectory({ ...outside, members, count });
-  const scheduler = schedulerOf(settings, { clock: outside.clock, configuration });
-  const environment = { ...outside, configuration, members, workers, scheduler, counters };
+  const workers = createWorkerDirectory({ ...dependencies, members, count });
+  const scheduler = schedulerFor(settings, { clock: dependencies.clock, configuration });
+  const environment = { ...dependencies, configuration, members, workers, scheduler, counters };
   const requests: RequestService = createRequestService(environment);
-  const reports = createLoadReports({ ...outside, workers, scheduler, counters });
-  workers.onChange(() => scheduler.setWorkers(workers.list(), outside.clock.now()));
+  const reports = createLoadReports({ ...dependencies, workers, scheduler, counters });
+  workers.onChange(() => scheduler.setWorkers(workers.list(), dependencies.clock.now()));
   members.onChange(() => {
-    scheduler.setInstances(Math.max(1, members.alive().length), outside.clock.now());
+    scheduler.setInstances(Math.max(1, members.alive().length), dependencies.clock.now());
   });
   configuration.onChange(() => {
     const revision = configuration.revision();
-    if (revision !== undefined) scheduler.configure(revision.deployment, outside.clock.now());
+    if (revision !== undefined) scheduler.configure(revision.deployment, dependencies.clock.now());
   });
-  const stopTaking = (): void => {
+  const stopAccepting = (): void => {
     members.leave();
     void leases.release();
     requests.stopTaking();
   };
   const handOver = async (): Promise<void> => {
-    stopTaking();
+    stopAccepting();
     await requests.cedeAll();
   };
   // A second stop signal or a reclaim notice during the drain joins the drain in progress.
   let draining: Promise<void> | undefined;
   const drain = async (): Promise<void> => {
-    stopTaking();
+    stopAccepting();
     await requests.whenIdle();
     await requests.cedeAll();
   };
   const { readLoad } = settings;
-  const onStance = (stance: EntryStance): void => requests.setStance(stance);
+  const onStanceChange = (stance: EntryStance): void => requests.setStance(stance);
   const overload =
     readLoad === undefined
       ? undefined
-      : createOverloadTask({ clock: outside.clock, readLoad, onStance, count });
-  const tasks = { ...outside, configuration, members, workers, count };
+      : createOverloadTask({ clock: dependencies.clock, readLoad, onStanceChange, count });
+  const tasks = { ...dependencies, configuration, members, workers, count };
   const leases = createLeaseTask({
     ...tasks,
     pace: configuration.pace,
@@ -134,11 +137,11 @@
   const orders = createOrderTask({ ...tasks, leases });
   const notices = createNoticeTask(tasks);
   members.onOwnNotice(() => void handOver());
-  const changes = createOperatorChanges({ ...outside, configuration });
-  const drained = new Set<() => void>();
+  const changes = createOperatorChanges({ ...dependencies, configuration });
+  const drainListeners = new Set<() => void>();
   const drainOnce = (): Promise<void> =>
     (draining ??= drain().then(() => {
-      for (const resolve of drained) resolve();
+      for (const resolve of drainListeners) resolve();
     }));
   const operators = createOperatorService({
     ...environment,
@@ -169,7 +172,7 @@
     drain: drainOnce,
     whenDrained: () =>
       new Promise((resolve) => {
-        drained.add(resolve);
+        drainListeners.add(resolve);
       }),
     reclaim: handOver,
     close: () => {
@@ -186,7 +189,7 @@
   };
 }
 
-function schedulerOf(
+function schedulerFor(
   { self, record }: CoreSettings,
   { clock, configuration }: { clock: Clock; configuration: ConfigurationView },
 ): Scheduler {
--- a/src/process/entry_instance.ts
+++ b/src/process/entry_instance.ts
@@ -148,7 +148,7 @@
     sendJson(response, { error: { code: Refusal.CutOff, not_run: true } }, { status: 503 });
   };
   let handlers: PeerHandlers | undefined;
-  const ready = (): PeerHandlers => {
+  const requireHandlers = (): PeerHandlers => {
     if (handlers === undefined)
       throw new Error("The instance does not accept peer messages yet: it is still starting.");
     return handlers;
@@ -156,12 +156,12 @@
   const peers = await listenPeers(
     settings.peers,
     {
-      replicate: (message) => ready().replicate(message),
-      cede: (message) => ready().cede(message),
-      probe: (message) => ready().probe(message),
-      pull: (key) => ready().pull(key),
-      relay: (message, signal) => ready().relay(message, signal),
-      ask: (message) => ready().ask(message),
+      replicate: (message) => requireHandlers().replicate(message),
+      cede: (message) => requireHandlers().cede(message),
+      probe: (message) => requireHandlers().probe(message),
+      pull: (key) => requireHandlers().pull(key),
+      relay: (message, signal) => requireHandlers().relay(message, signal),
+      ask: (message) => requireHandlers().ask(message),
     },
     { security, onUnauthenticated: () => undefined },
   );
--- a/src/process/load_reports.ts
+++ b/src/process/load_reports.ts
@@ -4,7 +4,7 @@
 import type { Counters, WorkerView } from "../request/index.ts";
 
 /** Interval at which each worker's load is polled, in milliseconds. */
-const PERIOD = 1_000;
+const POLL_INTERVAL = 1_000;
 
 /** A task that polls the load of each worker and passes it to the scheduler. */
 export interface LoadReports {
@@ -27,31 +27,31 @@
  */
 export function createLoadReports(parts: LoadReportsParts): LoadReports {
   const { clock, engine, workers, scheduler, counters } = parts;
-  const asked = new Set<string>();
+  const pending = new Set<string>();
   let timer: Timer | undefined;
-  const ask = async (worker: Worker): Promise<void> => {
-    if (asked.has(worker.id)) return;
-    asked.add(worker.id);
-    const askedAt = clock.now();
+  const poll = async (worker: Worker): Promise<void> => {
+    if (pending.has(worker.id)) return;
+    pending.add(worker.id);
+    const sentAt = clock.now();
     try {
       const report = await engine.report(worker);
       // The report is dated by the local send time, because the worker's clock differs: requests sent after the poll
       // may be missing from the report.
-      scheduler.report({ ...report, worker: worker.id, takenAt: askedAt }, clock.now());
+      scheduler.report({ ...report, worker: worker.id, takenAt: sentAt }, clock.now());
     } catch {
       counters.count("load-report.failed");
     } finally {
-      asked.delete(worker.id);
+      pending.delete(worker.id);
     }
   };
-  const round = (): void => {
+  const pollAll = (): void => {
     for (const worker of workers.list()) {
-      if (worker.state === WorkerState.Live) void ask(worker);
+      if (worker.state === WorkerState.Live) void poll(worker);
     }
-    timer = clock.after(PERIOD, round);
+    timer = clock.after(POLL_INTERVAL, pollAll);
   };
   return {
-    start: round,
+    start: pollAll,
     close: () => timer?.close(),
   };
 }
--- a/src/process/mix_task.ts
+++ b/src/process/mix_task.ts
@@ -37,7 +37,7 @@
 }
 
 /** Interval between two plans, in milliseconds. */
-const PLAN_PERIOD = 500;
+const PLAN_INTERVAL = 500;
 /**
  * Delay from a change of the workers to the next plan, in milliseconds. The removals of all workers of a reclaimed zone
  * arrive within a few milliseconds of each other. Each second by which a replacement on-demand worker starts earlier
@@ -45,12 +45,12 @@
  */
 const CHANGE_DELAY = 30;
 /** Interval at which an unmet order is sent again, in milliseconds: the market may have capacity again. */
-const REPEAT_PERIOD = 1_000;
+const RESEND_INTERVAL = 1_000;
 /**
  * Time for which a market that refused an order counts as having no capacity, in milliseconds. Longer than the interval
  * of repeated orders, so that each new refusal extends it.
  */
-const DRY_TIME = 3_000;
+const EXHAUSTED_TIME = 3_000;
 /** Time for which on-demand workers stay wanted after the plan last asked for them, in milliseconds. */
 const HOLD_TIME = 6_000;
 /**
@@ -61,7 +61,7 @@
 /** Time by which an ordered worker may exceed the usual start-up time, in milliseconds. */
 const TAKEOVER_MARGIN = 1_500;
 
-interface Sent {
+interface SentOrder {
   readonly count: number;
   readonly at: number;
   readonly outcome: CallOutcome["kind"];
@@ -70,19 +70,19 @@
 /** Creates the task. Orders state absolute counts, so repeating an order has no effect. */
 export function createMixTask(parts: MixTaskParts): MixTask {
   const { clock, platform } = parts;
-  const sent = new Map<string, Sent>();
+  const sent = new Map<string, SentOrder>();
   /** By service and zone, the time until which its market counts as having no reclaimable capacity. */
-  const dryUntil = new Map<string, number>();
+  const exhaustedUntil = new Map<string, number>();
   /** By service, the recently wanted counts of on-demand workers. */
-  const wished = new Map<string, { onDemand: number; at: number }[]>();
+  const recentOnDemand = new Map<string, { onDemand: number; at: number }[]>();
   /** By service, the number of workers present at this instance's first plan for it. */
-  const firstOf = new Map<string, number>();
+  const initialCounts = new Map<string, number>();
   /** By service, the last count observed before the first plan, and since when it has been unchanged. */
-  const seenFirst = new Map<string, { first: number; since: number }>();
+  const observedCounts = new Map<string, { first: number; since: number }>();
   const losses = createZoneLosses();
-  let holderSince: number | undefined;
+  let leaseHeldSince: number | undefined;
   let closed = false;
-  let wake = (): void => undefined;
+  let wakeUp = (): void => undefined;
   const isClosed = (): boolean => closed;
 
   /**
@@ -91,25 +91,25 @@
   const order = async (
     service: string,
     { zone, purchase, count }: MixOrder,
-    { there, inputs }: { there: ReadyCount; inputs: PlanInputs },
+    { readyCount, inputs }: { readyCount: ReadyCount; inputs: PlanInputs },
   ): Promise<boolean> => {
     const fence = parts.fence(DUTY_CALL_TIME);
     if (fence === undefined) return false;
-    let hasRunDry = false;
+    let isNewlyExhausted = false;
     const by = { holder: parts.holder, fence };
     const outcome = await platform.orderWorkers({ service, zone, purchase, count }, by);
-    const key = keyOf(service, zone, purchase);
+    const key = orderKey(service, zone, purchase);
     if (purchase === Purchase.Reclaimable) {
-      const market = `${service} ${zone}`;
+      const marketKey = `${service} ${zone}`;
       if (outcome.kind === "none-available") {
-        hasRunDry = (dryUntil.get(market) ?? 0) <= clock.now();
-        dryUntil.set(market, clock.now() + DRY_TIME);
-      } else if (outcome.kind === "accepted" && count > there(zone, purchase))
-        dryUntil.delete(market);
+        isNewlyExhausted = (exhaustedUntil.get(marketKey) ?? 0) <= clock.now();
+        exhaustedUntil.set(marketKey, clock.now() + EXHAUSTED_TIME);
+      } else if (outcome.kind === "accepted" && count > readyCount(zone, purchase))
+        exhaustedUntil.delete(marketKey);
     }
-    const before = sent.get(key);
+    const previous = sent.get(key);
     sent.set(key, { count, at: clock.now(), outcome: outcome.kind });
-    if (before?.count !== count || before.outcome !== outcome.kind) {
+    if (previous?.count !== count || previous.outcome !== outcome.kind) {
       parts.log("workers-ordered", {
         service,
         zone,
@@ -120,50 +120,51 @@
         ...inputs,
       });
     }
-    return hasRunDry;
+    return isNewlyExhausted;
   };
-  const isDue = (service: string, there: ReadyCount, wanted: MixOrder): boolean => {
-    const before = sent.get(keyOf(service, wanted.zone, wanted.purchase));
-    if (before?.count !== wanted.count) return true;
-    const isThere = there(wanted.zone, wanted.purchase) === wanted.count;
-    const isMet = before.outcome === "accepted" && isThere;
-    return !isMet && clock.now() - before.at >= REPEAT_PERIOD;
+  const isDue = (service: string, readyCount: ReadyCount, wanted: MixOrder): boolean => {
+    const previous = sent.get(orderKey(service, wanted.zone, wanted.purchase));
+    if (previous?.count !== wanted.count) return true;
+    const isThere = readyCount(wanted.zone, wanted.purchase) === wanted.count;
+    const isMet = previous.outcome === "accepted" && isThere;
+    return !isMet && clock.now() - previous.at >= RESEND_INTERVAL;
   };
   /** Plans a service and sends its due orders. Returns whether any market has newly run out of capacity. */
   const plan = async (service: RoutedService): Promise<boolean> => {
     const { scaling, name } = service;
     if (scaling === undefined) return false;
-    const there = readyIn(parts.workers(), service);
+    const readyCount = countReady(parts.workers(), service);
     const now = clock.now();
     const stock = [...scaling.zonePrices.keys()].map((zone) => ({
       zone,
-      reclaimable: there(zone, Purchase.Reclaimable),
+      reclaimable: readyCount(zone, Purchase.Reclaimable),
       ordered:
-        sent.get(keyOf(name, zone, Purchase.OnDemand))?.count ?? there(zone, Purchase.OnDemand),
-      isDry: now < (dryUntil.get(`${name} ${zone}`) ?? 0),
+        sent.get(orderKey(name, zone, Purchase.OnDemand))?.count ??
+        readyCount(zone, Purchase.OnDemand),
+      isDry: now < (exhaustedUntil.get(`${name} ${zone}`) ?? 0),
     }));
     const lossGap = losses.observe(name, { stock, now });
-    const wishes = (wished.get(name) ?? []).filter(({ at }) => now - at < HOLD_TIME);
-    const held = Math.max(0, ...wishes.map(({ onDemand }) => onDemand));
+    const recent = (recentOnDemand.get(name) ?? []).filter(({ at }) => now - at < HOLD_TIME);
+    const held = Math.max(0, ...recent.map(({ onDemand }) => onDemand));
     const counts = (purchase: Purchase): number =>
-      sum([...scaling.zonePrices.keys()].map((zone) => there(zone, purchase)));
+      sum([...scaling.zonePrices.keys()].map((zone) => readyCount(zone, purchase)));
     const first = firstInUse(scaling, {
       reclaimable: counts(Purchase.Reclaimable),
       onDemand: counts(Purchase.OnDemand),
     });
-    const inUse = parts.inUse(service, firstOf.get(name) ?? first);
-    if (!firstOf.has(name)) {
+    const inUse = parts.inUse(service, initialCounts.get(name) ?? first);
+    if (!initialCounts.has(name)) {
       // When a deployment starts, its workers register one after another. A plan based on the first few would release
       // most of the others and order too few.
-      const before = seenFirst.get(name);
-      const seen = before?.first === first ? before : { first, since: now };
-      seenFirst.set(name, seen);
+      const previous = observedCounts.get(name);
+      const seen = previous?.first === first ? previous : { first, since: now };
+      observedCounts.set(name, seen);
       if (!inUse.hasBegun && now - seen.since < SETTLE_TIME) return false;
-      firstOf.set(name, first);
+      initialCounts.set(name, first);
     }
-    const since = (holderSince ??= now);
+    const since = (leaseHeldSince ??= now);
     const { orders, onDemand } = planMix({ scaling, stock, inUse, held, lossGap });
-    wished.set(name, [...wishes, { onDemand, at: now }]);
+    recentOnDemand.set(name, [...recent, { onDemand, at: now }]);
     const inputs = {
       inUse: inUse.now,
       inUseLately: inUse.lately,
@@ -175,43 +176,43 @@
     // Workers ordered by the previous lease holder that haven't started yet are not visible. Until they must have
     // started, no on-demand worker is released.
     const isNew = inUse.hasBegun && now - since < scaling.startUp + TAKEOVER_MARGIN;
-    let hasRunDry = false;
+    let isNewlyExhausted = false;
     for (const wanted of orders) {
-      const isLess = wanted.count <= there(wanted.zone, wanted.purchase);
+      const isLess = wanted.count <= readyCount(wanted.zone, wanted.purchase);
       if (isNew && isLess && wanted.purchase === Purchase.OnDemand) continue;
-      if (!isDue(name, there, wanted)) continue;
-      const ranDry = await order(name, wanted, { there, inputs });
-      hasRunDry ||= ranDry;
+      if (!isDue(name, readyCount, wanted)) continue;
+      const isMarketExhausted = await order(name, wanted, { readyCount, inputs });
+      isNewlyExhausted ||= isMarketExhausted;
     }
-    return hasRunDry;
+    return isNewlyExhausted;
   };
   const run = async (): Promise<void> => {
     while (!isClosed()) {
       if (parts.fence(DUTY_CALL_TIME) === undefined) {
         sent.clear();
-        firstOf.clear();
-        seenFirst.clear();
-        holderSince = undefined;
-      } else for (const service of parts.services()) await planTwice(service);
+        initialCounts.clear();
+        observedCounts.clear();
+        leaseHeldSince = undefined;
+      } else for (const service of parts.services()) await planWithRetry(service);
       await pause();
     }
   };
   /** Plans a second time immediately if the first plan's orders showed that a market has run out of capacity. */
-  const planTwice = async (service: RoutedService): Promise<void> => {
+  const planWithRetry = async (service: RoutedService): Promise<void> => {
     if (await plan(service)) await plan(service);
   };
   const pause = (): Promise<void> =>
     new Promise((resolve) => {
-      let timer = clock.after(PLAN_PERIOD, resolve);
-      wake = () => {
+      let timer = clock.after(PLAN_INTERVAL, resolve);
+      wakeUp = () => {
         timer.close();
         timer = clock.after(CHANGE_DELAY, resolve);
-        wake = () => undefined;
+        wakeUp = () => undefined;
       };
     });
   return {
     start: () => void run(),
-    workersChanged: () => wake(),
+    workersChanged: () => wakeUp(),
     close: () => {
       closed = true;
     },
@@ -231,12 +232,12 @@
 /** Returns the number of workers that accept requests, by zone and purchase. */
 type ReadyCount = (zone: string, purchase: Purchase) => number;
 
-function readyIn(workers: readonly RoutedWorker[], service: RoutedService): ReadyCount {
-  const there = workers.filter((worker) => worker.service === service.name && !worker.isLeaving);
+function countReady(workers: readonly RoutedWorker[], service: RoutedService): ReadyCount {
+  const ready = workers.filter((worker) => worker.service === service.name && !worker.isLeaving);
   return (zone, purchase) =>
-    there.filter((worker) => worker.zone === zone && worker.purchase === purchase).length;
+    ready.filter((worker) => worker.zone === zone && worker.purchase === purchase).length;
 }
 
-function keyOf(service: string, zone: string, purchase: Purchase): string {
+function orderKey(service: string, zone: string, purchase: Purchase): string {
   return `${service} ${zone} ${purchase}`;
 }
--- a/src/process/mix_task_test.ts
+++ b/src/process/mix_task_test.ts
@@ -22,14 +22,14 @@
 interface Market {
   readonly orders: (WorkerOrder & { at: number })[];
   workers: RoutedWorker[];
-  isDry: boolean;
+  isExhausted: boolean;
   inUse: number;
-  mayOrder: boolean;
+  holdsLease: boolean;
   /** Registers the remaining workers. */
-  enterAll(): void;
+  registerAll(): void;
   advance(milliseconds: number): Promise<void>;
   /** Notifies the task that workers were added or removed. */
-  changed(): void;
+  notifyChanged(): void;
 }
 
 /**
@@ -39,9 +39,9 @@
  */
 function startMarket(entered = 12): Market {
   const clock = createVirtualClock();
-  let made = 0;
+  let created = 0;
   const worker = (zone: string, purchase: Purchase): RoutedWorker => ({
-    id: `w${made++}`,
+    id: `w${created++}`,
     born: 1,
     service: SERVICE.name,
     address: "10.0.0.1:80",
@@ -56,19 +56,19 @@
   const market: Market = {
     orders: [],
     workers: [],
-    isDry: false,
+    isExhausted: false,
     inUse: 0,
-    mayOrder: true,
-    enterAll: () => {
+    holdsLease: true,
+    registerAll: () => {
       const gone = new Set(all.slice(0, entered));
       market.workers = [...market.workers, ...all.filter((one) => !gone.has(one))];
     },
     advance: (milliseconds) => clock.advance(milliseconds),
-    changed: () => task.workersChanged(),
+    notifyChanged: () => task.workersChanged(),
   };
   const all = ZONES.flatMap((zone) => [0, 1, 2].map(() => worker(zone, Purchase.OnDemand)));
   market.workers = all.slice(0, entered);
-  const meet = ({ zone, purchase, count }: WorkerOrder): void => {
+  const fulfill = ({ zone, purchase, count }: WorkerOrder): void => {
     const here = market.workers.filter((one) => one.zone === zone && one.purchase === purchase);
     const gone = new Set(here.slice(count));
     market.workers = market.workers.filter((one) => !gone.has(one));
@@ -77,12 +77,12 @@
   const platform: Platform = {
     orderWorkers: (order): Promise<CallOutcome> => {
       market.orders.push({ ...order, at: clock.now() });
-      const there = market.workers.filter(
+      const readyCount = market.workers.filter(
         (one) => one.zone === order.zone && one.purchase === order.purchase,
       ).length;
-      const wantsMore = order.purchase === Purchase.Reclaimable && order.count > there;
-      if (market.isDry && wantsMore) return Promise.resolve({ kind: "none-available" });
-      clock.after(order.count > there ? 4_000 : 0, () => meet(order));
+      const wantsMore = order.purchase === Purchase.Reclaimable && order.count > readyCount;
+      if (market.isExhausted && wantsMore) return Promise.resolve({ kind: "none-available" });
+      clock.after(order.count > readyCount ? 4_000 : 0, () => fulfill(order));
       return Promise.resolve({ kind: "accepted" });
     },
     reportUsage: () => Promise.resolve({ kind: "accepted" }),
@@ -96,7 +96,7 @@
       market.inUse === 0
         ? { now: 0, lately: first, reading: 0, hasBegun: false }
         : { now: market.inUse, lately: market.inUse, reading: market.inUse, hasBegun: true },
-    fence: () => (market.mayOrder ? 7 : undefined),
+    fence: () => (market.holdsLease ? 7 : undefined),
     holder: "e1",
     log: () => undefined,
   });
@@ -120,7 +120,7 @@
 test("plans nothing before all workers of a starting deployment have registered", async () => {
   const market = startMarket(3);
   await market.advance(300);
-  market.enterAll();
+  market.registerAll();
   await market.advance(10_000);
   expect(count(market, Purchase.Reclaimable)).toBeGreaterThanOrEqual(12);
 });
@@ -130,7 +130,7 @@
   const market = startMarket(2);
   await market.advance(1_200);
   expect(market.orders).toEqual([]);
-  market.enterAll();
+  market.registerAll();
   await market.advance(10_000);
   expect(count(market, Purchase.Reclaimable)).toBeGreaterThanOrEqual(12);
 });
@@ -141,9 +141,9 @@
   const market = startMarket();
   market.inUse = 12;
   await market.advance(12_000);
-  market.isDry = true;
+  market.isExhausted = true;
   market.workers = market.workers.filter(({ zone }) => zone === "a");
-  market.changed();
+  market.notifyChanged();
   await market.advance(60);
   const bought = market.orders.filter(
     ({ purchase, count: ordered }) => purchase === Purchase.OnDemand && ordered > 0,
@@ -157,7 +157,7 @@
   const market = startMarket();
   market.inUse = 8;
   await market.advance(12_000);
-  market.isDry = true;
+  market.isExhausted = true;
   market.inUse = 10;
   market.workers = market.workers.filter(({ zone }) => zone === "a" || zone === "b");
   const before = market.orders.length;
@@ -171,7 +171,7 @@
     return counts.some((one, index) => one < (counts[index - 1] ?? 0));
   });
   expect(lowered).toEqual([]);
-  market.isDry = false;
+  market.isExhausted = false;
   market.inUse = 6;
   await market.advance(20_000);
   expect(count(market, Purchase.OnDemand)).toBe(0);
@@ -179,7 +179,7 @@
 
 test("orders nothing without the lease", async () => {
   const market = startMarket();
-  market.mayOrder = false;
+  market.holdsLease = false;
   await market.advance(600);
   const before = market.orders.length;
   await market.advance(10_000);
--- a/src/process/notice_task.ts
+++ b/src/process/notice_task.ts
@@ -7,10 +7,10 @@
 import { withinTime } from "./time_limit.ts";
 
 /** Interval at which the cloud is polled for reclaim notices, in milliseconds, and the timeout of one poll. */
-const PERIOD = 500;
-const NOTICE_TIMEOUT = 1_000;
+const POLL_INTERVAL = 500;
+const POLL_TIMEOUT = 1_000;
 /** Number of instances per availability zone that poll. All others receive the notices from their peers. */
-const ASKERS_PER_ZONE = 1;
+const POLLERS_PER_ZONE = 1;
 
 /** A task that reads the cloud's reclaim notices and marks the affected instances and workers as leaving. */
 export interface NoticeTask {
@@ -34,22 +34,22 @@
  */
 export function createNoticeTask(parts: NoticeTaskParts): NoticeTask {
   const { clock, random, cloud, members, workers, count } = parts;
-  const told = new Set<string>();
+  const handled = new Set<string>();
   let closed = false;
   const isClosed = (): boolean => closed;
 
-  const isAsker = (): boolean => {
+  const isPoller = (): boolean => {
     const { self } = members;
     const zone = members.present().filter((member) => member.zone === self.zone);
     const order = rendezvousOrder(
       "notices",
       zone.map(({ id }) => id),
     );
-    return order.slice(0, ASKERS_PER_ZONE).includes(self.id);
+    return order.slice(0, POLLERS_PER_ZONE).includes(self.id);
   };
-  const tell = (instance: string): void => {
-    if (told.has(instance)) return;
-    told.add(instance);
+  const markLeaving = (instance: string): void => {
+    if (handled.has(instance)) return;
+    handled.add(instance);
     count("notice.heard");
     const isMember = members.present().some((member) => nameOf(member) === instance);
     if (isMember) members.markMemberLeaving(instance);
@@ -57,20 +57,20 @@
   };
   const read = async (): Promise<void> => {
     try {
-      const limit = NOTICE_TIMEOUT;
+      const limit = POLL_TIMEOUT;
       const notices = await withinTime(clock, cloud.notices(), { limit, step: "read notices" });
-      const standing = new Set(notices.map(({ instance }) => instance));
+      const current = new Set(notices.map(({ instance }) => instance));
       // A name without a current notice may receive another one later, under a new incarnation.
-      for (const name of told) if (!standing.has(name)) told.delete(name);
-      for (const name of standing) tell(name);
+      for (const name of handled) if (!current.has(name)) handled.delete(name);
+      for (const name of current) markLeaving(name);
     } catch {
       count("notice.unavailable");
     }
   };
   const run = async (): Promise<void> => {
     while (!isClosed()) {
-      if (isAsker()) await read();
-      await sleep(clock, PERIOD * (0.8 + 0.4 * random.next()));
+      if (isPoller()) await read();
+      await sleep(clock, POLL_INTERVAL * (0.8 + 0.4 * random.next()));
     }
   };
   return {
--- a/src/process/operator_changes.ts
+++ b/src/process/operator_changes.ts
@@ -5,12 +5,12 @@
 import type { Configuration } from "./configuration.ts";
 
 /** Time for which a store write is retried before the operator receives the outcome known so far, in milliseconds. */
-const PATIENCE = 8_000;
+const WRITE_TIMEOUT = 8_000;
 /** Minimum and maximum backoff between two write attempts, in milliseconds. */
-const FIRST_PAUSE = 50;
-const LONGEST_PAUSE = 1_000;
+const MIN_BACKOFF = 50;
+const MAX_BACKOFF = 1_000;
 /** Number of recent revisions kept as merge bases for changes. */
-const REMEMBERED_REVISIONS = 16;
+const MAX_KEPT_REVISIONS = 16;
 
 /** Applies operators' changes to the configuration. */
 export interface OperatorChanges {
@@ -28,7 +28,7 @@
 }
 
 /** Dependencies of {@linkcode createOperatorChanges}. */
-export interface ChangesParts {
+export interface OperatorChangesParts {
   readonly clock: Clock;
   readonly random: Random;
   readonly store: ObjectStore;
@@ -36,23 +36,24 @@
 }
 
 /** Creates the service that applies operators' changes. */
-export function createOperatorChanges(parts: ChangesParts): OperatorChanges {
+export function createOperatorChanges(parts: OperatorChangesParts): OperatorChanges {
   const { configuration, store } = parts;
-  const earlier = new Map<number, Revision>();
-  const remember = (): void => {
+  const recentRevisions = new Map<number, Revision>();
+  const keepRevision = (): void => {
     const revision = configuration.revision();
     if (revision === undefined) return;
-    earlier.set(revision.version, revision);
-    const [oldest] = earlier.keys();
-    if (earlier.size > REMEMBERED_REVISIONS && oldest !== undefined) earlier.delete(oldest);
+    recentRevisions.set(revision.version, revision);
+    const [oldest] = recentRevisions.keys();
+    if (recentRevisions.size > MAX_KEPT_REVISIONS && oldest !== undefined)
+      recentRevisions.delete(oldest);
   };
-  const subscription = configuration.onChange(remember);
+  const subscription = configuration.onChange(keepRevision);
   return {
     apply: async (change, base) => {
-      remember();
+      keepRevision();
       const current = configuration.revision();
-      if (current === undefined) return applyFirst(parts, change);
-      const from = base === undefined ? current : earlier.get(base);
+      if (current === undefined) return applyFirstDeployment(parts, change);
+      const from = base === undefined ? current : recentRevisions.get(base);
       if (from === undefined) {
         return refused(
           change,
@@ -82,7 +83,10 @@
  * Applies the first deployment document. Only the store can confirm that none exists yet: an instance that hasn't
  * received the current revision must not overwrite it.
  */
-async function applyFirst(parts: ChangesParts, change: Change): Promise<ChangeOutcome> {
+async function applyFirstDeployment(
+  parts: OperatorChangesParts,
+  change: Change,
+): Promise<ChangeOutcome> {
   if (change.kind !== "deployment") {
     return refused(change, "No deployment is active yet. Apply one first.");
   }
@@ -97,8 +101,8 @@
   if (!parsed.success)
     return refused(change, "The document is invalid. Run samphireshore check FILE for details.");
   const [preset = ""] = Object.keys(parsed.data.presets);
-  const nothing = { version: 0, deployment: parsed.data, source: {}, preset, changes: [] };
-  return write(parts, { change, base: nothing, current: nothing });
+  const emptyRevision = { version: 0, deployment: parsed.data, source: {}, preset, changes: [] };
+  return write(parts, { change, base: emptyRevision, current: emptyRevision });
 }
 
 interface Attempt {
@@ -108,13 +112,13 @@
 }
 
 /** Retries the write until the store confirms an outcome or the timeout expires. */
-async function write(parts: ChangesParts, attempt: Attempt): Promise<ChangeOutcome> {
+async function write(parts: OperatorChangesParts, attempt: Attempt): Promise<ChangeOutcome> {
   const { clock, random, store, configuration } = parts;
   const { change, base } = attempt;
-  const deadline = clock.now() + PATIENCE;
+  const deadline = clock.now() + WRITE_TIMEOUT;
   let { current } = attempt;
   let mayBeWritten = false;
-  for (let pause = FIRST_PAUSE; ; pause = Math.min(LONGEST_PAUSE, 2 * pause)) {
+  for (let pause = MIN_BACKOFF; ; pause = Math.min(MAX_BACKOFF, 2 * pause)) {
     const planned = planChange(change, { base, current });
     if (planned.kind === "ended") return planned.outcome;
     const expect = current.version;
@@ -134,12 +138,12 @@
       mayBeWritten = false;
       continue;
     }
-    if (clock.now() >= deadline) return givenUp(change, { mayBeWritten, outcome });
+    if (clock.now() >= deadline) return timeoutOutcome(change, { mayBeWritten, outcome });
     await sleep(clock, pause * (0.5 + random.next()));
   }
 }
 
-function givenUp(
+function timeoutOutcome(
   change: Change,
   { mayBeWritten, outcome }: { mayBeWritten: boolean; outcome: { readonly kind: string } },
 ): ChangeOutcome {
--- a/src/process/operator_service.ts
+++ b/src/process/operator_service.ts
@@ -12,8 +12,8 @@
 import type { WorkerDirectory } from "./worker_directory.ts";
 
 /** Timeout and poll interval of the wait until a revision is active on all instances, in milliseconds. */
-const EVERYWHERE_PATIENCE = 10_000;
-const EVERYWHERE_PERIOD = 200;
+const EVERYWHERE_TIMEOUT = 10_000;
+const EVERYWHERE_POLL_INTERVAL = 200;
 
 /** Dependencies of {@linkcode createOperatorService}. */
 export interface OperatorServiceParts {
@@ -47,7 +47,7 @@
   { clock, members }: OperatorServiceParts,
   revision: number,
 ): Promise<boolean> {
-  const deadline = clock.now() + EVERYWHERE_PATIENCE;
+  const deadline = clock.now() + EVERYWHERE_TIMEOUT;
   for (;;) {
     const found = await members.survey();
     const isEverywhere = members
@@ -55,7 +55,7 @@
       .every(({ id }) => (versionOf(found.get(id), REVISION_KEY) ?? 0) >= revision);
     if (isEverywhere) return true;
     if (clock.now() >= deadline) return false;
-    await sleep(clock, EVERYWHERE_PERIOD);
+    await sleep(clock, EVERYWHERE_POLL_INTERVAL);
   }
 }
 
--- a/src/process/order_task.ts
+++ b/src/process/order_task.ts
@@ -10,9 +10,9 @@
 /** Timeout of one order, in milliseconds. */
 export const ORDER_TIMEOUT = 2_000;
 /** Interval between two comparisons of the workers with the configuration, in milliseconds, before jitter. */
-const PERIOD = 4_000;
+const RECONCILE_INTERVAL = 4_000;
 /** Maximum concurrent orders: each may load model weights, and the weight store is rate limited. */
-const MOST_ORDERS = 4;
+const MAX_CONCURRENT_ORDERS = 4;
 /** The only role that a worker can have. */
 const ROLE = "serve";
 
@@ -39,11 +39,11 @@
  */
 export function createOrderTask(parts: OrderTaskParts): OrderTask {
   const { clock, random, engine, configuration, workers, leases, count } = parts;
-  const queue = new PQueue({ concurrency: MOST_ORDERS });
+  const queue = new PQueue({ concurrency: MAX_CONCURRENT_ORDERS });
   let closed = false;
   const isClosed = (): boolean => closed;
 
-  const tend = async (worker: Worker, models: readonly string[]): Promise<void> => {
+  const reconcile = async (worker: Worker, models: readonly string[]): Promise<void> => {
     const reading = engine.report(worker);
     const report = await withinTime(clock, reading, { limit: ORDER_TIMEOUT, step: "read" });
     if (models.every((model) => report.loaded.includes(model))) return;
@@ -55,30 +55,30 @@
     const order = engine.order(worker, { fence, models, role: ROLE });
     await withinTime(clock, order, { limit: ORDER_TIMEOUT, step: "order" });
   };
-  const guarded = async (worker: Worker, models: readonly string[]): Promise<void> => {
+  const tryReconcile = async (worker: Worker, models: readonly string[]): Promise<void> => {
     try {
-      await tend(worker, models);
+      await reconcile(worker, models);
     } catch {
       // The next round reads again and orders any missing models.
       count("order.failed");
     }
   };
-  const round = async (): Promise<void> => {
+  const reconcileAll = async (): Promise<void> => {
     const services = configuration.revision()?.deployment.services ?? {};
     const held = new Set(leases.held());
     const jobs = workers
       .list()
       .filter(({ service, state }) => held.has(service) && state === WorkerState.Live)
       .flatMap((worker) => {
-        const models = modelsOf(services[worker.service]);
-        return models.length === 0 ? [] : [() => guarded(worker, models)];
+        const models = modelNames(services[worker.service]);
+        return models.length === 0 ? [] : [() => tryReconcile(worker, models)];
       });
     await queue.addAll(jobs);
   };
   const run = async (): Promise<void> => {
     while (!isClosed()) {
-      await sleep(clock, PERIOD * (0.75 + 0.5 * random.next()));
-      if (!isClosed()) await round();
+      await sleep(clock, RECONCILE_INTERVAL * (0.75 + 0.5 * random.next()));
+      if (!isClosed()) await reconcileAll();
     }
   };
   return {
@@ -91,7 +91,7 @@
 }
 
 /** Names of the service's models, and of each model with each of its adapters as `MODEL+ADAPTER`. */
-function modelsOf(service: Service | undefined): readonly string[] {
+function modelNames(service: Service | undefined): readonly string[] {
   if (service?.kind !== "model") return [];
   return service.models.flatMap(({ name, adapters }) => [
     name,
--- a/src/process/others_view.ts
+++ b/src/process/others_view.ts
@@ -23,9 +23,10 @@
   return {
     heard: (news, own) => {
       if (news.isWhole) use.clear();
-      for (const [worker, said] of news.use) {
-        if (said.running === 0 && said.unreadTokens === 0 && said.runs === 0) use.delete(worker);
-        else use.set(worker, said);
+      for (const [worker, workerUse] of news.use) {
+        if (workerUse.running === 0 && workerUse.unreadTokens === 0 && workerUse.runs === 0)
+          use.delete(worker);
+        else use.set(worker, workerUse);
       }
       for (const [account, count] of news.admitted) admitted.set(account, count);
       return {
@@ -36,7 +37,10 @@
           ]),
         ),
         use: new Map(
-          [...use].map(([worker, all]) => [worker, less(all, own?.use.get(worker) ?? NO_USE)]),
+          [...use].map(([worker, total]) => [
+            worker,
+            subtract(total, own?.use.get(worker) ?? NO_USE),
+          ]),
         ),
       };
     },
@@ -44,11 +48,11 @@
 }
 
 /** Subtracts a part from a total. Both are sent at different times, so negative occupancy is clamped to 0. */
-function less(all: WorkerUse, part: WorkerUse): WorkerUse {
+function subtract(total: WorkerUse, part: WorkerUse): WorkerUse {
   return {
-    running: Math.max(0, all.running - part.running),
-    unreadTokens: Math.max(0, all.unreadTokens - part.unreadTokens),
-    runs: all.runs - part.runs,
-    failures: all.failures - part.failures,
+    running: Math.max(0, total.running - part.running),
+    unreadTokens: Math.max(0, total.unreadTokens - part.unreadTokens),
+    runs: total.runs - part.runs,
+    failures: total.failures - part.failures,
   };
 }
--- a/src/process/overload_task.ts
+++ b/src/process/overload_task.ts
@@ -8,7 +8,7 @@
   /** Reads the instance's own load since the previous call. */
   readonly readLoad: () => EntryLoad;
   /** Called with each new stance, which states the kinds of requests that are still accepted. */
-  readonly onStance: (stance: EntryStance) => void;
+  readonly onStanceChange: (stance: EntryStance) => void;
   readonly count: (name: string) => void;
 }
 
@@ -19,25 +19,25 @@
 }
 
 /** Interval between two load samples, in milliseconds: several per second of the heartbeats that must not be late. */
-const PERIOD = 500;
+const SAMPLE_INTERVAL = 500;
 
 /** Creates the task. It does nothing until `start` is called. */
 export function createOverloadTask(parts: OverloadTaskParts): OverloadTask {
-  const { clock, readLoad, onStance, count } = parts;
+  const { clock, readLoad, onStanceChange, count } = parts;
   let stance = EntryStance.Open;
   let timer: Timer | undefined;
-  const look = (): void => {
+  const sample = (): void => {
     const next = entryStance(readLoad(), stance);
     if (next !== stance) {
       stance = next;
       count(`overload.${stance}`);
-      onStance(stance);
+      onStanceChange(stance);
     }
-    timer = clock.after(PERIOD, look);
+    timer = clock.after(SAMPLE_INTERVAL, sample);
   };
   return {
     start: () => {
-      timer = clock.after(PERIOD, look);
+      timer = clock.after(SAMPLE_INTERVAL, sample);
     },
     close: () => timer?.close(),
   };
--- a/src/process/overload_task_test.ts
+++ b/src/process/overload_task_test.ts
@@ -12,7 +12,7 @@
   const task = createOverloadTask({
     clock,
     readLoad: () => ({ loopDelay, memory: 0, memoryLimit: 1, inProgress: 0 }),
-    onStance: (stance) => stances.push(stance),
+    onStanceChange: (stance) => stances.push(stance),
     count: () => undefined,
   });
   task.start();
--- a/src/process/recorder.ts
+++ b/src/process/recorder.ts
@@ -15,16 +15,16 @@
 }
 
 /** State of an admitted request until the length of its answer is known. */
-interface Pending {
+interface PendingRequest {
   readonly arrival: Arrival;
   readonly sharedBlocks: number;
   answerTokens: number;
 }
 
 /** Answer length in tokens recorded for a refused request without a limit, whose real length is unknown. */
-const UNKNOWN_ANSWER = 256;
+const DEFAULT_ANSWER_TOKENS = 256;
 /** Maximum number of prefix blocks kept to detect prompts with a common prefix. */
-const MOST_BLOCKS = 50_000;
+const MAX_PREFIX_BLOCKS = 50_000;
 /** Typical rates of the platform, written to the trace because they can't be derived from the traffic. */
 const PLATFORM_RATES = {
   weightStore: 2_000_000_000,
@@ -45,9 +45,9 @@
  * ```
  */
 export function recordScheduler(scheduler: Scheduler, options: RecorderOptions): Scheduler {
-  const pending = new Map<string, Pending>();
+  const pending = new Map<string, PendingRequest>();
   const seenBlocks = new Set<string>();
-  const noticed = new Set<string>();
+  const reclaimedWorkers = new Set<string>();
   let preset: string | undefined;
   const at = (now: number): number => Math.max(0, Math.round(now - options.now));
   const write = (line: object): void => options.write(`${JSON.stringify(line)}\n`);
@@ -57,23 +57,23 @@
     if (revision === undefined || revision.preset === preset) return;
     write(
       preset === undefined
-        ? headerOf(options.name, revision)
+        ? formatHeader(options.name, revision)
         : { kind: "preset", t: at(now), preset: revision.preset },
     );
     preset = revision.preset;
   };
-  const writeArrival = ({ arrival, sharedBlocks, answerTokens }: Pending): void => {
+  const writeArrival = ({ arrival, sharedBlocks, answerTokens }: PendingRequest): void => {
     if (preset !== undefined)
-      write(lineOf(arrival, { t: at(arrival.arrivedAt), sharedBlocks, answerTokens }));
+      write(formatArrival(arrival, { t: at(arrival.arrivedAt), sharedBlocks, answerTokens }));
   };
   const countShared = (blocks: readonly string[]): number => {
-    const unseen = blocks.findIndex((block) => !seenBlocks.has(block));
+    const firstUnseen = blocks.findIndex((block) => !seenBlocks.has(block));
     for (const block of blocks) seenBlocks.add(block);
     for (const block of seenBlocks) {
-      if (seenBlocks.size <= MOST_BLOCKS) break;
+      if (seenBlocks.size <= MAX_PREFIX_BLOCKS) break;
       seenBlocks.delete(block);
     }
-    return unseen < 0 ? blocks.length : unseen;
+    return firstUnseen < 0 ? blocks.length : firstUnseen;
   };
   return {
     ...scheduler,
@@ -81,10 +81,10 @@
       writeRevision(now);
       const admission = scheduler.admit(arrival, now);
       const sharedBlocks = countShared(arrival.prefix);
-      const answerTokens = arrival.maxTokens ?? UNKNOWN_ANSWER;
-      const seen = { arrival, sharedBlocks, answerTokens };
-      if (admission.kind === "admitted") pending.set(arrival.id, { ...seen, answerTokens: 0 });
-      else writeArrival(seen);
+      const answerTokens = arrival.maxTokens ?? DEFAULT_ANSWER_TOKENS;
+      const request = { arrival, sharedBlocks, answerTokens };
+      if (admission.kind === "admitted") pending.set(arrival.id, { ...request, answerTokens: 0 });
+      else writeArrival(request);
       return admission;
     },
     runEnded: (id, end, details) => {
@@ -103,8 +103,8 @@
     setWorkers: (workers, now) => {
       scheduler.setWorkers(workers, now);
       for (const { id, service, reclaimAt } of workers) {
-        if (reclaimAt === undefined || noticed.has(id) || preset === undefined) continue;
-        noticed.add(id);
+        if (reclaimAt === undefined || reclaimedWorkers.has(id) || preset === undefined) continue;
+        reclaimedWorkers.add(id);
         const index = workers.filter((other) => other.service === service && other.id < id).length;
         const within = Math.max(0, Math.round(reclaimAt - now));
         write({ kind: "reclaim", t: at(now), within, service, index });
@@ -113,12 +113,12 @@
   };
 }
 
-function headerOf(name: string, { source, preset }: Revision): object {
+function formatHeader(name: string, { source, preset }: Revision): object {
   const outcomes = { lost: 0, services: {} };
   return { kind: "header", name, seed: 1, preset, ...PLATFORM_RATES, deployment: source, outcomes };
 }
 
-function lineOf(
+function formatArrival(
   arrival: Arrival,
   { t, sharedBlocks, answerTokens }: { t: number; sharedBlocks: number; answerTokens: number },
 ): object {
--- a/src/process/request_quarantine_test.ts
+++ b/src/process/request_quarantine_test.ts
@@ -4,15 +4,15 @@
 import { createVirtualClock } from "../standin/memory/index.ts";
 import { createRequestQuarantine, QUARANTINE_KEY } from "./request_quarantine.ts";
 
-const PRINT = printNamed("00000007aaaaaaaa");
-const LASTS = 60_000;
+const FINGERPRINT = printNamed("00000007aaaaaaaa");
+const DURATION = 60_000;
 
 /** Creates a quarantine with a fake store that returns the given outcomes. */
 function setUp(
   options: {
     outcomes?: PutOutcome[];
-    tidies?: boolean;
-    others?: () => { runs: number; failures: number };
+    canErase?: boolean;
+    peerCounts?: () => { runs: number; failures: number };
   } = {},
 ) {
   const clock = createVirtualClock();
@@ -33,33 +33,33 @@
         return Promise.resolve(true);
       },
     },
-    lasts: LASTS,
-    othersOf: () => options.others?.(),
-    members: () => 6,
-    tidies: () => options.tidies ?? false,
+    duration: DURATION,
+    peerCounts: () => options.peerCounts?.(),
+    instanceCount: () => 6,
+    canErase: () => options.canErase ?? false,
     log: { changed: (step) => void steps.push(step) },
   });
   const crash = (times: number): void => {
-    for (let time = 0; time < times; time++) quarantine.crashed([PRINT]);
+    for (let time = 0; time < times; time++) quarantine.recordCrash([FINGERPRINT]);
   };
   return { clock, quarantine, crash, written, erased, steps };
 }
 
 function object(since: number, crashes = 3): FeedObject {
-  return { name: PRINT.name, version: 9, value: JSON.stringify({ crashes, since }) };
+  return { name: FINGERPRINT.name, version: 9, value: JSON.stringify({ crashes, since }) };
 }
 
 /** The store's response to a write with an outdated version: a conflict with the current record. */
 function conflictWith(crashes: number): PutOutcome {
   const value = JSON.stringify({ crashes, since: 0 });
-  return { kind: "conflict", current: { key: PRINT.name, version: 12, value } };
+  return { kind: "conflict", current: { key: FINGERPRINT.name, version: 12, value } };
 }
 
 /** Matches a write of the request's record. */
-function write(crashes: number, expected: number): unknown {
+function writeMatching(crashes: number, expected: number): unknown {
   const value = `{"crashes":${crashes},"since":\\d+}`;
   return expect.stringMatching(
-    new RegExp(`^${QUARANTINE_KEY}/${PRINT.name} ${value} ${expected}$`),
+    new RegExp(`^${QUARANTINE_KEY}/${FINGERPRINT.name} ${value} ${expected}$`),
   );
 }
 
@@ -67,14 +67,14 @@
   const { clock, quarantine, crash, written } = setUp();
   quarantine.start();
   crash(2);
-  expect(quarantine.waitFor(PRINT)).toBe(0);
+  expect(quarantine.waitFor(FINGERPRINT)).toBe(0);
   crash(1);
-  expect(quarantine.waitFor(PRINT)).toBe(LASTS);
+  expect(quarantine.waitFor(FINGERPRINT)).toBe(DURATION);
   await clock.advance(900);
   expect(written).toEqual([]);
   await clock.advance(1_000);
   expect(written.length).toBe(1);
-  expect(written[0]).toContain(`${QUARANTINE_KEY}/${PRINT.name}`);
+  expect(written[0]).toContain(`${QUARANTINE_KEY}/${FINGERPRINT.name}`);
   expect(quarantine.writtenVersion).toBe(9);
   await clock.advance(5_000);
   expect(written.length).toBe(1);
@@ -96,10 +96,10 @@
   const { clock, quarantine, crash, written } = setUp();
   quarantine.start();
   crash(3);
-  expect(quarantine.waitFor(PRINT)).toBeGreaterThan(0);
+  expect(quarantine.waitFor(FINGERPRINT)).toBeGreaterThan(0);
   await clock.advance(300);
-  quarantine.answered(PRINT);
-  expect(quarantine.waitFor(PRINT)).toBe(0);
+  quarantine.answered(FINGERPRINT);
+  expect(quarantine.waitFor(FINGERPRINT)).toBe(0);
   await clock.advance(3_000);
   expect(written).toEqual([]);
   quarantine.close();
@@ -108,9 +108,9 @@
 test("applies a quarantine known only from the store, with its correct remaining time", () => {
   const { clock, quarantine } = setUp();
   quarantine.setObjects([object(clock.now() - 20_000)]);
-  expect(quarantine.waitFor(PRINT)).toBe(LASTS - 20_000);
+  expect(quarantine.waitFor(FINGERPRINT)).toBe(DURATION - 20_000);
   expect(quarantine.list()).toEqual([
-    { print: PRINT, crashes: 3, since: clock.now() - 20_000, version: 9 },
+    { fingerprint: FINGERPRINT, crashes: 3, since: clock.now() - 20_000, version: 9 },
   ]);
   expect(quarantine.waitFor(printNamed("00000008aaaaaaaa"))).toBe(0);
 });
@@ -122,24 +122,24 @@
   await clock.advance(2_000);
   quarantine.setObjects([object(clock.now())]);
   quarantine.setObjects([]);
-  expect(quarantine.waitFor(PRINT)).toBe(0);
+  expect(quarantine.waitFor(FINGERPRINT)).toBe(0);
   await clock.advance(5_000);
-  expect(quarantine.waitFor(PRINT)).toBe(0);
+  expect(quarantine.waitFor(FINGERPRINT)).toBe(0);
   expect(written.length).toBe(1);
   crash(3);
-  expect(quarantine.waitFor(PRINT)).toBe(LASTS);
+  expect(quarantine.waitFor(FINGERPRINT)).toBe(DURATION);
   quarantine.close();
 });
 
 test.each([true, false])(
   "erases an expired quarantine only on the instance responsible: %s",
-  async (tidies) => {
-    const { clock, quarantine, erased } = setUp({ tidies });
+  async (canErase) => {
+    const { clock, quarantine, erased } = setUp({ canErase });
     quarantine.start();
     quarantine.setObjects([object(clock.now())]);
-    await clock.advance(LASTS + 300);
-    expect(quarantine.waitFor(PRINT)).toBe(0);
-    expect(erased.includes(`${QUARANTINE_KEY}/${PRINT.name}`)).toBe(tidies);
+    await clock.advance(DURATION + 300);
+    expect(quarantine.waitFor(FINGERPRINT)).toBe(0);
+    expect(erased.includes(`${QUARANTINE_KEY}/${FINGERPRINT.name}`)).toBe(canErase);
     quarantine.close();
   },
 );
@@ -147,7 +147,7 @@
 test("limits the reported wait to the quarantine's duration if the writer's clock is ahead", () => {
   const { clock, quarantine } = setUp();
   quarantine.setObjects([object(clock.now() + 1e9)]);
-  expect(quarantine.waitFor(PRINT)).toBe(LASTS);
+  expect(quarantine.waitFor(FINGERPRINT)).toBe(DURATION);
 });
 
 test("ignores an object whose name is not a fingerprint", () => {
@@ -162,8 +162,8 @@
   "ignores an unreadable object: %j",
   (value) => {
     const { quarantine, steps } = setUp();
-    quarantine.setObjects([{ name: PRINT.name, version: 9, value }]);
-    expect(quarantine.waitFor(PRINT)).toBe(0);
+    quarantine.setObjects([{ name: FINGERPRINT.name, version: 9, value }]);
+    expect(quarantine.waitFor(FINGERPRINT)).toBe(0);
     expect(steps).toContain("quarantine-unreadable");
   },
 );
@@ -173,56 +173,56 @@
   quarantine.start();
   crash(2);
   await clock.advance(1_000);
-  expect(written).toEqual([write(2, 0)]);
+  expect(written).toEqual([writeMatching(2, 0)]);
   quarantine.close();
 
   const later = setUp();
   later.quarantine.start();
   later.quarantine.setObjects([object(later.clock.now() - 5_000, 2)]);
-  expect(later.quarantine.waitFor(PRINT)).toBe(0);
+  expect(later.quarantine.waitFor(FINGERPRINT)).toBe(0);
   expect(later.quarantine.list()).toEqual([]);
   later.crash(1);
-  expect(later.quarantine.waitFor(PRINT)).toBe(LASTS);
+  expect(later.quarantine.waitFor(FINGERPRINT)).toBe(DURATION);
   await later.clock.advance(2_000);
-  expect(later.written).toEqual([write(3, 9)]);
+  expect(later.written).toEqual([writeMatching(3, 9)]);
   later.quarantine.close();
 });
 
 test("does not count a crash twice if both the store and another instance report it", async () => {
-  let others = { runs: 0, failures: 0 };
-  const { clock, quarantine, crash } = setUp({ others: () => others });
+  let peerCounts = { runs: 0, failures: 0 };
+  const { clock, quarantine, crash } = setUp({ peerCounts: () => peerCounts });
   quarantine.start();
   crash(1);
   quarantine.setObjects([object(clock.now(), 2)]);
-  expect(quarantine.waitFor(PRINT)).toBe(0);
+  expect(quarantine.waitFor(FINGERPRINT)).toBe(0);
   // The other instance's digest arrives after its write to the store.
-  others = { runs: 1, failures: 1 };
+  peerCounts = { runs: 1, failures: 1 };
   await clock.advance(3_000);
-  expect(quarantine.waitFor(PRINT)).toBe(0);
+  expect(quarantine.waitFor(FINGERPRINT)).toBe(0);
   // That instance stops, and the next crash is the third.
-  others = { runs: 0, failures: 0 };
-  expect(quarantine.waitFor(PRINT)).toBe(0);
+  peerCounts = { runs: 0, failures: 0 };
+  expect(quarantine.waitFor(FINGERPRINT)).toBe(0);
   crash(1);
-  expect(quarantine.waitFor(PRINT)).toBe(LASTS);
+  expect(quarantine.waitFor(FINGERPRINT)).toBe(DURATION);
   quarantine.close();
 });
 
 test("a request answered by the next worker is not a suspect, and its existing record is erased", async () => {
-  const { clock, quarantine, crash, written, erased } = setUp({ tidies: true });
+  const { clock, quarantine, crash, written, erased } = setUp({ canErase: true });
   quarantine.start();
   crash(2);
   await clock.advance(200);
-  quarantine.answered(PRINT);
+  quarantine.answered(FINGERPRINT);
   await clock.advance(2_000);
   expect(written).toEqual([]);
   quarantine.setObjects([object(clock.now(), 2)]);
   await clock.advance(300);
-  expect(erased).toContain(`${QUARANTINE_KEY}/${PRINT.name}`);
+  expect(erased).toContain(`${QUARANTINE_KEY}/${FINGERPRINT.name}`);
   quarantine.close();
 });
 
 test("erases a suspect without further crashes after ten minutes", async () => {
-  const { clock, quarantine, erased } = setUp({ tidies: true });
+  const { clock, quarantine, erased } = setUp({ canErase: true });
   quarantine.start();
   quarantine.setObjects([object(clock.now(), 2)]);
   await clock.advance(599_000);
@@ -230,7 +230,7 @@
   await clock.advance(1_500);
   expect(erased.length).toBeGreaterThan(0);
   quarantine.setObjects([]);
-  expect(quarantine.waitFor(PRINT)).toBe(0);
+  expect(quarantine.waitFor(FINGERPRINT)).toBe(0);
   quarantine.close();
 });
 
@@ -239,7 +239,7 @@
   quarantine.start();
   crash(3);
   await clock.advance(4_000);
-  expect(written).toEqual([write(3, 0), write(3, 12)]);
+  expect(written).toEqual([writeMatching(3, 0), writeMatching(3, 12)]);
   quarantine.close();
 });
 
@@ -248,7 +248,7 @@
   quarantine.start();
   crash(2);
   await clock.advance(4_000);
-  expect(written).toEqual([write(2, 0)]);
+  expect(written).toEqual([writeMatching(2, 0)]);
   quarantine.close();
 });
 
@@ -258,7 +258,7 @@
   const prints = Array.from({ length: 200 }, (_, index) =>
     printNamed(index.toString(16).padStart(16, "0")),
   );
-  for (let worker = 0; worker < 2; worker++) quarantine.crashed(prints);
+  for (let worker = 0; worker < 2; worker++) quarantine.recordCrash(prints);
   await clock.advance(2_000);
   expect(written.length).toBeLessThanOrEqual(8);
   quarantine.close();
--- a/src/process/rollout_plan.ts
+++ b/src/process/rollout_plan.ts
@@ -19,12 +19,12 @@
  * bad meanwhile, so it sends no requests to it. The value covers the three digests that a plan takes to reach every
  * instance, one of which may be lost.
  */
-const PLAN_LIFE = 1_500;
+const PLAN_TTL = 1_500;
 
 /** The latest rollout plan of each service that an instance has received. */
 export interface RolloutPlans {
   /** Applies plans received from another instance, or issued by this one with age 0. */
-  heard(plans: readonly RolloutPlan[], now: number): void;
+  update(plans: readonly RolloutPlan[], now: number): void;
   /** Returns the current plan for an order; undefined if there is none or it has expired. */
   find(order: { service: string; to: string }, now: number): RolloutPlan | undefined;
   /** Lists the plans that haven't expired, to be forwarded to other instances. */
@@ -35,30 +35,30 @@
 
 /** Creates an empty set of plans. */
 export function createRolloutPlans(): RolloutPlans {
-  const known = new Map<string, { plan: RolloutPlan; saidAt: number }>();
-  const isFresh = (saidAt: number, now: number): boolean => now - saidAt < PLAN_LIFE;
+  const latest = new Map<string, { plan: RolloutPlan; issuedAt: number }>();
+  const isFresh = (issuedAt: number, now: number): boolean => now - issuedAt < PLAN_TTL;
   return {
-    heard: (plans, now) => {
+    update: (plans, now) => {
       for (const plan of plans) {
-        const before = known.get(plan.service);
-        const saidAt = now - plan.age;
-        if (!isFresh(saidAt, now)) continue;
-        const isLater =
-          before === undefined ||
-          plan.fence > before.plan.fence ||
-          (plan.fence === before.plan.fence && saidAt > before.saidAt);
-        if (isLater) known.set(plan.service, { plan, saidAt });
+        const previous = latest.get(plan.service);
+        const issuedAt = now - plan.age;
+        if (!isFresh(issuedAt, now)) continue;
+        const isNewer =
+          previous === undefined ||
+          plan.fence > previous.plan.fence ||
+          (plan.fence === previous.plan.fence && issuedAt > previous.issuedAt);
+        if (isNewer) latest.set(plan.service, { plan, issuedAt });
       }
     },
     find: ({ service, to }, now) => {
-      const found = known.get(service);
+      const found = latest.get(service);
       if (found?.plan.to !== to) return undefined;
-      return isFresh(found.saidAt, now) ? found.plan : undefined;
+      return isFresh(found.issuedAt, now) ? found.plan : undefined;
     },
     list: (now) =>
-      [...known.values()]
-        .filter(({ saidAt }) => isFresh(saidAt, now))
-        .map(({ plan, saidAt }) => ({ ...plan, age: now - saidAt })),
-    forget: (service) => void known.delete(service),
+      [...latest.values()]
+        .filter(({ issuedAt }) => isFresh(issuedAt, now))
+        .map(({ plan, issuedAt }) => ({ ...plan, age: now - issuedAt })),
+    forget: (service) => void latest.delete(service),
   };
 }
--- a/src/process/rollout_status.ts
+++ b/src/process/rollout_status.ts
@@ -23,12 +23,12 @@
     duration,
     sent: sent.all,
     tried: sent.tried,
-    verdict: verdict === undefined ? undefined : wordOf(verdict),
+    verdict: verdict === undefined ? undefined : verdictText(verdict),
     evidence: verdict?.evidence,
   };
 }
 
-function wordOf(verdict: RolloutVerdict): string {
+function verdictText(verdict: RolloutVerdict): string {
   if (verdict.kind === "open") return verdict.kind;
   const where = verdict.route === "" ? "" : ` on ${verdict.route}`;
   return `${verdict.fault}${where}`;
--- a/src/process/rollout_task.ts
+++ b/src/process/rollout_task.ts
@@ -50,13 +50,13 @@
 }
 
 /** Interval between two evaluations of an order, in milliseconds. */
-const LOOK_PERIOD = 150;
+const POLL_INTERVAL = 150;
 /** Fractions of an order's elapsed time. The counts since each of these points are also judged separately. */
-const LATER_PARTS = [0.5, 0.75, 0.875];
+const RECENT_STARTS = [0.5, 0.75, 0.875];
 /** Minimum number of runs at the new version for a decision in its favor. */
-const LEAST_RUNS = 6;
+const MIN_RUNS = 6;
 /** Maximum fraction of the new workers' slots that the current requests may occupy. */
-const GREATEST_USE = 0.9;
+const MAX_OCCUPANCY = 0.9;
 
 const recordSchema = z.object({ to: z.string(), startedAt: z.number() });
 
@@ -70,19 +70,22 @@
 
 /** Creates the task. `rollout_rules.ts` decides which status may be written, and over which stored version. */
 export function createRolloutTask(parts: RolloutTaskParts): RolloutTask {
-  const { clock, bounds, view, time, log, judge: judgeBy = judgeRollout } = parts;
+  const { clock, bounds, view, time, log, judge: judgeEvidence = judgeRollout } = parts;
   const verdicts = new Map<string, RolloutVerdict>();
   const histories = new Map<string, CountHistory>();
   /** By service, the version and start time of the order as confirmed in the store. */
-  const begun = new Map<string, z.infer<typeof recordSchema>>();
+  const startRecords = new Map<string, z.infer<typeof recordSchema>>();
   let closed = false;
   const isClosed = (): boolean => closed;
 
   /** Returns the start time of the order from the store, or the locally known one if the store has none. */
-  const startOf = async (service: string, order: ServiceRollout): Promise<number | undefined> => {
+  const loadStartTime = async (
+    service: string,
+    order: ServiceRollout,
+  ): Promise<number | undefined> => {
     const { to } = order.entry.order;
-    const known = begun.get(service);
-    if (known?.to === to) return known.startedAt;
+    const existing = startRecords.get(service);
+    if (existing?.to === to) return existing.startedAt;
     const key = `samphireshore/rollout/${service}`;
     const found = await parts.store.get(key);
     if (found.kind === "unavailable") return order.startedAt;
@@ -94,49 +97,49 @@
       const outcome = await parts.store.put(key, JSON.stringify(record), { expect });
       if (outcome.kind !== "written") return record.startedAt;
     }
-    begun.set(service, record);
+    startRecords.set(service, record);
     return record.startedAt;
   };
   /** Whether the new workers can take over the current load, or have at least about the old workers' capacity. */
-  const hasRoom = (service: string): boolean => {
+  const hasCapacity = (service: string): boolean => {
     const { base, tried } = view.stock(service);
-    const places = sum(tried.map(({ slots }) => slots)) * GREATEST_USE;
-    const least = sum(base.map(({ slots }) => slots)) * GREATEST_USE ** 2;
-    return tried.length > 0 && (parts.running(service) <= places || places >= least);
+    const capacity = sum(tried.map(({ slots }) => slots)) * MAX_OCCUPANCY;
+    const minCapacity = sum(base.map(({ slots }) => slots)) * MAX_OCCUPANCY ** 2;
+    return tried.length > 0 && (parts.running(service) <= capacity || capacity >= minCapacity);
   };
   /**
    * Judges all counts since the order, and also only the recent ones, because a version may become bad at any time.
    */
-  const judge = (
+  const evaluate = (
     service: string,
-    { since, isLast }: { since: number; isLast: boolean },
+    { elapsed, isLast }: { elapsed: number; isLast: boolean },
   ): { verdict: RolloutVerdict; runs: number } => {
     const routes = parts.routes(service);
     const sums = parts.sums();
     const evidenceOf = (counts: ReadonlyMap<number, RunCounts>): RouteEvidence[] =>
       view.evidence(service, { routes, sums: counts });
     const all = evidenceOf(sums);
-    const earlier = historyOf(service);
-    let verdict = judgeBy(all, { isLast });
-    for (const part of LATER_PARTS) {
-      const before = earlier.at(since * part);
+    const history = historyFor(service);
+    let verdict = judgeEvidence(all, { isLast });
+    for (const part of RECENT_STARTS) {
+      const before = history.at(elapsed * part);
       if (before === undefined) continue;
-      const later = judgeBy(evidenceOf(countsSince(sums, before)), { isLast });
-      if (isWorse(later, verdict)) verdict = later;
+      const recent = judgeEvidence(evidenceOf(countsSince(sums, before)), { isLast });
+      if (isWorse(recent, verdict)) verdict = recent;
     }
-    earlier.note(since, sums);
+    history.note(elapsed, sums);
     verdicts.set(service, verdict);
     return { verdict, runs: triedRuns(all) };
   };
-  const historyOf = (service: string): CountHistory => {
-    const known = histories.get(service) ?? createCountHistory();
-    histories.set(service, known);
-    return known;
+  const historyFor = (service: string): CountHistory => {
+    const existing = histories.get(service) ?? createCountHistory();
+    histories.set(service, existing);
+    return existing;
   };
-  const say = async (
+  const updateStatus = async (
     service: string,
     { entry, sent }: ServiceRollout,
-    { state, ...why }: Decision,
+    { state, ...details }: Decision,
   ): Promise<void> => {
     const status = nextStatus(entry, state);
     if (status === undefined || parts.fence(DUTY_CALL_TIME) === undefined) return;
@@ -145,17 +148,17 @@
       service,
       to: entry.order.to,
       state,
-      ...why,
+      ...details,
       outcome: outcome.kind,
       store: entry.storeVersion,
       sentHere: sent.all,
       triedHere: sent.tried,
     });
   };
-  const tend = async (service: string): Promise<void> => {
+  const advance = async (service: string): Promise<void> => {
     const order = view.find(service);
     if (order === undefined || isFinal(order.state)) {
-      begun.delete(service);
+      startRecords.delete(service);
       histories.delete(service);
       return;
     }
@@ -163,52 +166,63 @@
     if (served === undefined) return;
     const { to, duration } = entry.order;
     if (served.base === to) {
-      await say(service, order, { state: RolloutState.Completed, reason: "served-already" });
+      await updateStatus(service, order, {
+        state: RolloutState.Completed,
+        reason: "served-already",
+      });
       return;
     }
     if (served.tried === undefined) {
-      await say(service, order, { state: RolloutState.RolledBack, reason: "rolled-back-before" });
+      await updateStatus(service, order, {
+        state: RolloutState.RolledBack,
+        reason: "rolled-back-before",
+      });
       return;
     }
-    const startedAt = await startOf(service, order);
+    const startedAt = await loadStartTime(service, order);
     const fence = parts.fence(DUTY_CALL_TIME);
     if (startedAt === undefined || fence === undefined) return;
     const { switchAt, completeAt } = rolloutCourse(duration, bounds);
-    const since = time() - startedAt;
-    const isLast = since >= switchAt;
-    const { verdict, runs } = judge(service, { since, isLast });
+    const elapsed = time() - startedAt;
+    const isLast = elapsed >= switchAt;
+    const { verdict, runs } = evaluate(service, { elapsed, isLast });
     if (verdict.kind === "bad") {
       const { fault: reason, route, evidence } = verdict;
-      await say(service, order, { state: RolloutState.RolledBack, reason, route, evidence });
+      await updateStatus(service, order, {
+        state: RolloutState.RolledBack,
+        reason,
+        route,
+        evidence,
+      });
       return;
     }
-    const mayServe = runs >= LEAST_RUNS && hasRoom(service);
-    if (since >= completeAt) {
-      if (mayServe) {
-        await say(service, order, {
+    const canServe = runs >= MIN_RUNS && hasCapacity(service);
+    if (elapsed >= completeAt) {
+      if (canServe) {
+        await updateStatus(service, order, {
           state: RolloutState.Completed,
           reason: "good",
           evidence: verdict.evidence,
         });
         return;
       }
-      if (since >= duration) {
-        const reason = runs < LEAST_RUNS ? "untried" : "no-room";
-        await say(service, order, { state: RolloutState.RolledBack, reason });
+      if (elapsed >= duration) {
+        const reason = runs < MIN_RUNS ? "untried" : "no-room";
+        await updateStatus(service, order, { state: RolloutState.RolledBack, reason });
         return;
       }
     }
-    const phase = isLast && mayServe ? RolloutPhase.Switch : RolloutPhase.Trial;
+    const phase = isLast && canServe ? RolloutPhase.Switch : RolloutPhase.Trial;
     view.heard([{ service, to, fence, phase, age: 0, startedAt }]);
-    await say(service, order, { state: RolloutState.Running, reason: "begun" });
+    await updateStatus(service, order, { state: RolloutState.Running, reason: "begun" });
   };
   const run = async (): Promise<void> => {
     while (!isClosed()) {
       if (parts.fence(DUTY_CALL_TIME) === undefined) {
-        begun.clear();
+        startRecords.clear();
         histories.clear();
-      } else for (const service of view.services()) await tend(service);
-      await sleep(clock, LOOK_PERIOD);
+      } else for (const service of view.services()) await advance(service);
+      await sleep(clock, POLL_INTERVAL);
     }
   };
   return {
--- a/src/process/rollout_view.ts
+++ b/src/process/rollout_view.ts
@@ -99,7 +99,7 @@
   readonly log: Pick<RoutedLog, "changed">;
 }
 
-interface Known {
+interface ServiceState {
   entry: RolloutEntry | undefined;
   startedAt: number | undefined;
   served: ServedVersions | undefined;
@@ -116,13 +116,13 @@
   isUniform: boolean;
 }
 
-const NOTHING: RunCounts = { runs: 0, failures: 0 };
-const NOBODY: ReadonlySet<string> = new Set();
+const NO_RUNS: RunCounts = { runs: 0, failures: 0 };
+const NO_WORKERS: ReadonlySet<string> = new Set();
 
 /** Creates a view without workers and orders. */
 export function createRolloutView(parts: RolloutViewParts): RolloutView {
   const { clock, random, bounds, time, members, log } = parts;
-  const services = new Map<string, Known>();
+  const services = new Map<string, ServiceState>();
   const plans = createRolloutPlans();
   const tallies = createVersionTallies(parts.sumOf);
   const newShare = (entry: RolloutEntry | undefined): RolloutShare => {
@@ -130,7 +130,7 @@
     return createRolloutShare({ bounds, course, members, random });
   };
 
-  const knownOf = (service: string): Known => {
+  const serviceStateOf = (service: string): ServiceState => {
     const found = services.get(service) ?? {
       entry: undefined,
       startedAt: undefined,
@@ -146,47 +146,55 @@
     services.set(service, found);
     return found;
   };
-  const update = (service: string, known: Known): void => {
-    const { entry, served: before } = known;
+  const update = (service: string, serviceState: ServiceState): void => {
+    const { entry, served: previous } = serviceState;
     if (entry !== undefined && stateOfOrder(entry) === RolloutState.RolledBack) {
-      known.barred.add(entry.order.to);
+      serviceState.barred.add(entry.order.to);
     }
-    const stock = stockOf(known.workers);
-    const served = servedVersions({ stock, entry, before: before?.base, barred: known.barred });
-    if (served?.tried !== before?.tried) {
-      known.share = newShare(entry);
-      known.everTried.clear();
+    const stock = countVersions(serviceState.workers);
+    const served = servedVersions({
+      stock,
+      entry,
+      before: previous?.base,
+      barred: serviceState.barred,
+    });
+    if (served?.tried !== previous?.tried) {
+      serviceState.share = newShare(entry);
+      serviceState.everTried.clear();
       tallies.expect(service, served?.tried);
       if (served?.tried === undefined) plans.forget(service);
     }
-    known.served = served;
-    known.base = readyOf(known, served?.base).length;
-    known.tried = rendezvousOrder(
+    serviceState.served = served;
+    serviceState.base = readyWorkers(serviceState, served?.base).length;
+    serviceState.tried = rendezvousOrder(
       service,
-      readyOf(known, served?.tried).map(({ id }) => id),
+      readyWorkers(serviceState, served?.tried).map(({ id }) => id),
     );
-    known.isUniform = known.workers.every(({ version }) => version === served?.base);
-    if (served?.base === before?.base && served?.tried === before?.tried) return;
+    serviceState.isUniform = serviceState.workers.every(({ version }) => version === served?.base);
+    if (served?.base === previous?.base && served?.tried === previous?.tried) return;
     log.changed("versions-served", {
       service,
       base: served?.base ?? "",
       tried: served?.tried ?? "",
       ordered: entry?.order.to ?? "",
       state: (entry === undefined ? undefined : stateOfOrder(entry)) ?? "",
-      barred: [...known.barred].join(" "),
+      barred: [...serviceState.barred].join(" "),
     });
   };
-  const phaseOf = (service: string, { served }: Known): RolloutPhase | undefined =>
+  const phaseOf = (service: string, { served }: ServiceState): RolloutPhase | undefined =>
     served?.tried === undefined
       ? undefined
       : plans.find({ service, to: served.tried }, clock.now())?.phase;
-  const readyOf = ({ workers, served }: Known, version: string | undefined): RoutedWorker[] =>
+  const readyWorkers = (
+    { workers, served }: ServiceState,
+    version: string | undefined,
+  ): RoutedWorker[] =>
     served === undefined || version === undefined
       ? []
       : workers.filter((worker) => worker.version === version && !worker.isLeaving);
 
   /** Returns the ids of the workers on trial that this instance uses at the moment. */
-  const onTrial = ({ entry, startedAt, share, base, tried }: Known): string[] => {
+  const onTrial = ({ entry, startedAt, share, base, tried }: ServiceState): string[] => {
     if (entry === undefined || startedAt === undefined) return [];
     const { duration } = entry.order;
     const part = rolloutCourse(duration, bounds).parts[RolloutPhase.Trial];
@@ -194,33 +202,33 @@
     return workersOnTrial(tried, { since, duration, part, base, delay: share.delay });
   };
   const admitting: RolloutView["admitting"] = (service) => {
-    const known = services.get(service);
-    if (known?.served === undefined || known.isUniform) return undefined;
-    const { served, share } = known;
-    const { base, tried: named } = served;
-    const phase = phaseOf(service, known);
+    const serviceState = services.get(service);
+    if (serviceState?.served === undefined || serviceState.isUniform) return undefined;
+    const { served, share } = serviceState;
+    const { base, tried: triedVersion } = served;
+    const phase = phaseOf(service, serviceState);
     if (phase === RolloutPhase.Switch && share.mayTry(phase)) {
-      return { serves: ({ version }) => version === named, onTrial: NOBODY };
+      return { serves: ({ version }) => version === triedVersion, onTrial: NO_WORKERS };
     }
-    const mayTry = phase !== undefined && share.mayTry(RolloutPhase.Trial);
-    const now = mayTry ? new Set(onTrial(known)) : NOBODY;
+    const canTry = phase !== undefined && share.mayTry(RolloutPhase.Trial);
+    const now = canTry ? new Set(onTrial(serviceState)) : NO_WORKERS;
     return { serves: ({ version }) => version === base, onTrial: now };
   };
   return {
     setEntries: (entries, age) => {
-      const there = new Map(entries.map((entry) => [entry.order.service, entry]));
-      for (const [service, known] of services) {
-        if (known.entry === undefined || there.has(service)) continue;
-        known.entry = undefined;
-        known.startedAt = undefined;
-        update(service, known);
+      const entryByService = new Map(entries.map((entry) => [entry.order.service, entry]));
+      for (const [service, serviceState] of services) {
+        if (serviceState.entry === undefined || entryByService.has(service)) continue;
+        serviceState.entry = undefined;
+        serviceState.startedAt = undefined;
+        update(service, serviceState);
       }
-      for (const [service, entry] of there) {
-        const known = knownOf(service);
-        const isNew = known.entry?.order.to !== entry.order.to;
-        if (isNew) known.startedAt = age === undefined ? undefined : time() - age;
-        known.entry = entry;
-        update(service, known);
+      for (const [service, entry] of entryByService) {
+        const serviceState = serviceStateOf(service);
+        const isNew = serviceState.entry?.order.to !== entry.order.to;
+        if (isNew) serviceState.startedAt = age === undefined ? undefined : time() - age;
+        serviceState.entry = entry;
+        update(service, serviceState);
       }
     },
     setWorkers: (workers) => {
@@ -231,16 +239,16 @@
         list.push(worker);
       }
       for (const service of new Set([...services.keys(), ...byService.keys()])) {
-        const known = knownOf(service);
-        known.workers = byService.get(service) ?? [];
-        update(service, known);
+        const serviceState = serviceStateOf(service);
+        serviceState.workers = byService.get(service) ?? [];
+        update(service, serviceState);
       }
     },
-    heard: (told) => {
-      plans.heard(told, clock.now());
-      for (const { service, to, startedAt } of told) {
-        const known = services.get(service);
-        if (known?.entry?.order.to === to) known.startedAt ??= startedAt;
+    heard: (received) => {
+      plans.update(received, clock.now());
+      for (const { service, to, startedAt } of received) {
+        const serviceState = services.get(service);
+        if (serviceState?.entry?.order.to === to) serviceState.startedAt ??= startedAt;
       }
     },
     plans: () => plans.list(clock.now()),
@@ -249,30 +257,30 @@
       const { service, version, id } = worker;
       parts.onBegin(service, version);
       const now = clock.now();
-      const known = services.get(service);
-      const named = known?.served?.tried;
-      if (known === undefined || named === undefined) {
+      const serviceState = services.get(service);
+      const triedVersion = serviceState?.served?.tried;
+      if (serviceState === undefined || triedVersion === undefined) {
         const tried = undefined;
         return tallies.begin({ service, route, reads, tried, isCold, isCompared: false, now });
       }
-      const isTried = version === named;
-      known.share.sent(isTried);
-      if (isTried) known.everTried.add(id);
+      const isTried = version === triedVersion;
+      serviceState.share.sent(isTried);
+      if (isTried) serviceState.everTried.add(id);
       const tried = isTried ? id : undefined;
-      const isCompared = isTried || onTrial(known).length > 0;
+      const isCompared = isTried || onTrial(serviceState).length > 0;
       return tallies.begin({ service, route, reads, tried, isCold, isCompared, now });
     },
     counts: () => tallies.counts(clock.now()),
     evidence: (service, { routes, sums }) => {
-      const known = services.get(service);
-      const named = known?.served?.tried;
-      if (known === undefined || named === undefined) return [];
-      const of = (key: number): RunCounts => sums.get(key) ?? NOTHING;
+      const serviceState = services.get(service);
+      const triedVersion = serviceState?.served?.tried;
+      if (serviceState === undefined || triedVersion === undefined) return [];
+      const of = (key: number): RunCounts => sums.get(key) ?? NO_RUNS;
       return routes.map((route) => {
-        const base = tallyKeys({ service, tried: named, route, worker: undefined });
-        const tried = [...known.everTried, ...known.tried].map((worker) => ({
+        const base = tallyKeys({ service, tried: triedVersion, route, worker: undefined });
+        const tried = [...serviceState.everTried, ...serviceState.tried].map((worker) => ({
           worker,
-          keys: tallyKeys({ service, tried: named, route, worker }),
+          keys: tallyKeys({ service, tried: triedVersion, route, worker }),
         }));
         return {
           route,
@@ -288,16 +296,16 @@
       });
     },
     find: (service) => {
-      const known = services.get(service);
-      if (known?.entry === undefined) return undefined;
-      const { entry, served, startedAt, share } = known;
+      const serviceState = services.get(service);
+      if (serviceState?.entry === undefined) return undefined;
+      const { entry, served, startedAt, share } = serviceState;
       const state = stateOfOrder(entry);
       return {
         entry,
         state,
         served,
         startedAt,
-        phase: phaseOf(service, known),
+        phase: phaseOf(service, serviceState),
         sent: share.counts,
       };
     },
@@ -310,11 +318,11 @@
         ),
       ),
     stock: (service) => {
-      const known = services.get(service);
-      if (known === undefined) return { base: [], tried: [] };
+      const serviceState = services.get(service);
+      if (serviceState === undefined) return { base: [], tried: [] };
       return {
-        base: readyOf(known, known.served?.base),
-        tried: readyOf(known, known.served?.tried),
+        base: readyWorkers(serviceState, serviceState.served?.base),
+        tried: readyWorkers(serviceState, serviceState.served?.tried),
       };
     },
   };
@@ -331,13 +339,13 @@
   );
 }
 
-function stockOf(workers: readonly RoutedWorker[]): Map<string, VersionStock> {
+function countVersions(workers: readonly RoutedWorker[]): Map<string, VersionStock> {
   const stock = new Map<string, VersionStock>();
   for (const { version, born } of workers) {
-    const before = stock.get(version) ?? { workers: 0, oldest: Infinity };
+    const previous = stock.get(version) ?? { workers: 0, oldest: Infinity };
     stock.set(version, {
-      workers: before.workers + 1,
-      oldest: Math.min(before.oldest, born),
+      workers: previous.workers + 1,
+      oldest: Math.min(previous.oldest, born),
     });
   }
   return stock;
--- a/src/process/routed_board.ts
+++ b/src/process/routed_board.ts
@@ -14,8 +14,8 @@
 import type { RoutedService } from "../version/index.ts";
 import { NO_USE } from "./digest.ts";
 import type { InstanceNews, WorkerUse } from "./digest.ts";
-import { createOthersUse } from "./others_use.ts";
-import type { Occupancy } from "./others_use.ts";
+import { createPeerOccupancy } from "./peer_occupancy.ts";
+import type { Occupancy } from "./peer_occupancy.ts";
 import type { RolloutView } from "./rollout_view.ts";
 import type { RoutedStatus } from "./routed_status.ts";
 
@@ -88,7 +88,7 @@
 }
 
 /** What the result of a run says about the health of its worker and of the worker's version. */
-const TALLIED: Readonly<Record<RunResult, "well" | "failed" | "unknown">> = {
+const HEALTH_EFFECT: Readonly<Record<RunResult, "well" | "failed" | "unknown">> = {
   [RunResult.Answered]: "well",
   [RunResult.Failed]: "failed",
   [RunResult.Refused]: "unknown",
@@ -97,22 +97,22 @@
   [RunResult.Abandoned]: "unknown",
 };
 /** Assumed duration of a run until one was observed, in milliseconds. */
-const FIRST_RUN_TIME = { engine: 2_000, plain: 50 };
+const INITIAL_RUN_TIME = { engine: 2_000, plain: 50 };
 /** Weight of the latest run in the moving average of run durations. */
-const NEWEST_PART = 0.05;
+const RUN_TIME_WEIGHT = 0.05;
 /** Fraction of a worker's connections that all instances together use. */
-const CONNECTION_PART = 0.9;
+const CONNECTION_SHARE = 0.9;
 /** Time for which a worker receives no requests after such a result, in milliseconds. It may restart under its id. */
 const PAUSES: Partial<Record<RunResult, number>> = {
   [RunResult.Replaced]: 60_000,
   [RunResult.Unreachable]: 500,
 };
 /** Time to live of the cached estimate of unseen runs, in milliseconds. */
-const UNSEEN_LIFE = 100;
+const UNSEEN_TTL = 100;
 /** Time before the end of a leaving worker at which its remaining runs move to another one, in milliseconds. */
 const LEAVE_MARGIN = 450;
 
-interface Entry {
+interface WorkerEntry {
   readonly worker: RoutedWorker;
   readonly hash: number;
   readonly seenAt: number;
@@ -129,13 +129,13 @@
   const { clock, random, zone, health, members, newsAge, onBegin, versions } = parts;
   const { time, limits, onLimit = () => undefined } = parts;
   const { counted = () => new Map<number, RunCounts>() } = parts;
-  const entries = new Map<string, Entry>();
+  const entries = new Map<string, WorkerEntry>();
   /** Entries by service, because each request iterates over those of one service. */
-  let byService: ReadonlyMap<string, readonly Entry[]> = new Map();
-  const entriesOf = (service: string): readonly Entry[] => byService.get(service) ?? [];
-  const others = createOthersUse();
+  let byService: ReadonlyMap<string, readonly WorkerEntry[]> = new Map();
+  const entriesOf = (service: string): readonly WorkerEntry[] => byService.get(service) ?? [];
+  const peerOccupancy = createPeerOccupancy();
   const runTimes = new Map<string, number>();
-  const unseenOf = new Map<string, { unseen: number; at: number }>();
+  const unseenCache = new Map<string, { unseen: number; at: number }>();
   const readRates = new Map<string, ReadRate>();
   const readRate = (service: string): ReadRate => {
     const known = readRates.get(service) ?? createReadRate();
@@ -143,36 +143,36 @@
     return known;
   };
 
-  const announceLeave = (entry: Entry): void => {
+  const scheduleLeave = (entry: WorkerEntry): void => {
     if (entry.leaveTimer !== undefined || entry.worker.leavesIn === undefined) return;
     const left = Math.max(0, entry.worker.leavesIn - (clock.now() - entry.seenAt) - LEAVE_MARGIN);
     entry.leaveTimer = clock.after(left, () => {
       for (const listener of [...entry.leaveListeners]) listener();
     });
   };
-  const entryOf = (worker: RoutedWorker): Entry => {
+  const updatedEntry = (worker: RoutedWorker): WorkerEntry => {
     const known = entries.get(worker.id);
-    const isSame = known?.worker.born === worker.born;
-    const isLeaving = worker.isLeaving || (isSame && known.isLeaving);
-    const changed = !isSame || known.worker.isLeaving !== worker.isLeaving;
+    const isSameProcess = known?.worker.born === worker.born;
+    const isLeaving = worker.isLeaving || (isSameProcess && known.isLeaving);
+    const hasChanged = !isSameProcess || known.worker.isLeaving !== worker.isLeaving;
     return {
       worker,
       hash: known?.hash ?? hashText(worker.id),
-      seenAt: changed ? clock.now() : known.seenAt,
-      running: isSame ? known.running : 0,
-      unreadTokens: isSame ? known.unreadTokens : 0,
-      pausedUntil: isSame ? known.pausedUntil : 0,
+      seenAt: hasChanged ? clock.now() : known.seenAt,
+      running: isSameProcess ? known.running : 0,
+      unreadTokens: isSameProcess ? known.unreadTokens : 0,
+      pausedUntil: isSameProcess ? known.pausedUntil : 0,
       isLeaving,
-      leaveListeners: isSame ? known.leaveListeners : new Set(),
-      leaveTimer: isSame ? known.leaveTimer : undefined,
+      leaveListeners: isSameProcess ? known.leaveListeners : new Set(),
+      leaveTimer: isSameProcess ? known.leaveTimer : undefined,
     };
   };
-  const loadAt = ({ hash, running, unreadTokens }: Entry): Occupancy => {
-    const other = others.at(hash);
+  const loadAt = ({ hash, running, unreadTokens }: WorkerEntry): Occupancy => {
+    const other = peerOccupancy.at(hash);
     return { running: running + other.running, unreadTokens: unreadTokens + other.unreadTokens };
   };
   /** Runs an action and calls `onLimit` if it changed the worker's limit. */
-  const noteLimit = ({ hash, isOwn }: { hash: number; isOwn: boolean }, act: () => void): void => {
+  const trackLimit = ({ hash, isOwn }: { hash: number; isOwn: boolean }, act: () => void): void => {
     const before = limits.limitOf(hash);
     act();
     const limit = limits.limitOf(hash);
@@ -180,36 +180,36 @@
     const worker = [...entries.values()].find((entry) => entry.hash === hash)?.worker.id ?? "";
     onLimit({ worker, limit, isOwn });
   };
-  const taking = (service: RoutedService, now: number): Entry[] =>
+  const available = (service: RoutedService, now: number): WorkerEntry[] =>
     entriesOf(service.name).filter(
       ({ hash, isLeaving, pausedUntil }) =>
         !isLeaving && now >= pausedUntil && limits.mayTake(hash),
     );
-  const usable = (service: RoutedService, now: number): Entry[] => {
-    const entriesNow = taking(service, now);
+  const eligible = (service: RoutedService, now: number): WorkerEntry[] => {
+    const entriesNow = available(service, now);
     const admission = versions?.admitting(service.name);
     if (admission === undefined) return entriesNow;
     return entriesNow.filter(({ worker }) => admission.serves(worker));
   };
   /** Returns the workers on trial that may receive the next request: those with at most the mean load of the others. */
-  const onTrial = (service: RoutedService, now: number): Entry[] => {
+  const onTrial = (service: RoutedService, now: number): WorkerEntry[] => {
     const admission = versions?.admitting(service.name);
     if (admission === undefined || admission.onTrial.size === 0) return [];
-    const entriesNow = taking(service, now);
+    const entriesNow = available(service, now);
     const serving = entriesNow.filter(({ worker }) => admission.serves(worker)).map(loadAt);
-    const most = {
+    const meanLoad = {
       running: sum(serving.map(({ running }) => running)) / Math.max(1, serving.length),
       unread: sum(serving.map((load) => load.unreadTokens)) / Math.max(1, serving.length),
     };
     return entriesNow.filter((entry) => {
       if (!admission.onTrial.has(entry.worker.id)) return false;
       const { running, unreadTokens } = loadAt(entry);
-      return running <= most.running && unreadTokens <= most.unread;
+      return running <= meanLoad.running && unreadTokens <= meanLoad.unread;
     });
   };
-  const mostConnections = ({ maxConnections }: RoutedService): number =>
-    Math.max(1, Math.floor((maxConnections * CONNECTION_PART) / members()));
-  const boardWorker = (entry: Entry, most: number, now: number): BoardWorker => {
+  const maxConnectionsFor = ({ maxConnections }: RoutedService): number =>
+    Math.max(1, Math.floor((maxConnections * CONNECTION_SHARE) / members()));
+  const boardWorker = (entry: WorkerEntry, maxConnections: number, now: number): BoardWorker => {
     const { worker, hash } = entry;
     return {
       id: worker.id,
@@ -221,30 +221,35 @@
       coldFor: Math.max(0, worker.coldFor - (now - entry.seenAt)),
       address: worker.address,
       service: worker.service,
-      mostConnections: most,
+      mostConnections: maxConnections,
     };
   };
   const candidates = (service: RoutedService): BoardWorker[] => {
     const now = clock.now();
-    const most = mostConnections(service);
-    return usable(service, now).map((entry) => boardWorker(entry, most, now));
+    const maxConnections = maxConnectionsFor(service);
+    return eligible(service, now).map((entry) => boardWorker(entry, maxConnections, now));
   };
   // Every request takes this path. The workers to compare are drawn first, so that objects are created only for them.
   const compared: RoutedBoard["compared"] = (service, parts) => {
     const now = clock.now();
     const tried = onTrial(service, now);
     if (tried.length > 0) {
-      const most = mostConnections(service);
-      return { workers: tried.map((entry) => boardWorker(entry, most, now)), homes: new Map() };
+      const maxConnections = maxConnectionsFor(service);
+      return {
+        workers: tried.map((entry) => boardWorker(entry, maxConnections, now)),
+        homes: new Map(),
+      };
     }
     const unseenNow = unseen(service, now);
     if (unseenNow === 0) {
       return comparedWorkers(candidates(service), { unseen: unseenNow, parts, random });
     }
-    const most = mostConnections(service);
-    const entriesNow = usable(service, now);
+    const maxConnections = maxConnectionsFor(service);
+    const entriesNow = eligible(service, now);
     const drawn = comparedWorkers(entriesNow, { unseen: unseenNow, parts, random });
-    const made = new Map(drawn.workers.map((entry) => [entry, boardWorker(entry, most, now)]));
+    const made = new Map(
+      drawn.workers.map((entry) => [entry, boardWorker(entry, maxConnections, now)]),
+    );
     const homes = new Map<BoardWorker, number>();
     for (const [entry, chance] of drawn.homes) {
       const worker = made.get(entry);
@@ -256,25 +261,25 @@
   const unseen = (service: RoutedService, now: number): number => {
     const age = newsAge();
     if (age === 0) return 0;
-    const known = unseenOf.get(service.name);
-    if (known !== undefined && now - known.at < UNSEEN_LIFE) return known.unseen;
+    const known = unseenCache.get(service.name);
+    if (known !== undefined && now - known.at < UNSEEN_TTL) return known.unseen;
     const workers = entriesOf(service.name);
     // Little's law: running requests = start rate * duration.
-    const running = sum(workers.map(({ hash }) => others.at(hash).running));
+    const running = sum(workers.map(({ hash }) => peerOccupancy.at(hash).running));
     const found = (running * age) / Math.max(1, speed(service).runTime * workers.length);
-    unseenOf.set(service.name, { unseen: found, at: now });
+    unseenCache.set(service.name, { unseen: found, at: now });
     return found;
   };
-  const begin: RoutedBoard["begin"] = (place, { reads, route }) => {
-    const { id, hash, service, unreadTokens, coldFor } = place;
+  const begin: RoutedBoard["begin"] = (target, { reads, route }) => {
+    const { id, hash, service, unreadTokens, coldFor } = target;
     const startedAt = clock.now();
     const sentAt = time();
-    const there = entries.get(id)?.worker;
-    const unreadThere = unreadTokens + reads;
+    const routedWorker = entries.get(id)?.worker;
+    const unreadTotal = unreadTokens + reads;
     const tally =
-      there === undefined
+      routedWorker === undefined
         ? undefined
-        : versions?.begin({ worker: there, route, reads: unreadThere, isCold: coldFor > 0 });
+        : versions?.begin({ worker: routedWorker, route, reads: unreadTotal, isCold: coldFor > 0 });
     const change = (by: number, tokensBy: number): void => {
       const entry = entries.get(id);
       if (entry === undefined) return;
@@ -291,11 +296,13 @@
     onBegin();
     return {
       answering: (limit) => {
-        noteLimit({ hash, isOwn: true }, () => limits.answered(hash, { perSecond: limit, sentAt }));
+        trackLimit({ hash, isOwn: true }, () =>
+          limits.answered(hash, { perSecond: limit, sentAt }),
+        );
       },
       read: () => {
         const now = clock.now();
-        readRate(service).observe({ tokens: unreadThere, took: now - startedAt });
+        readRate(service).observe({ tokens: unreadTotal, took: now - startedAt });
         tally?.answered(now);
         stopReading();
       },
@@ -305,27 +312,28 @@
         const now = clock.now();
         const entry = entries.get(id);
         if (result === RunResult.Answered) {
-          noteTime(service, now - startedAt);
+          recordRunTime(service, now - startedAt);
           tally?.answered(now);
         }
-        const tallied = TALLIED[result];
-        tally?.ended(tallied);
-        if (tallied !== "unknown") {
-          health.ended({ worker: hash, service, failed: tallied === "failed", now });
+        const effect = HEALTH_EFFECT[result];
+        tally?.ended(effect);
+        if (effect !== "unknown") {
+          health.ended({ worker: hash, service, failed: effect === "failed", now });
         }
         const pause = PAUSES[result];
         if (pause !== undefined && entry !== undefined) entry.pausedUntil = now + pause;
       },
     };
   };
-  const noteTime = (service: string, took: number): void => {
+  const recordRunTime = (service: string, took: number): void => {
     const before = runTimes.get(service) ?? took;
-    runTimes.set(service, before + (took - before) * NEWEST_PART);
+    runTimes.set(service, before + (took - before) * RUN_TIME_WEIGHT);
   };
   const speed = ({ name, engine }: RoutedService): ServiceSpeed => ({
     readRate: engine === undefined ? undefined : readRate(name).value,
     runTime:
-      runTimes.get(name) ?? (engine === undefined ? FIRST_RUN_TIME.plain : FIRST_RUN_TIME.engine),
+      runTimes.get(name) ??
+      (engine === undefined ? INITIAL_RUN_TIME.plain : INITIAL_RUN_TIME.engine),
   });
   return {
     candidates,
@@ -346,10 +354,10 @@
         entries.delete(id);
       }
       for (const worker of workers) {
-        const entry = entryOf(worker);
+        const entry = updatedEntry(worker);
         if (entries.get(worker.id)?.worker.born !== worker.born) limits.forget(entry.hash);
         entries.set(worker.id, entry);
-        if (entry.isLeaving) announceLeave(entry);
+        if (entry.isLeaving) scheduleLeave(entry);
       }
       byService = groupByService(entries.values());
       const hashes = new Set([...entries.values()].map(({ hash }) => hash));
@@ -358,19 +366,20 @@
     },
     workers: () => [...entries.values()].map(({ worker }) => worker),
     loads: (service) => entriesOf(service).map(loadAt),
-    heard: (instance, news) => others.heard(instance, news),
+    heard: (instance, news) => peerOccupancy.update(instance, news),
     heardLeaving: (leaving) => {
       if (leaving.length === 0) return;
-      const told = new Set(leaving);
-      for (const entry of entries.values()) if (told.has(startOf(entry))) entry.isLeaving = true;
+      const reported = new Set(leaving);
+      for (const entry of entries.values())
+        if (reported.has(startKey(entry))) entry.isLeaving = true;
     },
     limitStatements: () => limits.statements(),
     heardLimits: (statements) => {
       for (const statement of statements) {
-        noteLimit({ hash: statement.worker, isOwn: false }, () => limits.heard(statement));
+        trackLimit({ hash: statement.worker, isOwn: false }, () => limits.heard(statement));
       }
     },
-    keepInstances: (instances) => others.keepInstances(instances),
+    keepInstances: (instances) => peerOccupancy.retainInstances(instances),
     use: () => {
       const use = new Map<number, WorkerUse>();
       for (const { hash, running, unreadTokens } of entries.values()) {
@@ -392,15 +401,17 @@
         return { id, service, version, zone: place, purchase, leaving, running, failing, limit };
       }),
     isLeaving: (id) => entries.get(id)?.isLeaving ?? true,
-    leaving: () => [...entries.values()].filter(({ isLeaving }) => isLeaving).map(startOf),
+    leaving: () => [...entries.values()].filter(({ isLeaving }) => isLeaving).map(startKey),
     close: () => {
       for (const { leaveTimer } of entries.values()) leaveTimer?.close();
     },
   };
 }
 
-function groupByService(entries: Iterable<Entry>): ReadonlyMap<string, readonly Entry[]> {
-  const groups = new Map<string, Entry[]>();
+function groupByService(
+  entries: Iterable<WorkerEntry>,
+): ReadonlyMap<string, readonly WorkerEntry[]> {
+  const groups = new Map<string, WorkerEntry[]>();
   for (const entry of entries) {
     const group = groups.get(entry.worker.service) ?? [];
     groups.set(entry.worker.service, group);
@@ -409,6 +420,6 @@
   return groups;
 }
 
-function startOf({ worker }: Entry): string {
+function startKey({ worker }: WorkerEntry): string {
   return `${worker.id}@${worker.born}`;
 }
--- a/src/process/routed_board_test.ts
+++ b/src/process/routed_board_test.ts
@@ -11,13 +11,13 @@
 import type { RoutedBoard } from "./routed_board.ts";
 
 /** The synchronized time in these tests, which changes only where a test sets it. */
-const day = { now: 1_000_000 };
+const sharedTime = { now: 1_000_000 };
 
 /** Only this instance shares the limits. */
 const INSTANCES = [1];
 
 function startBoard(): RoutedBoard {
-  const time = (): number => day.now;
+  const time = (): number => sharedTime.now;
   const parts = {
     time,
     limits: createWorkerLimits({ time, self: 1, instances: () => INSTANCES }),
@@ -49,7 +49,7 @@
   };
 }
 
-function useOf(use: Readonly<Record<string, number>>): ReadonlyMap<number, WorkerUse> {
+function occupancyOf(use: Readonly<Record<string, number>>): ReadonlyMap<number, WorkerUse> {
   return new Map(
     Object.entries(use).map(([id, running]) => [
       hashText(id),
@@ -66,10 +66,10 @@
 // instance's load twice, would choose a full worker or avoid an idle one.
 test("adds up the load of other instances, replaces it and removes it with them", () => {
   const board = startBoard();
-  board.heard("e1", { use: useOf({ w0: 2, w1: 1 }), isWhole: true });
-  board.heard("e2", { use: useOf({ w0: 3 }), isWhole: true });
+  board.heard("e1", { use: occupancyOf({ w0: 2, w1: 1 }), isWhole: true });
+  board.heard("e2", { use: occupancyOf({ w0: 3 }), isWhole: true });
   expect(runningAt(board)).toEqual([5, 1]);
-  board.heard("e1", { use: useOf({ w1: 4 }), isWhole: true });
+  board.heard("e1", { use: occupancyOf({ w1: 4 }), isWhole: true });
   expect(runningAt(board)).toEqual([3, 4]);
   board.keepInstances(new Set(["e1"]));
   expect(runningAt(board)).toEqual([0, 4]);
@@ -81,10 +81,10 @@
 // Most load reports contain only the changes. If taken as complete, the load that didn't change would be lost.
 test("keeps the load of workers that a delta does not name", () => {
   const board = startBoard();
-  board.heard("e1", { use: useOf({ w0: 2, w1: 1 }), isWhole: true });
-  board.heard("e1", { use: useOf({ w1: 4 }), isWhole: false });
+  board.heard("e1", { use: occupancyOf({ w0: 2, w1: 1 }), isWhole: true });
+  board.heard("e1", { use: occupancyOf({ w1: 4 }), isWhole: false });
   expect(runningAt(board)).toEqual([2, 4]);
-  board.heard("e1", { use: useOf({ w0: 0 }), isWhole: false });
+  board.heard("e1", { use: occupancyOf({ w0: 0 }), isWhole: false });
   expect(runningAt(board)).toEqual([0, 4]);
   board.keepInstances(new Set());
   expect(runningAt(board)).toEqual([0, 0]);
@@ -94,9 +94,9 @@
 // when the registration is back, including load reported in the meantime.
 test("knows the load of other instances at a worker that is registered again", () => {
   const board = startBoard();
-  board.heard("e1", { use: useOf({ w0: 2 }), isWhole: true });
+  board.heard("e1", { use: occupancyOf({ w0: 2 }), isWhole: true });
   board.setWorkers([workerNamed("w1")]);
-  board.heard("e2", { use: useOf({ w0: 1 }), isWhole: true });
+  board.heard("e2", { use: occupancyOf({ w0: 1 }), isWhole: true });
   board.setWorkers(["w0", "w1"].map(workerNamed));
   expect(runningAt(board).reduce((sum, running) => sum + running, 0)).toBe(3);
 });
@@ -109,10 +109,10 @@
 };
 
 /** Sends each worker a request whenever it may receive one, and returns the counts over this many seconds. */
-function given(board: RoutedBoard, seconds: number): Record<string, number> {
+function sendForSeconds(board: RoutedBoard, seconds: number): Record<string, number> {
   const counts: Record<string, number> = {};
   for (let step = 0; step < seconds * 100; step++) {
-    day.now += 10;
+    sharedTime.now += 10;
     for (const worker of board.candidates(DESK)) {
       board.begin(worker, { reads: 0, route: "r" }).end(RunResult.Answered);
       counts[worker.id] = (counts[worker.id] ?? 0) + 1;
@@ -122,11 +122,11 @@
 }
 
 /** Sends the worker a request that it answers with this limit. */
-function answer(board: RoutedBoard, id: string, limit: number | undefined): void {
+function answerWithLimit(board: RoutedBoard, id: string, limit: number | undefined): void {
   const worker = board.candidates(DESK).find((one) => one.id === id);
   if (worker === undefined) throw new Error(`Worker ${id} accepts no request at the moment.`);
   const run = board.begin(worker, { reads: 0, route: "r" });
-  day.now += 1;
+  sharedTime.now += 1;
   run.answering(limit);
   run.end(RunResult.Answered);
 }
@@ -134,8 +134,8 @@
 test("sends a worker with a limit no more than that, and does not limit the other workers", () => {
   const board = startBoard();
   expect(board.opensIn(DESK)).toBeUndefined();
-  answer(board, "w0", 2);
-  const counts = given(board, 10);
+  answerWithLimit(board, "w0", 2);
+  const counts = sendForSeconds(board, 10);
   expect(counts["w0"]).toBeGreaterThanOrEqual(19);
   expect(counts["w0"]).toBeLessThanOrEqual(21);
   expect(counts["w1"]).toBe(1_000);
@@ -145,16 +145,16 @@
 
 test("removes the limit of a worker that restarts under the same id", () => {
   const board = startBoard();
-  answer(board, "w0", 0.2);
+  answerWithLimit(board, "w0", 0.2);
   board.setWorkers([{ ...workerNamed("w0"), born: 2 }, workerNamed("w1")]);
-  expect(given(board, 1)["w0"]).toBe(100);
+  expect(sendForSeconds(board, 1)["w0"]).toBe(100);
 });
 
 test("lifts a limit when the worker's next answer states none", () => {
   const board = startBoard();
-  answer(board, "w0", 20);
-  given(board, 1);
-  day.now += 100;
-  answer(board, "w0", undefined);
-  expect(given(board, 1)["w0"]).toBe(100);
+  answerWithLimit(board, "w0", 20);
+  sendForSeconds(board, 1);
+  sharedTime.now += 100;
+  answerWithLimit(board, "w0", undefined);
+  expect(sendForSeconds(board, 1)["w0"]).toBe(100);
 });
--- a/src/process/routed_entry.ts
+++ b/src/process/routed_entry.ts
@@ -24,7 +24,7 @@
 import { createInstanceHashes } from "./instance_hashes.ts";
 import { createRequestQuarantine } from "./request_quarantine.ts";
 import { createRoutedBoard } from "./routed_board.ts";
-import type { RoutedEntry, RoutedOutside } from "./routed_entry_parts.ts";
+import type { RoutedEntry, RoutedEntryDependencies } from "./routed_entry_parts.ts";
 import { capacityOf } from "./routed_settings.ts";
 import type { RoutedSettings } from "./routed_settings.ts";
 import { createRolloutTask } from "./rollout_task.ts";
@@ -37,31 +37,34 @@
 import { createWorkerChecks } from "./worker_checks.ts";
 
 /** Maximum number of addresses in a response to a resolve request. */
-const GREATEST_ADDRESSES = 64;
+const MAX_ADDRESSES = 64;
 /** Maximum time to live of resolved addresses, in milliseconds: a stopping instance loses its callers about as fast. */
-const RESOLVE_LIFE = 1_000;
+const RESOLVE_TTL = 1_000;
 /**
  * Time for which a stopping instance still accepts requests, in milliseconds: callers keep old addresses for up to
  * three times their time to live.
  */
-const STOP_TAKING_AFTER = 3_200;
+const STOP_ACCEPT_TIME = 3_200;
 /** Part of the grace period reserved for closing connections and writing the last log lines, in milliseconds. */
 const STOP_MARGIN = 700;
 /** Poll interval of the drain, in milliseconds. */
-const STOP_LOOK = 50;
+const STOP_POLL_INTERVAL = 50;
 /** Name of the single lease for all platform calls. One lease is enough, and each renewal is a billed call. */
-const DUTY = "platform";
+const LEASE_NAME = "platform";
 /** Interval between two checks whether the lease can be taken over, in milliseconds. */
-const LEASE_LOOK = 500;
+const LEASE_POLL_INTERVAL = 500;
 /**
  * Time that a successor waits beyond the lease term, in milliseconds. A holder starts no call that could outlast its
  * lease, so only messages in flight have to arrive.
  */
-const TAKEOVER_PAUSE = 300;
+const TAKEOVER_DELAY = 300;
 
 /** Creates an instance. It does nothing until `start` is called. */
-export function createRoutedEntry(settings: RoutedSettings, outside: RoutedOutside): RoutedEntry {
-  const { clock, random, log, metrics, kinds } = outside;
+export function createRoutedEntry(
+  settings: RoutedSettings,
+  dependencies: RoutedEntryDependencies,
+): RoutedEntry {
+  const { clock, random, log, metrics, kinds } = dependencies;
   const startedAt = clock.now();
   const capacity = capacityOf(settings);
   let stoppingSince: number | undefined;
@@ -71,7 +74,7 @@
   const repeats = createRepeatAllowance(settings.repeats);
   const ledger = createUsageLedger();
   const time = createTrueTime({ date: clock.date().getTime(), steady: startedAt });
-  const trueNow = (): number => time.now(clock.now());
+  const synchronizedNow = (): number => time.now(clock.now());
   const versions =
     settings.rollouts === undefined
       ? undefined
@@ -79,7 +82,7 @@
           clock,
           random,
           bounds: settings.rollouts,
-          time: trueNow,
+          time: synchronizedNow,
           members: () => fleet.members,
           sumOf: (key) => fleet.sumOf(key),
           onBegin: (service, version) => metrics.sent(service, version),
@@ -87,17 +90,17 @@
         });
   const connections = createWorkerConnections({
     clock,
-    matching: { idHeader: outside.names.requestId, notRunHeader: outside.names.notRun },
+    matching: { idHeader: dependencies.names.requestId, notRunHeader: dependencies.names.notRun },
   });
   const members = (): number => fleet.members;
   const quarantine = createRequestQuarantine({
     clock,
-    time: trueNow,
-    store: outside.store,
-    lasts: settings.quarantine.lasts,
-    othersOf: (key) => fleet.sumOf(key),
-    members,
-    tidies: () => lease.held().length > 0,
+    time: synchronizedNow,
+    store: dependencies.store,
+    duration: settings.quarantine.lasts,
+    peerCounts: (key) => fleet.sumOf(key),
+    instanceCount: members,
+    canErase: () => lease.held().length > 0,
     log,
   });
   const board = createRoutedBoard({
@@ -110,9 +113,9 @@
     onBegin: () => fleet.begun(),
     versions,
     counted: () => quarantine.counts(),
-    time: trueNow,
+    time: synchronizedNow,
     limits: createWorkerLimits({
-      time: trueNow,
+      time: synchronizedNow,
       self: hashText(settings.listen.peers),
       instances: createInstanceHashes({
         clock,
@@ -130,14 +133,14 @@
   const view = createStoreView({
     clock,
     random,
-    feed: outside.feed,
+    feed: dependencies.feed,
     kinds,
     followsRollouts: versions !== undefined,
     log,
-    staleAfter: settings.leaseTerm + LEASE_LOOK,
+    staleAfter: settings.leaseTerm + LEASE_POLL_INTERVAL,
     fleet: () => fleet,
     onRouting: (routing) => quota.expect(routing.accounts ?? [], clock.now()),
-    onArrival: (way, late) => metrics.changeKnown(way, late),
+    onArrival: (way, late) => metrics.changeReceived(way, late),
     onQuarantine: (objects) => quarantine.setObjects(objects),
     followsQuarantine: () =>
       lease.held().length > 0 ||
@@ -160,7 +163,7 @@
     state: () => ({
       ...view.state(),
       ready: isReady(),
-      leaseVersion: lease.versionOf(DUTY),
+      leaseVersion: lease.versionOf(LEASE_NAME),
       plans: versions?.plans() ?? [],
       limits: board.limitStatements(),
     }),
@@ -171,7 +174,7 @@
     health,
     board,
     onHeard: (peer) => {
-      lease.heard(DUTY, peer.leaseVersion);
+      lease.heard(LEASE_NAME, peer.leaseVersion);
       view.heard(peer);
       board.heardLimits(peer.limits);
       versions?.heard(peer.plans);
@@ -182,27 +185,27 @@
   const { incarnation } = fleet;
 
   /** Whether this instance may hold the lease. Members receive no fleet-wide counts, so they may not. */
-  const mayHold = (): boolean => fleet.role !== FleetRole.Member;
+  const canHoldLease = (): boolean => fleet.role !== FleetRole.Member;
   const lease = createLeaseTask({
     clock,
     random,
-    store: outside.store,
+    store: dependencies.store,
     pace: createStorePace({ clock, random, members }),
-    duties: () => [DUTY],
+    duties: () => [LEASE_NAME],
     members: {
       self: { id: incarnation },
       alive: () => [
-        ...(mayHold() ? [{ id: incarnation }] : []),
+        ...(canHoldLease() ? [{ id: incarnation }] : []),
         ...fleet
           .dutyCandidates()
           .filter(({ reachesStore: reaches, ready }) => reaches && ready)
           .map(({ incarnation: id }) => ({ id })),
       ],
     },
-    mayHold: () => mayHold(),
-    longestOrder: TAKEOVER_PAUSE,
+    mayHold: () => canHoldLease(),
+    longestOrder: TAKEOVER_DELAY,
     term: settings.leaseTerm,
-    lookPeriod: LEASE_LOOK,
+    lookPeriod: LEASE_POLL_INTERVAL,
     isHeldElsewhere: () => fleet.heard().some(({ leaseVersion }) => leaseVersion > 0),
     count: (name) => log.changed(name, {}),
   });
@@ -220,13 +223,13 @@
   };
   const usage = createUsageTask({
     clock,
-    store: outside.store,
-    platform: outside.platform,
+    store: dependencies.store,
+    platform: dependencies.platform,
     ledger,
-    time: trueNow,
+    time: synchronizedNow,
     windowLength: settings.usage.window,
     lateAfter: settings.usage.lateAfter,
-    fence: (callTime) => lease.fence(DUTY, callTime),
+    fence: (callTime) => lease.fence(LEASE_NAME, callTime),
     holder: settings.name,
     log: (step, fields) => log.changed(step, fields),
   });
@@ -237,25 +240,25 @@
           clock,
           bounds: settings.rollouts,
           view: versions,
-          rollouts: outside.rollouts,
-          store: outside.store,
-          time: trueNow,
+          rollouts: dependencies.rollouts,
+          store: dependencies.store,
+          time: synchronizedNow,
           routes: (service) =>
             (table()?.routing.routes ?? [])
               .filter(({ shares }) => shares.some((share) => share.service === service))
               .map(({ name }) => name),
           sums: () => fleet.sums(),
           running: (service) => sum(board.loads(service).map(({ running }) => running)),
-          fence: (callTime) => lease.fence(DUTY, callTime),
+          fence: (callTime) => lease.fence(LEASE_NAME, callTime),
           log: (step, fields) => log.changed(step, fields),
         });
   const mix = createMixTask({
     clock,
-    platform: outside.platform,
+    platform: dependencies.platform,
     services: () => table()?.routing.services ?? [],
     workers: () => servedWorkers(board.workers(), versions?.served()),
     inUse: (service, first) => workersInUse(service, first),
-    fence: (callTime) => lease.fence(DUTY, callTime),
+    fence: (callTime) => lease.fence(LEASE_NAME, callTime),
     holder: settings.name,
     log: (step, fields) => log.changed(step, fields),
   });
@@ -263,7 +266,7 @@
   const context: RoutedContext = {
     clock,
     random,
-    names: outside.names,
+    names: dependencies.names,
     table,
     board,
     connections,
@@ -274,7 +277,7 @@
       reach: (worker) => connections.reach(worker),
       isLeaving: ({ id }) => board.isLeaving(id),
       log,
-      onEnded: (_worker, prints) => quarantine.crashed(prints),
+      onEnded: (_worker, prints) => quarantine.recordCrash(prints),
     }),
     quarantine,
     began: (account, at) => {
@@ -283,7 +286,7 @@
     },
     isStopping,
     isClosedToNew: () =>
-      stoppingSince !== undefined && clock.now() - stoppingSince > STOP_TAKING_AFTER,
+      stoppingSince !== undefined && clock.now() - stoppingSince > STOP_ACCEPT_TIME,
     decided: log.decided,
     metrics,
   };
@@ -324,7 +327,7 @@
     while (clock.now() < lastAt) {
       const isTaking = !context.isClosedToNew();
       if (!isTaking && requests.inProgress === 0) break;
-      await sleep(clock, STOP_LOOK);
+      await sleep(clock, STOP_POLL_INTERVAL);
     }
     log.changed("stopped", { inProgress: requests.inProgress });
   };
@@ -338,8 +341,8 @@
       const own = { callers: settings.listen.callers, capacity };
       const instances = isReady() ? [own, ...others] : others;
       return {
-        addresses: spreadAddresses(instances, { most: GREATEST_ADDRESSES, random }),
-        life: Math.min(RESOLVE_LIFE, settings.resolveLife),
+        addresses: spreadAddresses(instances, { most: MAX_ADDRESSES, random }),
+        life: Math.min(RESOLVE_TTL, settings.resolveLife),
       };
     },
     objects: (kind) => {
@@ -371,9 +374,9 @@
         const found = versions?.find(service);
         return found === undefined
           ? []
-          : [rolloutStatus(found, { verdict: rollouts?.verdict(service), now: trueNow() })];
+          : [rolloutStatus(found, { verdict: rollouts?.verdict(service), now: synchronizedNow() })];
       }),
-      quarantine: quarantineStatuses(quarantine.list(), trueNow()),
+      quarantine: quarantineStatuses(quarantine.list(), synchronizedNow()),
       workers: board.overview(),
     }),
     start: async () => {
--- a/src/process/routed_entry_parts.ts
+++ b/src/process/routed_entry_parts.ts
@@ -38,7 +38,7 @@
 }
 
 /** External services of an instance that serves routed requests. */
-export interface RoutedOutside {
+export interface RoutedEntryDependencies {
   readonly clock: Clock;
   readonly random: Random;
   readonly feed: ObjectFeed;
--- a/src/process/routed_log.ts
+++ b/src/process/routed_log.ts
@@ -16,7 +16,7 @@
 }
 
 /** Interval in which a repeated fault is logged at most once, in milliseconds. */
-const FAULT_PERIOD = 1_000;
+const FAULT_LOG_INTERVAL = 1_000;
 
 /** Dependencies of {@linkcode createRoutedLog}. */
 export interface RoutedLogParts {
@@ -31,19 +31,19 @@
 export function createRoutedLog({ instance, clock, write }: RoutedLogParts): RoutedLog {
   ROARR.write = write;
   const log = Roarr.child({ instance });
-  const faults = new Map<string, { at: number; held: number }>();
+  const faults = new Map<string, { at: number; suppressed: number }>();
   return {
     decided: (step, id, fields) => log.info({ step, request: id ?? "", ...fields }, "request"),
     changed: (step, fields) => log.info({ step, ...fields }, "state"),
     fault: (step, fields) => {
       const now = clock.now();
       const known = faults.get(step);
-      if (known !== undefined && now - known.at < FAULT_PERIOD) {
-        known.held++;
+      if (known !== undefined && now - known.at < FAULT_LOG_INTERVAL) {
+        known.suppressed++;
         return;
       }
-      faults.set(step, { at: now, held: 0 });
-      log.warn({ step, ...fields, repeatedBefore: known?.held ?? 0 }, "fault");
+      faults.set(step, { at: now, suppressed: 0 });
+      log.warn({ step, ...fields, repeatedBefore: known?.suppressed ?? 0 }, "fault");
     },
   };
 }
--- a/src/process/routed_metrics.ts
+++ b/src/process/routed_metrics.ts
@@ -5,7 +5,7 @@
   /** Counts a request sent to a worker of this version. */
   sent(service: string, version: string): void;
   /** Records how a store change reached this instance, and its delay after the first instance in milliseconds. */
-  changeKnown(way: string, milliseconds: number): void;
+  changeReceived(way: string, milliseconds: number): void;
   /** Returns all metrics in the Prometheus text exposition format. */
   text(): Promise<string>;
   /** Registers a gauge whose value is read when the metrics are fetched. */
@@ -13,40 +13,42 @@
 }
 
 /** Bucket bounds of the latency histograms in seconds, from one cross-zone trip to the longest deadline. */
-const BOUNDS = [0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8];
-const MILLISECONDS = 1_000;
+const BUCKETS = [0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8];
+const MILLISECONDS_PER_SECOND = 1_000;
 /**
  * Delay from the start to the loading of the metrics library, in milliseconds. Loading takes 7 ms, which callers would
  * wait for when all instances restart after a power failure.
  */
-const LOAD_AFTER = 2_000;
+const LOAD_DELAY = 2_000;
 
 /** Creates the metrics. Values recorded before the library is loaded are buffered and recorded afterwards. */
 export function createRoutedMetrics(): RoutedMetricsRegistry {
   let instruments: RoutedMetricsRegistry | undefined;
   let loading: Promise<RoutedMetricsRegistry> | undefined;
-  const early: ((now: RoutedMetricsRegistry) => void)[] = [];
+  const buffered: ((loaded: RoutedMetricsRegistry) => void)[] = [];
   const load = (): Promise<RoutedMetricsRegistry> => {
     loading ??= loadInstruments().then((loaded) => {
-      for (const record of early.splice(0)) record(loaded);
+      for (const record of buffered.splice(0)) record(loaded);
       return (instruments = loaded);
     });
     return loading;
   };
-  const record = (act: (now: RoutedMetricsRegistry) => void): void => {
-    if (instruments === undefined) early.push(act);
-    else act(instruments);
+  const recordOrBuffer = (apply: (loaded: RoutedMetricsRegistry) => void): void => {
+    if (instruments === undefined) buffered.push(apply);
+    else apply(instruments);
   };
-  setTimeout(() => void load(), LOAD_AFTER).unref();
+  setTimeout(() => void load(), LOAD_DELAY).unref();
   return {
     answered: (route, status, milliseconds) =>
-      record((now) => now.answered(route, status, milliseconds)),
-    firstEvent: (route, milliseconds) => record((now) => now.firstEvent(route, milliseconds)),
-    refused: (reason) => record((now) => now.refused(reason)),
-    repeated: (cause) => record((now) => now.repeated(cause)),
-    sent: (service, version) => record((now) => now.sent(service, version)),
-    changeKnown: (way, milliseconds) => record((now) => now.changeKnown(way, milliseconds)),
-    watch: (name, help, read) => record((now) => now.watch(name, help, read)),
+      recordOrBuffer((loaded) => loaded.answered(route, status, milliseconds)),
+    firstEvent: (route, milliseconds) =>
+      recordOrBuffer((loaded) => loaded.firstEvent(route, milliseconds)),
+    refused: (reason) => recordOrBuffer((loaded) => loaded.refused(reason)),
+    repeated: (cause) => recordOrBuffer((loaded) => loaded.repeated(cause)),
+    sent: (service, version) => recordOrBuffer((loaded) => loaded.sent(service, version)),
+    changeReceived: (way, milliseconds) =>
+      recordOrBuffer((loaded) => loaded.changeReceived(way, milliseconds)),
+    watch: (name, help, read) => recordOrBuffer((loaded) => loaded.watch(name, help, read)),
     text: async () => (await load()).text(),
   };
 }
@@ -77,14 +79,14 @@
     name: "samphireshore_answer_seconds",
     help: "Time from the arrival of a request to the end of its answer, by route.",
     labelNames: ["route"],
-    buckets: BOUNDS,
+    buckets: BUCKETS,
     registers,
   });
   const firstEvent = new Histogram({
     name: "samphireshore_first_event_seconds",
     help: "Time from the arrival of a request to the first event of its stream, by route.",
     labelNames: ["route"],
-    buckets: BOUNDS,
+    buckets: BUCKETS,
     registers,
   });
   const sent = new Counter({
@@ -97,19 +99,21 @@
     name: "samphireshore_change_known_seconds",
     help: "Time from when the first instance knew a change of the store until this one did, by its way.",
     labelNames: ["way"],
-    buckets: BOUNDS,
+    buckets: BUCKETS,
     registers,
   });
   return {
     answered: (route, status, milliseconds) => {
       answered.inc({ route, status: String(status) });
-      duration.observe({ route }, milliseconds / MILLISECONDS);
+      duration.observe({ route }, milliseconds / MILLISECONDS_PER_SECOND);
     },
-    firstEvent: (route, milliseconds) => firstEvent.observe({ route }, milliseconds / MILLISECONDS),
+    firstEvent: (route, milliseconds) =>
+      firstEvent.observe({ route }, milliseconds / MILLISECONDS_PER_SECOND),
     refused: (reason) => refused.inc({ reason }),
     repeated: (cause) => repeated.inc({ cause }),
     sent: (service, version) => sent.inc({ service, version }),
-    changeKnown: (way, milliseconds) => changeKnown.observe({ way }, milliseconds / MILLISECONDS),
+    changeReceived: (way, milliseconds) =>
+      changeKnown.observe({ way }, milliseconds / MILLISECONDS_PER_SECOND),
     watch: (name, help, read) => {
       new Gauge({
         name,
--- a/src/process/status_parts.ts
+++ b/src/process/status_parts.ts
@@ -9,7 +9,7 @@
   fleet: { live(): readonly RosterEntry[]; heard(): readonly PeerInstance[] },
   now: number,
 ): RoutedStatus["instances"] {
-  const heard = new Map(fleet.heard().map((one) => [one.session, one]));
+  const heard = new Map(fleet.heard().map((peer) => [peer.session, peer]));
   return fleet.live().map(({ session, name, zone, callers, ready, reachesStore }) => {
     const found = heard.get(session);
     const holdsLease = (found?.leaseVersion ?? 0) > 0;
@@ -35,8 +35,8 @@
   requests: readonly CrashRecord[],
   now: number,
 ): RoutedStatus["quarantine"] {
-  return requests.map(({ print, crashes, since }) => ({
-    print: print.name,
+  return requests.map(({ fingerprint, crashes, since }) => ({
+    print: fingerprint.name,
     crashes,
     since: Math.round(now - since),
   }));
--- a/src/process/testing/control_fleet.ts
+++ b/src/process/testing/control_fleet.ts
@@ -42,7 +42,7 @@
 }
 
 /** Options of {@linkcode startControlFleet}. */
-export interface FleetOptions {
+export interface ControlFleetOptions {
   /** Number of instances. */
   readonly count: number;
   /** Number of availability zones. */
@@ -56,7 +56,7 @@
 }
 
 /** Starts instances `e0`, `e1`, … in zones `z0`, `z1`, … on a virtual clock. */
-export async function startControlFleet(options: FleetOptions): Promise<ControlFleet> {
+export async function startControlFleet(options: ControlFleetOptions): Promise<ControlFleet> {
   const clock = createVirtualClock();
   const network = createMemoryNetwork(clock);
   const store = createMemoryStore(clock);
--- a/src/process/usage_task.ts
+++ b/src/process/usage_task.ts
@@ -38,19 +38,19 @@
 }
 
 /** Delay after a window's end before its counts are read, in milliseconds: the last counts are still in transit. */
-const SETTLE_TIME = 1_500;
+const COUNT_DELAY = 1_500;
 /** Interval between two checks for windows that are due, in milliseconds. */
-const LOOK_PERIOD = 400;
+const POLL_INTERVAL = 400;
 /**
  * Maximum steps per window and check: read, write and send, and another read and write if another instance wrote in
  * between.
  */
-const STEPS_A_LOOK = 5;
+const MAX_STEPS = 5;
 
 /** Creates the task. `usage_report.ts` decides which counts are sent for a window. */
 export function createUsageTask(parts: UsageTaskParts): UsageTask {
   const { clock, store, platform, ledger } = parts;
-  const done = new Set<number>();
+  const reportedWindows = new Set<number>();
   const startedAt = parts.time();
   /** The record last read or written by this instance. A write by another instance appears as a conflict. */
   let known: KnownUsage | undefined;
@@ -58,18 +58,19 @@
   const isClosed = (): boolean => closed;
 
   const windowAt = (time: number): number => Math.floor(time / parts.windowLength);
-  const due = (): number[] => {
+  const dueWindows = (): number[] => {
     const now = parts.time();
-    const last = windowAt(now - SETTLE_TIME) - 1;
+    const last = windowAt(now - COUNT_DELAY) - 1;
     const first = Math.max(
       windowAt(now - parts.windowLength - parts.lateAfter) + 1,
       windowAt(startedAt) - KEPT_WINDOWS,
     );
     const windows: number[] = [];
-    for (let window = first; window <= last; window++) if (!done.has(window)) windows.push(window);
+    for (let window = first; window <= last; window++)
+      if (!reportedWindows.has(window)) windows.push(window);
     return windows;
   };
-  const read = async (): Promise<KnownUsage | undefined> => {
+  const readRecord = async (): Promise<KnownUsage | undefined> => {
     const found = await store.get(USAGE_KEY);
     if (found.kind === "unavailable") return undefined;
     if (found.kind === "absent") return { version: 0, record: { reports: [] } };
@@ -78,29 +79,32 @@
     if (record === undefined) parts.log("usage-record-unreadable", { version });
     return record === undefined ? undefined : { version, record };
   };
-  const fix = async (record: UsageRecord, expect: number): Promise<KnownUsage | undefined> => {
+  const writeRecord = async (
+    record: UsageRecord,
+    expect: number,
+  ): Promise<KnownUsage | undefined> => {
     if (parts.fence(DUTY_CALL_TIME) === undefined) return undefined;
     const outcome = await store.put(USAGE_KEY, JSON.stringify(record), { expect });
     return knownAfterFix(record, outcome.kind === "written" ? outcome.version : undefined);
   };
-  const send = async (window: number, counts: AccountCounts): Promise<void> => {
+  const sendReport = async (window: number, counts: AccountCounts): Promise<void> => {
     const fence = parts.fence(DUTY_CALL_TIME);
     if (fence === undefined) return;
     const outcome = await platform.reportUsage({ window, counts }, { holder: parts.holder, fence });
     const runs = sum(Object.values(counts));
     const late = Math.round(parts.time() - (window + 1) * parts.windowLength);
     parts.log("usage-reported", { window, outcome: outcome.kind, runs, late, fence });
-    if (outcome.kind === "accepted") done.add(window);
+    if (outcome.kind === "accepted") reportedWindows.add(window);
   };
   /** Reports a window as far as the store and the platform respond. The next check continues from there. */
   const report = async (window: number): Promise<void> => {
-    for (let steps = 0; steps < STEPS_A_LOOK; steps++) {
+    for (let steps = 0; steps < MAX_STEPS; steps++) {
       const step = nextUsageStep(known, { window, counts: ledger.total(window) });
       if (step.kind === "send") {
-        await send(window, step.counts);
+        await sendReport(window, step.counts);
         return;
       }
-      known = await (step.kind === "read" ? read() : fix(step.record, step.expect));
+      known = await (step.kind === "read" ? readRecord() : writeRecord(step.record, step.expect));
       // The store doesn't respond, or its record is unreadable.
       if (known === undefined && step.kind === "read") return;
     }
@@ -109,9 +113,9 @@
     while (!isClosed()) {
       ledger.forgetBefore(windowAt(parts.time()) - KEPT_WINDOWS);
       if (parts.fence(DUTY_CALL_TIME) !== undefined) {
-        for (const window of due()) await report(window);
+        for (const window of dueWindows()) await report(window);
       }
-      await sleep(clock, LOOK_PERIOD);
+      await sleep(clock, POLL_INTERVAL);
     }
   };
   return {
--- a/src/process/usage_task_test.ts
+++ b/src/process/usage_task_test.ts
@@ -6,9 +6,9 @@
 
 const WINDOW = 5_000;
 /** The reporting window in which the tests start. */
-const FIRST = 100;
+const FIRST_WINDOW = 100;
 
-interface Play {
+interface TestSetup {
   readonly clock: ReturnType<typeof createVirtualClock>;
   readonly ledger: ReturnType<typeof createUsageLedger>;
   readonly reported: { window: number; counts: Readonly<Record<string, number>> }[];
@@ -19,10 +19,10 @@
   readonly writes: ("lost" | "unavailable")[];
 }
 
-function startTask(stored = { version: 0, value: "" }): Play {
+function startTask(stored = { version: 0, value: "" }): TestSetup {
   const clock = createVirtualClock();
   const ledger = createUsageLedger();
-  const play: Play = { clock, ledger, reported: [], logged: [], stored, writes: [] };
+  const setup: TestSetup = { clock, ledger, reported: [], logged: [], stored, writes: [] };
   const store: Pick<ObjectStore, "get" | "put"> = {
     get: () =>
       Promise.resolve(
@@ -31,7 +31,7 @@
           : { kind: "found", object: { key: "usage", ...stored } },
       ),
     put: (_key, value, { expect: expected }): Promise<PutOutcome> => {
-      const trouble = play.writes.shift();
+      const trouble = setup.writes.shift();
       if (trouble === "unavailable") return Promise.resolve({ kind: trouble, detail: "down" });
       if (expected !== stored.version) return Promise.resolve({ kind: "conflict" });
       stored.version++;
@@ -51,41 +51,41 @@
       orderWorkers: () => Promise.resolve(accepted),
       reportUsage: (report) => {
         // Windows before the start are also reported, without runs.
-        if (report.window >= FIRST) play.reported.push(report);
+        if (report.window >= FIRST_WINDOW) setup.reported.push(report);
         return Promise.resolve(accepted);
       },
     },
     ledger,
-    time: () => FIRST * WINDOW + clock.now(),
+    time: () => FIRST_WINDOW * WINDOW + clock.now(),
     windowLength: WINDOW,
     lateAfter: 10_000,
     fence: () => 1,
     holder: "e1",
-    log: (step) => play.logged.push(step),
+    log: (step) => setup.logged.push(step),
   });
   task.start();
-  return play;
+  return setup;
 }
 
 // The response to a store write is lost, and then more runs of the window become known. If the later counts were sent,
 // the window would be billed twice.
 test("sends the stored counts even if the response to their write was lost", async () => {
   const { clock, ledger, reported, writes } = startTask();
-  ledger.began("a", FIRST);
+  ledger.began("a", FIRST_WINDOW);
   writes.push("lost");
   await clock.advance(WINDOW + 1_900);
-  ledger.began("a", FIRST);
+  ledger.began("a", FIRST_WINDOW);
   await clock.advance(2_000);
-  expect(reported).toEqual([{ window: FIRST, counts: { a: 1 } }]);
+  expect(reported).toEqual([{ window: FIRST_WINDOW, counts: { a: 1 } }]);
 });
 
 // The store is unavailable for several checks. The report must be sent exactly once after it recovers.
 test("reports a window after the store was unavailable", async () => {
   const { clock, ledger, reported, writes } = startTask();
-  ledger.began("a", FIRST);
+  ledger.began("a", FIRST_WINDOW);
   writes.push("unavailable", "unavailable", "unavailable");
   await clock.advance(WINDOW + 6_000);
-  expect(reported).toEqual([{ window: FIRST, counts: { a: 1 } }]);
+  expect(reported).toEqual([{ window: FIRST_WINDOW, counts: { a: 1 } }]);
 });
 
 // The record is invalid, written by an older version or by an operator's mistake. The task must log it and continue. If
@@ -93,11 +93,11 @@
 test("logs an unreadable record and resumes reporting after it is corrected", async () => {
   const stored = { version: 4, value: "not a record" };
   const { clock, ledger, reported, logged } = startTask(stored);
-  ledger.began("a", FIRST);
+  ledger.began("a", FIRST_WINDOW);
   await clock.advance(WINDOW + 3_000);
   expect(reported).toEqual([]);
   expect(logged).toContain("usage-record-unreadable");
   stored.value = '{"reports":[]}';
   await clock.advance(1_000);
-  expect(reported).toEqual([{ window: FIRST, counts: { a: 1 } }]);
+  expect(reported).toEqual([{ window: FIRST_WINDOW, counts: { a: 1 } }]);
 });
--- a/src/process/worker_checks.ts
+++ b/src/process/worker_checks.ts
@@ -16,9 +16,9 @@
 }
 
 /** Time for which a worker's end is remembered, in milliseconds: its last connections break during this time. */
-const KNOWN_FOR = 1_000;
+const ENDED_TTL = 1_000;
 /** Maximum number of fingerprints in a log line. */
-const LOGGED_PRINTS = 24;
+const MAX_LOGGED_FINGERPRINTS = 24;
 
 /**
  * Creates the checks that find out whether a worker has ended after a connection to it broke.
@@ -34,37 +34,37 @@
   const endedAt = new Map<string, number>();
 
   const hasEnded = ({ id }: WorkerPlace): boolean =>
-    clock.now() - (endedAt.get(id) ?? -Infinity) < KNOWN_FOR;
+    clock.now() - (endedAt.get(id) ?? -Infinity) < ENDED_TTL;
   const check = async (worker: WorkerPlace): Promise<void> => {
     const isLeaving = parts.isLeaving(worker);
     const found = hasEnded(worker) ? Reach.Refused : await reach(worker);
-    const prints = [...(pending.get(worker.id)?.values() ?? [])];
+    const fingerprints = [...(pending.get(worker.id)?.values() ?? [])];
     pending.delete(worker.id);
-    const names = prints.slice(0, LOGGED_PRINTS).map(({ name }) => name);
+    const names = fingerprints.slice(0, MAX_LOGGED_FINGERPRINTS).map(({ name }) => name);
     log.changed("worker-checked", {
       worker: worker.id,
       found,
-      runs: prints.length,
+      runs: fingerprints.length,
       leaving: isLeaving,
       prints: names.join(" "),
     });
     if (found !== Reach.Refused) return;
-    forgetOld();
+    dropExpired();
     if (!hasEnded(worker)) endedAt.set(worker.id, clock.now());
-    if (!isLeaving) onEnded(worker, prints);
+    if (!isLeaving) onEnded(worker, fingerprints);
   };
-  const forgetOld = (): void => {
-    const from = clock.now() - KNOWN_FOR;
-    for (const [id, at] of endedAt) if (at < from) endedAt.delete(id);
+  const dropExpired = (): void => {
+    const cutoff = clock.now() - ENDED_TTL;
+    for (const [id, at] of endedAt) if (at < cutoff) endedAt.delete(id);
   };
   return {
-    broke: (worker, print) => {
+    broke: (worker, fingerprint) => {
       const known = pending.get(worker.id);
       if (known !== undefined) {
-        known.set(print.name, print);
+        known.set(fingerprint.name, fingerprint);
         return;
       }
-      pending.set(worker.id, new Map([[print.name, print]]));
+      pending.set(worker.id, new Map([[fingerprint.name, fingerprint]]));
       void check(worker);
     },
   };
--- a/src/process/worker_directory.ts
+++ b/src/process/worker_directory.ts
@@ -5,7 +5,7 @@
 import { subscribe } from "./subscription.ts";
 
 /** Interval between two reads of the platform's instance list, in milliseconds. The list itself lags by far more. */
-const LIST_PERIOD = 3_000;
+const LIST_POLL_INTERVAL = 3_000;
 
 /** A task that keeps track of the workers. */
 export interface WorkerDirectory extends WorkerView {
@@ -15,7 +15,7 @@
 }
 
 /** Dependencies of {@linkcode createWorkerDirectory}. */
-export interface DirectoryParts {
+export interface WorkerDirectoryParts {
   readonly clock: Clock;
   readonly random: Random;
   readonly instances: InstanceList;
@@ -25,23 +25,23 @@
 }
 
 /** Creates the task. It knows no workers until `start` is called. */
-export function createWorkerDirectory(parts: DirectoryParts): WorkerDirectory {
+export function createWorkerDirectory(parts: WorkerDirectoryParts): WorkerDirectory {
   const { clock, random, instances, members } = parts;
   const listeners = new Set<() => void>();
   let listed: readonly Worker[] = [];
   let workers: readonly Worker[] = [];
   let byId = new Map<string, Worker>();
-  let known = "";
+  let lastSnapshot = "";
   let closed = false;
   const isClosed = (): boolean => closed;
 
   const update = (): void => {
     const leaving = members.leavingWorkers();
-    workers = listed.map((worker) => withMark(worker, leaving));
+    workers = listed.map((worker) => withLeavingState(worker, leaving));
     byId = new Map(workers.map((worker) => [worker.id, worker]));
-    const now = JSON.stringify(workers);
-    if (now === known) return;
-    known = now;
+    const snapshot = JSON.stringify(workers);
+    if (snapshot === lastSnapshot) return;
+    lastSnapshot = snapshot;
     for (const listener of listeners) listener();
   };
   const read = async (): Promise<void> => {
@@ -53,9 +53,9 @@
       parts.count("workers.list-unavailable");
     }
   };
-  const follow = async (): Promise<void> => {
+  const pollPeriodically = async (): Promise<void> => {
     while (!isClosed()) {
-      await sleep(clock, LIST_PERIOD * (0.75 + 0.5 * random.next()));
+      await sleep(clock, LIST_POLL_INTERVAL * (0.75 + 0.5 * random.next()));
       if (!isClosed()) await read();
     }
   };
@@ -66,7 +66,7 @@
     onChange: (listener) => subscribe(listeners, listener),
     start: async () => {
       await read();
-      void follow();
+      void pollPeriodically();
     },
     close: () => {
       closed = true;
@@ -77,7 +77,7 @@
 }
 
 /** Applies a leaving mark. It is permanent for a worker id, because a restarted worker has a new id. */
-function withMark(worker: Worker, leaving: ReadonlySet<string>): Worker {
+function withLeavingState(worker: Worker, leaving: ReadonlySet<string>): Worker {
   const takesWork = worker.state === WorkerState.Live || worker.state === WorkerState.Starting;
   return takesWork && leaving.has(worker.id) ? { ...worker, state: WorkerState.Leaving } : worker;
 }
--- a/src/process/worker_limits_fleet_test.ts
+++ b/src/process/worker_limits_fleet_test.ts
@@ -12,10 +12,10 @@
 };
 const LIMITED = "w-0";
 /** Time after which no instance may send more than its share, in milliseconds. */
-const CONTACT_TIME = 3_000;
+const PROPAGATION_TIME = 3_000;
 const WINDOW = 4_000;
 /** Test timeout in real milliseconds: hundreds of instances in one process take half a minute on a busy machine. */
-const GREATEST_TIME = 240_000;
+const TEST_TIMEOUT = 240_000;
 const STEP = 100;
 
 const fleets: NewsFleet[] = [];
@@ -35,7 +35,7 @@
 }
 
 /** Sends the worker a request if allowed, which it answers with this limit. Returns whether it was sent. */
-function ask({ board }: NewsMember, limit: number | undefined): boolean {
+function sendRequest({ board }: NewsMember, limit: number | undefined): boolean {
   const worker = board.candidates(SERVICE).find(({ id }) => id === LIMITED);
   if (worker === undefined) return false;
   const run = board.begin(worker, { reads: 0, route: "r" });
@@ -45,21 +45,21 @@
 }
 
 /** Offers every instance a request for the worker at every step. Returns the times at which requests were sent. */
-async function load(
+async function offerLoad(
   { clock, members }: NewsFleet,
   options: { milliseconds: number; limit: number | undefined },
 ): Promise<number[]> {
   const sent: number[] = [];
-  for (let passed = 0; passed < options.milliseconds; passed += STEP) {
+  for (let elapsed = 0; elapsed < options.milliseconds; elapsed += STEP) {
     for (const member of members) {
-      if (member.isLive && ask(member, options.limit)) sent.push(clock.now());
+      if (member.isLive && sendRequest(member, options.limit)) sent.push(clock.now());
     }
     await clock.advance(STEP);
   }
   return sent;
 }
 
-function mostInWindow(sent: readonly number[]): number {
+function maxInWindow(sent: readonly number[]): number {
   return Math.max(
     0,
     ...sent.map((at) => sent.filter((one) => one >= at && one < at + WINDOW).length),
@@ -72,31 +72,31 @@
     const fleet = await start(size);
     const [first] = fleet.members;
     if (first === undefined) throw new Error("The fleet has no instance.");
-    ask(first, 1);
-    await fleet.clock.advance(CONTACT_TIME);
+    sendRequest(first, 1);
+    await fleet.clock.advance(PROPAGATION_TIME);
     for (const member of fleet.members) expect(limitAt(member)).toBe(1);
-    const sent = await load(fleet, { milliseconds: 6_000, limit: 1 });
-    expect(mostInWindow(sent)).toBeLessThanOrEqual(11);
+    const sent = await offerLoad(fleet, { milliseconds: 6_000, limit: 1 });
+    expect(maxInWindow(sent)).toBeLessThanOrEqual(11);
     expect(sent.length).toBeGreaterThanOrEqual(5);
   },
-  GREATEST_TIME,
+  TEST_TIMEOUT,
 );
 
 test("keeps the fleet within a worker's limit while instances stop", async () => {
   const fleet = await start(14);
   const [first] = fleet.members;
   if (first === undefined) throw new Error("The fleet has no instance.");
-  ask(first, 2.6);
-  await fleet.clock.advance(CONTACT_TIME);
+  sendRequest(first, 2.6);
+  await fleet.clock.advance(PROPAGATION_TIME);
   const sent: number[] = [];
   for (const member of fleet.members.slice(0, 6)) {
-    sent.push(...(await load(fleet, { milliseconds: 1_000, limit: 2.6 })));
+    sent.push(...(await offerLoad(fleet, { milliseconds: 1_000, limit: 2.6 })));
     member.isLive = false;
     member.news.close();
     member.feed.close();
   }
-  sent.push(...(await load(fleet, { milliseconds: 6_000, limit: 2.6 })));
-  expect(mostInWindow(sent)).toBeLessThanOrEqual(20);
+  sent.push(...(await offerLoad(fleet, { milliseconds: 6_000, limit: 2.6 })));
+  expect(maxInWindow(sent)).toBeLessThanOrEqual(20);
   expect(sent.length).toBeGreaterThanOrEqual(12 * 2.6 * 0.7);
 });
 
@@ -104,10 +104,10 @@
   "lifts a limit on all instances after the worker stops stating it, of %i instances",
   async (size) => {
     const fleet = await start(size);
-    for (const member of fleet.members) ask(member, 2);
-    await fleet.clock.advance(CONTACT_TIME);
+    for (const member of fleet.members) sendRequest(member, 2);
+    await fleet.clock.advance(PROPAGATION_TIME);
     // The next answer of the worker states no limit any more.
-    await load(fleet, { milliseconds: 2_000, limit: undefined });
+    await offerLoad(fleet, { milliseconds: 2_000, limit: undefined });
     await fleet.clock.advance(2_000);
     for (const member of fleet.members) expect(limitAt(member)).toBeUndefined();
   },
--- a/src/process/worker_roster.ts
+++ b/src/process/worker_roster.ts
@@ -27,7 +27,7 @@
  * Time for which a removal is held back after the store's recovery, in milliseconds. The platform guarantees that a
  * live worker registers again within about two seconds.
  */
-const LAPSE_TIME = 2_000;
+const RECOVERY_TIME = 2_000;
 
 /**
  * Creates an empty roster.
@@ -39,17 +39,17 @@
 export function createWorkerRoster(parts: WorkerRosterParts): WorkerRoster {
   const { clock } = parts;
   const workers = new Map<string, RoutedWorker>();
-  const lapsed = new Map<string, RoutedWorker>();
+  const heldBack = new Map<string, RoutedWorker>();
   let returnedAt = -Infinity;
-  const isReturning = (): boolean => clock.now() - returnedAt < LAPSE_TIME;
+  const isReturning = (): boolean => clock.now() - returnedAt < RECOVERY_TIME;
 
-  const drop = (name: string, isRecent: boolean): void => {
+  const remove = (name: string, isRecent: boolean): void => {
     const worker = workers.get(name);
     workers.delete(name);
     if (worker === undefined || worker.isLeaving || !isRecent) return;
-    lapsed.set(name, worker);
-    clock.after(returnedAt + LAPSE_TIME - clock.now(), () => {
-      if (lapsed.delete(name)) parts.onChange();
+    heldBack.set(name, worker);
+    clock.after(returnedAt + RECOVERY_TIME - clock.now(), () => {
+      if (heldBack.delete(name)) parts.onChange();
     });
   };
   return {
@@ -57,10 +57,10 @@
       const isRecent = isReturning();
       for (const { object, removed } of changes) {
         if (removed) {
-          drop(object.name, isRecent);
+          remove(object.name, isRecent);
           continue;
         }
-        lapsed.delete(object.name);
+        heldBack.delete(object.name);
         const worker = parts.decode(object);
         if (worker !== undefined) workers.set(object.name, worker);
         else {
@@ -73,6 +73,6 @@
       returnedAt = clock.now();
     },
     isReturning,
-    list: () => [...workers.values(), ...lapsed.values()],
+    list: () => [...workers.values(), ...heldBack.values()],
   };
 }
