--- a/src/process/mix_task.ts
+++ b/src/process/mix_task.ts
@@ -61,13 +61,20 @@
 /** Time by which an ordered worker may exceed the usual start-up time, in milliseconds. */
 const TAKEOVER_MARGIN = 1_500;
 
+/** The latest order for a service, zone and kind of purchase. */
 interface SentOrder {
   readonly count: number;
   readonly at: number;
   readonly outcome: CallOutcome["kind"];
 }
 
-/** Creates the task. Orders state absolute counts, so repeating an order has no effect. */
+/**
+ * Creates the task.
+ *
+ * It regularly plans how many reclaimable and on-demand workers each service needs in each availability zone, and
+ * orders the counts that differ from the previous order. Orders state absolute counts, so repeating an order has no
+ * effect.
+ */
 export function createMixTask(parts: MixTaskParts): MixTask {
   const { clock, platform } = parts;
   const sent = new Map<string, SentOrder>();
@@ -75,10 +82,10 @@
   const exhaustedUntil = new Map<string, number>();
   /** By service, the recently wanted counts of on-demand workers. */
   const recentOnDemand = new Map<string, { onDemand: number; at: number }[]>();
-  /** By service, the number of workers present at this instance's first plan for it. */
-  const initialCounts = new Map<string, number>();
-  /** By service, the last count observed before the first plan, and since when it has been unchanged. */
-  const observedCounts = new Map<string, { first: number; since: number }>();
+  /** By service, the demand assumed before any load, derived from the workers present at the first plan. */
+  const initialDemand = new Map<string, number>();
+  /** By service, the demand derived before the first plan, and the time since which it has been unchanged. */
+  const observedDemand = new Map<string, { first: number; since: number }>();
   const losses = createZoneLosses();
   let leaseHeldSince: number | undefined;
   let closed = false;
@@ -152,15 +159,15 @@
       reclaimable: counts(Purchase.Reclaimable),
       onDemand: counts(Purchase.OnDemand),
     });
-    const inUse = parts.inUse(service, initialCounts.get(name) ?? first);
-    if (!initialCounts.has(name)) {
+    const inUse = parts.inUse(service, initialDemand.get(name) ?? first);
+    if (!initialDemand.has(name)) {
       // When a deployment starts, its workers register one after another. A plan based on the first few would release
       // most of the others and order too few.
-      const previous = observedCounts.get(name);
+      const previous = observedDemand.get(name);
       const seen = previous?.first === first ? previous : { first, since: now };
-      observedCounts.set(name, seen);
+      observedDemand.set(name, seen);
       if (!inUse.hasBegun && now - seen.since < SETTLE_TIME) return false;
-      initialCounts.set(name, first);
+      initialDemand.set(name, first);
     }
     const since = (leaseHeldSince ??= now);
     const { orders, onDemand } = planMix({ scaling, stock, inUse, held, lossGap });
@@ -190,8 +197,8 @@
     while (!isClosed()) {
       if (parts.fence(DUTY_CALL_TIME) === undefined) {
         sent.clear();
-        initialCounts.clear();
-        observedCounts.clear();
+        initialDemand.clear();
+        observedDemand.clear();
         leaseHeldSince = undefined;
       } else for (const service of parts.services()) await planWithRetry(service);
       await pause();
--- a/src/process/request_quarantine.ts
+++ b/src/process/request_quarantine.ts
@@ -16,7 +16,7 @@
 /** Quarantines requests that crash workers, so that no worker receives them. */
 export interface RequestQuarantine extends Quarantine {
   /** Records that a worker crashed while it ran these requests. */
-  recordCrash(prints: readonly RequestPrint[]): void;
+  recordCrash(fingerprints: readonly RequestPrint[]): void;
   /** Replaces the local view of the store's quarantine objects. */
   setObjects(objects: Iterable<FeedObject>): void;
   /** Returns this instance's crash and answer counts, to be sent to the other instances. */
@@ -83,7 +83,13 @@
   readonly version: number | undefined;
 }
 
-/** Creates a quarantine without records. */
+/**
+ * Creates a quarantine without records.
+ *
+ * The instances exchange their counts of crashes and answers. A request proven to crash workers is refused by all of
+ * them and recorded in the store, so that its quarantine survives restarts. A suspect, which is one crash short of the
+ * proof, is recorded for the same reason.
+ */
 export function createRequestQuarantine(parts: RequestQuarantineParts): RequestQuarantine {
   const { clock, time, store, duration, log } = parts;
   const evidence: CrashEvidence = createCrashEvidence(parts.peerCounts);
@@ -120,7 +126,7 @@
       log.changed("quarantine-unreadable", { print: object.name });
       return undefined;
     }
-    // The writer's clock may be ahead. Without the limit, a caller would be told to wait longer than the quarantine.
+    // The writer's clock may be ahead. Without the limit, the reported wait could exceed the quarantine's duration.
     return { ...record, since: Math.min(record.since, time()) };
   };
   /** Returns the store's record after a write, as far as known. A conflict shows another instance's record. */
@@ -168,6 +174,7 @@
     suspectWrittenAt = clock.now();
     await write(found);
   };
+  /** Adds the crashes of stored suspects to the evidence, once their counts can no longer arrive from instances. */
   const recallSuspects = (): void => {
     for (const { fingerprint, crashes, since } of storedRecords.values()) {
       if (isQuarantined(crashes) || time() - since < PROPAGATION_TIME) continue;
--- a/src/process/rollout_task.ts
+++ b/src/process/rollout_task.ts
@@ -68,7 +68,13 @@
   readonly evidence?: number;
 }
 
-/** Creates the task. `rollout_rules.ts` decides which status may be written, and over which stored version. */
+/**
+ * Creates the task.
+ *
+ * It judges the new version by the fleet-wide run counts, rolls the order back as soon as the version is judged bad,
+ * and otherwise completes it shortly before its deadline. `rollout_rules.ts` decides which status may be written, and
+ * over which stored version.
+ */
 export function createRolloutTask(parts: RolloutTaskParts): RolloutTask {
   const { clock, bounds, view, time, log, judge: judgeEvidence = judgeRollout } = parts;
   const verdicts = new Map<string, RolloutVerdict>();
@@ -78,7 +84,10 @@
   let closed = false;
   const isClosed = (): boolean => closed;
 
-  /** Returns the start time of the order from the store, or the locally known one if the store has none. */
+  /**
+   * Returns the start time of the order: the locally known one, which is also written to the store, otherwise the
+   * stored one, otherwise the current time.
+   */
   const loadStartTime = async (
     service: string,
     order: ServiceRollout,
--- a/src/process/rollout_view.ts
+++ b/src/process/rollout_view.ts
@@ -99,11 +99,14 @@
   readonly log: Pick<RoutedLog, "changed">;
 }
 
+/** State of one service. */
 interface ServiceState {
   entry: RolloutEntry | undefined;
   startedAt: number | undefined;
   served: ServedVersions | undefined;
+  /** Versions that were rolled back and receive no requests. */
   readonly barred: Set<string>;
+  /** Limits the share of requests sent to the version on trial. */
   share: RolloutShare;
   /** Ids of the workers of the version on trial, in the order in which they are used. */
   tried: readonly string[];
@@ -119,7 +122,13 @@
 const NO_RUNS: RunCounts = { runs: 0, failures: 0 };
 const NO_WORKERS: ReadonlySet<string> = new Set();
 
-/** Creates a view without workers and orders. */
+/**
+ * Creates a view without workers and orders.
+ *
+ * While an order is in progress and its plan is valid, a limited share of this instance's requests goes to workers of
+ * the new version. Their results are counted per route, and the lease holder judges the version by the counts of all
+ * instances.
+ */
 export function createRolloutView(parts: RolloutViewParts): RolloutView {
   const { clock, random, bounds, time, members, log } = parts;
   const services = new Map<string, ServiceState>();
@@ -211,8 +220,8 @@
       return { serves: ({ version }) => version === triedVersion, onTrial: NO_WORKERS };
     }
     const canTry = phase !== undefined && share.mayTry(RolloutPhase.Trial);
-    const now = canTry ? new Set(onTrial(serviceState)) : NO_WORKERS;
-    return { serves: ({ version }) => version === base, onTrial: now };
+    const trialWorkers = canTry ? new Set(onTrial(serviceState)) : NO_WORKERS;
+    return { serves: ({ version }) => version === base, onTrial: trialWorkers };
   };
   return {
     setEntries: (entries, age) => {
@@ -275,7 +284,7 @@
       const serviceState = services.get(service);
       const triedVersion = serviceState?.served?.tried;
       if (serviceState === undefined || triedVersion === undefined) return [];
-      const of = (key: number): RunCounts => sums.get(key) ?? NO_RUNS;
+      const countsFor = (key: number): RunCounts => sums.get(key) ?? NO_RUNS;
       return routes.map((route) => {
         const base = tallyKeys({ service, tried: triedVersion, route, worker: undefined });
         const tried = [...serviceState.everTried, ...serviceState.tried].map((worker) => ({
@@ -285,12 +294,12 @@
         return {
           route,
           answers: {
-            base: of(base.answers),
-            tried: new Map(tried.map(({ worker, keys }) => [worker, of(keys.answers)])),
+            base: countsFor(base.answers),
+            tried: new Map(tried.map(({ worker, keys }) => [worker, countsFor(keys.answers)])),
           },
           times: {
-            base: of(base.times),
-            tried: new Map(tried.map(({ worker, keys }) => [worker, of(keys.times)])),
+            base: countsFor(base.times),
+            tried: new Map(tried.map(({ worker, keys }) => [worker, countsFor(keys.times)])),
           },
         };
       });
--- a/src/process/routed_board.ts
+++ b/src/process/routed_board.ts
@@ -62,7 +62,7 @@
   readonly isOwn: boolean;
 }
 
-/** Dependencies of {@linkcode createRoutedBoard}. */
+/** Dependencies of the worker table. */
 export interface RoutedBoardParts {
   readonly clock: Clock;
   readonly random: Random;
@@ -103,7 +103,7 @@
 /** Fraction of a worker's connections that all instances together use. */
 const CONNECTION_SHARE = 0.9;
 /** Time for which a worker receives no requests after such a result, in milliseconds. It may restart under its id. */
-const PAUSES: Partial<Record<RunResult, number>> = {
+const PAUSE_TIMES: Partial<Record<RunResult, number>> = {
   [RunResult.Replaced]: 60_000,
   [RunResult.Unreachable]: 500,
 };
@@ -112,19 +112,30 @@
 /** Time before the end of a leaving worker at which its remaining runs move to another one, in milliseconds. */
 const LEAVE_MARGIN = 450;
 
+/** A registered worker and this instance's load on it. */
 interface WorkerEntry {
   readonly worker: RoutedWorker;
+  /** Hash of the worker id, used in messages between instances. */
   readonly hash: number;
+  /** Clock time at which the registration was first seen in its current state. */
   readonly seenAt: number;
+  /** Number of this instance's running requests. */
   running: number;
+  /** Prompt tokens of this instance's requests that the worker hasn't processed yet. */
   unreadTokens: number;
+  /** Clock time before which the worker receives no requests. */
   pausedUntil: number;
   isLeaving: boolean;
   readonly leaveListeners: Set<() => void>;
   leaveTimer: Timer | undefined;
 }
 
-/** Creates a table without workers. */
+/**
+ * Creates a table without workers.
+ *
+ * All instances send requests to the same workers. Each one adds its own running requests to those reported by the
+ * other instances, so that together they don't overload a worker.
+ */
 export function createRoutedBoard(parts: RoutedBoardParts): RoutedBoard {
   const { clock, random, zone, health, members, newsAge, onBegin, versions } = parts;
   const { time, limits, onLimit = () => undefined } = parts;
@@ -172,9 +183,12 @@
     return { running: running + other.running, unreadTokens: unreadTokens + other.unreadTokens };
   };
   /** Runs an action and calls `onLimit` if it changed the worker's limit. */
-  const trackLimit = ({ hash, isOwn }: { hash: number; isOwn: boolean }, act: () => void): void => {
+  const trackLimit = (
+    { hash, isOwn }: { hash: number; isOwn: boolean },
+    action: () => void,
+  ): void => {
     const before = limits.limitOf(hash);
-    act();
+    action();
     const limit = limits.limitOf(hash);
     if (limit === before) return;
     const worker = [...entries.values()].find((entry) => entry.hash === hash)?.worker.id ?? "";
@@ -280,7 +294,7 @@
       routedWorker === undefined
         ? undefined
         : versions?.begin({ worker: routedWorker, route, reads: unreadTotal, isCold: coldFor > 0 });
-    const change = (by: number, tokensBy: number): void => {
+    const adjustLoad = (by: number, tokensBy: number): void => {
       const entry = entries.get(id);
       if (entry === undefined) return;
       entry.running = Math.max(0, entry.running + by);
@@ -288,10 +302,10 @@
     };
     let unread = reads;
     const stopReading = (): void => {
-      change(0, -unread);
+      adjustLoad(0, -unread);
       unread = 0;
     };
-    change(1, reads);
+    adjustLoad(1, reads);
     limits.took(hash);
     onBegin();
     return {
@@ -308,7 +322,7 @@
       },
       end: (result) => {
         stopReading();
-        change(-1, 0);
+        adjustLoad(-1, 0);
         const now = clock.now();
         const entry = entries.get(id);
         if (result === RunResult.Answered) {
@@ -320,7 +334,7 @@
         if (effect !== "unknown") {
           health.ended({ worker: hash, service, failed: effect === "failed", now });
         }
-        const pause = PAUSES[result];
+        const pause = PAUSE_TIMES[result];
         if (pause !== undefined && entry !== undefined) entry.pausedUntil = now + pause;
       },
     };
--- a/src/process/worker_directory.ts
+++ b/src/process/worker_directory.ts
@@ -24,7 +24,7 @@
   readonly count: (name: string) => void;
 }
 
-/** Creates the task. It knows no workers until `start` is called. */
+/** Creates the task. Its list is empty until `start` is called. */
 export function createWorkerDirectory(parts: WorkerDirectoryParts): WorkerDirectory {
   const { clock, random, instances, members } = parts;
   const listeners = new Set<() => void>();
--- a/src/process/worker_roster.ts
+++ b/src/process/worker_roster.ts
@@ -33,8 +33,8 @@
  * Creates an empty roster.
  *
  * A registration expires unless it is renewed, and workers can't renew it while the store is unavailable. After the
- * store's recovery it would therefore report that no worker is left, and every request would be refused until the
- * workers have registered again. So removals received shortly after the recovery are held back.
+ * store's recovery the roster would therefore be empty, and every request would be refused until the workers have
+ * registered again. So removals received shortly after the recovery are held back.
  */
 export function createWorkerRoster(parts: WorkerRosterParts): WorkerRoster {
   const { clock } = parts;
