--- a/src/process/crash_evidence_fleet_test.ts
+++ b/src/process/crash_evidence_fleet_test.ts
@@ -46,6 +46,7 @@
   return found;
 }
 
+// If each instance counted only its own crashes, the request could crash three workers per instance.
 test.each([1, 6, 13, 14, 60, 300])(
   "all %i instances refuse a request that crashed three workers anywhere in the fleet",
   async (size) => {
@@ -60,8 +61,9 @@
   TEST_TIMEOUT,
 );
 
+// If the counts were lost with the instances that counted them, the request could crash further workers.
 test.each([6, 60])(
-  "keeps crash counts after the instances that counted them stop, of %i instances",
+  "a fleet of %i instances keeps crash counts after the instances that counted them stop",
   async (size) => {
     const fleet = await start(size);
     const seen = [0, 1, 2].map((place) => memberAt(fleet, place));
@@ -75,8 +77,9 @@
   },
 );
 
+// Digests are lost and relays stop while the counts are passed on. Instances without them would crash further workers.
 test.each([6, 60])(
-  "refuses the request despite lost digests and stopped relays, of %i instances",
+  "a fleet of %i instances refuses the request despite lost digests and stopped relays",
   async (size) => {
     const fleet = await start(size);
     fleet.network.trouble.lost = 0.3;
@@ -94,8 +97,9 @@
   },
 );
 
+// A harmless request may run on several crashing workers by chance. Its answers at other instances must count.
 test.each([6, 60])(
-  "does not refuse a request that other instances have answered, of %i instances",
+  "a fleet of %i instances does not refuse a request that other instances have answered",
   async (size) => {
     const fleet = await start(size);
     const { clock } = fleet;
--- a/src/process/overload_task.ts
+++ b/src/process/overload_task.ts
@@ -7,7 +7,7 @@
   readonly clock: Clock;
   /** Reads the instance's own load since the previous call. */
   readonly readLoad: () => EntryLoad;
-  /** Called with each new stance, which states the kinds of requests that are still accepted. */
+  /** Called with each new stance, that is, with the kinds of requests that are still accepted. */
   readonly onStanceChange: (stance: EntryStance) => void;
   readonly count: (name: string) => void;
 }
@@ -18,7 +18,7 @@
   close(): void;
 }
 
-/** Interval between two load samples, in milliseconds: several per second of the heartbeats that must not be late. */
+/** Interval between two load samples, in milliseconds. Shorter than that of the heartbeats, which must not be late. */
 const SAMPLE_INTERVAL = 500;
 
 /** Creates the task. It does nothing until `start` is called. */
--- a/src/process/request_quarantine_test.ts
+++ b/src/process/request_quarantine_test.ts
@@ -81,6 +81,7 @@
   quarantine.close();
 });
 
+// A quarantine that isn't written is lost when the instances restart.
 test("retries the write of a quarantine after the store was unavailable", async () => {
   const away: PutOutcome = { kind: "unavailable", detail: "away" };
   const lost: PutOutcome = { kind: "unknown", detail: "no answer" };
@@ -168,6 +169,7 @@
   },
 );
 
+// If a restart erased the earlier crashes, the request could crash three more workers after each restart.
 test("keeps a suspect across a restart of all instances", async () => {
   const { clock, quarantine, crash, written } = setUp();
   quarantine.start();
@@ -188,6 +190,7 @@
   later.quarantine.close();
 });
 
+// If crashes were counted twice, two of them would be enough for a quarantine.
 test("does not count a crash twice if both the store and another instance report it", async () => {
   let peerCounts = { runs: 0, failures: 0 };
   const { clock, quarantine, crash } = setUp({ peerCounts: () => peerCounts });
@@ -234,6 +237,7 @@
   quarantine.close();
 });
 
+// If a suspect's record prevented the write, the quarantine would be lost when the instances restart.
 test("writes a quarantine over the store's record of the same request as a suspect", async () => {
   const { clock, quarantine, crash, written } = setUp({ outcomes: [conflictWith(2)] });
   quarantine.start();
@@ -243,6 +247,7 @@
   quarantine.close();
 });
 
+// A suspect written over a quarantine would end it, and the request would be sent to workers again.
 test("does not replace a quarantine by a suspect", async () => {
   const { clock, quarantine, crash, written } = setUp({ outcomes: [conflictWith(3)] });
   quarantine.start();
@@ -252,6 +257,7 @@
   quarantine.close();
 });
 
+// Two workers that each ran 200 requests crash. Writing all 200 suspects at once would burden the store.
 test("limits the number of writes if many workers crash at once", async () => {
   const { clock, quarantine, written } = setUp();
   quarantine.start();
--- a/src/process/status_parts.ts
+++ b/src/process/status_parts.ts
@@ -4,14 +4,18 @@
 import type { CrashRecord } from "./crash_record.ts";
 import type { RoutedStatus } from "./routed_status.ts";
 
-/** Returns the status of the other instances, for operators. */
+/**
+ * Returns the status of the other instances, for operators.
+ *
+ * @param now The clock's time, in milliseconds.
+ */
 export function instanceStatuses(
   fleet: { live(): readonly RosterEntry[]; heard(): readonly PeerInstance[] },
   now: number,
 ): RoutedStatus["instances"] {
-  const heard = new Map(fleet.heard().map((peer) => [peer.session, peer]));
+  const peerBySession = new Map(fleet.heard().map((peer) => [peer.session, peer]));
   return fleet.live().map(({ session, name, zone, callers, ready, reachesStore }) => {
-    const found = heard.get(session);
+    const found = peerBySession.get(session);
     const holdsLease = (found?.leaseVersion ?? 0) > 0;
     const age = found === undefined ? undefined : Math.round(now - found.heardAt);
     return { name, zone, callers, ready, reachesStore, holdsLease, age };
--- a/src/process/worker_checks.ts
+++ b/src/process/worker_checks.ts
@@ -6,13 +6,13 @@
 /** Dependencies of {@linkcode createWorkerChecks}. */
 export interface WorkerChecksParts {
   readonly clock: Clock;
-  /** Tries to connect to a worker. */
+  /** Tries to open a connection to a worker. */
   readonly reach: (worker: WorkerPlace) => Promise<Reach>;
   /** Whether the worker was leaving or no longer registered, which explains its end. */
   readonly isLeaving: (worker: WorkerPlace) => boolean;
   readonly log: Pick<RoutedLog, "changed">;
   /** Called when a worker that wasn't leaving has ended, with the distinct requests that it was running. */
-  readonly onEnded: (worker: WorkerPlace, prints: readonly RequestPrint[]) => void;
+  readonly onEnded: (worker: WorkerPlace, fingerprints: readonly RequestPrint[]) => void;
 }
 
 /** Time for which a worker's end is remembered, in milliseconds: its last connections break during this time. */
@@ -31,6 +31,7 @@
   const { clock, reach, log, onEnded } = parts;
   /** By worker being checked, the requests whose connections to it broke. */
   const pending = new Map<string, Map<string, RequestPrint>>();
+  /** Clock time at which each recently ended worker was found to have ended, by worker id. */
   const endedAt = new Map<string, number>();
 
   const hasEnded = ({ id }: WorkerPlace): boolean =>
--- a/src/process/worker_limits_fleet_test.ts
+++ b/src/process/worker_limits_fleet_test.ts
@@ -66,8 +66,9 @@
   );
 }
 
+// If each instance applied the whole limit by itself, the worker would receive a multiple of it.
 test.each([6, 14, 60, 300])(
-  "keeps the fleet within a worker's limit, of %i instances",
+  "a fleet of %i instances stays within a worker's limit",
   async (size) => {
     const fleet = await start(size);
     const [first] = fleet.members;
@@ -82,7 +83,8 @@
   TEST_TIMEOUT,
 );
 
-test("keeps the fleet within a worker's limit while instances stop", async () => {
+// If the other instances took over the shares of stopped ones too early, the total would exceed the limit.
+test("the fleet stays within a worker's limit while instances stop", async () => {
   const fleet = await start(14);
   const [first] = fleet.members;
   if (first === undefined) throw new Error("The fleet has no instance.");
@@ -100,8 +102,9 @@
   expect(sent.length).toBeGreaterThanOrEqual(12 * 2.6 * 0.7);
 });
 
+// An instance that misses the end of a limit would keep sending too few requests to the worker.
 test.each([6, 60])(
-  "lifts a limit on all instances after the worker stops stating it, of %i instances",
+  "all %i instances lift a limit after the worker stops stating it",
   async (size) => {
     const fleet = await start(size);
     for (const member of fleet.members) sendRequest(member, 2);
