--- a/src/process/counters.ts
+++ b/src/process/counters.ts
@@ -3,36 +3,45 @@
 import { Refusal, RetryCause } from "../interface/index.ts";
 import type { Counters } from "../request/index.ts";
 
-/** Where counts go besides the table, such as a StatsD client. */
+/** An additional receiver of counts, such as a StatsD client. */
 export interface CounterSink {
+  /** Adds an amount to the counter with this name. */
   add(name: string, amount: number): void;
+  /** Records a duration in milliseconds. */
   time(name: string, milliseconds: number): void;
 }
 
-/** Counts by name, with the numbers so far. */
+/** Counters and histograms of one instance, with their current values. */
 export interface CounterTable extends Counters {
+  /** Current counter values by counter name. */
   readonly values: ReadonlyMap<string, number>;
-  /** Refusals by reason and retries by cause, those that never happened with 0. */
+  /** Number of refusals by reason, including reasons with a count of 0. */
   refusals(): Readonly<Record<string, number>>;
+  /** Number of retries by cause, including causes with a count of 0. */
   retries(): Readonly<Record<string, number>>;
-  /** All counts, and the quantiles of the histograms, in the text format of Prometheus. */
+  /** All counters and histogram quantiles in the Prometheus text format. */
   text(): string;
 }
 
-/** Histograms hold microseconds, since many gaps between tokens are shorter than a millisecond. */
-const MICROSECONDS = 1_000;
+/**
+ * Histograms store integer microseconds, because many gaps between tokens are shorter than a millisecond. Microseconds
+ * per millisecond.
+ */
+const MICROSECONDS_PER_MILLISECOND = 1_000;
 const PERCENTILES = [50, 95, 99] as const;
 const PERCENT = 100;
 
 /**
- * Counters of one instance. Every refusal reason and retry cause is there from the start, from the enums:
- * an alarm on a reason that has never happened yet must find its counter.
+ * Creates the counters of one instance. A counter for every refusal reason and retry cause exists from the start, so
+ * that an alert on a reason that has not occurred yet finds its counter.
+ *
+ * @param sink Also receives every count and duration.
  */
 export function createCounters(sink?: CounterSink): CounterTable {
   const values = new Map<string, number>();
   const firstTokens = new Map<string, Histogram>();
-  const gaps = new Map<string, Histogram>();
-  for (const reason of reasons()) values.set(`refused.${reason}`, 0);
+  const tokenGaps = new Map<string, Histogram>();
+  for (const reason of refusalReasons()) values.set(`refused.${reason}`, 0);
   for (const cause of Object.values(RetryCause)) {
     values.set(`retried.${cause}`, 0);
     values.set(`recomputed.${cause}`, 0);
@@ -41,7 +50,7 @@
     values.set(name, (values.get(name) ?? 0) + amount);
     sink?.add(name, amount);
   };
-  const part = (prefix: string): Readonly<Record<string, number>> =>
+  const withPrefix = (prefix: string): Readonly<Record<string, number>> =>
     Object.fromEntries(
       [...values]
         .filter(([name]) => name.startsWith(prefix))
@@ -53,40 +62,44 @@
     retried: (cause) => add(`retried.${cause}`),
     recomputed: (cause, tokens) => add(`recomputed.${cause}`, tokens),
     firstToken: (service, milliseconds) => {
-      record(firstTokens, service, milliseconds);
+      recordDuration(firstTokens, service, milliseconds);
       sink?.time(`first-token.${service}`, milliseconds);
     },
     betweenTokens: (service, milliseconds) => {
-      record(gaps, service, milliseconds);
+      recordDuration(tokenGaps, service, milliseconds);
       sink?.time(`between-tokens.${service}`, milliseconds);
     },
     count: (name) => add(name),
-    refusals: () => part("refused."),
-    retries: () => part("retried."),
+    refusals: () => withPrefix("refused."),
+    retries: () => withPrefix("retried."),
     text: () =>
       [
         ...[...values].map(([name, value]) => countLine(name, value)),
         ...quantileLines("samphireshore_first_token_milliseconds", firstTokens),
-        ...quantileLines("samphireshore_between_tokens_milliseconds", gaps),
+        ...quantileLines("samphireshore_between_tokens_milliseconds", tokenGaps),
         "",
       ].join("\n"),
   };
 }
 
-function reasons(): readonly Refusal[] {
+function refusalReasons(): readonly Refusal[] {
   return Object.values(Refusal).filter((reason) => reason !== Refusal.None);
 }
 
-function record(histograms: Map<string, Histogram>, service: string, milliseconds: number): void {
+function recordDuration(
+  histograms: Map<string, Histogram>,
+  service: string,
+  milliseconds: number,
+): void {
   let histogram = histograms.get(service);
   if (histogram === undefined) {
     histogram = build({ numberOfSignificantValueDigits: 2, autoResize: true });
     histograms.set(service, histogram);
   }
-  histogram.recordValue(Math.max(0, Math.round(milliseconds * MICROSECONDS)));
+  histogram.recordValue(Math.max(0, Math.round(milliseconds * MICROSECONDS_PER_MILLISECOND)));
 }
 
-/** `refused.queue-full` becomes `samphireshore_refused_total{name="queue-full"}`. */
+/** Formats one counter: `refused.queue-full` becomes `samphireshore_refused_total{name="queue-full"}`. */
 function countLine(name: string, value: number): string {
   const dot = name.indexOf(".");
   const family = dot < 0 ? "events" : name.slice(0, dot).replaceAll("-", "_");
@@ -96,7 +109,7 @@
 function quantileLines(family: string, histograms: ReadonlyMap<string, Histogram>): string[] {
   return [...histograms].flatMap(([service, histogram]) => [
     ...PERCENTILES.map((percentile) => {
-      const value = histogram.getValueAtPercentile(percentile) / MICROSECONDS;
+      const value = histogram.getValueAtPercentile(percentile) / MICROSECONDS_PER_MILLISECOND;
       return `${family}{service="${service}",quantile="${percentile / PERCENT}"} ${value}`;
     }),
     `${family}_count{service="${service}"} ${histogram.totalCount}`,
--- a/src/process/others_view.ts
+++ b/src/process/others_view.ts
@@ -2,13 +2,13 @@
 import type { WorkerUse } from "./digest.ts";
 import type { GroupCounts } from "./group_totals.ts";
 
-/** What all others have, out of sums that hold this instance's own. */
+/** Derives the totals of all other instances from fleet totals that include this instance's own counts. */
 export interface OthersView {
   /**
-   * Takes in news of the sums.
+   * Applies an update of the totals.
    *
-   * @param own What this instance had said when the sums were made; undefined where they hold nothing of it.
-   * @returns All that the others have.
+   * @param own Counts of this instance that the totals include; undefined if they include none.
+   * @returns The totals without this instance's own counts.
    */
   heard(
     news: GroupCounts & { readonly isWhole: boolean },
@@ -16,16 +16,17 @@
   ): GroupCounts;
 }
 
-/** Makes a view that knows no sums yet. */
+/** Creates an instance with empty totals. */
 export function createOthersView(): OthersView {
   const use = new Map<number, WorkerUse>();
   const admitted = new Map<string, number>();
   return {
     heard: (news, own) => {
       if (news.isWhole) use.clear();
-      for (const [worker, said] of news.use) {
-        if (said.running === 0 && said.unreadTokens === 0 && said.runs === 0) use.delete(worker);
-        else use.set(worker, said);
+      for (const [worker, workerUse] of news.use) {
+        if (workerUse.running === 0 && workerUse.unreadTokens === 0 && workerUse.runs === 0)
+          use.delete(worker);
+        else use.set(worker, workerUse);
       }
       for (const [account, count] of news.admitted) admitted.set(account, count);
       return {
@@ -36,19 +37,22 @@
           ]),
         ),
         use: new Map(
-          [...use].map(([worker, all]) => [worker, less(all, own?.use.get(worker) ?? NO_USE)]),
+          [...use].map(([worker, total]) => [
+            worker,
+            subtract(total, own?.use.get(worker) ?? NO_USE),
+          ]),
         ),
       };
     },
   };
 }
 
-/** Sums and parts are said at different moments: what would fall below nothing is nothing. */
-function less(all: WorkerUse, part: WorkerUse): WorkerUse {
+/** Subtracts a part from a total. Both are sent at different times, so negative occupancy is clamped to 0. */
+function subtract(total: WorkerUse, part: WorkerUse): WorkerUse {
   return {
-    running: Math.max(0, all.running - part.running),
-    unreadTokens: Math.max(0, all.unreadTokens - part.unreadTokens),
-    runs: all.runs - part.runs,
-    failures: all.failures - part.failures,
+    running: Math.max(0, total.running - part.running),
+    unreadTokens: Math.max(0, total.unreadTokens - part.unreadTokens),
+    runs: total.runs - part.runs,
+    failures: total.failures - part.failures,
   };
 }
--- a/src/process/rollout_view.ts
+++ b/src/process/rollout_view.ts
@@ -21,97 +21,117 @@
 import type { RolloutPlan } from "./rollout_plan.ts";
 import type { RoutedLog } from "./routed_log.ts";
 
-/** What is known of a service's roll-out. */
+/** This instance's knowledge of a service's rollout order. */
 export interface ServiceRollout {
+  /** The order and its status as stored. */
   readonly entry: RolloutEntry;
+  /** State of the order; undefined before its first status. */
   readonly state: RolloutState | undefined;
   readonly served: ServedVersions | undefined;
-  /** When the order was given, in milliseconds since 1970; undefined where nobody here knows. */
+  /** Time of the order, in milliseconds since the Unix epoch; undefined if this instance doesn't know it. */
   readonly startedAt: number | undefined;
+  /** Phase of the current plan; undefined without a valid plan. */
   readonly phase: RolloutPhase | undefined;
-  /** Sent by this instance since it knew of the order. */
+  /** Requests sent by this instance since it learned of the order. */
   readonly sent: RolloutShare["counts"];
 }
 
-/** Which workers of a service may be given a request. */
+/** The workers of a service that may receive a request. */
 export interface Admission {
+  /** Whether the worker has the version that serves. */
   readonly serves: (worker: RoutedWorker) => boolean;
-  /** Ids of workers on trial, one of which is to get the request unless it has more to do than those that serve. */
+  /** Ids of workers on trial. One of them receives the request unless it has more load than the serving workers. */
   readonly onTrial: ReadonlySet<string>;
 }
 
-/** Which versions of the workers one instance gives requests to, and what it sees of them. */
+/** Decides which worker versions this instance sends requests to, and counts their results. */
 export interface RolloutView {
   /**
-   * Takes in the orders as they stand.
+   * Replaces the rollout orders.
    *
-   * @param age Milliseconds since they changed; undefined where they may have stood for long.
+   * @param age Milliseconds since they changed; undefined if they may be much older.
    */
   setEntries(entries: readonly RolloutEntry[], age: number | undefined): void;
+  /** Replaces the workers. */
   setWorkers(workers: readonly RoutedWorker[]): void;
-  /** Plans that another instance tells, or that this one makes. */
+  /** Applies plans received from another instance or made by this one. */
   heard(plans: readonly RolloutPlan[]): void;
-  /** Plans to be told to others. */
+  /** Lists the plans to send to other instances. */
   plans(): RolloutPlan[];
-  /** Which workers of a service may be given a request now; undefined where all of them may. */
+  /** Returns the workers of a service that may receive a request now; undefined if all of them may. */
   admitting(service: string): Admission | undefined;
-  /** A run begins at a worker. */
+  /**
+   * Records that a run begins at a worker.
+   *
+   * @param run `reads` is the number of prompt tokens that the worker has to process before it answers.
+   */
   begin(run: { worker: RoutedWorker; route: string; reads: number; isCold: boolean }): RunTally;
-  /** What this instance has seen, by the hashes that `tallyKeys` gives. */
+  /** Returns this instance's run counts, by hashes from `tallyKeys`. */
   counts(): ReadonlyMap<number, RunCounts>;
-  /** What all instances have seen of an order under way, out of their sums by the same hashes. */
+  /** Selects the evidence on the current order from the fleet-wide run counts by the same hashes. */
   evidence(
     service: string,
     from: { routes: readonly string[]; sums: ReadonlyMap<number, RunCounts> },
   ): RouteEvidence[];
-  /** The service's order; undefined where there is none. */
+  /** Returns the service's order; undefined if there is none. */
   find(service: string): ServiceRollout | undefined;
-  /** All services with an order. */
+  /** Lists all services with an order. */
   services(): string[];
-  /** The services whose served version this instance knows. */
+  /** Returns the served versions by service, as far as this instance knows them. */
   served(): ReadonlyMap<string, ServedVersions>;
-  /** The workers that serve, and those of the version on trial, which take requests. */
+  /** Returns the workers of the serving version and of the version on trial, without those that leave. */
   stock(service: string): { base: RoutedWorker[]; tried: RoutedWorker[] };
 }
 
-/** What the view is made with. */
+/** Dependencies of {@linkcode createRolloutView}. */
 export interface RolloutViewParts {
   readonly clock: Clock;
   readonly random: Random;
   readonly bounds: RolloutBounds;
-  /** The time of day that the instances agree on, in milliseconds since 1970. */
+  /** Returns the time synchronized across instances, in milliseconds since the Unix epoch. */
   readonly time: () => number;
+  /** Returns the number of entry instances. */
   readonly members: () => number;
-  /** What all instances have counted under a hash of `tallyKeys`, as far as this one knows. */
+  /** Returns the fleet-wide counts for a hash from `tallyKeys`, as far as this instance knows them. */
   readonly sumOf: (key: number) => RunCounts | undefined;
-  /** A run begins at a worker of this version. */
+  /** Called when a run begins at a worker of this version. */
   readonly onBegin: (service: string, version: string) => void;
   readonly log: Pick<RoutedLog, "changed">;
 }
 
-interface Known {
+/** State of one service. */
+interface ServiceState {
   entry: RolloutEntry | undefined;
   startedAt: number | undefined;
   served: ServedVersions | undefined;
+  /** Versions that were rolled back and receive no requests. */
   readonly barred: Set<string>;
+  /** Limits the share of requests sent to the version on trial. */
   share: RolloutShare;
-  /** The workers of the version on trial, those first that are tried, and all that were given anything here. */
+  /** Ids of the workers of the version on trial, in the order in which they are used. */
   tried: readonly string[];
+  /** Ids of all workers on trial that have received a request from this instance. */
   readonly everTried: Set<string>;
-  /** Workers that serve. */
+  /** Number of workers of the serving version. */
   base: number;
   workers: readonly RoutedWorker[];
-  /** Whether all workers are of the version that serves. */
+  /** Whether all workers have the serving version. */
   isUniform: boolean;
 }
 
-const NOTHING: RunCounts = { runs: 0, failures: 0 };
-const NOBODY: ReadonlySet<string> = new Set();
+const NO_RUNS: RunCounts = { runs: 0, failures: 0 };
+const NO_WORKERS: ReadonlySet<string> = new Set();
 
-/** Makes a view without workers and orders. */
+/**
+ * Creates a view without workers and orders.
+ *
+ * While an order is in progress and its plan is valid, a limited share of this instance's requests goes to workers of
+ * the new version. Their results are counted per route, and the lease holder judges the version by the counts of all
+ * instances.
+ */
 export function createRolloutView(parts: RolloutViewParts): RolloutView {
   const { clock, random, bounds, time, members, log } = parts;
-  const services = new Map<string, Known>();
+  const services = new Map<string, ServiceState>();
   const plans = createRolloutPlans();
   const tallies = createVersionTallies(parts.sumOf);
   const newShare = (entry: RolloutEntry | undefined): RolloutShare => {
@@ -119,7 +139,7 @@
     return createRolloutShare({ bounds, course, members, random });
   };
 
-  const knownOf = (service: string): Known => {
+  const serviceStateOf = (service: string): ServiceState => {
     const found = services.get(service) ?? {
       entry: undefined,
       startedAt: undefined,
@@ -135,47 +155,55 @@
     services.set(service, found);
     return found;
   };
-  const update = (service: string, known: Known): void => {
-    const { entry, served: before } = known;
+  const update = (service: string, serviceState: ServiceState): void => {
+    const { entry, served: previous } = serviceState;
     if (entry !== undefined && stateOfOrder(entry) === RolloutState.RolledBack) {
-      known.barred.add(entry.order.to);
+      serviceState.barred.add(entry.order.to);
     }
-    const stock = stockOf(known.workers);
-    const served = servedVersions({ stock, entry, before: before?.base, barred: known.barred });
-    if (served?.tried !== before?.tried) {
-      known.share = newShare(entry);
-      known.everTried.clear();
+    const stock = countVersions(serviceState.workers);
+    const served = servedVersions({
+      stock,
+      entry,
+      before: previous?.base,
+      barred: serviceState.barred,
+    });
+    if (served?.tried !== previous?.tried) {
+      serviceState.share = newShare(entry);
+      serviceState.everTried.clear();
       tallies.expect(service, served?.tried);
       if (served?.tried === undefined) plans.forget(service);
     }
-    known.served = served;
-    known.base = readyOf(known, served?.base).length;
-    known.tried = rendezvousOrder(
+    serviceState.served = served;
+    serviceState.base = readyWorkers(serviceState, served?.base).length;
+    serviceState.tried = rendezvousOrder(
       service,
-      readyOf(known, served?.tried).map(({ id }) => id),
+      readyWorkers(serviceState, served?.tried).map(({ id }) => id),
     );
-    known.isUniform = known.workers.every(({ version }) => version === served?.base);
-    if (served?.base === before?.base && served?.tried === before?.tried) return;
+    serviceState.isUniform = serviceState.workers.every(({ version }) => version === served?.base);
+    if (served?.base === previous?.base && served?.tried === previous?.tried) return;
     log.changed("versions-served", {
       service,
       base: served?.base ?? "",
       tried: served?.tried ?? "",
       ordered: entry?.order.to ?? "",
       state: (entry === undefined ? undefined : stateOfOrder(entry)) ?? "",
-      barred: [...known.barred].join(" "),
+      barred: [...serviceState.barred].join(" "),
     });
   };
-  const phaseOf = (service: string, { served }: Known): RolloutPhase | undefined =>
+  const phaseOf = (service: string, { served }: ServiceState): RolloutPhase | undefined =>
     served?.tried === undefined
       ? undefined
       : plans.find({ service, to: served.tried }, clock.now())?.phase;
-  const readyOf = ({ workers, served }: Known, version: string | undefined): RoutedWorker[] =>
+  const readyWorkers = (
+    { workers, served }: ServiceState,
+    version: string | undefined,
+  ): RoutedWorker[] =>
     served === undefined || version === undefined
       ? []
       : workers.filter((worker) => worker.version === version && !worker.isLeaving);
 
-  /** The workers on trial that this instance uses in this moment. */
-  const onTrial = ({ entry, startedAt, share, base, tried }: Known): string[] => {
+  /** Returns the ids of the workers on trial that this instance uses at the moment. */
+  const onTrial = ({ entry, startedAt, share, base, tried }: ServiceState): string[] => {
     if (entry === undefined || startedAt === undefined) return [];
     const { duration } = entry.order;
     const part = rolloutCourse(duration, bounds).parts[RolloutPhase.Trial];
@@ -183,33 +211,33 @@
     return workersOnTrial(tried, { since, duration, part, base, delay: share.delay });
   };
   const admitting: RolloutView["admitting"] = (service) => {
-    const known = services.get(service);
-    if (known?.served === undefined || known.isUniform) return undefined;
-    const { served, share } = known;
-    const { base, tried: named } = served;
-    const phase = phaseOf(service, known);
+    const serviceState = services.get(service);
+    if (serviceState?.served === undefined || serviceState.isUniform) return undefined;
+    const { served, share } = serviceState;
+    const { base, tried: triedVersion } = served;
+    const phase = phaseOf(service, serviceState);
     if (phase === RolloutPhase.Switch && share.mayTry(phase)) {
-      return { serves: ({ version }) => version === named, onTrial: NOBODY };
+      return { serves: ({ version }) => version === triedVersion, onTrial: NO_WORKERS };
     }
-    const mayTry = phase !== undefined && share.mayTry(RolloutPhase.Trial);
-    const now = mayTry ? new Set(onTrial(known)) : NOBODY;
-    return { serves: ({ version }) => version === base, onTrial: now };
+    const canTry = phase !== undefined && share.mayTry(RolloutPhase.Trial);
+    const trialWorkers = canTry ? new Set(onTrial(serviceState)) : NO_WORKERS;
+    return { serves: ({ version }) => version === base, onTrial: trialWorkers };
   };
   return {
     setEntries: (entries, age) => {
-      const there = new Map(entries.map((entry) => [entry.order.service, entry]));
-      for (const [service, known] of services) {
-        if (known.entry === undefined || there.has(service)) continue;
-        known.entry = undefined;
-        known.startedAt = undefined;
-        update(service, known);
+      const entryByService = new Map(entries.map((entry) => [entry.order.service, entry]));
+      for (const [service, serviceState] of services) {
+        if (serviceState.entry === undefined || entryByService.has(service)) continue;
+        serviceState.entry = undefined;
+        serviceState.startedAt = undefined;
+        update(service, serviceState);
       }
-      for (const [service, entry] of there) {
-        const known = knownOf(service);
-        const isNew = known.entry?.order.to !== entry.order.to;
-        if (isNew) known.startedAt = age === undefined ? undefined : time() - age;
-        known.entry = entry;
-        update(service, known);
+      for (const [service, entry] of entryByService) {
+        const serviceState = serviceStateOf(service);
+        const isNew = serviceState.entry?.order.to !== entry.order.to;
+        if (isNew) serviceState.startedAt = age === undefined ? undefined : time() - age;
+        serviceState.entry = entry;
+        update(service, serviceState);
       }
     },
     setWorkers: (workers) => {
@@ -220,16 +248,16 @@
         list.push(worker);
       }
       for (const service of new Set([...services.keys(), ...byService.keys()])) {
-        const known = knownOf(service);
-        known.workers = byService.get(service) ?? [];
-        update(service, known);
+        const serviceState = serviceStateOf(service);
+        serviceState.workers = byService.get(service) ?? [];
+        update(service, serviceState);
       }
     },
-    heard: (told) => {
-      plans.heard(told, clock.now());
-      for (const { service, to, startedAt } of told) {
-        const known = services.get(service);
-        if (known?.entry?.order.to === to) known.startedAt ??= startedAt;
+    heard: (received) => {
+      plans.update(received, clock.now());
+      for (const { service, to, startedAt } of received) {
+        const serviceState = services.get(service);
+        if (serviceState?.entry?.order.to === to) serviceState.startedAt ??= startedAt;
       }
     },
     plans: () => plans.list(clock.now()),
@@ -238,55 +266,55 @@
       const { service, version, id } = worker;
       parts.onBegin(service, version);
       const now = clock.now();
-      const known = services.get(service);
-      const named = known?.served?.tried;
-      if (known === undefined || named === undefined) {
+      const serviceState = services.get(service);
+      const triedVersion = serviceState?.served?.tried;
+      if (serviceState === undefined || triedVersion === undefined) {
         const tried = undefined;
         return tallies.begin({ service, route, reads, tried, isCold, isCompared: false, now });
       }
-      const isTried = version === named;
-      known.share.sent(isTried);
-      if (isTried) known.everTried.add(id);
+      const isTried = version === triedVersion;
+      serviceState.share.sent(isTried);
+      if (isTried) serviceState.everTried.add(id);
       const tried = isTried ? id : undefined;
-      const isCompared = isTried || onTrial(known).length > 0;
+      const isCompared = isTried || onTrial(serviceState).length > 0;
       return tallies.begin({ service, route, reads, tried, isCold, isCompared, now });
     },
     counts: () => tallies.counts(clock.now()),
     evidence: (service, { routes, sums }) => {
-      const known = services.get(service);
-      const named = known?.served?.tried;
-      if (known === undefined || named === undefined) return [];
-      const of = (key: number): RunCounts => sums.get(key) ?? NOTHING;
+      const serviceState = services.get(service);
+      const triedVersion = serviceState?.served?.tried;
+      if (serviceState === undefined || triedVersion === undefined) return [];
+      const countsFor = (key: number): RunCounts => sums.get(key) ?? NO_RUNS;
       return routes.map((route) => {
-        const base = tallyKeys({ service, tried: named, route, worker: undefined });
-        const tried = [...known.everTried, ...known.tried].map((worker) => ({
+        const base = tallyKeys({ service, tried: triedVersion, route, worker: undefined });
+        const tried = [...serviceState.everTried, ...serviceState.tried].map((worker) => ({
           worker,
-          keys: tallyKeys({ service, tried: named, route, worker }),
+          keys: tallyKeys({ service, tried: triedVersion, route, worker }),
         }));
         return {
           route,
           answers: {
-            base: of(base.answers),
-            tried: new Map(tried.map(({ worker, keys }) => [worker, of(keys.answers)])),
+            base: countsFor(base.answers),
+            tried: new Map(tried.map(({ worker, keys }) => [worker, countsFor(keys.answers)])),
           },
           times: {
-            base: of(base.times),
-            tried: new Map(tried.map(({ worker, keys }) => [worker, of(keys.times)])),
+            base: countsFor(base.times),
+            tried: new Map(tried.map(({ worker, keys }) => [worker, countsFor(keys.times)])),
           },
         };
       });
     },
     find: (service) => {
-      const known = services.get(service);
-      if (known?.entry === undefined) return undefined;
-      const { entry, served, startedAt, share } = known;
+      const serviceState = services.get(service);
+      if (serviceState?.entry === undefined) return undefined;
+      const { entry, served, startedAt, share } = serviceState;
       const state = stateOfOrder(entry);
       return {
         entry,
         state,
         served,
         startedAt,
-        phase: phaseOf(service, known),
+        phase: phaseOf(service, serviceState),
         sent: share.counts,
       };
     },
@@ -299,17 +327,17 @@
         ),
       ),
     stock: (service) => {
-      const known = services.get(service);
-      if (known === undefined) return { base: [], tried: [] };
+      const serviceState = services.get(service);
+      if (serviceState === undefined) return { base: [], tried: [] };
       return {
-        base: readyOf(known, known.served?.base),
-        tried: readyOf(known, known.served?.tried),
+        base: readyWorkers(serviceState, serviceState.served?.base),
+        tried: readyWorkers(serviceState, serviceState.served?.tried),
       };
     },
   };
 }
 
-/** The workers that serve: those on trial are neither needed for the load nor surplus. */
+/** Filters the workers of the serving version: workers on trial count neither as capacity nor as surplus. */
 export function servedWorkers(
   workers: readonly RoutedWorker[],
   served: ReadonlyMap<string, ServedVersions> | undefined,
@@ -320,13 +348,13 @@
   );
 }
 
-function stockOf(workers: readonly RoutedWorker[]): Map<string, VersionStock> {
+function countVersions(workers: readonly RoutedWorker[]): Map<string, VersionStock> {
   const stock = new Map<string, VersionStock>();
   for (const { version, born } of workers) {
-    const before = stock.get(version) ?? { workers: 0, oldest: Infinity };
+    const previous = stock.get(version) ?? { workers: 0, oldest: Infinity };
     stock.set(version, {
-      workers: before.workers + 1,
-      oldest: Math.min(before.oldest, born),
+      workers: previous.workers + 1,
+      oldest: Math.min(previous.oldest, born),
     });
   }
   return stock;
--- a/src/process/status_parts.ts
+++ b/src/process/status_parts.ts
@@ -4,21 +4,25 @@
 import type { CrashRecord } from "./crash_record.ts";
 import type { RoutedStatus } from "./routed_status.ts";
 
-/** The other instances as operators are shown them. */
+/**
+ * Returns the status of the other instances, for operators.
+ *
+ * @param now The clock's time, in milliseconds.
+ */
 export function instanceStatuses(
   fleet: { live(): readonly RosterEntry[]; heard(): readonly PeerInstance[] },
   now: number,
 ): RoutedStatus["instances"] {
-  const heard = new Map(fleet.heard().map((one) => [one.session, one]));
+  const peerBySession = new Map(fleet.heard().map((peer) => [peer.session, peer]));
   return fleet.live().map(({ session, name, zone, callers, ready, reachesStore }) => {
-    const found = heard.get(session);
+    const found = peerBySession.get(session);
     const holdsLease = (found?.leaseVersion ?? 0) > 0;
     const age = found === undefined ? undefined : Math.round(now - found.heardAt);
     return { name, zone, callers, ready, reachesStore, holdsLease, age };
   });
 }
 
-/** The routes as operators are shown them. */
+/** Returns the status of the routes, for operators. */
 export function routeStatuses(routes: readonly Route[]): RoutedStatus["routes"] {
   return routes.map(({ name, host, pathPrefix, shares, timeout, attempts }) => {
     const services = shares.map(({ service, weight }) => `${service} ${weight}`);
@@ -27,16 +31,16 @@
 }
 
 /**
- * The requests that no worker gets as operators are shown them.
+ * Returns the status of the quarantined requests, for operators.
  *
- * @param now The time of day in milliseconds since 1970.
+ * @param now The synchronized time, in milliseconds since the Unix epoch.
  */
 export function quarantineStatuses(
   requests: readonly CrashRecord[],
   now: number,
 ): RoutedStatus["quarantine"] {
-  return requests.map(({ print, crashes, since }) => ({
-    print: print.name,
+  return requests.map(({ fingerprint, crashes, since }) => ({
+    print: fingerprint.name,
     crashes,
     since: Math.round(now - since),
   }));
