--- a/src/request/worker_reclaim.ts
+++ b/src/request/worker_reclaim.ts
@@ -6,35 +6,38 @@
 import { Stop } from "./live_request.ts";
 import type { LiveRequest } from "./live_request.ts";
 
-/** KV cache bytes a second that an instance can send, where nothing better is known. */
+/**
+ * Bytes of KV cache that an instance can transfer per second, used where nothing better is known.
+ */
 const TRANSFER_RATE = 1_250_000_000;
-/** Bytes of KV cache a token, where nothing better is known. */
+/** Bytes of KV cache per token, used where nothing better is known. */
 const BYTES_PER_TOKEN = 130_000;
-/** Prompt tokens computed a second by a machine class that the settings don't name. */
+/** Prompt tokens processed per second by a machine class that is not in the settings. */
 const PREFILL_RATE = 8_000;
-/** Milliseconds a token where a request has shown no pace yet. */
+/** Time per token in milliseconds, for a request that has not produced any yet. */
 const USUAL_TOKEN_TIME = 30;
-/** Characters of a prompt for each token. */
+/** Characters of a prompt per token. */
 const TOKEN_CHARACTERS = 4;
-/** Milliseconds between two looks at servers under notice. */
+/** Milliseconds between two checks of the servers under notice. */
 const LOOK_PERIOD = 250;
-/** How long before an instance is taken its last requests leave it, in milliseconds. */
+/** Milliseconds before an instance is reclaimed at which its last requests are moved. */
 const LATE_MARGIN = 500;
 
 /**
- * Saves the requests in progress from workers under notice, as the triage chooses.
+ * Moves requests in progress away from workers under notice, as chosen by the triage.
  *
- * Without it a request would run until its server is gone and then be resumed with its whole KV cache
- * computed again: the caller notices a gap, the operators the recomputed tokens.
+ * Otherwise a request would run until its server is gone, and be resumed after its whole KV cache
+ * is computed again. The caller would see a gap, and operators the recomputed tokens.
  *
- * @param running The requests that this instance has running on a worker.
+ * @param running Returns the requests that this instance runs on a worker.
  */
 export function followReclaims(
   environment: Environment,
   running: (worker: string) => readonly LiveRequest[],
 ): Subscription {
   const { clock, workers } = environment;
-  // The server from which a request was last saved: waves follow each other, and it may go as well.
+  // The server from which each request was last moved. Reclaims come in waves, so the next server
+  // may be reclaimed as well.
   const savedFrom = new WeakMap<LiveRequest, string>();
   const timers = new Set<Timer>();
   const later = (at: number, act: () => void): void => {
@@ -49,7 +52,8 @@
     const move = (): void => {
       if (isStillThere()) live.interrupt(Stop.Reclaimed);
     };
-    // What was expected to end and hasn't, or had no token to go on from, would be lost with the instance.
+    // A request that was expected to end and hasn't, or had no token to continue from, would be
+    // lost with the instance.
     later((worker.reclaimAt ?? 0) - LATE_MARGIN, move);
     switch (choice) {
       case TriageChoice.Finish:
@@ -82,8 +86,9 @@
   };
   let next: Timer | undefined;
   /**
-   * Requests come to a server under notice after its notice as well: with a slot whose owner goes in the
-   * same wave. Looked at only once, they would stay on the server and be lost with it.
+   * Checks the servers under notice. Requests also reach a server after its notice, with a slot
+   * whose owner is reclaimed in the same wave. With a single check they would stay on the server
+   * and be lost with it.
    */
   const look = (): void => {
     next?.close();
@@ -142,14 +147,15 @@
 }
 
 /**
- * Tokens still to come. An answer that has outgrown its estimate is a long one: were it taken to be at its
- * end, it would stay on a server under notice and be lost with it.
+ * Estimates the number of tokens still to come. An answer that has outgrown its estimate is a long
+ * one. If it were assumed to be at its end, it would stay on a server under notice and be lost with
+ * it.
  */
 function remainingTokens({ expectedTokens, tokens }: LiveRequest): number {
   return Math.max(1, expectedTokens - tokens.length, tokens.length / 2);
 }
 
-/** Exports the request's KV cache; without one it is resumed from its tokens. */
+/** Exports the request's KV cache. If this fails, the request resumes from its tokens. */
 async function exportCache(
   { counters, engine }: Environment,
   { live, worker }: Case,
