--- a/src/request/caller_stream.ts
+++ b/src/request/caller_stream.ts
@@ -195,7 +195,7 @@
   const notRun = !accepted && !mayRunElsewhere;
   const detail = notRun
     ? "The owner of the request's slot could not be reached; nothing was sent to it."
-    : "The owner of the request can't be reached at present; retry with the request id.";
+    : "The owner of the request can't be reached at present; query the request by its id.";
   return { reason: Refusal.OwnerUnavailable, notRun, retryAfter: ASK_AGAIN, detail, id };
 }
 
--- a/src/request/request_service.ts
+++ b/src/request/request_service.ts
@@ -138,7 +138,7 @@
       await queue.changed(TRY_AGAIN / ASK_TRIES);
     }
     const detail =
-      "The owner of the request can't be reached at present; retry with the request id.";
+      "The owner of the request can't be reached at present; query the request by its id.";
     const reason = Refusal.OwnerUnavailable;
     return { reason, notRun: false, retryAfter: TRY_AGAIN, detail, id };
   };
