--- a/src/request/testing/request_fleet.ts
+++ b/src/request/testing/request_fleet.ts
@@ -26,7 +26,7 @@
   readonly freezer: Freezer;
   readonly counts: ReadonlyMap<string, number>;
   /** Whether the instance receives no changes of the slot map and of members. */
-  deaf: boolean;
+  isIsolated: boolean;
 }
 
 /** What a caller has received so far. */
@@ -34,9 +34,9 @@
   readonly events: CallerEvent[];
   readonly text: string;
   /** Whether the iteration over the events has ended. */
-  readonly done: boolean;
+  readonly isDone: boolean;
   readonly id: string;
-  leave(): void;
+  disconnect(): void;
 }
 
 /**
@@ -74,34 +74,34 @@
   const workerListeners = new Set<() => void>();
   let workers: readonly Worker[] = [workerNamed("w1"), workerNamed("w2")];
   let map: SlotMap = EMPTY_SLOT_MAP;
-  const members = Array.from({ length: instances }, (_, index) => memberNamed(index));
+  const members = Array.from({ length: instances }, (_, index) => createMember(index));
   const stateOf = (id: string): MemberState => states.get(id) ?? MemberState.Alive;
 
-  const makeNode = (self: Member, index: number): RequestNode => {
+  const createNode = (self: Member, index: number): RequestNode => {
     const freezer = createFreezer(clock);
     const counts = new Map<string, number>();
     const gate = (): Promise<void> => freezer.gate();
     const scheduler = createScheduler();
     scheduler.setWorkers(workers, 0);
     workerListeners.add(() => scheduler.setWorkers(workers, clock.now()));
-    let seen = map;
+    let knownMap = map;
     const subscribe = (set: Set<() => void>, listener: () => void): { close(): void } => {
-      const heard = (): void => {
-        if (node.deaf) return;
+      const notify = (): void => {
+        if (node.isIsolated) return;
         void freezer.gate().then(() => {
-          seen = map;
+          knownMap = map;
           listener();
         });
       };
-      set.add(heard);
-      return { close: () => set.delete(heard) };
+      set.add(notify);
+      return { close: () => set.delete(notify) };
     };
     const requests = createRequestService({
       clock: freezer.clock,
       random: createSeededRandom(index + 1),
       configuration: {
         revision: () => undefined,
-        slotMap: () => seen,
+        slotMap: () => knownMap,
         onChange: (listener) => subscribe(listeners, listener),
         isCutOff: () => false,
         refresh: () => Promise.resolve(),
@@ -121,19 +121,19 @@
       peers: network.peersOf(self.id),
       engine: engines.connect(gate),
       scheduler,
-      counters: countersInto(counts),
+      counters: createCounters(counts),
     });
-    const node: RequestNode = { member: self, requests, freezer, counts, deaf: false };
-    network.join(self, withoutControl(requests), gate);
+    const node: RequestNode = { member: self, requests, freezer, counts, isIsolated: false };
+    network.join(self, withoutControlHandlers(requests), gate);
     return node;
   };
-  const nodes = members.map(makeNode);
+  const nodes = members.map(createNode);
   const nodeAt = (index: number): RequestNode => {
     const node = nodes[index];
     if (node === undefined) throw new Error(`The fleet has no instance ${index}.`);
     return node;
   };
-  const tell = (): void => {
+  const notifyListeners = (): void => {
     for (const listener of [...listeners]) listener();
   };
   return {
@@ -146,14 +146,14 @@
       const historyLostAt = historyLost ? clock.date().getTime() : 0;
       const epoch = (map.slots[0]?.epoch ?? 0) + 1;
       const idAt = (index: number): string => members[index]?.id ?? "";
-      const names = { primary: idAt(primary), backup: idAt(backup) };
-      const assignment: Assignment = { epoch, ...names, historyLostAt };
+      const ids = { primary: idAt(primary), backup: idAt(backup) };
+      const assignment: Assignment = { epoch, ...ids, historyLostAt };
       map = { version: map.version + 1, slots: map.slots.map(() => assignment) };
-      tell();
+      notifyListeners();
     },
     setState: (index, state) => {
       states.set(nodeAt(index).member.id, state);
-      tell();
+      notifyListeners();
     },
     kill: (index) => {
       const { member, freezer, requests } = nodeAt(index);
@@ -161,16 +161,18 @@
       freezer.freeze();
       requests.close();
       states.set(member.id, MemberState.Dead);
-      tell();
+      notifyListeners();
     },
     setWorkers: (next) => {
       workers = next;
       for (const listener of [...workerListeners]) listener();
     },
     submit: (index, submission = {}) =>
-      callerOf((signal) => nodeAt(index).requests.submit({ ...SUBMISSION, ...submission }, signal)),
+      createCaller((signal) =>
+        nodeAt(index).requests.submit({ ...SUBMISSION, ...submission }, signal),
+      ),
     follow: (index, id, fromToken = 0) =>
-      callerOf((signal) =>
+      createCaller((signal) =>
         nodeAt(index).requests.follow(id, { account: SUBMISSION.account, fromToken, signal }),
       ),
     close: () => {
@@ -191,12 +193,12 @@
 };
 
 /** Returns the answer of the fleet's backend servers with the given number of tokens. */
-export function answerOf(tokens = ANSWER_TOKENS): string {
+export function expectedAnswer(tokens = ANSWER_TOKENS): string {
   return Array.from({ length: tokens }, (_, index) => `t${index} `).join("");
 }
 
 /** Returns the record of an ended request; undefined if it has not ended. */
-export function endOf(caller: CallerView): RequestRecord | undefined {
+export function endedRecord(caller: CallerView): RequestRecord | undefined {
   const last = caller.events.at(-1);
   return last?.kind === "ended" ? last.record : undefined;
 }
@@ -214,12 +216,12 @@
   };
 }
 
-function memberNamed(index: number): Member {
+function createMember(index: number): Member {
   const address = `127.0.0.1:${7_000 + index}`;
   return { id: `e${index}#1`, address, callerAddress: address, zone: `zone-${index}` };
 }
 
-function withoutControl(requests: RequestService): PeerHandlers {
+function withoutControlHandlers(requests: RequestService): PeerHandlers {
   return {
     ...requests.handlers,
     probe: () => Promise.reject(new Error("The fleet has no control tasks.")),
@@ -227,12 +229,12 @@
   };
 }
 
-function callerOf(open: (signal: AbortSignal) => AsyncIterable<CallerEvent>): CallerView {
-  const ending = new AbortController();
+function createCaller(open: (signal: AbortSignal) => AsyncIterable<CallerEvent>): CallerView {
+  const controller = new AbortController();
   const events: CallerEvent[] = [];
   const state = { text: "", done: false, id: "" };
   const read = async (): Promise<void> => {
-    for await (const event of open(ending.signal)) {
+    for await (const event of open(controller.signal)) {
       events.push(event);
       if (event.kind === "accepted") state.id = event.id;
       if (event.kind === "token") state.text += event.text;
@@ -245,17 +247,17 @@
     get text() {
       return state.text;
     },
-    get done() {
+    get isDone() {
       return state.done;
     },
     get id() {
       return state.id;
     },
-    leave: () => ending.abort(new Error("The caller has disconnected.")),
+    disconnect: () => controller.abort(new Error("The caller has disconnected.")),
   };
 }
 
-function countersInto(counts: Map<string, number>): Counters {
+function createCounters(counts: Map<string, number>): Counters {
   const add = (name: string, amount = 1): void => {
     counts.set(name, (counts.get(name) ?? 0) + amount);
   };
--- a/src/request/worker_reclaim.ts
+++ b/src/request/worker_reclaim.ts
@@ -3,7 +3,7 @@
 import { WorkerState } from "../interface/index.ts";
 import type { Timer, Worker } from "../interface/index.ts";
 import type { Environment, Subscription } from "./environment.ts";
-import { Stop } from "./live_request.ts";
+import { StopReason } from "./live_request.ts";
 import type { LiveRequest } from "./live_request.ts";
 
 /**
@@ -15,13 +15,13 @@
 /** Prompt tokens processed per second by a machine class that is not in the settings. */
 const PREFILL_RATE = 8_000;
 /** Time per token in milliseconds, for a request that has not produced any yet. */
-const USUAL_TOKEN_TIME = 30;
+const DEFAULT_TOKEN_TIME = 30;
 /** Characters of a prompt per token. */
-const TOKEN_CHARACTERS = 4;
+const CHARACTERS_PER_TOKEN = 4;
 /** Milliseconds between two checks of the servers under notice. */
-const LOOK_PERIOD = 250;
+const POLL_INTERVAL = 250;
 /** Milliseconds before an instance is reclaimed at which its last requests are moved. */
-const LATE_MARGIN = 500;
+const FINAL_MOVE_MARGIN = 500;
 
 /**
  * Moves requests in progress away from workers under notice, as chosen by the triage.
@@ -31,30 +31,30 @@
  *
  * @param running Returns the requests that this instance runs on a worker.
  */
-export function followReclaims(
+export function watchReclaims(
   environment: Environment,
   running: (worker: string) => readonly LiveRequest[],
 ): Subscription {
   const { clock, workers } = environment;
   // The server from which each request was last moved. Reclaims come in waves, so the next server
   // may be reclaimed as well.
-  const savedFrom = new WeakMap<LiveRequest, string>();
+  const movedFrom = new WeakMap<LiveRequest, string>();
   const timers = new Set<Timer>();
-  const later = (at: number, act: () => void): void => {
+  const schedule = (at: number, action: () => void): void => {
     const timer = clock.after(Math.max(0, at - clock.now()), () => {
       timers.delete(timer);
-      act();
+      action();
     });
     timers.add(timer);
   };
-  const follow = ({ choice, at }: Triage, { live, worker }: Case): void => {
+  const applyTriage = ({ choice, at }: Triage, { live, worker }: EndangeredRun): void => {
     const isStillThere = (): boolean => live.record.worker === worker.id;
     const move = (): void => {
-      if (isStillThere()) live.interrupt(Stop.Reclaimed);
+      if (isStillThere()) live.interrupt(StopReason.Reclaimed);
     };
     // A request that was expected to end and hasn't, or had no token to continue from, would be
     // lost with the instance.
-    later((worker.reclaimAt ?? 0) - LATE_MARGIN, move);
+    schedule((worker.reclaimAt ?? 0) - FINAL_MOVE_MARGIN, move);
     switch (choice) {
       case TriageChoice.Finish:
       case TriageChoice.Stay:
@@ -63,85 +63,85 @@
         move();
         break;
       case TriageChoice.ResumeLate:
-        if (at !== undefined) later(at, move);
+        if (at !== undefined) schedule(at, move);
         break;
       case TriageChoice.ExportCache:
-        later(at ?? clock.now(), () => {
+        schedule(at ?? clock.now(), () => {
           if (isStillThere()) void exportCache(environment, { live, worker }).finally(move);
         });
         break;
     }
   };
-  const save = (worker: Worker): void => {
-    const fresh = running(worker.id).filter((live) => savedFrom.get(live) !== worker.id);
-    if (fresh.length === 0) return;
-    const lives = new Map(fresh.map((live) => [live.record.id, live]));
-    for (const live of fresh) savedFrom.set(live, worker.id);
-    const endangered = [...lives.values()].map((live) => endangeredOf(environment, live));
-    for (const choice of choose(environment, worker, endangered)) {
-      const live = lives.get(choice.id);
+  const moveRequests = (worker: Worker): void => {
+    const unmoved = running(worker.id).filter((live) => movedFrom.get(live) !== worker.id);
+    if (unmoved.length === 0) return;
+    const liveById = new Map(unmoved.map((live) => [live.record.id, live]));
+    for (const live of unmoved) movedFrom.set(live, worker.id);
+    const endangered = [...liveById.values()].map((live) => toEndangered(environment, live));
+    for (const choice of runTriage(environment, worker, endangered)) {
+      const live = liveById.get(choice.id);
       environment.counters.count(`triage.${choice.choice}`);
-      if (live !== undefined) follow(choice, { live, worker });
+      if (live !== undefined) applyTriage(choice, { live, worker });
     }
   };
-  let next: Timer | undefined;
+  let nextPoll: Timer | undefined;
   /**
    * Checks the servers under notice. Requests also reach a server after its notice, with a slot
    * whose owner is reclaimed in the same wave. With a single check they would stay on the server
    * and be lost with it.
    */
-  const look = (): void => {
-    next?.close();
-    const threatened = workers
+  const poll = (): void => {
+    nextPoll?.close();
+    const underNotice = workers
       .list()
       .filter(({ state, reclaimAt }) => state === WorkerState.Leaving && reclaimAt !== undefined);
-    for (const worker of threatened) save(worker);
-    next = threatened.length === 0 ? undefined : clock.after(LOOK_PERIOD, look);
+    for (const worker of underNotice) moveRequests(worker);
+    nextPoll = underNotice.length === 0 ? undefined : clock.after(POLL_INTERVAL, poll);
   };
-  const subscription = workers.onChange(look);
+  const subscription = workers.onChange(poll);
   return {
     close: () => {
       subscription.close();
-      next?.close();
+      nextPoll?.close();
       for (const timer of timers) timer.close();
     },
   };
 }
 
-interface Case {
+interface EndangeredRun {
   readonly live: LiveRequest;
   readonly worker: Worker;
 }
 
-function choose(
+function runTriage(
   { clock, configuration, workers }: Environment,
   worker: Worker,
   endangered: readonly Endangered[],
 ): readonly Triage[] {
-  const fellows = workers.list().filter(({ service }) => service === worker.service);
+  const serviceWorkers = workers.list().filter(({ service }) => service === worker.service);
   const classes = configuration.revision()?.deployment.machineClasses ?? {};
   return triage(endangered, {
     now: clock.now(),
     reclaimAt: worker.reclaimAt ?? clock.now(),
     transferRate: TRANSFER_RATE,
     bytesPerToken: BYTES_PER_TOKEN,
-    targets: fellows.filter(({ state }) => state === WorkerState.Live),
+    targets: serviceWorkers.filter(({ state }) => state === WorkerState.Live),
     prefillPerSecond: classes[worker.machineClass]?.prefillPerSecond ?? PREFILL_RATE,
-    underNotice: fellows.filter(({ reclaimAt }) => reclaimAt !== undefined),
+    underNotice: serviceWorkers.filter(({ reclaimAt }) => reclaimAt !== undefined),
   });
 }
 
-function endangeredOf({ clock }: Environment, live: LiveRequest): Endangered {
+function toEndangered({ clock }: Environment, live: LiveRequest): Endangered {
   const { id, repeatable, body, deadlineAt } = live.record;
   const produced = live.tokens.length;
-  const since = clock.now() - live.dispatchedAt;
+  const elapsed = clock.now() - live.dispatchedAt;
   return {
     id,
     repeatable,
-    promptTokens: Math.ceil(body.length / TOKEN_CHARACTERS),
+    promptTokens: Math.ceil(body.length / CHARACTERS_PER_TOKEN),
     producedTokens: produced,
     remainingTokens: remainingTokens(live),
-    tokenTime: produced > 0 ? since / produced : USUAL_TOKEN_TIME,
+    tokenTime: produced > 0 ? elapsed / produced : DEFAULT_TOKEN_TIME,
     deadlineAt: clock.now() + deadlineAt - clock.date().getTime(),
   };
 }
@@ -158,10 +158,10 @@
 /** Exports the request's KV cache. If this fails, the request resumes from its tokens. */
 async function exportCache(
   { counters, engine }: Environment,
-  { live, worker }: Case,
+  { live, worker }: EndangeredRun,
 ): Promise<void> {
   try {
-    live.cache = await engine.exportCache(worker, live.record.id);
+    live.cacheExport = await engine.exportCache(worker, live.record.id);
   } catch {
     counters.count("export.failed");
   }
