--- a/src/request/caller_answer.ts
+++ b/src/request/caller_answer.ts
@@ -6,10 +6,15 @@
 export enum RoutedRefusal {
   /** The instance has not received a configuration yet. */
   NotReady = "not-ready",
+  /** No route matches the host and path of the request. */
   NoRoute = "no-route",
+  /** The route requires a client account, and the key belongs to none. */
   UnknownKey = "unknown-key",
+  /** The body exceeds the size limit. */
   BodyTooLarge = "body-too-large",
+  /** The account's quota is used up. */
   QuotaUsedUp = "quota-used-up",
+  /** No worker accepts the request now. */
   NoWorker = "no-worker",
   /** The expected wait exceeds the time left until the deadline. */
   Overloaded = "overloaded",
@@ -19,11 +24,13 @@
   CrashesWorkers = "crashes-workers",
   /** The instance is shutting down. */
   Stopping = "stopping",
+  /** The deadline passed before the request was answered. */
   DeadlinePassed = "deadline-passed",
   /** The request may have run: the worker or its response was lost. */
   WorkerLost = "worker-lost",
 }
 
+/** HTTP status of each refusal. */
 const STATUS_BY_REFUSAL: Readonly<Record<RoutedRefusal, number>> = {
   [RoutedRefusal.NotReady]: 503,
   [RoutedRefusal.NoRoute]: 404,
@@ -62,6 +69,7 @@
    * @returns False if the caller reads too slowly; the worker should then pause until `onDrain`.
    */
   write(bytes: Buffer): boolean;
+  /** Ends a response that was started. */
   end(): void;
   /**
    * Closes the connection, so that the caller can't mistake a partial response for a complete one.
@@ -73,6 +81,7 @@
    * @param retryAfter Milliseconds, sent as the `Retry-After` header.
    */
   refuse(reason: RoutedRefusal, retryAfter?: number): void;
+  /** Calls the listener when the caller has caught up and more may be written. */
   onDrain(listener: () => void): void;
 }
 
--- a/src/request/caller_stream.ts
+++ b/src/request/caller_stream.ts
@@ -11,7 +11,7 @@
 export interface ForwardingContext {
   readonly environment: Environment;
   readonly table: SlotTable;
-  readonly owned: OwnedRequests;
+  readonly ownedRequests: OwnedRequests;
   /**
    * Called when forwarding of a request starts and ends. A planned stop waits for these requests.
    */
@@ -22,14 +22,15 @@
 /** A request to forward to its owner. */
 export interface ForwardedRequest {
   readonly record: RequestRecord;
+  /** Index of the first token wanted. */
   readonly fromToken: number;
   /** True to follow an existing request, false to have the owner accept it. */
   readonly follow: boolean;
 }
 
 /**
- * Milliseconds without an event from the owner after which the caller is asked to retry with the
- * request id.
+ * Milliseconds without an event from the owner after which the caller is asked to query the request
+ * by its id.
  */
 const OWNER_TIMEOUT = 5_000;
 /**
@@ -94,13 +95,16 @@
   }
 }
 
+/** State of a forwarded request across attempts. */
 interface Progress {
   /**
    * The answer so far. It is sent along, so that a new owner without these tokens can continue from
    * them.
    */
   readonly tokens: string[];
+  /** Index of the next token expected. */
   nextToken: number;
+  /** Whether an owner has accepted the request. */
   isAccepted: boolean;
   /** Time of the last event from the owner, in the clock's milliseconds. */
   lastEventAt: number;
@@ -217,6 +221,7 @@
   });
 }
 
+/** An owner, and the message to send it. */
 interface RelaySource {
   readonly owner: Member;
   readonly message: RelayMessage;
@@ -227,7 +232,7 @@
 function openEvents(context: ForwardingContext, source: RelaySource): AsyncIterable<RelayEvent> {
   const { owner, message, signal, progress } = source;
   const { members } = context.environment;
-  if (owner.id === members.self.id) return context.owned.serve(message, signal);
+  if (owner.id === members.self.id) return context.ownedRequests.serve(message, signal);
   progress.canRunElsewhere = true;
   return relayEvents(context.environment, source);
 }
--- a/src/request/engine_attempt.ts
+++ b/src/request/engine_attempt.ts
@@ -22,6 +22,7 @@
 
 /** Options for following a request at a worker. */
 export interface SendOptions {
+  /** The worker that runs the request or is to run it. */
   readonly worker: Worker;
   /** Why the request is sent again; undefined for the first time. */
   readonly cause: RetryCause | undefined;
--- a/src/request/engine_stream.ts
+++ b/src/request/engine_stream.ts
@@ -6,6 +6,7 @@
 
 /** How following a backend server's answer ended. */
 export type StreamEnd =
+  /** The answer is complete. */
   | { readonly kind: "finished"; readonly reason: string; readonly body: string }
   /** The server responded with an HTTP status instead of a stream. */
   | { readonly kind: "status"; readonly status: number; readonly body: string }
@@ -13,13 +14,16 @@
   | { readonly kind: "silent" }
   /** The connection failed or ended before the answer was complete. */
   | { readonly kind: "broken"; readonly notSent: boolean; readonly detail: string }
+  /** The request was stopped or interrupted. */
   | { readonly kind: "stopped"; readonly cause: StopReason };
 
 /** Time limits, in milliseconds, for the next event from a backend server. */
 export interface ProgressTimeouts {
   /** Limit until the server reports that it has started. */
   readonly start: number;
+  /** From then until the first token. */
   readonly firstToken: number;
+  /** Between two tokens. */
   readonly nextToken: number;
 }
 
@@ -35,6 +39,7 @@
 
 /** Options of {@linkcode followEngine}. */
 export interface StreamOptions {
+  /** Id of the worker. */
   readonly worker: string;
   /** Opens the stream; aborting the signal ends it. */
   readonly open: (signal: AbortSignal) => AsyncIterable<EngineEvent>;
@@ -47,10 +52,10 @@
 /**
  * Reads one stream from a backend server and appends its tokens to the request's answer.
  *
- * An open connection can stop delivering data permanently without an error, because a
- * device between the ends has lost its state. The answer would then stop until the deadline. A timeout
- * for each next event detects this. The end of the iteration alone proves nothing: only a
- * `finished` event completes an answer.
+ * An open connection can stop delivering data permanently without an error, because a device between
+ * the ends has lost its state. The answer would then stop until the deadline. A timeout for each next
+ * event detects this. The end of the iteration alone proves nothing: only a `finished` event completes
+ * an answer.
  */
 export async function followEngine(
   { clock, counters, scheduler }: Environment,
--- a/src/request/environment.ts
+++ b/src/request/environment.ts
@@ -14,6 +14,7 @@
 
 /** A listener registration that can be removed. */
 export interface Subscription {
+  /** Removes the listener. */
   close(): void;
 }
 
@@ -23,6 +24,7 @@
    * Undefined until the first revision is received; the instance serves no requests before that.
    */
   revision(): Revision | undefined;
+  /** Returns the latest slot map; its version is 0 before the first write. */
   slotMap(): SlotMap;
   /** Calls the listener after the revision or the slot map has changed. */
   onChange(listener: () => void): Subscription;
@@ -37,8 +39,10 @@
 
 /** The entry instances, as known to the membership protocol. */
 export interface MembershipView {
+  /** This instance. */
   readonly self: Member;
   find(id: string): Member | undefined;
+  /** Returns the state of the member with the given id. */
   stateOf(id: string): MemberState;
   /** Members that are alive and not leaving, including this instance. */
   alive(): readonly Member[];
@@ -54,11 +58,15 @@
 
 /** Counters by reason. Every refusal and every retry is counted. */
 export interface Counters {
+  /** Counts a refusal. */
   refused(reason: Refusal): void;
+  /** Counts a retry. */
   retried(cause: RetryCause): void;
   /** Counts tokens that were computed again. */
   recomputed(cause: RetryCause, tokens: number): void;
+  /** Records the time to the first token. */
   firstToken(service: string, milliseconds: number): void;
+  /** Records the time between two tokens. */
   betweenTokens(service: string, milliseconds: number): void;
   /** Counts any other event under a dotted name. */
   count(name: string): void;
--- a/src/request/handover.ts
+++ b/src/request/handover.ts
@@ -41,7 +41,9 @@
   close(): void;
 }
 
+/** Maximum number of attempts to send one message. */
 const MAX_ATTEMPTS = 4;
+/** Delay before the second attempt in milliseconds. It doubles with each attempt. */
 const MIN_RETRY_DELAY = 100;
 /** Milliseconds between two checks of whether a new backup has acknowledged every record. */
 const COMPLETION_POLL_INTERVAL = 250;
@@ -49,7 +51,7 @@
 /** Creates the component that hands over slots. */
 export function createHandover(
   environment: Environment,
-  { table, owned }: { table: SlotTable; owned: OwnedRequests },
+  { table, ownedRequests }: { table: SlotTable; ownedRequests: OwnedRequests },
 ): Handover {
   const { clock, counters, members, peers } = environment;
 
@@ -159,14 +161,14 @@
       // A slot that was handed over continues at the receiver: a copy from here would be out of
       // date.
       if (!slots.every((slot) => ownsSlot(table.get(slot)))) return false;
-      owned.writeAllProgress();
+      ownedRequests.writeAllProgress();
       const copies = slots.map((slot) => createCopyMessage(table.get(slot)));
       const nonEmpty = copies.filter(({ records }) => records.length > 0);
       const outcomes = await Promise.all(nonEmpty.map((message) => sendHandover(member, message)));
       return outcomes.every((outcome) => outcome === SlotOutcome.Acknowledged);
     },
     handOver: async (slots) => {
-      owned.writeAllProgress();
+      ownedRequests.writeAllProgress();
       const replicas = slots.map((slot) => table.get(slot));
       const affected = replicas.filter((replica) => ownsSlot(replica) || mustForward(replica));
       await Promise.all(affected.map(handOverSlot));
--- a/src/request/ownership.ts
+++ b/src/request/ownership.ts
@@ -27,6 +27,7 @@
   serve(message: RelayMessage, signal: AbortSignal): AsyncIterable<RelayEvent>;
   /** Returns the current record of a request with its whole answer so far. */
   find(slot: number, id: string): RequestRecord | undefined;
+  /** Cancels a request in progress; has no effect on other ids. */
   cancel(id: string): void;
   /**
    * Continues the requests of a slot after this instance has become its owner or has received
@@ -39,6 +40,7 @@
   writeAllProgress(): void;
   /** Returns the requests that this instance runs on a worker. */
   runningOn(worker: string): readonly LiveRequest[];
+  /** Returns the number of requests in progress. */
   inProgress(): number;
   /** Called when a request of a slot has ended or moved. */
   onSettled: (slot: number) => void;
@@ -78,7 +80,7 @@
     if (slotRequests?.size === 0) liveBySlot.delete(slot);
     const record = table.find(slot, id);
     if (record !== undefined && hasEnded(record.state)) retention.add(record);
-    owned.onSettled(slot);
+    ownedRequests.onSettled(slot);
   };
   const run = async (
     live: LiveRequest,
@@ -254,7 +256,7 @@
     return live;
   };
 
-  const owned: OwnedRequests = {
+  const ownedRequests: OwnedRequests = {
     serve: (message, signal) => {
       const { slot } = message.record;
       if (!ownsSlot(table.get(slot))) return yieldSingle(createMovedEvent(slot));
@@ -303,7 +305,7 @@
     inProgress: () => liveById.size,
     onSettled: () => undefined,
   };
-  return owned;
+  return ownedRequests;
 }
 
 function isPaused({ configuration }: RunContext["environment"], service: string): boolean {
--- a/src/request/replicator.ts
+++ b/src/request/replicator.ts
@@ -13,6 +13,7 @@
 
 /** What is known about the copy of a record at the backup. */
 export enum CopyState {
+  /** The backup has acknowledged the record. */
   Acknowledged = "acknowledged",
   /** No message was sent: the backup certainly doesn't have the record. */
   NotSent = "not-sent",
@@ -40,6 +41,7 @@
   waitForCopy(record: RecordKey, timeout: number): Promise<CopyState>;
   /** Retries all waiting replications immediately, because the slot map has changed. */
   retryNow(): void;
+  /** Ends all replications. */
   close(): void;
 }
 
@@ -52,9 +54,11 @@
 
 interface Replication {
   readonly key: RecordKey;
+  /** Called with the result of the replication. */
   readonly listeners: Set<(state: CopyState) => void>;
   /** Whether a message was sent that the receiver has not reported as discarded. */
   hasUnresolvedMessage: boolean;
+  /** Delay before the next attempt, in milliseconds. */
   retryDelay: number;
 }
 
@@ -116,9 +120,9 @@
   };
   const handleReply = (
     replication: Replication,
-    answer: { message: ReplicateMessage; outcome: SlotOutcome; epoch: number },
+    result: { message: ReplicateMessage; outcome: SlotOutcome; epoch: number },
   ): void => {
-    const { message, outcome, epoch } = answer;
+    const { message, outcome, epoch } = result;
     const { id, slot } = replication.key;
     if (outcome === SlotOutcome.Acknowledged) {
       const tokens = message.record.tokens.length;
--- a/src/request/request_api.ts
+++ b/src/request/request_api.ts
@@ -9,7 +9,9 @@
 
 /** An authenticated request from a caller. */
 export interface Submission {
+  /** Name of the client account. */
   readonly account: string;
+  /** Name of the service. */
   readonly service: string;
   /** `MODEL` or `MODEL+ADAPTER`. Empty for the service's first model, and for plain services. */
   readonly model: string;
@@ -17,6 +19,7 @@
    * HTTP path below the service, such as `/v1/chat/completions`; for plain services `METHOD /path`.
    */
   readonly path: string;
+  /** Body of the HTTP request. */
   readonly body: string;
   /** The caller's idempotency key; absent if it sent none. */
   readonly key?: string;
@@ -66,6 +69,7 @@
   ): AsyncIterable<CallerEvent>;
   /** Returns the record of a request from its owner. */
   find(id: string, account: string): Promise<RequestRecord | Rejection>;
+  /** Cancels a request and returns its record from its owner. */
   cancel(id: string, account: string): Promise<RequestRecord | Rejection>;
   /** Handlers for messages from peers. */
   readonly handlers: Pick<PeerHandlers, "replicate" | "cede" | "relay" | "ask">;
--- a/src/request/request_service.ts
+++ b/src/request/request_service.ts
@@ -50,18 +50,18 @@
   const replicator = createReplicator(environment, table);
   const queue = createRequestQueue(scheduler, clock);
   const retention = createRetention(clock, table);
-  const owned = createOwnedRequests({ environment, table, replicator, queue }, retention);
+  const ownedRequests = createOwnedRequests({ environment, table, replicator, queue }, retention);
   const forwarding: ForwardingContext = {
     environment,
     table,
-    owned,
+    ownedRequests,
     onStart: () => forwardedCount++,
     onEnd: () => {
       forwardedCount--;
       notifyIfIdle();
     },
   };
-  const handover = createHandover(environment, { table, owned });
+  const handover = createHandover(environment, { table, ownedRequests });
   const idleListeners = new Set<() => void>();
   let isAccepting = true;
   let stance = EntryStance.Open;
@@ -69,8 +69,8 @@
 
   const onSlotChange = ({ before, after }: SlotChange): void => {
     handover.confirmHistory(after.slot);
-    if (ownsSlot(after)) owned.inheritSlot(after.slot);
-    else if (ownsSlot(before)) owned.releaseSlot(after.slot);
+    if (ownsSlot(after)) ownedRequests.inheritSlot(after.slot);
+    else if (ownsSlot(before)) ownedRequests.releaseSlot(after.slot);
     if (isKeeper(after)) {
       // The primary sends its backup every record that the primary has. The backup then has to
       // forward only the records that the primary lacks.
@@ -83,21 +83,21 @@
     configuration.onChange(() => replicator.retryNow()),
     members.onChange(() => replicator.retryNow()),
     workers.onChange(() => queue.updateConcurrency()),
-    watchReclaims(environment, (worker) => owned.runningOn(worker)),
+    watchReclaims(environment, (worker) => ownedRequests.runningOn(worker)),
   ];
   const notifyIfIdle = (): void => {
-    if (owned.inProgress() > 0 || forwardedCount > 0) return;
+    if (ownedRequests.inProgress() > 0 || forwardedCount > 0) return;
     for (const resolve of idleListeners) resolve();
     idleListeners.clear();
   };
-  owned.onSettled = notifyIfIdle;
+  ownedRequests.onSettled = notifyIfIdle;
 
   const submit: RequestService["submit"] = (submission, signal) => {
-    const drawSlot = (random: Environment["random"]): number | undefined => table.drawSlot(random);
+    const pickSlot = (random: Environment["random"]): number | undefined => table.pickSlot(random);
     const refusal = isAccepting
       ? refuseWhenOverloaded(environment, { stance, submission })
       : DRAINING_REJECTION;
-    const record = refusal ?? createRecord(environment, { submission, drawSlot });
+    const record = refusal ?? createRecord(environment, { submission, pickSlot });
     if (!("notRun" in record)) {
       return forwardToOwner(
         forwarding,
@@ -110,7 +110,7 @@
   };
   const follow: RequestService["follow"] = (id, { account, fromToken, signal }) => {
     const slot = slotOfRequestId(id);
-    if (slot === undefined) return yieldRejection(rejectUnknownRequest(id));
+    if (slot === undefined) return yieldRejection(createUnknownRequestRejection(id));
     const record = createNameOnlyRecord({ id, slot, account });
     return forwardToOwner(forwarding, { record, fromToken, follow: true }, signal);
   };
@@ -119,9 +119,9 @@
     const replica = table.get(message.slot);
     const { epoch } = replica.assignment;
     if (!ownsSlot(replica)) return { outcome: SlotOutcome.NotNamed, epoch };
-    const found = owned.find(message.slot, message.id);
+    const found = ownedRequests.find(message.slot, message.id);
     if (found?.account !== message.account) return { outcome: SlotOutcome.Acknowledged, epoch };
-    if (message.cancel) owned.cancel(message.id);
+    if (message.cancel) ownedRequests.cancel(message.id);
     return { outcome: SlotOutcome.Acknowledged, epoch, record: found };
   };
   const ask = async (
@@ -129,18 +129,18 @@
     { account, cancel }: { account: string; cancel: boolean },
   ): Promise<RequestRecord | Rejection> => {
     const slot = slotOfRequestId(id);
-    if (slot === undefined) return rejectUnknownRequest(id);
+    if (slot === undefined) return createUnknownRequestRejection(id);
     for (let tries = 0; tries < MAX_ASK_ATTEMPTS; tries++) {
       const owner = selectOwner(forwarding, slot, tries);
       const { epoch } = table.get(slot).assignment;
       const message = { from: members.self.id, id, account, slot, epoch, hops: 1, cancel };
-      const asked =
+      const pendingReply =
         owner?.id === members.self.id
           ? Promise.resolve(answerAsk(message))
           : ((owner && environment.peers.ask(owner, message)) ?? Promise.resolve(undefined));
-      const reply = await asked.catch(() => undefined);
+      const reply = await pendingReply.catch(() => undefined);
       if (reply?.outcome === SlotOutcome.Acknowledged)
-        return reply.record ?? rejectUnknownRequest(id);
+        return reply.record ?? createUnknownRequestRejection(id);
       await configuration.refresh().catch(() => undefined);
       await queue.waitForChange(RETRY_AFTER / MAX_ASK_ATTEMPTS);
     }
@@ -161,7 +161,7 @@
     const after = table.get(message.slot);
     // Changes of the role are handled by the listener. This continues records that an owner
     // received.
-    if (ownsSlot(before) && before !== after) owned.inheritSlot(message.slot);
+    if (ownsSlot(before) && before !== after) ownedRequests.inheritSlot(message.slot);
     if (after.stance === Stance.None) {
       environment.counters.count("custody.taken");
       const isEarlyCopy = message.from === after.assignment.primary;
@@ -182,7 +182,7 @@
         return refreshIfBehind(reply, message);
       },
       cede: receiveCede,
-      relay: (message, signal) => owned.serve(message, signal),
+      relay: (message, signal) => ownedRequests.serve(message, signal),
       ask: (message) => Promise.resolve(answerAsk(message)),
     },
     copyTo: (slots, member) => handover.copyTo(slots, member),
@@ -198,7 +198,7 @@
         notifyIfIdle();
       }),
     cedeAll: () => handover.handOver(table.all().map(({ slot }) => slot)),
-    inProgress: () => owned.inProgress(),
+    inProgress: () => ownedRequests.inProgress(),
     close: () => {
       for (const subscription of subscriptions) subscription.close();
       table.close();
@@ -244,7 +244,7 @@
   yield { kind: "rejected", rejection };
 }
 
-function rejectUnknownRequest(id: string): Rejection {
+function createUnknownRequestRejection(id: string): Rejection {
   const detail = "This client account has no request with this id.";
   return { reason: Refusal.UnknownRequest, notRun: false, detail, id };
 }
@@ -281,13 +281,13 @@
 
 interface RecordOptions {
   readonly submission: Submission;
-  readonly drawSlot: (random: Environment["random"]) => number | undefined;
+  readonly pickSlot: (random: Environment["random"]) => number | undefined;
 }
 
 /** Creates the record of a submission, or the refusal if it can't have one. */
 function createRecord(
   { clock, configuration, random }: Environment,
-  { submission, drawSlot }: RecordOptions,
+  { submission, pickSlot }: RecordOptions,
 ): RequestRecord | Rejection {
   if (configuration.isCutOff()) {
     const detail =
@@ -300,7 +300,7 @@
     const detail = `The deployment has no service "${submission.service}".`;
     return { reason: Refusal.UnknownService, notRun: true, detail };
   }
-  const identity = createRequestId({ submission, drawSlot, random });
+  const identity = createRequestId({ submission, pickSlot, random });
   if (identity === undefined) {
     const detail = "This entry instance owns no slot with a live backup at present.";
     return { reason: Refusal.OwnerUnavailable, notRun: true, retryAfter: RETRY_AFTER, detail };
@@ -325,11 +325,11 @@
 
 function createRequestId({
   submission,
-  drawSlot,
+  pickSlot,
   random,
 }: RecordOptions & { random: Environment["random"] }): { id: string; slot: number } | undefined {
   const { account, key } = submission;
   if (key !== undefined) return keyedId(account, key);
-  const slot = drawSlot(random);
+  const slot = pickSlot(random);
   return slot === undefined ? undefined : { id: generateRequestId(slot, random), slot };
 }
--- a/src/request/retention.ts
+++ b/src/request/retention.ts
@@ -19,11 +19,13 @@
  * repeated is kept.
  */
 const AT_MOST_ONCE_RETENTION = 60_000;
+/** Milliseconds between two sweeps of expired records. */
 const SWEEP_INTERVAL = 5_000;
 
 interface RetainedRecord {
   readonly id: string;
   readonly slot: number;
+  /** Time in the clock's milliseconds. */
   readonly expiresAt: number;
 }
 
--- a/src/request/routed_arrival.ts
+++ b/src/request/routed_arrival.ts
@@ -9,6 +9,7 @@
   /** The request id chosen by the caller; undefined if it sent none. */
   readonly id: string | undefined;
   readonly route: Route;
+  /** The client account; undefined if the route requires none. */
   readonly account: RoutedAccount | undefined;
   /** Arrival time, in the clock's milliseconds. */
   readonly arrivedAt: number;
@@ -24,6 +25,7 @@
   readonly isRetry: boolean;
   /** Prompt and answer tokens together; undefined if the caller declared none. */
   readonly declaredTokens: number | undefined;
+  /** Parts of the prompt with their lengths, used to find workers that have them cached. */
   readonly promptParts: readonly PromptPart[];
   /** Priority; 0 is the most urgent. */
   readonly rank: number;
@@ -90,6 +92,7 @@
 
 /** Milliseconds by which the deadline of a first attempt may be below its route's timeout. */
 const RETRY_MARGIN = 50;
+/** `ID:TOKENS`, with a hexadecimal id. */
 const PROMPT_PART_PATTERN = /^\s*([0-9a-fA-F]{1,64}):(\d{1,9})\s*$/;
 /**
  * Maximum number of prompt parts. A longer list is treated as a caller's mistake, and the request
--- a/src/request/routed_attempt.ts
+++ b/src/request/routed_attempt.ts
@@ -6,16 +6,23 @@
 export interface Attempt {
   readonly worker: BoardWorker;
   readonly run: BoardRun;
+  /** In the clock's milliseconds. */
   readonly startedAt: number;
   /** Expected time to the first token, in milliseconds. */
   readonly expectedWait: number;
+  /** The HTTP exchange; undefined until the request is sent. */
   exchange: Exchange | undefined;
+  /** The head of the response; undefined until it arrives. */
   head: AnswerHead | undefined;
+  /** Buffered body of a response that is not streamed. */
   readonly chunks: Buffer[];
+  /** Bytes of the body received so far. */
   size: number;
   /** Whether the response is forwarded to the caller as a stream of events. */
   isStreaming: boolean;
+  /** Time of the last data from the worker, or of the last resume, in the clock's milliseconds. */
   lastReceivedAt: number;
+  /** Whether a complete event has arrived. */
   hasEvent: boolean;
   /** Whether reading from the worker is paused because the caller reads too slowly. */
   isPaused: boolean;
@@ -48,6 +55,7 @@
   readonly now: number;
   /** Time at which the worker last sent anything; undefined if it has sent nothing. */
   readonly workerLastReceivedAt: number | undefined;
+  /** Whether the route delivers a stream of events. */
   readonly isStream: boolean;
   /** Maximum time to the first event for which the answer is on time, in milliseconds. */
   readonly target: number;
--- a/src/request/routed_context.ts
+++ b/src/request/routed_context.ts
@@ -46,11 +46,13 @@
   answering(limit: number | undefined): void;
   /** Records that the first event has arrived, so the worker has read the prompt. */
   read(): void;
+  /** Ends the run and records its result. */
   end(result: RunResult): void;
 }
 
 /** A worker that may receive requests. */
 export interface BoardWorker extends RankedWorker, WorkerPlace {
+  /** Name of the worker's service. */
   readonly service: string;
   /** Maximum number of connections from this instance to the worker. */
   readonly mostConnections: number;
@@ -74,6 +76,7 @@
    * is the name of its route.
    */
   begin(worker: BoardWorker, run: { readonly reads: number; readonly route: string }): BoardRun;
+  /** Returns the reading rate and the run time of the service's workers. */
   speed(service: RoutedService): ServiceSpeed;
   /**
    * Calls the listener when the worker is about to leave, so that its runs can continue elsewhere.
@@ -105,12 +108,15 @@
 export interface RoutedContext {
   readonly clock: Clock;
   readonly random: Random;
+  /** Names of the headers, from the settings. */
   readonly names: HeaderNames;
   /** Returns undefined until the first configuration is received. */
   table(): RouteTable | undefined;
   readonly board: WorkerBoard;
   readonly connections: WorkerConnections;
+  /** Quotas of the client accounts, shared by all instances. */
   readonly quota: SharedQuota;
+  /** Limit on the repeats of each service. */
   readonly repeats: RepeatAllowance;
   readonly checks: WorkerChecks;
   readonly quarantine: Quarantine;
@@ -129,8 +135,12 @@
 
 /** Metrics of routed requests. Times are in milliseconds. */
 export interface RoutedMetrics {
+  /** Records a response and the time from arrival to its end. */
   answered(route: string, status: number, milliseconds: number): void;
+  /** Records the time from arrival to the first event. */
   firstEvent(route: string, milliseconds: number): void;
+  /** Counts a refusal. */
   refused(reason: string): void;
+  /** Counts a repeat at another worker. */
   repeated(cause: string): void;
 }
--- a/src/request/routed_run.ts
+++ b/src/request/routed_run.ts
@@ -148,9 +148,9 @@
     }
     const choice = chooseWorkers(context, { arrival, service, tried });
     if (choice.kind === "none") {
-      const opensIn = board.opensIn(service);
+      const capacityIn = board.opensIn(service);
       const after =
-        opensIn === undefined ? NO_WORKER_RETRY_AFTER : Math.max(BUSY_RETRY_AFTER, opensIn);
+        capacityIn === undefined ? NO_WORKER_RETRY_AFTER : Math.max(BUSY_RETRY_AFTER, capacityIn);
       giveUp(RoutedRefusal.NoWorker, Math.round(after));
       return;
     }
--- a/src/request/routed_service.ts
+++ b/src/request/routed_service.ts
@@ -11,6 +11,7 @@
 
 /** Serves routed requests on callers' connections. */
 export interface RoutedRequests {
+  /** Handles a request on a caller's connection. */
   readonly handle: (request: IncomingMessage, response: ServerResponse) => void;
   /** Number of requests that have arrived and not ended. */
   readonly inProgress: number;
--- a/src/request/slot_replica.ts
+++ b/src/request/slot_replica.ts
@@ -24,7 +24,9 @@
 export enum Stance {
   /** Neither primary nor backup. The instance may hold records in custody. */
   None = "none",
+  /** Owner of the slot according to the slot map. */
   Primary = "primary",
+  /** Holds copies of the primary's records and takes over from it. */
   Backup = "backup",
   /** Former primary that has handed the slot over. It no longer acts at this epoch. */
   Ceded = "ceded",
@@ -107,9 +109,11 @@
   readonly slot: number;
   /** The latest assignment received. */
   readonly assignment: Assignment;
+  /** The instance's role for the slot. */
   readonly stance: Stance;
   /** Epoch up to which this instance has received every record of the slot. */
   readonly completeTo: number;
+  /** The records of the slot by id. */
   readonly held: ReadonlyMap<string, Held>;
 }
 
--- a/src/request/slot_table.ts
+++ b/src/request/slot_table.ts
@@ -20,6 +20,7 @@
 
 /** The states of all slots at this instance. The table follows the slot map. */
 export interface SlotTable {
+  /** Returns the state of a slot. */
   get(slot: number): SlotReplica;
   /** Replaces the state of a slot with the result of a protocol transition. */
   set(replica: SlotReplica): void;
@@ -27,13 +28,15 @@
   applyTransition(answered: { replica: SlotReplica; reply: SlotReply }): SlotReply;
   /** Writes a record as the owner and returns it with its new sequence. */
   write(record: RequestRecord): RequestRecord;
+  /** Returns a record, or undefined if this instance doesn't have it. */
   find(slot: number, id: string): RequestRecord | undefined;
+  /** Removes a record. */
   forget(slot: number, id: string): void;
   /**
    * Picks a random slot of this instance that has a live backup, in another availability zone if
    * there is one.
    */
-  drawSlot(random: Random): number | undefined;
+  pickSlot(random: Random): number | undefined;
   /**
    * Whether the slot's records need no second holder, because none is available.
    *
@@ -45,7 +48,9 @@
   canActAlone(replica: SlotReplica, repeatable: boolean): boolean;
   /** Whether the backup in the slot map is known and alive. */
   hasLiveBackup(replica: SlotReplica): boolean;
+  /** Returns the states of all slots, in the order of their numbers. */
   all(): readonly SlotReplica[];
+  /** Calls the listener after the role or epoch of a slot has changed. */
   onChange(listener: (change: SlotChange) => void): Subscription;
   close(): void;
 }
@@ -56,7 +61,7 @@
   const self = members.self.id;
   const replicas = Array.from({ length: SLOT_COUNT }, (_, slot) => emptyReplica(self, slot));
   const listeners = new Set<(change: SlotChange) => void>();
-  let drawableSlots: readonly number[] | undefined;
+  let eligibleSlots: readonly number[] | undefined;
 
   const get = (slot: number): SlotReplica => replicas[slot] ?? emptyReplica(self, slot);
   const set = (after: SlotReplica): void => {
@@ -66,12 +71,12 @@
     const isUnchanged =
       before.stance === after.stance && before.assignment.epoch === after.assignment.epoch;
     if (isUnchanged) return;
-    drawableSlots = undefined;
+    eligibleSlots = undefined;
     for (const listener of listeners) listener({ before, after });
   };
   const isAlone = (): boolean => members.alive().every((member) => member.id === self);
   const applySlotMap = (): void => {
-    drawableSlots = undefined;
+    eligibleSlots = undefined;
     const map = configuration.slotMap();
     const isProvisional = map.version === 0 && isAlone();
     for (const replica of [...replicas]) {
@@ -87,7 +92,7 @@
     if (replica.stance === Stance.Primary && replica.assignment.backup === "") return true;
     return repeatable && ownsSlot(replica) && isAlone();
   };
-  const findDrawableSlots = (): readonly number[] => {
+  const findEligibleSlots = (): readonly number[] => {
     const primary = replicas.filter((replica) => replica.stance === Stance.Primary);
     const withBackup = primary.filter(hasLiveBackup);
     const inOtherZone = withBackup.filter(
@@ -100,7 +105,7 @@
   const subscriptions = [
     configuration.onChange(applySlotMap),
     members.onChange(() => {
-      drawableSlots = undefined;
+      eligibleSlots = undefined;
     }),
   ];
   applySlotMap();
@@ -118,9 +123,9 @@
     },
     find: (slot, id) => get(slot).held.get(id)?.record,
     forget: (slot, id) => set(forgetRecord(get(slot), id)),
-    drawSlot: (random) => {
-      drawableSlots ??= findDrawableSlots();
-      return drawableSlots[Math.floor(random.next() * drawableSlots.length)];
+    pickSlot: (random) => {
+      eligibleSlots ??= findEligibleSlots();
+      return eligibleSlots[Math.floor(random.next() * eligibleSlots.length)];
     },
     canActAlone,
     hasLiveBackup,
--- a/src/request/testing/request_fleet.ts
+++ b/src/request/testing/request_fleet.ts
@@ -24,6 +24,7 @@
   readonly member: Member;
   readonly requests: RequestService;
   readonly freezer: Freezer;
+  /** Values of the counters by name. */
   readonly counts: ReadonlyMap<string, number>;
   /** Whether the instance receives no changes of the slot map and of members. */
   isIsolated: boolean;
@@ -32,10 +33,13 @@
 /** What a caller has received so far. */
 export interface CallerView {
   readonly events: CallerEvent[];
+  /** The tokens received so far, joined. */
   readonly text: string;
   /** Whether the iteration over the events has ended. */
   readonly isDone: boolean;
+  /** Id of the request; empty before it was accepted. */
   readonly id: string;
+  /** Ends the caller's connection. */
   disconnect(): void;
 }
 
@@ -47,14 +51,19 @@
   readonly engines: MemoryEngines;
   readonly network: MemoryNetwork;
   readonly nodes: readonly RequestNode[];
+  /** Returns the instance with the given index. */
   node(index: number): RequestNode;
   /** Assigns all slots to a primary and a backup, given by index; -1 for none. */
   assign(primary: number, backup: number, options?: { historyLost?: boolean }): void;
+  /** Sets the membership state of an instance. */
   setState(index: number, state: MemberState): void;
   /** Kills an instance without notice. */
   kill(index: number): void;
+  /** Replaces the workers, which all instances see at once. */
   setWorkers(workers: readonly Worker[]): void;
+  /** Submits a request at the instance with the given index. */
   submit(index: number, submission?: Partial<Submission>): CallerView;
+  /** Follows a request at the instance with the given index. */
   follow(index: number, id: string, fromToken?: number): CallerView;
   close(): void;
 }
--- a/src/request/worker_reclaim.ts
+++ b/src/request/worker_reclaim.ts
@@ -108,6 +108,7 @@
   };
 }
 
+/** A request in progress at a worker under notice. */
 interface EndangeredRun {
   readonly live: LiveRequest;
   readonly worker: Worker;
