--- a/src/request/engine_attempt.ts
+++ b/src/request/engine_attempt.ts
@@ -134,10 +134,10 @@
  */
 function createOneTimeCopier(context: RunContext, live: LiveRequest): () => void {
   const { clock } = context.environment;
-  const copiedAt = clock.now();
+  const startedAt = clock.now();
   let isDone = false;
   return () => {
-    if (isDone || clock.now() - copiedAt < WORKER_COPY_DELAY) return;
+    if (isDone || clock.now() - startedAt < WORKER_COPY_DELAY) return;
     isDone = true;
     if (writeProgress(context, live)) context.replicator.send(live.record);
   };
--- a/src/request/live_request.ts
+++ b/src/request/live_request.ts
@@ -66,8 +66,8 @@
   }
 
   /** Ends every reader's iteration with the given event. */
-  finish(final: FinalEvent): void {
-    this.finalEvent = final;
+  finish(finalEvent: FinalEvent): void {
+    this.finalEvent = finalEvent;
     this.notifyReaders();
   }
 
@@ -170,8 +170,8 @@
 }
 
 /**
- * Creates the final event for a request whose copy at the backup is in doubt. The caller has to ask
- * again with the id.
+ * Creates the final event for a request whose copy at the backup is in doubt. The caller has to
+ * query the request by its id.
  */
 export function createUnknownOutcomeEvent(record: RequestRecord, retryAfter: number): FinalEvent {
   const state = RequestState.Accepted;
--- a/src/request/request_end.ts
+++ b/src/request/request_end.ts
@@ -11,7 +11,7 @@
  * again.
  */
 const END_TIMEOUT = 3_000;
-/** Milliseconds after which a caller should ask again. */
+/** Milliseconds after which a caller should query the request again. */
 const RETRY_AFTER = 1_000;
 
 /** Writes the outcome as the end of the request and reports it to the readers. */
--- a/src/request/routed_arrival.ts
+++ b/src/request/routed_arrival.ts
@@ -70,8 +70,11 @@
 }
 
 /** Returns the amount that a request uses of its account's quota. */
-export function quotaCost({ unit, unstatedTokens }: Quota, stated: number | undefined): number {
-  return unit === QuotaUnit.Requests ? 1 : (stated ?? unstatedTokens);
+export function quotaCost(
+  { unit, unstatedTokens }: Quota,
+  declaredTokens: number | undefined,
+): number {
+  return unit === QuotaUnit.Requests ? 1 : (declaredTokens ?? unstatedTokens);
 }
 
 /** Returns the value of a header; repeated headers are joined as a receiver would join them. */
--- a/src/request/routed_choice.ts
+++ b/src/request/routed_choice.ts
@@ -6,7 +6,7 @@
 
 /** The result of choosing workers for a request. */
 export type WorkerChoice =
-  /** No worker that accepts requests is left that hasn't had this one. */
+  /** Every worker that accepts requests has had this one already, or there is none. */
   | { readonly kind: "none" }
   /** No worker is expected to start the request in time. */
   | { readonly kind: "overloaded"; readonly offer: Offer; readonly candidates: number }
@@ -43,7 +43,7 @@
         ...(homes === undefined ? {} : { homes }),
       },
     );
-  const offerOf = (choice: Ranking<BoardWorker> | undefined): Offer => ({
+  const createOffer = (choice: Ranking<BoardWorker> | undefined): Offer => ({
     wait: choice?.wait ?? 0,
     target: arrival.route.target,
     left: timeLeft,
@@ -52,11 +52,11 @@
   });
   const sample = board.compared(service, arrival.promptParts);
   const sampled = rank(sample.workers, sample.homes);
-  const isSampleUsable = sampled.length > 0 && isWorthOffering(offerOf(sampled[0]));
+  const isSampleUsable = sampled.length > 0 && isWorthOffering(createOffer(sampled[0]));
   // If no worker of the sample is good enough, one of the others may be.
   const ranked = isSampleUsable ? sampled : rank(board.candidates(service));
   if (ranked.length === 0) return { kind: "none" };
-  const offer = offerOf(ranked[0]);
+  const offer = createOffer(ranked[0]);
   if (!isWorthOffering(offer)) return { kind: "overloaded", offer, candidates: ranked.length };
   return {
     kind: "ranked",
