--- a/src/request/caller_answer.ts
+++ b/src/request/caller_answer.ts
@@ -1,30 +1,37 @@
 import type { ServerResponse } from "node:http";
 import type { AnswerHead } from "../interface/index.ts";
-import { answerHeaders } from "./routed_headers.ts";
+import { buildResponseHeaders } from "./routed_headers.ts";
 
-/** Why a routed request was ended by the entry instance itself. */
+/** Reason for which the entry instance itself ends a routed request. */
 export enum RoutedRefusal {
-  /** No configuration is known yet. */
+  /** The instance has not received a configuration yet. */
   NotReady = "not-ready",
+  /** No route matches the host and path of the request. */
   NoRoute = "no-route",
+  /** The route requires a client account, and the key belongs to none. */
   UnknownKey = "unknown-key",
+  /** The body exceeds the size limit. */
   BodyTooLarge = "body-too-large",
+  /** The account's quota is used up. */
   QuotaUsedUp = "quota-used-up",
+  /** No worker accepts the request now. */
   NoWorker = "no-worker",
-  /** The wait would be longer than the time that is left. */
+  /** The expected wait exceeds the time left until the deadline. */
   Overloaded = "overloaded",
-  /** Workers refused it, and it may not be offered to more. */
+  /** Workers refused the request, and it must not be sent to any more of them. */
   Refused = "refused-by-workers",
-  /** Workers crashed when they ran it. */
+  /** The request is in quarantine because workers crashed while running it. */
   CrashesWorkers = "crashes-workers",
-  /** The instance is about to stop. */
+  /** The instance is shutting down. */
   Stopping = "stopping",
+  /** The deadline passed before the request was answered. */
   DeadlinePassed = "deadline-passed",
-  /** It may have run: its worker was lost or its answer was. */
+  /** The request may have run: the worker or its response was lost. */
   WorkerLost = "worker-lost",
 }
 
-const STATUS: Readonly<Record<RoutedRefusal, number>> = {
+/** HTTP status of each refusal. */
+const STATUS_BY_REFUSAL: Readonly<Record<RoutedRefusal, number>> = {
   [RoutedRefusal.NotReady]: 503,
   [RoutedRefusal.NoRoute]: 404,
   [RoutedRefusal.UnknownKey]: 401,
@@ -39,72 +46,87 @@
   [RoutedRefusal.WorkerLost]: 502,
 };
 
-/** Statuses that promise that the request has not run. */
-const NOT_RUN: ReadonlySet<number> = new Set([401, 404, 413, 429, 503]);
-const MILLISECONDS = 1_000;
+/** HTTP statuses that guarantee that the request has not run. */
+const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([401, 404, 413, 429, 503]);
+const MILLISECONDS_PER_SECOND = 1_000;
 
-/** The answer to one request on the caller's connection. */
-export interface CallerAnswer {
-  /** Whether any of it has been written: from then on it can only be continued or cut. */
-  readonly isBegun: boolean;
-  /** Whether it has come to its end, or the caller has gone. */
-  readonly isOver: boolean;
-  /** Writes a worker's whole answer. */
-  whole(head: AnswerHead, body: Buffer): void;
-  /** Begins a worker's answer whose length isn't known. */
-  begin(head: AnswerHead): void;
+/** The HTTP response to one request, on the caller's connection. */
+export interface CallerResponse {
   /**
-   * Writes a part of it.
+   * Whether any part of the response has been written. After that it can only be continued or
+   * aborted.
+   */
+  readonly hasStarted: boolean;
+  /** Whether the response has ended or the caller has disconnected. */
+  readonly isClosed: boolean;
+  /** Sends a complete worker response. */
+  sendComplete(head: AnswerHead, body: Buffer): void;
+  /** Starts a worker response of unknown length. */
+  start(head: AnswerHead): void;
+  /**
+   * Writes a part of a response that was started.
    *
-   * @returns False where the caller is slow and the worker should wait for `onDrain`.
+   * @returns False if the caller reads too slowly; the worker should then pause until `onDrain`.
    */
   write(bytes: Buffer): boolean;
+  /** Ends a response that was started. */
   end(): void;
-  /** Ends the connection, so that what was written doesn't look whole. */
-  cut(): void;
-  /** Writes the system's own refusal. */
+  /**
+   * Closes the connection, so that the caller can't mistake a partial response for a complete one.
+   */
+  abort(): void;
+  /**
+   * Sends a refusal made by the entry instance.
+   *
+   * @param retryAfter Milliseconds, sent as the `Retry-After` header.
+   */
   refuse(reason: RoutedRefusal, retryAfter?: number): void;
+  /** Calls the listener when the caller has caught up and more may be written. */
   onDrain(listener: () => void): void;
 }
 
 /**
- * Makes the answer to a request.
+ * Creates the response to a request.
  *
- * @param response Where it is written.
- * @param options `closing`: whether the connection is to be closed after it, since the instance stops.
+ * @param response The Node.js response to write to.
+ * @param options `isClosing` returns whether the connection is to be closed after the response,
+ * because the instance is shutting down.
  */
-export function createCallerAnswer(
+export function createCallerResponse(
   response: ServerResponse,
-  { closing }: { closing: () => boolean },
-): CallerAnswer {
+  { isClosing }: { isClosing: () => boolean },
+): CallerResponse {
   const start = (status: number, headers: readonly string[]): void => {
-    if (closing()) response.shouldKeepAlive = false;
+    if (isClosing()) response.shouldKeepAlive = false;
     response.writeHead(status, [...headers]);
   };
   return {
-    get isBegun() {
+    get hasStarted() {
       return response.headersSent;
     },
-    get isOver() {
+    get isClosed() {
       return response.writableEnded || response.destroyed;
     },
-    whole: (head, body) => {
-      const headers = answerHeaders(head);
-      // Without a body the length stands for one that a HEAD request didn't get.
+    sendComplete: (head, body) => {
+      const headers = buildResponseHeaders(head);
+      // An empty body keeps the worker's content length, because a HEAD response states the length
+      // of a body that it does not contain.
       const length = body.length > 0 ? String(body.length) : head.byName.get("content-length");
       start(head.status, length === undefined ? headers : [...headers, "Content-Length", length]);
       response.end(body);
     },
-    begin: (head) => start(head.status, answerHeaders(head)),
+    start: (head) => start(head.status, buildResponseHeaders(head)),
     write: (bytes) => response.write(bytes),
     end: () => void response.end(),
-    cut: () => void response.destroy(),
+    abort: () => void response.destroy(),
     refuse: (reason, retryAfter) => {
-      const status = STATUS[reason];
-      const body = Buffer.from(JSON.stringify({ error: { reason, not_run: NOT_RUN.has(status) } }));
+      const status = STATUS_BY_REFUSAL[reason];
+      const body = Buffer.from(
+        JSON.stringify({ error: { reason, not_run: NOT_RUN_STATUSES.has(status) } }),
+      );
       const headers = ["Content-Type", "application/json", "Content-Length", String(body.length)];
       if (retryAfter !== undefined) {
-        headers.push("Retry-After", (retryAfter / MILLISECONDS).toFixed(3));
+        headers.push("Retry-After", (retryAfter / MILLISECONDS_PER_SECOND).toFixed(3));
       }
       start(status, headers);
       response.end(body);
--- a/src/request/request_queue.ts
+++ b/src/request/request_queue.ts
@@ -6,24 +6,27 @@
 
 /** Options of {@linkcode RequestQueue.run}. */
 export interface QueueOptions {
-  /** Takes the job out while it still waits. */
+  /** Removes the job if it is still waiting. */
   readonly signal: AbortSignal;
 }
 
-/** The waiting lines of an entry instance, one for each service, in the order of the fair share. */
+/** The queues of an entry instance: one for each service, ordered by fair share. */
 export interface RequestQueue {
   /**
-   * Calls `work` once it is the job's turn.
+   * Calls `work` when it is the job's turn.
    *
-   * @returns What `work` resolved with, or undefined where the signal took the job out before its turn.
+   * @returns The result of `work`, or undefined if the signal removed the job before its turn.
    */
   run<T>(job: Job, work: () => Promise<T>, options: QueueOptions): Promise<T | undefined>;
-  /** Looks again at how many jobs may run: a run has ended, or the workers have changed. */
-  adjust(): void;
-  /** Jobs that wait for their turn, over all services. */
-  waiting(): number;
-  /** Resolves at the next {@linkcode adjust}, or after the given milliseconds. */
-  changed(most: number): Promise<void>;
+  /** Updates the concurrency limits after a run has ended or the workers have changed. */
+  updateConcurrency(): void;
+  /** Returns the number of waiting jobs over all services. */
+  waitingJobs(): number;
+  /**
+   * Resolves at the next update of the concurrency limits, or after the given number of
+   * milliseconds.
+   */
+  waitForChange(timeout: number): Promise<void>;
 }
 
 interface AddOptions extends QueueAddOptions {
@@ -32,15 +35,15 @@
 
 type ServiceQueue = PQueue<FairQueue<FairRun>, AddOptions>;
 
-/** Makes the waiting lines. */
+/** Creates the queues. */
 export function createRequestQueue(scheduler: Scheduler, clock: Clock): RequestQueue {
   const queues = new Map<string, ServiceQueue>();
   const waiters = new Set<() => void>();
   const capacityOf = (service: string): number =>
     Math.max(1, Math.floor(scheduler.capacity(service, clock.now())));
   const queueOf = (service: string): ServiceQueue => {
-    const before = queues.get(service);
-    if (before !== undefined) return before;
+    const existing = queues.get(service);
+    if (existing !== undefined) return existing;
     const queueClass = createFairQueueClass(scheduler.queueOptions(service));
     const queue: ServiceQueue = new PQueue({ queueClass, concurrency: capacityOf(service) });
     queues.set(service, queue);
@@ -49,41 +52,42 @@
   return {
     run: async (job, work, { signal }) => {
       if (signal.aborted) return undefined;
-      // The queue would also reject work that has begun, while that work is still at its end.
-      const leaving = new AbortController();
-      const leave = (): void => leaving.abort(new Error("The job was taken out."));
-      const progress = { begun: false };
-      signal.addEventListener("abort", leave, { once: true });
+      // The queue library also rejects work that has started if its signal aborts, so the signal
+      // passed to it is disconnected when the work starts.
+      const removal = new AbortController();
+      const remove = (): void => removal.abort(new Error("The job was removed from the queue."));
+      const progress = { hasStarted: false };
+      signal.addEventListener("abort", remove, { once: true });
       const task = (): ReturnType<typeof work> => {
-        progress.begun = true;
-        signal.removeEventListener("abort", leave);
+        progress.hasStarted = true;
+        signal.removeEventListener("abort", remove);
         return work();
       };
       try {
         return await queueOf(job.service).add(task, {
           id: job.id,
           job,
-          signal: leaving.signal,
+          signal: removal.signal,
         });
       } catch (error) {
-        // The queue rejects what it was told to take out; an error of the work itself goes on.
-        if (progress.begun) throw error;
+        // The queue rejects a job that was removed. An error from the work itself is rethrown.
+        if (progress.hasStarted) throw error;
         return undefined;
       }
     },
-    adjust: () => {
+    updateConcurrency: () => {
       for (const [service, queue] of queues) queue.concurrency = capacityOf(service);
       for (const wake of [...waiters]) wake();
     },
-    waiting: () => [...queues.values()].reduce((sum, queue) => sum + queue.size, 0),
-    changed: (most) =>
+    waitingJobs: () => [...queues.values()].reduce((sum, queue) => sum + queue.size, 0),
+    waitForChange: (timeout) =>
       new Promise((resolve) => {
         const wake = (): void => {
           waiters.delete(wake);
           timer.close();
           resolve();
         };
-        const timer = clock.after(most, wake);
+        const timer = clock.after(timeout, wake);
         waiters.add(wake);
       }),
   };
--- a/src/request/routed_attempt.ts
+++ b/src/request/routed_attempt.ts
@@ -2,27 +2,34 @@
 import type { AnswerHead, Exchange } from "../interface/index.ts";
 import type { BoardRun, BoardWorker } from "./routed_context.ts";
 
-/** One try at one worker. */
+/** One attempt to run a request at one worker. */
 export interface Attempt {
   readonly worker: BoardWorker;
   readonly run: BoardRun;
+  /** In the clock's milliseconds. */
   readonly startedAt: number;
-  /** How long its first token was expected to take. */
-  readonly wait: number;
+  /** Expected time to the first token, in milliseconds. */
+  readonly expectedWait: number;
+  /** The HTTP exchange; undefined until the request is sent. */
   exchange: Exchange | undefined;
+  /** The head of the response; undefined until it arrives. */
   head: AnswerHead | undefined;
+  /** Buffered body of a response that is not streamed. */
   readonly chunks: Buffer[];
+  /** Bytes of the body received so far. */
   size: number;
-  /** Bytes of it have gone to the caller already. */
-  streaming: boolean;
-  heardAt: number;
+  /** Whether the response is forwarded to the caller as a stream of events. */
+  isStreaming: boolean;
+  /** Time of the last data from the worker, or of the last resume, in the clock's milliseconds. */
+  lastReceivedAt: number;
+  /** Whether a complete event has arrived. */
   hasEvent: boolean;
-  /** The caller is slow, and nothing is read from the worker until it has caught up. */
+  /** Whether reading from the worker is paused because the caller reads too slowly. */
   isPaused: boolean;
 }
 
-/** Begins a try; its exchange is set when the request is sent. */
-export function beginAttempt(
+/** Creates an attempt. Its exchange is set when the request is sent. */
+export function createAttempt(
   worker: BoardWorker,
   { run, now, wait }: { run: BoardRun; now: number; wait: number },
 ): Attempt {
@@ -30,41 +37,45 @@
     worker,
     run,
     startedAt: now,
-    wait,
+    expectedWait: wait,
     exchange: undefined,
     head: undefined,
     chunks: [],
     size: 0,
-    streaming: false,
-    heardAt: now,
+    isStreaming: false,
+    lastReceivedAt: now,
     hasEvent: false,
     isPaused: false,
   };
 }
 
-/** What a look at a try goes by. */
-export interface AttemptMoment {
-  /** In the clock's milliseconds. */
+/** Inputs for the check of an attempt. */
+export interface AttemptCheck {
+  /** Current time, in the clock's milliseconds. */
   readonly now: number;
-  /** When anything came from the worker; undefined where nothing did. */
-  readonly heardAt: number | undefined;
+  /** Time at which the worker last sent anything; undefined if it has sent nothing. */
+  readonly workerLastReceivedAt: number | undefined;
+  /** Whether the route delivers a stream of events. */
   readonly isStream: boolean;
-  /** Longest time to the first event for which the answer is in time, in milliseconds. */
+  /** Maximum time to the first event for which the answer is on time, in milliseconds. */
   readonly target: number;
 }
 
-/** Whether the worker has been silent for so long that it hangs; while the caller is slow, nothing is expected of it. */
-export function isSilentAttempt(
-  { isPaused, hasEvent, heardAt, startedAt, wait }: Attempt,
-  { now, heardAt: workerHeardAt = startedAt, isStream, target }: AttemptMoment,
+/**
+ * Whether the worker has sent nothing for so long that it counts as hung. Nothing is expected of a
+ * worker while the caller reads too slowly.
+ */
+export function isHungAttempt(
+  { isPaused, hasEvent, lastReceivedAt, startedAt, expectedWait }: Attempt,
+  { now, workerLastReceivedAt = startedAt, isStream, target }: AttemptCheck,
 ): boolean {
   if (isPaused) return false;
   return isSilent({
     isStream,
     hasBegun: hasEvent,
-    quietFor: now - heardAt,
-    workerQuietFor: now - workerHeardAt,
+    quietFor: now - lastReceivedAt,
+    workerQuietFor: now - workerLastReceivedAt,
     target,
-    expected: wait,
+    expected: expectedWait,
   });
 }
