--- a/src/process/change_log.ts
+++ b/src/process/change_log.ts
@@ -1,14 +1,20 @@
-/** Values by key, with the round in which each changed last. */
+/** Records, for each key, the current value and the round in which it last changed. */
 export interface ChangeLog<K, V> {
-  /** Takes in all values as they are in this round; a key that isn't among them any more has the value `gone`. */
+  /**
+   * Records the complete set of values in a round. A key that is missing from `values` gets the
+   * tombstone value.
+   */
   note(values: ReadonlyMap<K, V>, round: number): void;
-  /** The values that changed after a round, in no order. */
+  /** Returns the values that changed after the given round, in no particular order. */
   since(round: number): Map<K, V>;
-  /** Forgets keys that were gone in this round already: whoever hasn't heard of it by then is told everything. */
+  /**
+   * Drops keys that were already removed in the given round. A receiver that has not acknowledged
+   * that round must be sent a full snapshot instead.
+   */
   forgetGone(round: number): void;
 }
 
-/** What a log of changes is made with. */
+/** Options for {@linkcode createChangeLog}. */
 export interface ChangeLogOptions<V> {
   readonly gone: V;
   readonly equals: (a: V, b: V) => boolean;
@@ -20,7 +26,7 @@
   readonly isGone: boolean;
 }
 
-/** Makes an empty log. */
+/** Creates an empty change log. */
 export function createChangeLog<K, V>({ gone, equals }: ChangeLogOptions<V>): ChangeLog<K, V> {
   const changes = new Map<K, Change<V>>();
   return {
--- a/src/process/change_log_test.ts
+++ b/src/process/change_log_test.ts
@@ -6,9 +6,9 @@
   return createChangeLog({ gone: 0, equals: (a, b) => a === b });
 }
 
-// Two receivers have heard of different rounds. One that is told only of the last round's changes keeps the value
-// that it missed, and sends work by it.
-test("every receiver is told what has changed since the round that it knows", () => {
+// Receivers acknowledge different rounds. A receiver that is sent only the changes of the last
+// round keeps a stale value and routes requests by it.
+test("each receiver gets all changes since the round that it acknowledged", () => {
   const log = startLog();
   log.note(new Map(Object.entries({ a: 1, b: 1 })), 1);
   log.note(new Map(Object.entries({ a: 2, b: 1 })), 2);
@@ -19,8 +19,8 @@
   expect(log.since(3).size).toBe(0);
 });
 
-// A worker leaves. Without a word of it the others would go on counting what ran there.
-test("what has gone is told as such until it is forgotten", () => {
+// A worker leaves. If its removal were not sent, receivers would keep counting the runs there.
+test("a removed key is reported with the tombstone value until it is pruned", () => {
   const log = startLog();
   log.note(new Map([["a", 4]]), 1);
   log.note(new Map(), 2);
--- a/src/process/change_way_large_test.ts
+++ b/src/process/change_way_large_test.ts
@@ -1,14 +1,21 @@
 import { expect, test } from "vitest";
 import { knownIn, startChangeFleet } from "./testing/news_fleet.ts";
 
-/** From the store's acknowledgement until every instance knows, in milliseconds: a third of the shortest bound. */
+/**
+ * Maximum time in milliseconds from the store's acknowledgement until every instance has the
+ * change: a third of the shortest required bound.
+ */
 const BOUND = 1_000;
-/** Milliseconds of real time: hundreds of instances in one process take half a minute on a busy machine. */
+/**
+ * Test timeout in milliseconds. Hundreds of instances in one process take half a minute on a busy
+ * machine.
+ */
 const GREATEST_TIME = 240_000;
 
-// A worker that leaves may end three seconds after its word, and a request that is sent there later is lost.
+// A worker may stop three seconds after it announces that it is leaving. Requests sent to it after
+// that are lost.
 test.each([195, 300])(
-  "each of %i instances knows a change of the store within a second",
+  "a store change reaches each of %i instances within a second",
   async (size) => {
     const fleet = await startChangeFleet(size);
     try {
--- a/src/process/change_way_test.ts
+++ b/src/process/change_way_test.ts
@@ -3,7 +3,10 @@
 import { knownIn, startChangeFleet } from "./testing/news_fleet.ts";
 import type { NewsFleet, NewsMember } from "./testing/news_fleet.ts";
 
-/** From the store's acknowledgement until every instance knows, in milliseconds: a third of the shortest bound. */
+/**
+ * Maximum time in milliseconds from the store's acknowledgement until every instance has the
+ * change: a third of the shortest required bound.
+ */
 const BOUND = 1_000;
 
 const closers: (() => void)[] = [];
@@ -21,7 +24,7 @@
   return members.filter(({ news }) => news.role === FleetRole.Relay);
 }
 
-/** Cuts all that goes from one instance to the others, as datagrams. */
+/** Drops all datagrams from one instance to the others. */
 function silence(fleet: NewsFleet, member: NewsMember): void {
   for (const other of fleet.members) {
     fleet.network.cut.add(`${member.address}>${other.address}`);
@@ -32,45 +35,51 @@
   return Array.from({ length: count }, (_, index) => `${prefix}-${index}`);
 }
 
-// A worker that leaves may end three seconds after its word, and a request that is sent there later is lost.
+// A worker may stop three seconds after it announces that it is leaving. Requests sent to it after
+// that are lost.
+test.each([14, 67])("a store change reaches each of %i instances within a second", async (size) => {
+  const fleet = await startFleet(size);
+  for (let change = 0; change < 6; change++) {
+    expect(await knownIn(fleet, [`w-${change}`])).toBeLessThanOrEqual(BOUND);
+    // The bound holds for any interval between changes.
+    await fleet.clock.advance(70 * change);
+  }
+});
+
+// Half of a zone's workers change at once, which is more than one digest can carry.
 test.each([14, 67])(
-  "each of %i instances knows a change of the store within a second",
+  "many simultaneous changes reach each of %i instances within a second",
   async (size) => {
     const fleet = await startFleet(size);
-    for (let change = 0; change < 6; change++) {
-      expect(await knownIn(fleet, [`w-${change}`])).toBeLessThanOrEqual(BOUND);
-      // Changes that follow each other at any distance are as quick.
-      await fleet.clock.advance(70 * change);
+    for (let wave = 0; wave < 3; wave++) {
+      expect(await knownIn(fleet, named(`wave-${wave}`, 60))).toBeLessThanOrEqual(BOUND);
+      await fleet.clock.advance(500);
     }
   },
 );
 
-// Half of a zone's workers change at once: more than one digest tells.
-test.each([14, 67])("many changes at once reach each of %i instances as soon", async (size) => {
-  const fleet = await startFleet(size);
-  for (let wave = 0; wave < 3; wave++) {
-    expect(await knownIn(fleet, named(`wave-${wave}`, 60))).toBeLessThanOrEqual(BOUND);
-    await fleet.clock.advance(500);
-  }
-});
-
-// Each third datagram is lost on all ways.
-test.each([1, 2, 3])("lost digests delay a change by little (seed %i)", async (seed) => {
-  const fleet = await startFleet(67, seed);
-  fleet.network.trouble = { lost: 0.3, twice: 0.1 };
-  for (let change = 0; change < 5; change++) {
-    expect(await knownIn(fleet, [`w-${change}`])).toBeLessThanOrEqual(BOUND);
-    expect(await knownIn(fleet, named(`many-${change}`, 40))).toBeLessThanOrEqual(BOUND);
-  }
-});
+// A third of the datagrams are lost on every link.
+test.each([1, 2, 3])(
+  "a change arrives within a second although digests are lost (seed %i)",
+  async (seed) => {
+    const fleet = await startFleet(67, seed);
+    fleet.network.trouble = { lost: 0.3, twice: 0.1 };
+    for (let change = 0; change < 5; change++) {
+      expect(await knownIn(fleet, [`w-${change}`])).toBeLessThanOrEqual(BOUND);
+      expect(await knownIn(fleet, named(`many-${change}`, 40))).toBeLessThanOrEqual(BOUND);
+    }
+  },
+);
 
-// A relay is suspended, so that it neither passes anything on nor answers who fetches from it. Its zone goes by it.
+// A relay is suspended: it neither forwards digests nor answers fetches. Its zone depends on it for
+// store changes.
 test.each([0, 1, 2, 3, 4, 5, 6, 7])(
-  "a change passes by a frozen relay (relay %i)",
+  "a change arrives although a relay is frozen (relay %i)",
   async (place) => {
     const fleet = await startFleet(67);
     const relay = relaysOf(fleet)[place];
-    if (relay === undefined) throw new Error("A fleet of 67 in four zones has eight relays.");
+    if (relay === undefined)
+      throw new Error("A fleet of 67 instances in four zones must have eight relays.");
     silence(fleet, relay);
     relay.answersFetches = false;
     const others = fleet.members.filter((member) => member !== relay);
@@ -79,10 +88,10 @@
   },
 );
 
-// The relays are alive and pass digests on, but are so slow that each fetch from them fails. One relay of a zone does, or
-// both do: then only the store is left to be asked.
+// The relays still forward digests but are so slow that every fetch from them fails. If this
+// affects both relays of a zone, only the store is left as a source.
 test.each([1, 2])(
-  "a change that has to be fetched is had from another where %i relays of a zone don't answer",
+  "a change that must be fetched comes from another source when %i relays of a zone don't answer",
   async (count) => {
     const fleet = await startFleet(67);
     for (const zone of ["z0", "z1", "z2", "z3"]) {
@@ -96,8 +105,8 @@
   },
 );
 
-// Both relays of a zone are suspended at once: nobody tells its members anything.
-test("a zone whose relays are both frozen asks the store itself", async () => {
+// Both relays of a zone are suspended at once, so its members receive no store changes from them.
+test("members of a zone whose relays are both frozen read the store themselves", async () => {
   const fleet = await startFleet(67);
   const pair = relaysOf(fleet).filter(({ zone }) => zone === "z1");
   for (const relay of pair) {
@@ -108,12 +117,13 @@
   expect(await knownIn(fleet, ["one"], others)).toBeLessThanOrEqual(BOUND);
 });
 
-// One instance doesn't see most of the others and so takes itself for a relay that the store's followers tell.
-test("an instance that is wrongly sure to be a relay learns of a change all the same", async () => {
+// One instance doesn't see most of the others, so it wrongly takes the role of a relay and expects
+// the watchers to send it store changes.
+test("an instance that wrongly takes itself for a relay still receives changes", async () => {
   const fleet = await startFleet(67);
   const lone = fleet.members.filter(({ news }) => news.role === FleetRole.Member).at(-1);
-  if (lone === undefined) throw new Error("A fleet of 67 has members.");
-  // It hears nobody of its zone, and nobody hears it.
+  if (lone === undefined) throw new Error("A fleet of 67 instances must have members.");
+  // No digests pass between this instance and the rest of its zone.
   for (const other of fleet.members.filter((one) => one !== lone && one.zone === lone.zone)) {
     fleet.network.cut.add(`${other.address}>${lone.address}`);
     fleet.network.cut.add(`${lone.address}>${other.address}`);
--- a/src/process/configuration.ts
+++ b/src/process/configuration.ts
@@ -16,53 +16,71 @@
 import type { StorePace } from "./store_pace.ts";
 import { subscribe } from "./subscription.ts";
 
-/** Instances of each availability zone that hold a watch on an object; the others hear from peers. */
+/**
+ * Number of instances per availability zone that watch an object in the store. The others receive
+ * changes from peers.
+ */
 const WATCHERS_PER_ZONE = 2;
-/** Silence of the store and of all peers after which an instance can't know what is in force. */
+/**
+ * Milliseconds without an answer from the store or any peer after which this instance considers
+ * itself cut off: it can no longer know which configuration is in force.
+ */
 const CUT_OFF_AFTER = 3_000;
-/** Silence of all peers after which an instance looks for the store, and how often it does. */
+/**
+ * Milliseconds without contact to any peer after which an instance reads the store directly, and
+ * the interval between these reads.
+ */
 const LONELY_AFTER = 2_000;
 const LONELY_READ = 1_000;
-/** Pause between tries of a starting instance, and how long it listens to peers where the store is down. */
+/**
+ * Milliseconds between read attempts during startup, and how long a starting instance collects
+ * versions from peers when the store is down.
+ */
 const START_PAUSE = 200;
 const START_LISTENING = 1_500;
 
-/** The task that follows the configuration in force. */
+/** Follows the configuration that is in force: the revision and the slot map. */
 export interface Configuration extends ConfigurationView {
-  /** Resolves once a revision is known; the configuration is followed from then on. */
+  /** Resolves once a revision is known and starts following the configuration. */
   start(): Promise<void>;
-  /** Takes in an object that this instance has read or written itself. */
+  /** Applies an object that this instance has read or written itself. */
   hear(key: string, object: Version): void;
-  /** Takes in the versions that a peer has applied, and fetches higher ones from it. */
+  /**
+   * Compares the versions that a peer has applied with the local ones and pulls newer objects from
+   * it.
+   */
   hearVersions(from: Member, marks: readonly VersionMark[]): void;
-  /** The versions that this instance has applied. */
+  /** Returns the versions that this instance has applied. */
   versions(): readonly VersionMark[];
-  /** Answers a peer that pulls. */
+  /** Returns the local version of an object for a peer that pulls it. */
   pull(key: string): Version | undefined;
-  /** The pace of this instance's control calls on the store. */
+  /** Limits the rate of this instance's control calls to the store. */
   readonly pace: StorePace;
   close(): void;
 }
 
-/** What the configuration task is made with. */
+/** Dependencies and settings of {@linkcode createConfiguration}. */
 export interface ConfigurationParts {
   readonly clock: Clock;
   readonly random: Random;
   readonly store: ObjectStore;
   readonly peers: Peers;
-  /** Members that are alive, this instance included. */
+  /** Returns the live members, including this instance. */
   readonly alive: () => readonly Member[];
   readonly self: Member;
-  /** When a peer was last heard, in the clock's milliseconds. */
+  /**
+   * Returns when a message last arrived from a peer, in milliseconds of `clock`; undefined if none
+   * has arrived.
+   */
   readonly peerHeardAt: () => number | undefined;
   readonly count: (name: string) => void;
-  /** Milliseconds between slow rereads. */
+  /** Average interval between periodic rereads of each object, in milliseconds. */
   readonly reread?: number;
 }
 
 const DEFAULT_REREAD = 30_000;
 
-/** Makes the task; it does nothing before it is started. */
+/** Creates the task. It does nothing until it is started. */
 export function createConfiguration(parts: ConfigurationParts): Configuration {
   const { clock, random, store, self } = parts;
   const listeners = new Set<() => void>();
@@ -104,7 +122,10 @@
     followers.find((follower) => follower.key === key);
   const silentFor = (heardAt: number | undefined): number =>
     heardAt === undefined ? Number.POSITIVE_INFINITY : clock.now() - heardAt;
-  /** An instance alone has only the store to tell it that it is not cut off. */
+  /**
+   * Reads the store while no peer is in contact. An isolated instance has no other evidence that it
+   * is not cut off.
+   */
   const watchLoneliness = async (): Promise<void> => {
     while (!isClosed()) {
       const lonely = silentFor(parts.peerHeardAt()) > LONELY_AFTER;
@@ -121,7 +142,8 @@
     while (!isClosed()) {
       const read = await readAll();
       if (read && revision !== undefined) return;
-      // One peer may be behind: it listens to several before it takes the highest for what is in force.
+      // A single peer may be out of date. Versions are collected from several peers before the
+      // highest one is taken as the configuration in force.
       if (revision !== undefined) deadline = Math.min(deadline, clock.now() + START_LISTENING);
       if (clock.now() >= deadline) return;
       await sleep(clock, START_PAUSE);
@@ -161,7 +183,10 @@
   return version === undefined ? [] : [{ key: follower.key, version }];
 }
 
-/** Two of each availability zone, by rendezvous over the live members. */
+/**
+ * Reports whether this instance is one of the two watchers of its zone, selected by rendezvous
+ * hashing over the live members.
+ */
 function isWatcher(
   key: string,
   { self, alive }: { self: Member; alive: readonly Member[] },
--- a/src/process/configuration_test.ts
+++ b/src/process/configuration_test.ts
@@ -32,20 +32,21 @@
   });
 }
 
-test("a revision is in force everywhere within 5 s, though few instances watch the store", async () => {
+test("a revision is in force everywhere within 5 s although few instances watch the store", async () => {
   const fleet = await startFleet(24);
   const before = fleet.store.calls();
   await writeObject(fleet, { key: REVISION_KEY, value: revisionWith("peak") });
   await fleet.clock.advance(IN_FORCE_WITHIN);
   expect(new Set(fleet.nodes.map(presetOf))).toEqual(new Set(["peak"]));
-  // Eight watch each of the two objects, renewed every 3 s: no other instance calls the store.
+  // Eight instances watch each of the two objects and renew the watch every 3 s. No other instance
+  // calls the store.
   expect(fleet.store.calls() - before).toBeLessThan(60);
   fleet.close();
 });
 
-test("a watch that silently stops delays a revision by no more than 5 s", async () => {
-  // Every open watch goes dead without an error, as when a firewall forgets the connections. A preset
-  // switch that nobody hears of leaves the finish tent on the small fleet of an ordinary day.
+test("a watch that silently stops delays a revision by at most 5 s", async () => {
+  // All open watches stop without an error, as when a firewall drops its connection state. An
+  // undetected preset switch would leave the service at the capacity of an ordinary day.
   const fleet = await startFleet(8);
   fleet.store.silenceWatches();
   await writeObject(fleet, { key: REVISION_KEY, value: revisionWith("peak") });
@@ -54,9 +55,9 @@
   fleet.close();
 });
 
-test("an accepted preset spreads though the store goes down right after it", async () => {
-  // The operator is told that the switch is accepted, and then the store is down for an hour. What was
-  // accepted must be in force everywhere all the same, and stay so when the store is back.
+test("an accepted preset spreads although the store goes down right after the write", async () => {
+  // The operator's switch is accepted, then the store is down for an hour. The accepted preset must
+  // still come into force everywhere, and stay in force when the store returns.
   const fleet = await startFleet(12);
   const [first] = fleet.nodes;
   if (first === undefined) throw new Error("The fleet is empty.");
@@ -75,9 +76,9 @@
   fleet.close();
 });
 
-test("a write whose answer was lost is reported as accepted and made once", async () => {
-  // The store applies the switch and the answer is lost on the way. Told that it failed, the operator
-  // would switch again, on top of what a colleague has changed meanwhile.
+test("a write whose response was lost is reported as accepted and applied once", async () => {
+  // The store applies the switch, but the response is lost. If it were reported as failed, the
+  // operator would repeat it and overwrite a colleague's later change.
   const fleet = await startFleet(4);
   const [first] = fleet.nodes;
   if (first === undefined) throw new Error("The fleet is empty.");
@@ -89,9 +90,10 @@
   fleet.close();
 });
 
-test("a change whose answer was lost before a long outage is not known until it is asked for", async () => {
-  // The write is applied, its answer lost, and the store is gone. Neither "accepted" nor "refused" would
-  // be true to say; the operator gets the change's id and asks again when the store is back.
+test("a change whose response was lost before a long outage is unknown until queried again", async () => {
+  // The write is applied, its response is lost, and the store goes down. Neither "accepted" nor
+  // "refused" would be correct. The operator gets the change id and queries it when the store is
+  // back.
   const fleet = await startFleet(4);
   const [first] = fleet.nodes;
   if (first === undefined) throw new Error("The fleet is empty.");
@@ -109,7 +111,7 @@
   fleet.close();
 });
 
-test("a change that never reached the store is refused, and stays so", async () => {
+test("a change that never reached the store is refused and is not applied later", async () => {
   const fleet = await startFleet(4);
   const [first] = fleet.nodes;
   if (first === undefined) throw new Error("The fleet is empty.");
@@ -123,9 +125,10 @@
   fleet.close();
 });
 
-test("two operators at two instances end with one preset and one conflict", async () => {
-  // Two operators switch presets at the same moment at two instances. One must win everywhere, and the
-  // other must be told so and not find her preset gone a second later.
+test("concurrent changes on two instances give one accepted preset and one conflict", async () => {
+  // Two operators switch presets at the same time on two instances. One preset must win everywhere;
+  // the other operator must get a conflict rather than see an accepted preset vanish a second
+  // later.
   const fleet = await startFleet(6);
   const [first, second] = fleet.nodes;
   if (first === undefined || second === undefined) throw new Error("The fleet is too small.");
@@ -150,8 +153,8 @@
   fleet.close();
 });
 
-test("an instance that starts while the store is down takes the highest version of its peers", async () => {
-  // A replacement boots in the middle of an outage. With an old configuration, or none, it would admit
+test("an instance that starts while the store is down takes its peers' highest version", async () => {
+  // A replacement starts during an outage. With an old configuration, or none, it would admit
   // requests under a preset that is no longer in force.
   const fleet = await startFleet(6);
   await writeObject(fleet, { key: REVISION_KEY, value: revisionWith("peak") });
@@ -165,7 +168,7 @@
   fleet.close();
 });
 
-test("an instance that starts alone while the store is down knows nothing and is cut off", async () => {
+test("an instance that starts alone while the store is down has no revision and is cut off", async () => {
   const fleet = await startControlFleet({ count: 0, zones: 1, revision: MINIMAL_REVISION });
   fleet.store.setDown(true);
   const alone = fleet.add("e0", { zone: "z0" });
@@ -179,9 +182,9 @@
   fleet.close();
 });
 
-test("an instance cut off from everyone says so within seconds, one with the store doesn't", async () => {
-  // The network loses one instance. It would go on to take requests under a configuration that the rest
-  // has left behind; a caller there must be told to go elsewhere.
+test("an instance that reaches neither peers nor the store reports within seconds that it is cut off", async () => {
+  // The network isolates one instance. It would keep accepting requests under an outdated
+  // configuration; its callers must be sent to another instance.
   const fleet = await startFleet(4);
   const [lost, ...others] = fleet.nodes;
   for (const { self } of others) fleet.network.setCut("e0#1", self.id, true);
@@ -198,7 +201,7 @@
   fleet.close();
 });
 
-test("a lower version is never applied, whoever says it", async () => {
+test("a lower version is never applied, whatever its source", async () => {
   const fleet = await startFleet(2);
   await writeObject(fleet, { key: REVISION_KEY, value: revisionWith("peak") });
   await fleet.clock.advance(IN_FORCE_WITHIN);
--- a/src/process/count_history.ts
+++ b/src/process/count_history.ts
@@ -2,19 +2,28 @@
 
 type Sums = ReadonlyMap<number, RunCounts>;
 
-/** Sums as they stood at earlier moments. */
+/** Keeps snapshots of run counts at earlier times. */
 export interface CountHistory {
-  /** Keeps the sums of a moment, in milliseconds that only grow; of moments that follow close on another, the first. */
+  /**
+   * Records the counts at a time in milliseconds, which must not decrease. A snapshot is skipped if
+   * the previous one is too recent.
+   */
   note(at: number, sums: Sums): void;
-  /** The latest sums that were kept of a moment no later than this, or else the first; undefined where there are none. */
+  /**
+   * Returns the latest snapshot taken at or before `moment`, or the oldest one if all are later;
+   * undefined if there is none.
+   */
   at(moment: number): Sums | undefined;
 }
 
-/** Milliseconds between two moments that are kept, and how many are: an order of some minutes. */
+/**
+ * Minimum milliseconds between two snapshots, and the maximum number of snapshots: together they
+ * cover a few minutes.
+ */
 const PERIOD = 500;
 const GREATEST_KEPT = 512;
 
-/** Makes a history of nothing. */
+/** Creates an empty history. */
 export function createCountHistory(): CountHistory {
   const kept: { readonly at: number; readonly sums: Sums }[] = [];
   return {
@@ -28,7 +37,10 @@
   };
 }
 
-/** What was counted after earlier sums; sums may fall where those that counted have ended. */
+/**
+ * Returns the increase from `before` to `now`. A count is never negative: totals decrease when an
+ * instance that contributed to them ends.
+ */
 export function countsSince(now: Sums, before: Sums): Map<number, RunCounts> {
   const found = new Map<number, RunCounts>();
   for (const [key, { runs, failures }] of now) {
--- a/src/process/count_history_test.ts
+++ b/src/process/count_history_test.ts
@@ -4,7 +4,7 @@
 const sums = (runs: number): Map<number, { runs: number; failures: number }> =>
   new Map([[7, { runs, failures: 1 }]]);
 
-test("sums are kept as they stood at earlier moments", () => {
+test("earlier snapshots are kept", () => {
   const history = createCountHistory();
   expect(history.at(100)).toBeUndefined();
   history.note(1_000, sums(10));
@@ -14,15 +14,15 @@
   expect(history.at(9_000)).toEqual(sums(20));
 });
 
-// The instance with the duty has had it for a moment only: what it knows of the time before is its first look.
-test("of moments before the first look its sums are given", () => {
+// An instance that has just taken over the lease has no snapshot from before that time.
+test("the oldest snapshot is returned for any earlier time", () => {
   const history = createCountHistory();
   history.note(5_000, sums(10));
   expect(history.at(1_000)).toEqual(sums(10));
 });
 
-// An instance that had counted has ended, and the sums are smaller than before.
-test("what was counted since is never negative", () => {
+// An instance that contributed to the totals has ended, so they are lower than before.
+test("an increase is never negative", () => {
   expect(countsSince(sums(12), sums(10))).toEqual(new Map([[7, { runs: 2, failures: 0 }]]));
   expect(countsSince(sums(3), sums(10))).toEqual(new Map([[7, { runs: 0, failures: 0 }]]));
 });
--- a/src/process/digest.ts
+++ b/src/process/digest.ts
@@ -2,118 +2,145 @@
 import type { FeedDelta } from "../interface/index.ts";
 import type { RolloutPlan } from "./rollout_plan.ts";
 
-/** What an instance has at one worker. */
+/** Counts of one instance, or of several added up, at one worker. */
 export interface WorkerUse {
   readonly running: number;
-  /** Prompt tokens there that no first token has come of yet. */
+  /** Prompt tokens of runs at the worker that have not produced their first token yet. */
   readonly unreadTokens: number;
-  /** Runs that it saw end there since its start, and how many of them failed. */
+  /** Runs that ended at the worker since the instance started, and how many of them failed. */
   readonly runs: number;
   readonly failures: number;
 }
 
-/** Nothing at a worker. */
+/** Zero counts. */
 export const NO_USE: WorkerUse = { running: 0, unreadTokens: 0, runs: 0, failures: 0 };
 
-/** What doesn't change while an instance runs. Addresses are `IP:PORT`. */
+/** Properties of an instance that don't change while it runs. Addresses have the form `IP:PORT`. */
 export interface Introduction {
   readonly name: string;
   readonly zone: string;
-  /** Where callers connect. */
+  /** Address for callers. */
   readonly callers: string;
-  /** Where other instances send digests and fetch objects. */
+  /** Address for other instances, which send digests to it and fetch objects from it. */
   readonly peers: string;
-  /** Thousandths of a core that it may use: a whole number, so that all compare the same. */
+  /**
+   * Processor capacity in thousandths of a core. An integer, so that all instances compare equal
+   * values.
+   */
   readonly capacity: number;
 }
 
-/** What every digest says. */
+/** State that every digest contains. */
 export interface InstanceState {
-  /** Whether it takes new requests. */
+  /** Whether the instance accepts new requests. */
   readonly ready: boolean;
-  /** Whether the platform's store answers it. */
+  /** Whether the platform's store answers the instance. */
   readonly reachesStore: boolean;
   /**
-   * The store's version of the lease of the calls that one instance at a time makes, as it wrote it last; 0 where it
-   * doesn't hold it.
+   * Store version of the lease for the platform calls that one instance at a time makes, as of the
+   * instance's last write; 0 if the instance doesn't hold the lease.
    */
   readonly leaseVersion: number;
-  /** Whether it knows what changes in the store, from the store or from an instance that the store answers. */
+  /**
+   * Whether the instance receives store changes, either from the store or from an instance that the
+   * store answers.
+   */
   readonly isCurrent: boolean;
-  /** The store's version of the last change that it knows, by kind of object. */
+  /** Store version of the last change that the instance knows, by kind of object. */
   readonly versions: ReadonlyMap<string, number>;
-  /** Whether the store has just come back after it was away for everybody: entries of workers may have lapsed. */
+  /**
+   * Whether the store has just returned from an outage that affected all instances. Workers'
+   * entries may have expired in the meantime.
+   */
   readonly storeReturned: boolean;
-  /** How versions on trial are used, as the instance with the duty said it last. */
+  /** How versions on trial are used, as last received from the lease holder. */
   readonly plans: readonly RolloutPlan[];
-  /** What workers have lately begun or ceased to say of how much they take. */
+  /** Recent changes of the request rate limits that workers state, including limits withdrawn. */
   readonly limits: readonly LimitStatement[];
 }
 
-/** An instance as another one names it. */
+/** An instance as listed in another instance's digest. */
 export interface RosterEntry extends Introduction, Pick<InstanceState, "ready" | "reachesStore"> {
-  /** Tells the process from all others. */
+  /** Random number that identifies the process. */
   readonly session: number;
 }
 
-/** Instances that the sender knows to be there. */
+/** Instances that the sender knows to be live, as a snapshot or a delta. */
 export interface Roster {
-  /** Whether these are all; otherwise what has changed. */
+  /** Whether the roster is complete; otherwise it contains only changes. */
   readonly isWhole: boolean;
   readonly there: readonly RosterEntry[];
-  /** Sessions of those that are gone. */
+  /** Sessions of instances that are no longer live. */
   readonly gone: readonly number[];
 }
 
-/** Whose news a digest tells. */
+/** Which instances the counts in a digest cover. */
 export enum NewsScope {
-  /** Nobody's. */
+  /** The digest carries no counts. */
   None = "none",
-  /** The sender's own. */
+  /** The sender only. */
   Own = "own",
-  /** Those of the sender's group of instances, added up. */
+  /** The sum over the sender's group, which is its availability zone. */
   Group = "group",
-  /** Those of all instances, added up. */
+  /** The sum over all instances. */
   Fleet = "fleet",
 }
 
-/** What has changed at an instance since the receiver heard of it last. */
+/**
+ * Counts of an instance or a group that changed since the last update that the receiver
+ * acknowledged.
+ */
 export interface InstanceNews {
-  /** Whether this is all there is: what the receiver had of the sender before is over. */
+  /**
+   * Whether the update is a full snapshot, which replaces everything that the receiver has from
+   * this sender.
+   */
   readonly isWhole: boolean;
-  /** Milliseconds since its start. */
+  /** Milliseconds since the sender started. */
   readonly age: number;
-  /** What it holds for the time of day, in milliseconds since 1970. */
+  /** The sender's estimate of the current time, in milliseconds since 1970. */
   readonly time: number;
-  /** Tokens or requests admitted since its start, by client account. */
+  /** Tokens or requests admitted since the sender started, by client account. */
   readonly admitted: ReadonlyMap<string, number>;
-  /** Runs begun, by window and client account. */
+  /** Runs started, by usage window and client account. */
   readonly usage: readonly WindowCounts[];
-  /** By the hash of the worker's id, by what `tallyKeys` names while a version is on trial, and by the keys of requests. */
+  /**
+   * Worker counts by hash: of the worker's id, of the keys from `tallyKeys` while a version is on
+   * trial, or of a request's key.
+   */
   readonly use: ReadonlyMap<number, WorkerUse>;
-  /** Workers that it knows to leave, each with its start; told for as long as they are there. */
+  /**
+   * Workers known to be leaving, each identified by id and start time. Listed for as long as they
+   * exist.
+   */
   readonly leaving: readonly string[];
 }
 
-/** What an instance sends to another several times a second. */
+/** Message that an instance sends to another several times a second. */
 export interface Digest extends InstanceState {
-  /** Tells the sending process from all others, also from the one before it at the same address. */
+  /**
+   * Random number that identifies the sending process. It differs from that of an earlier process
+   * at the same address.
+   */
   readonly session: number;
-  /** Counts the sender's rounds. */
+  /** Number of the sender's round; it increases with every round. */
   readonly sequence: number;
-  /** The receiver's session as the sender knows it, and the last digest with news that came of it. */
+  /**
+   * The receiver's session as known to the sender, and the last digest from it whose update was
+   * applied.
+   */
   readonly heard: { readonly session: number; readonly sequence: number } | undefined;
-  /** Given until the receiver is known to have it. */
+  /** Included until the receiver acknowledges this session. */
   readonly introduction: Introduction | undefined;
   readonly scope: NewsScope;
   readonly news: InstanceNews | undefined;
-  /** Whether the sender goes by the receiver's news. */
+  /** Whether the sender uses the receiver's updates. */
   readonly wantsNews: boolean;
-  /** Whether the news hold what the receiver has said, up to what was heard of it. */
+  /** Whether the counts include those of the receiver, up to the acknowledged digest. */
   readonly countsReceiver: boolean;
   readonly roster: Roster | undefined;
-  /** Changes of the store's objects that the receiver doesn't know yet. */
+  /** Changes of the store's objects that the receiver doesn't have yet. */
   readonly feeds: readonly FeedDelta[];
-  /** Addresses where the sender has heard other instances. */
+  /** Addresses at which the sender has received digests from other instances. */
   readonly known: readonly string[];
 }
--- a/src/process/digest_codec.ts
+++ b/src/process/digest_codec.ts
@@ -18,10 +18,13 @@
 import type { Digest, InstanceNews, Introduction, Roster, WorkerUse } from "./digest.ts";
 import type { RolloutPlan } from "./rollout_plan.ts";
 
-/** Prompt tokens that are one unit on the wire: the ranking doesn't tell apart what is read in a millisecond. */
+/**
+ * Number of unread prompt tokens per unit on the wire. Worker ranking ignores differences below
+ * this, which a worker reads in about a millisecond.
+ */
 const UNREAD_UNIT = 64;
 
-/** The longest age that is told apart, in milliseconds: an hour. */
+/** Maximum uptime on the wire in milliseconds: one hour. Longer uptimes are not distinguished. */
 const GREATEST_AGE = 3_600_000;
 
 const SCOPES: Readonly<Record<NewsScope, Scope>> = {
@@ -31,7 +34,7 @@
   [NewsScope.Fleet]: Scope.FLEET,
 };
 
-/** A digest as a datagram. */
+/** Encodes a digest as the payload of a datagram. */
 export function encodeDigest(digest: Digest): Uint8Array {
   const { session, sequence, ready, reachesStore, heard, introduction, news } = digest;
   const message = create(DigestSchema, {
@@ -122,7 +125,10 @@
   });
 }
 
-/** An object's value as JSON; null where it has none, as JSON has no text for that. */
+/**
+ * Returns an object's value as JSON; `null` if it has no value, since JSON cannot express
+ * `undefined`.
+ */
 export function objectText({ value }: FeedObject): string {
   return JSON.stringify(value ?? null);
 }
@@ -144,7 +150,7 @@
   });
 }
 
-/** All that is said of each account, together: the names are most of it. */
+/** Groups all counts by account, because the account names take most of the space. */
 function accountsOf({ admitted, usage }: InstanceNews): wire.AccountNews[] {
   const last = lastWindow({ usage });
   const names = new Set([
@@ -154,7 +160,7 @@
   return [...names].map((account) => {
     const begun: number[] = [];
     for (const { window, counts } of usage) {
-      // An account may be named as something that every object has.
+      // An account may have the name of an inherited property such as `constructor`.
       const count = Object.hasOwn(counts, account) ? counts[account] : undefined;
       if (count === undefined) continue;
       while (begun.length <= last - window) begun.push(0);
@@ -169,12 +175,12 @@
   return Math.max(0, ...usage.map(({ window }) => window));
 }
 
-/** The digest in a datagram; undefined where the bytes are none. */
+/** Decodes the payload of a datagram. Returns undefined if it is not a valid digest. */
 export function decodeDigest(bytes: Uint8Array): Digest | undefined {
   try {
     return digestOf(fromBinary(DigestSchema, bytes));
   } catch {
-    // The bytes are no message of this kind: the caller counts them.
+    // The bytes are not a valid message. The caller counts the error.
     return undefined;
   }
 }
@@ -228,7 +234,9 @@
   };
 }
 
-/** @throws {SyntaxError} If an object is no JSON. */
+/**
+ * @throws {SyntaxError} If a value or status is not valid JSON.
+ */
 function decodeFeed({ kind, from, to, changes, age }: wire.FeedDelta): FeedDelta {
   return {
     kind,
--- a/src/process/digest_codec_test.ts
+++ b/src/process/digest_codec_test.ts
@@ -14,7 +14,7 @@
   age: fc.nat(3_600_000),
   time: fc.nat({ max: 2 ** 50 }),
   admitted: fc.array(fc.tuple(NAME, COUNT)).map((entries) => new Map(entries)),
-  // Windows follow each other, the first one first.
+  // Windows are consecutive and in ascending order.
   usage: fc
     .array(fc.dictionary(NAME, COUNT, { minKeys: 1, noNullPrototype: true }), { maxLength: 4 })
     .map((windows) => windows.map((counts, index) => ({ window: 1_000 + index, counts }))),
@@ -104,7 +104,7 @@
   known: fc.array(NAME),
 });
 
-test("a digest is read as it was written", () => {
+test("a decoded digest equals the encoded one", () => {
   fc.assert(
     fc.property(DIGEST, (digest) => {
       const read = decodeDigest(encodeDigest(digest));
@@ -119,8 +119,8 @@
   );
 });
 
-// Datagrams come from anywhere. One that isn't a digest, or is a damaged one, must not end the instance.
-test("any bytes at all are a digest or none", () => {
+// Datagrams can come from any source. An invalid or damaged one must not terminate the instance.
+test("arbitrary bytes decode to a valid digest or to undefined", () => {
   const noise = fc.uint8Array({ maxLength: 300 });
   const spoiled = fc
     .tuple(DIGEST, fc.nat(), fc.nat(255), fc.nat())
@@ -141,11 +141,11 @@
   );
 });
 
-// Anybody may write an entry into the store, also one without a value. An instance that failed to tell of it would end,
-// and the next one that follows the store with it.
-test("an object without a value is told as one", () => {
+// Any client can write an entry without a value to the store. If encoding failed on it, the
+// instance would terminate, and so would its successor as the store's watcher.
+test("an object without a value is encoded as null", () => {
   const [digest] = fc.sample(DIGEST, { numRuns: 1, seed: 1 });
-  if (digest === undefined) throw new Error("There is no sample.");
+  if (digest === undefined) throw new Error("fast-check returned no sample.");
   const change = { object: { name: "w", version: 3, value: undefined }, removed: false };
   const feeds = [{ kind: "servers", from: 2, to: 3, changes: [change], age: 0 }];
   const read = decodeDigest(encodeDigest({ ...digest, feeds }));
--- a/src/process/digest_rounds.ts
+++ b/src/process/digest_rounds.ts
@@ -11,19 +11,25 @@
 import type { Peer } from "./peer.ts";
 import { createRosterNews } from "./roster_news.ts";
 
-/** What each of the others is told, round by round. */
+/** Builds the digests that this instance sends, round by round. */
 export interface DigestRounds {
-  /** Begins a round: what is told from now on is as it stands. */
+  /** Starts a round: captures the counts and the roster that its digests contain. */
   begin(targets: readonly Peer[]): void;
-  /** The digest for an instance in a round of its own, of what stood when the last one began. */
+  /**
+   * Builds an immediate reply to a peer. It takes a new round number but the contents of the last
+   * round.
+   */
   answer(target: Peer): Digest;
-  /** The digest for an instance in this round. */
+  /** Builds the digest for a peer in the current round. */
   digestFor(target: Peer, state: InstanceState): Digest;
-  /** What this instance had said of itself in a round; undefined where that is forgotten. */
+  /**
+   * Returns this instance's own counts as of the given round; undefined if they are no longer
+   * retained.
+   */
   ownAt(round: number): OwnState | undefined;
 }
 
-/** What the rounds are made with. */
+/** Dependencies of {@linkcode createDigestRounds}. */
 export interface DigestRoundsParts {
   readonly random: Random;
   readonly introduction: Introduction;
@@ -36,13 +42,19 @@
   readonly feedsSince: (versions: ReadonlyMap<string, number>) => readonly FeedDelta[];
 }
 
-/** Addresses passed on with an introduction, and otherwise with one round in so many. */
+/**
+ * Maximum number of peer addresses to include in a digest. They are included together with an
+ * introduction, and otherwise once every `FORWARD_INTERVAL` rounds.
+ */
 const PASSED_ON = 8;
 const PASS_ON_EVERY = 16;
-/** Rounds of this instance's own news that are kept, to be taken out of sums that hold them. */
+/**
+ * Number of rounds for which this instance's own counts are retained, so that they can be
+ * subtracted from sums that include them.
+ */
 const KEPT_ROUNDS = 32;
 
-/** Makes rounds of which none has begun. */
+/** Creates the builder. No round has started yet. */
 export function createDigestRounds(parts: DigestRoundsParts): DigestRounds {
   const { random, introduction, session, table } = parts;
   const news: Readonly<Record<Exclude<NewsScope, NewsScope.None>, OwnNews>> = {
@@ -54,7 +66,7 @@
   const ownRounds = new Map<number, OwnState>();
   let sequence = 0;
 
-  /** What an instance is told. */
+  /** Returns which counts a peer is sent. */
   const scopeFor = ({ instance, address }: Peer): NewsScope => {
     const { role } = table.tree;
     if (role === FleetRole.Equal) return NewsScope.Own;
@@ -65,11 +77,11 @@
     if (isInZone) return NewsScope.Fleet;
     return isRelay ? NewsScope.Group : NewsScope.None;
   };
-  /** The round after which changes are told; 0 where everything is. */
+  /** Returns the round that a delta is based on; 0 if the peer must be sent a full snapshot. */
   const buildsOn = (target: Peer, scope: NewsScope): number => {
     const told = `${scope} ${target.wantsNews}`;
     if (target.told !== told) {
-      // What the receiver has heard until now was of something else.
+      // Acknowledgements so far were for updates of another scope.
       target.told = told;
       target.toldSince = sequence;
     }
@@ -82,8 +94,8 @@
     return (scope === NewsScope.Group ? rosters.zone : rosters.all).since(from);
   };
   /**
-   * A watcher tells the relays what changes in the store, and they tell their zones; a relay that has lost its way to
-   * the store is told by all others.
+   * Watchers send store changes to the relays, and relays to their zones. A relay that cannot reach
+   * the store is sent the changes by all others.
    */
   const feedsFor = ({ address, instance }: Peer, scope: NewsScope): readonly FeedDelta[] => {
     if (instance === undefined) return [];
@@ -105,7 +117,7 @@
     const isTold = knowsThis && scope !== NewsScope.None && wantsNews;
     const told = isTold ? news[scope].since(from) : undefined;
     const roster = knowsThis ? rosterFor(target, scope, from) : undefined;
-    // Whoever is no partner is answered once for each of its digests.
+    // An instance that addresses this one as a relay by mistake gets one reply per digest.
     if (scope === NewsScope.None) target.asks = false;
     return {
       session,
@@ -126,7 +138,8 @@
     begin: (targets) => {
       sequence++;
       const scopes = new Set(targets.map(scopeFor));
-      // Also where nobody is there to be told: what may be taken until the next telling goes by it.
+      // Runs even without targets, since the quota that may be admitted before the next report
+      // depends on it.
       const own = parts.news(NewsScope.Own);
       news[NewsScope.Own].note(own, sequence);
       ownRounds.set(sequence, { ...own, admitted: new Map(own.admitted) });
@@ -137,7 +150,7 @@
         if (scopes.has(scope)) news[scope].note(parts.news(scope), sequence);
       }
       if (table.tree.role === FleetRole.Equal) return;
-      // What others tell of a zone isn't passed on to the other zones.
+      // Reports from relays about a zone are not forwarded to other zones.
       const zone = table.heard().filter((one) => one.zone === introduction.zone);
       rosters.zone.note(zone, sequence);
       rosters.all.note(table.live({ onlyFirm: true }), sequence);
--- a/src/process/feed_follower.ts
+++ b/src/process/feed_follower.ts
@@ -9,49 +9,59 @@
   Random,
 } from "../interface/index.ts";
 
-/** By which way an instance came to know a change. */
+/** The source from which an instance received a change. */
 export enum ChangeWay {
-  /** The store told it, by a list or a watch. */
+  /** A list or watch response of the store. */
   Store = "store",
-  /** Another instance's digest told it. */
+  /** Another instance's digest. */
   Digest = "digest",
-  /** It was fetched from another instance. */
+  /** A fetch from another instance. */
   Fetch = "fetch",
 }
 
-/** How changes came to be known. */
+/** How and how late changes arrived. */
 export interface ChangeArrival {
   readonly way: ChangeWay;
-  /** Milliseconds since the oldest of them was first heard of by an instance; 0 where this one was the first. */
+  /**
+   * Milliseconds since the first instance received the oldest of the changes; 0 if this instance
+   * was the first.
+   */
   readonly age: number;
-  /** Whether nothing was known before: they may have come about long ago. */
+  /** Whether no list was known before. The changes may then be arbitrarily old. */
   readonly isFirst: boolean;
 }
 
-/** Follows all objects of one kind. */
+/** Follows all objects of one kind in the store. */
 export interface FeedFollower {
   readonly kind: string;
-  /** By name. Empty until a first list was had. */
+  /** Objects by name; empty until the first list arrives. */
   readonly objects: ReadonlyMap<string, FeedObject>;
-  /** The store's version up to which `objects` is known; 0 until a first list was had. */
+  /** Store version that `objects` reflects; 0 until the first list arrives. */
   readonly version: number;
-  /** The store's version of the last change that is known; 0 until a first list was had. */
+  /** Store version of the last known change; 0 until the first list arrives. */
   readonly changedAt: number;
-  /** Whether the store answered the last call. */
+  /** Whether the store answered the most recent call. */
   readonly isAnswered: boolean;
-  /** Milliseconds since the last change was first heard of by an instance; undefined before a first list. */
+  /**
+   * Milliseconds since the first instance received the last change; undefined until the first list
+   * arrives.
+   */
   readonly age: number | undefined;
-  /** When the store last answered, in the clock's milliseconds. */
+  /** When the store last answered, in milliseconds of `clock`; undefined if it never has. */
   readonly answeredAt: number | undefined;
-  /** Takes in what another instance has, where that is later. */
+  /** Applies a list from another instance unless it is older than what is known. */
   adopt(list: FeedList): void;
-  /** Takes in changes that another instance tells; changes that build on what isn't known here change nothing. */
+  /**
+   * Applies changes from another instance. A delta that starts after the last known change is
+   * ignored, because there would be a gap.
+   */
   adoptChanges(delta: FeedDelta): void;
   /**
-   * What has changed since the store's version; undefined where that isn't remembered.
+   * Returns the changes after a store version; undefined if there are none or if they are no longer
+   * retained.
    *
-   * @param fits Asked for each group of changes in turn, whether it may be told with those before it; the first one that
-   * may not ends what is told.
+   * @param fits Called for each batch of changes in order; returns whether it still fits into the
+   * message. The first batch that doesn't fit ends the delta.
    */
   changesSince(
     version: number,
@@ -61,61 +71,66 @@
   close(): void;
 }
 
-/** What a follower is made with. */
+/** Dependencies and settings of {@linkcode createFeedFollower}. */
 export interface FeedFollowerParts {
   readonly kind: string;
   readonly clock: Clock;
   readonly random: Random;
   readonly feed: ObjectFeed;
   /**
-   * Whether this instance has to ask the store itself; others may tell it what changes. Each watch costs a call for
-   * each change, and hundreds that watch would be told the same by the store.
+   * Whether this instance must query the store itself rather than receive changes from other
+   * instances. Each watch costs the store one call per change, and hundreds of watches would all
+   * return the same data.
    */
   readonly isNeeded?: () => boolean;
-  /** Whether others are told by this instance what changes: then its watches are short. */
+  /** Whether other instances depend on this one for changes. Its watches are then short. */
   readonly feedsOthers?: () => boolean;
   /** Called after objects have changed. */
   readonly onChange: (changes: readonly FeedChange[], arrival: ChangeArrival) => void;
-  /** Called when the store begins or ceases to answer. */
+  /** Called when the store starts or stops answering. */
   readonly onReach: (reached: boolean, detail: string) => void;
 }
 
 /**
- * How long one watch waits, in milliseconds. An open connection can go silent for good, and only the end of
- * the wait shows it. The waits of the instances end at different times, and whoever learns of a change tells the
- * others that there is one; so even where all connections went silent at once, the first of their waits to end
- * is what a change waits for, and each wait costs a call.
+ * Range of the watch timeout in milliseconds. An open connection can go silent permanently, which
+ * only the timeout reveals. Timeouts differ between instances, and the first instance to learn of a
+ * change informs the others, so even if all connections go silent at once, a change is delayed only
+ * until the first timeout. Shorter timeouts cost more calls.
  */
 const WATCH_WAIT = { least: 3_000, most: 10_000 };
 /**
- * The same where a few instances follow the store for hundreds: they learn sooner that nobody is told any more, and
- * their waits are few calls.
+ * Range of the watch timeout in milliseconds where a few instances watch the store for hundreds.
+ * They detect a silent connection sooner, and with few watchers the additional calls are few.
  */
 const FEEDING_WAIT = { least: 1_500, most: 2_500 };
 /**
- * How long a watch waits after a failed one. What was sent to a store that is silent is never answered, also when
- * the store is back: with a long wait, an instance would miss what changes in the first seconds after its return.
+ * Watch timeout in milliseconds after a failed call. A request sent to a silent store is never
+ * answered, even after the store recovers; with a long timeout, the instance would miss changes in
+ * the first seconds after the recovery.
  */
 const PROBE_WAIT = 400;
-/** After a change the next watch begins this much later: changes come in groups, and each answer is a call. */
+/**
+ * Milliseconds between a change and the next watch. Changes come in bursts, and every watch
+ * response costs a call.
+ */
 const GROUP_TIME = 120;
-/** Pauses after failed calls double between these bounds, in milliseconds. */
+/** Minimum and maximum of the exponential backoff after failed calls, in milliseconds. */
 const FIRST_PAUSE = 100;
 const LONGEST_PAUSE = 800;
-/** Milliseconds between two looks whether the store has to be asked. */
+/** Milliseconds between checks whether the store must be queried. */
 const IDLE_LOOK = 100;
-/** Groups of changes that are remembered to be told to others. */
+/** Maximum number of batches of changes retained for other instances. */
 const REMEMBERED_GROUPS = 64;
 
 const FROM_STORE: ChangeArrival = { way: ChangeWay.Store, age: 0, isFirst: false };
 
-/** Changes that came together. */
+/** Changes that arrived together. */
 interface Remembered extends Pick<FeedDelta, "from" | "to" | "changes"> {
-  /** When the first instance heard of them, in this clock's milliseconds. */
+  /** When the first instance received them, in milliseconds of the local clock. */
   readonly firstHeardAt: number;
 }
 
-/** Makes a follower that knows nothing yet. */
+/** Creates a follower without any objects. */
 export function createFeedFollower(parts: FeedFollowerParts): FeedFollower {
   const { kind, clock, random, feed, isNeeded = () => true } = parts;
   const { feedsOthers = () => false } = parts;
@@ -126,9 +141,9 @@
   let isReached: boolean | undefined;
   let failures = 0;
   let mustList = true;
-  /** The last groups of changes, each building on the one before. */
+  /** The most recent batches of changes; each starts at the version where the previous one ends. */
   const remembered: Remembered[] = [];
-  /** When the last change was first heard of by an instance, in this clock's milliseconds. */
+  /** When the first instance received the last change, in milliseconds of the local clock. */
   let firstHeardAt: number | undefined;
   let closed = false;
   const isClosed = (): boolean => closed;
@@ -154,7 +169,7 @@
     return later;
   };
   const take = (found: FeedList, from: ChangeArrival): void => {
-    // A list from before what is known already would bring back what has gone.
+    // A list older than the known version would restore removed objects.
     if (found.version < version) return;
     const before = objects;
     const arrival = { ...from, isFirst: version === 0 };
@@ -176,7 +191,7 @@
     take(found, { way: ChangeWay.Fetch, age: found.age ?? 0, isFirst: false });
   const adoptChanges = (delta: FeedDelta): void => {
     if (delta.from > changedAt || delta.to <= changedAt || mustList) return;
-    // The store has told this instance more already: nothing new can be in the changes.
+    // The store has already returned a later version, so the delta contains nothing new.
     const isKnown = delta.to <= version;
     const changes = isKnown ? [] : apply(delta.changes);
     version = Math.max(version, delta.to);
@@ -194,7 +209,7 @@
       mustList = true;
       return;
     }
-    // Another instance's list may have been taken in while the watch waited: what it tells of is older then.
+    // A newer list may have been applied while the watch was pending.
     if (outcome.version <= version) return;
     const changes = apply(outcome.changes);
     version = outcome.version;
@@ -214,7 +229,7 @@
         reach(true, "");
         answeredAt = clock.now();
       } catch (error) {
-        // A call that the instance itself ended says nothing of the store.
+        // An error caused by closing this follower is not a failure of the store.
         if (isClosed()) return;
         reach(false, String(error));
         failures++;
--- a/src/process/feed_follower_test.ts
+++ b/src/process/feed_follower_test.ts
@@ -5,16 +5,16 @@
 import { createFeedFollower } from "./feed_follower.ts";
 import type { FeedFollower } from "./feed_follower.ts";
 
-/** A feed whose watches the test answers. */
+/** A feed whose pending watch is completed by the test. */
 interface Store extends ObjectFeed {
   objects: FeedObject[];
   version: number;
   lists: number;
-  /** How long each watch was to wait. */
+  /** Timeout of each watch in milliseconds. */
   waits: number[];
-  /** Answers the watch that waits. */
+  /** Completes the pending watch. */
   answer(outcome: WatchOutcome): void;
-  /** Loses the call that waits. */
+  /** Makes the pending call fail. */
   lose(): void;
 }
 
@@ -71,7 +71,7 @@
   return { clock, store, follower, reached, names };
 }
 
-test("changes are followed from the list on", async () => {
+test("changes are applied after the initial list", async () => {
   const { clock, store, names, follower } = await follow([object("a", 3)]);
   store.answer({
     kind: "changed",
@@ -86,8 +86,9 @@
   expect(follower.changedAt).toBe(12);
 });
 
-// The store forgets its history. What was removed meanwhile is in no change any more, only missing in a list.
-test("after a lost history the list is had again", async () => {
+// The store loses its change history. Objects removed in the meantime appear in no change; they are
+// only missing from the next list.
+test("the list is read again after the store's history is lost", async () => {
   const { clock, store, names } = await follow([object("a", 3), object("b", 4)]);
   store.objects = [object("b", 4)];
   store.version = 20;
@@ -97,8 +98,9 @@
   expect(names()).toEqual(["b"]);
 });
 
-// The store answers one instance late: a watch that waited tells of changes from before what a peer has sent.
-test("what a peer sent is kept against an older answer of the store", async () => {
+// A delayed watch response contains changes that are older than a list already received from a
+// peer.
+test("an older response of the store doesn't override a peer's list", async () => {
   const { clock, store, names, follower } = await follow([object("a", 3)]);
   follower.adopt({ objects: [object("a", 15), object("c", 16)], version: 17 });
   store.answer({
@@ -111,14 +113,15 @@
   expect(follower.version).toBe(17);
 });
 
-test("an older list changes nothing", async () => {
+test("an older list is ignored", async () => {
   const { follower, names } = await follow([object("a", 3)]);
   follower.adopt({ objects: [], version: 9 });
   expect(names()).toEqual(["a"]);
 });
 
-// The store is away. What was known holds, and the loss and the return are told once each.
-test("a lost call changes nothing and is tried again after a pause", async () => {
+// The store is unreachable. Known objects are kept, and the loss and the return are reported once
+// each.
+test("a failed call changes nothing and is retried after a backoff", async () => {
   const { clock, store, names, reached } = await follow([object("a", 3)]);
   store.lose();
   await clock.advance(1_000);
@@ -130,9 +133,9 @@
   expect(reached).toEqual([true, false, true]);
 });
 
-// The store is silent and then back. A watch that was sent to the silent store is never answered: waiting for it as
-// long as usual, the instance would miss a key that is taken away right after the store's return.
-test("after a lost watch the next ones are short until one is answered", async () => {
+// The store is silent and then recovers. A watch sent to the silent store is never answered; with
+// the usual timeout, the instance would miss a key that is revoked right after the recovery.
+test("watches after a failure are short until one is answered", async () => {
   const { clock, store } = await follow([object("a", 3)]);
   store.lose();
   await clock.advance(1_000);
@@ -142,9 +145,9 @@
   expect(store.waits.at(-1)).toBeGreaterThan(2_000);
 });
 
-// Others tell an instance what changes in the store. What it is told must build on what it knows: a gap would leave out
-// for good what changed in it.
-test("changes that others tell are taken in where they build on what is known", async () => {
+// Other instances forward store changes. A delta must start at or before the last known change; a
+// gap would lose the changes in it permanently.
+test("a forwarded delta is applied only if it leaves no gap", async () => {
   const { follower, names } = await follow([object("a", 3)]);
   const added = { object: object("b", 12), removed: false };
   follower.adoptChanges({ kind: "k", from: 11, to: 12, changes: [added], age: 0 });
@@ -159,7 +162,7 @@
   expect(follower.changedAt).toBe(14);
 });
 
-test("what changed since a version is remembered for others, as far as it goes back", async () => {
+test("changes since a version are returned while they are retained", async () => {
   const { clock, store, follower } = await follow([object("a", 3)]);
   for (let version = 11; version <= 13; version++) {
     const changes = [{ object: object(`w${version}`, version), removed: false }];
@@ -178,9 +181,10 @@
   expect(follower.changesSince(11)).toBeUndefined();
 });
 
-// Half of the workers change at once while others change one by one: what doesn't fit into one message is told with the
-// next. Told all or nothing, an instance would fall behind for as long as changes go on.
-test("the first changes that fit are told where all don't", async () => {
+// Many workers change at once while others keep changing one by one. Changes that don't fit into
+// one message are sent with the next; if they were sent all or nothing, a receiver would fall
+// behind while changes continue.
+test("the first batches that fit are returned when not all do", async () => {
   const { clock, store, follower } = await follow([object("a", 3)]);
   for (let version = 11; version <= 20; version++) {
     const changes = [{ object: object(`w${version}`, version), removed: false }];
@@ -196,8 +200,8 @@
   expect(follower.changesSince(12, () => false)).toBeUndefined();
 });
 
-// Whoever reads the log has to see how late a change came and by which way.
-test("how late a change is counts on from instance to instance", async () => {
+// The log must show how late a change arrived and from which source.
+test("the age of a change accumulates from instance to instance", async () => {
   const { clock, store, follower } = await follow([object("a", 3)]);
   const changes = [{ object: object("b", 11), removed: false }];
   store.answer({ kind: "changed", changes, version: 11 });
@@ -209,8 +213,8 @@
   expect(follower.age).toBe(450);
 });
 
-// Hundreds of instances that each watch the store are hundreds of calls for each change.
-test("an instance that others tell doesn't ask the store, and asks once they don't", async () => {
+// If hundreds of instances each watched the store, every change would cost hundreds of calls.
+test("an instance that receives changes from others queries the store only when it has to", async () => {
   const clock = createVirtualClock();
   const store = createStore();
   let isNeeded = false;
@@ -225,7 +229,7 @@
   });
   follower.start();
   await clock.advance(1_000);
-  // What there is at the start nobody else tells whole.
+  // No other instance sends the complete list at startup.
   expect(store.lists).toBe(1);
   expect(store.waits.length).toBe(0);
   isNeeded = true;
--- a/src/process/fleet_news.ts
+++ b/src/process/fleet_news.ts
@@ -25,21 +25,25 @@
 import { capacityOf } from "./routed_settings.ts";
 import type { RoutedSettings } from "./routed_settings.ts";
 
-/** What an instance tells the others and takes in of them. */
+/** Synchronizes counts, quotas and store changes with the other instances through digests. */
 export interface FleetNews extends Omit<PeerExchange, "sources"> {
-  /** Names this process. */
+  /** Identifies this process: the instance's name and the session. */
   readonly incarnation: string;
-  /** Whether others tell this instance what changes in the store. */
+  /** Whether other instances forward store changes to this one. */
   isFed(): boolean;
   /**
-   * What all instances have at workers and have counted, added up; at a member of a large fleet only its own.
+   * Returns the worker counts summed over all instances. On a member of a large fleet it returns
+   * only this instance's own.
    */
   sums(): ReadonlyMap<number, WorkerUse>;
-  /** What all others have of one hash, where a relay tells this instance or `sums` holds it. */
+  /**
+   * Returns the counts of all other instances for one hash, if a relay sends them or the sums
+   * contain them.
+   */
   sumOf(key: number): WorkerUse | undefined;
 }
 
-/** What it is made with. */
+/** Dependencies of the synchronization. */
 export interface FleetNewsParts {
   readonly settings: RoutedSettings;
   readonly clock: Clock;
@@ -53,36 +57,40 @@
   readonly ledger: UsageLedger;
   readonly health: WorkerHealth;
   readonly board: RoutedBoard;
-  /** Called with every digest, before its news are taken in. */
+  /** Called with every digest before its update is applied. */
   readonly onHeard: (peer: PeerInstance) => void;
-  /** Called with every digest, after what it tells of the store was taken in. */
+  /** Called with every digest after the store changes in it have been applied. */
   readonly onTold: (peer: PeerInstance) => void;
   readonly open: (parts: DatagramParts) => Promise<Datagrams>;
 }
 
-/** Windows whose counts are told to the others: those that still grow or aren't reported, and what clocks differ by. */
+/**
+ * Number of usage windows sent to other instances: those still growing or not reported yet, with a
+ * margin for differences between clocks.
+ */
 const TOLD_WINDOWS = 4;
-/** Processes are told apart by a number of 32 bits. */
+/** Exclusive upper bound of the session number, which has 32 bits. */
 const GREATEST_SESSION = 2 ** 32;
-/** How long the relay that feeds this instance may be silent, in milliseconds: three of its digests. */
+/** Milliseconds without a digest after which a feeding relay no longer counts: three digests. */
 const FED_TIME = 800;
 /**
- * Changes of the store's objects, and characters of JSON, that one digest tells, far below the greatest datagram. The
- * next digest tells what is left; a single change of the store beyond them is fetched.
+ * Maximum number of store changes, and of JSON characters in them, in one digest; far below the
+ * maximum datagram size. Remaining changes go into the next digest; a single change that exceeds
+ * the limit is fetched.
  */
 const MOST_CHANGES = 128;
 const MOST_CHANGE_TEXT = 24_000;
-/** A process that has run for no longer hasn't counted anything that the others know, in milliseconds. */
+/** Uptime in milliseconds below which a process cannot have counts that the others already know. */
 const NEW_AGE = 3_000;
-/** Up to so many instances are named in the log's line; of more their number is. */
+/** Maximum number of instances logged by name; above it only their number is logged. */
 const LOGGED_NAMES = 16;
 
-/** Makes what an instance tells the others and takes in of them; nothing is sent before it is started. */
+/** Creates the synchronization. Nothing is sent before it is started. */
 export function createFleetNews(parts: FleetNewsParts): FleetNews {
   const { settings, clock, random, log, feeds, time, quota, ledger, health, board } = parts;
   const session = randomInt(1, GREATEST_SESSION);
   const startedAt = clock.now();
-  /** The sums over the instances that this one hears itself, and over all. */
+  /** Sums over the instances that this one receives from directly, and over all instances. */
   const totals = { group: createGroupTotals(), fleet: createGroupTotals() };
 
   const ownState = (): OwnState => ({
@@ -91,12 +99,12 @@
     use: board.use(),
     leaving: board.leaving(),
   });
-  /** What a relay told last of all others, where this instance is a member. */
+  /** Counts of all other instances as last received from a relay, if this instance is a member. */
   let told: ReadonlyMap<number, WorkerUse> = new Map();
   let logged = "";
   let own: OwnState | undefined;
   const newsOf = (scope: NewsScope): OwnState => {
-    // A round begins with this instance's own: the sums are of the same moment.
+    // A round starts with this instance's own counts, so that the sums describe the same moment.
     if (scope === NewsScope.Own || own === undefined) return (own = ownState());
     if (scope === NewsScope.Fleet) return { ...own, ...totals.fleet.with(own), usage: [] };
     const usage = ledger.group().slice(-TOLD_WINDOWS);
@@ -189,7 +197,7 @@
   });
 }
 
-/** Makes what says whether further changes fit into a digest beside those before them. */
+/** Creates a function that reports whether a further batch of changes still fits into a digest. */
 function createRoom(): (group: readonly FeedChange[]) => boolean {
   let count = 0;
   let characters = 0;
@@ -200,7 +208,10 @@
   };
 }
 
-/** Each relay tells a change to many instances: its size is found once. */
+/**
+ * Size in characters by object. A relay sends each change to many instances but computes its size
+ * only once.
+ */
 const sizes = new WeakMap<FeedObject, number>();
 
 function sizeOf(object: FeedObject): number {
--- a/src/process/fleet_news_test.ts
+++ b/src/process/fleet_news_test.ts
@@ -7,7 +7,7 @@
 const ACCOUNT = "club";
 const WORKERS = 8;
 
-/** By instance, what it has begun at each worker. */
+/** Number of runs that each instance has started at every worker. */
 const begun = new Map<NewsMember, number>();
 const closers: (() => void)[] = [];
 afterEach(() => {
@@ -22,7 +22,7 @@
   return fleet;
 }
 
-/** An instance begins a run at each worker. */
+/** Starts one run at each worker. */
 function begin(fleet: NewsFleet, member: NewsMember): void {
   for (let worker = 0; worker < WORKERS; worker++)
     fleet.begin(member, { worker, account: ACCOUNT });
@@ -38,7 +38,7 @@
   return Array.from({ length: WORKERS }, () => all);
 }
 
-/** Runs that were ever counted. */
+/** Returns the total number of runs ever started. */
 function counted(members: readonly NewsMember[]): number {
   return WORKERS * members.reduce((sum, one) => sum + (begun.get(one) ?? 0), 0);
 }
@@ -53,7 +53,7 @@
   member.feed.close();
 }
 
-/** Those that ask the store for all others. */
+/** Returns the instances that query the store on behalf of all others. */
 function watchersOf({ members, store }: NewsFleet): NewsMember[] {
   const before = new Map(store.calls);
   return members.filter(
@@ -61,7 +61,7 @@
   );
 }
 
-/** What the instances know of an object of the store, by how many know it so. */
+/** Returns how many instances have each value of a store object. */
 function known({ members }: NewsFleet, name: string): Map<unknown, number> {
   const counts = new Map<unknown, number>();
   for (const { feed, isLive } of members) {
@@ -71,10 +71,10 @@
   return counts;
 }
 
-// Every instance chooses workers by what all have there. One that counted some twice, or not at all, would send to full
-// workers beside idle ones.
+// Every instance selects workers by the total load there. An instance that counted some runs twice,
+// or not at all, would overload some workers while others are idle.
 test.each([6, 13, 14, 40, 120])(
-  "each of %i instances knows what all of them have at the workers",
+  "each of %i instances has the total counts of the workers",
   async (size) => {
     const fleet = await startFleet(size);
     const { clock, members } = fleet;
@@ -97,23 +97,27 @@
   },
 );
 
-// Datagrams are lost, come twice and overtake each other, on each of the three ways from one instance to another.
-test.each([1, 2, 3])("sums are right however digests travel (seed %i)", async (seed) => {
-  const fleet = await startFleet(24, seed);
-  const { clock, network, members } = fleet;
-  network.trouble = { lost: 0.2, twice: 0.2 };
-  const random = createSeededRandom(100 + seed);
-  for (let step = 0; step < 100; step++) {
-    for (const member of members) if (random.next() < 0.1) begin(fleet, member);
-    await clock.advance(50);
-  }
-  network.trouble = { lost: 0, twice: 0 };
-  await clock.advance(4_000);
-  for (const member of members) expect(running(member)).toEqual(expected(members));
-});
+// Datagrams are lost, duplicated and reordered on each of the three hops from one instance to
+// another.
+test.each([1, 2, 3])(
+  "sums are correct although digests are lost, duplicated and reordered (seed %i)",
+  async (seed) => {
+    const fleet = await startFleet(24, seed);
+    const { clock, network, members } = fleet;
+    network.trouble = { lost: 0.2, twice: 0.2 };
+    const random = createSeededRandom(100 + seed);
+    for (let step = 0; step < 100; step++) {
+      for (const member of members) if (random.next() < 0.1) begin(fleet, member);
+      await clock.advance(50);
+    }
+    network.trouble = { lost: 0, twice: 0 };
+    await clock.advance(4_000);
+    for (const member of members) expect(running(member)).toEqual(expected(members));
+  },
+);
 
-// Both relays of a zone die at the same moment. Their zone is told nothing until others take their place, and what the
-// dead had at workers has ended.
+// Both relays of a zone fail at the same time. The zone receives no updates until other relays
+// replace them, and the runs of the failed relays no longer count.
 async function expectRelaysReplaced(seed: number): Promise<void> {
   const fleet = await startFleet(40, seed);
   const { clock, members } = fleet;
@@ -132,7 +136,7 @@
   await clock.advance(1_500);
   for (const member of survivors) expect(running(member)).toEqual(expected(members));
   for (const { ledger } of relaysOf(members)) {
-    // What the two had counted themselves in the window is known to nobody else.
+    // Only the two failed relays knew their own counts for this window.
     const known = ledger.total(NEWS_WINDOW)[ACCOUNT] ?? 0;
     expect(known).toBeLessThanOrEqual(counted(members));
     expect(known).toBeGreaterThanOrEqual(counted(members) - counted(pair));
@@ -140,20 +144,21 @@
 }
 
 test.each([1, 3, 4, 8, 11])(
-  "others take the place of relays that die, and nothing counts twice (seed %i)",
+  "relays that fail are replaced and nothing is counted twice (seed %i)",
   (seed) => expectRelaysReplaced(seed),
 );
 
-// A quota holds over all instances. If a change of relays told anew what was admitted before, an account would be
-// refused what it may have; if it lost what is admitted from then on, the account would get more than that.
-test("what instances admit is counted once by all, also where relays change", async () => {
+// A quota applies across all instances. If a change of relays reported earlier admissions again, an
+// account would be refused within its quota; if it lost later admissions, the account would exceed
+// its quota.
+test("admissions are counted once by every instance, even when relays change", async () => {
   const fleet = await startFleet(40);
   const { clock, members } = fleet;
   for (const member of members) begin(fleet, member);
   await clock.advance(2_000);
   const relaysBefore = new Set(relaysOf(members));
   const [first] = relaysBefore;
-  if (first === undefined) throw new Error("A fleet of 40 has relays.");
+  if (first === undefined) throw new Error("A fleet of 40 instances must have relays.");
   stop(first);
   await clock.advance(3_500);
   const survivors = members.filter(({ isLive }) => isLive);
@@ -164,15 +169,16 @@
   }
   for (const member of survivors) expect(fleet.hasRoom(member, ACCOUNT)).toBe(true);
   for (const relay of relaysOf(members)) {
-    // One that has just become a relay isn't told again what the dead had counted themselves.
+    // A new relay is not sent the counts that the failed relay had recorded itself.
     const least = counted(members) - (relaysBefore.has(relay) ? 0 : counted([first]));
     expect(relay.ledger.total(NEWS_WINDOW)[ACCOUNT]).toBeGreaterThanOrEqual(least);
     expect(relay.ledger.total(NEWS_WINDOW)[ACCOUNT]).toBeLessThanOrEqual(counted(members));
   }
 });
 
-// Hundreds of instances on small machines: what they tell each other must not grow with their number.
-test("a member of a large fleet sends a few messages a period", async () => {
+// In a fleet of hundreds of instances on small machines, the traffic of each must not grow with the
+// size of the fleet.
+test("a member of a large fleet sends a few messages per period", async () => {
   const fleet = await startFleet(120);
   const { clock, members } = fleet;
   const before = members.map(({ news }) => news.bytesSent);
@@ -188,8 +194,9 @@
   expect(relaysOf(members).length).toBe(8);
 });
 
-// Each change of the store is a call of each instance that watches it. A few watch, and the others hear of it from them.
-test("a few instances ask the store, and all know soon what changes there", async () => {
+// Every store change costs one call per watching instance. A few instances watch and the others
+// receive changes from them.
+test("a few instances query the store, and all receive changes promptly", async () => {
   const fleet = await startFleet(40);
   const { clock, store, members } = fleet;
   expect(watchersOf(fleet).length).toBe(4);
@@ -202,13 +209,14 @@
     expect(known(fleet, `object-${change - 1}`)).toEqual(new Map([[undefined, members.length]]));
   }
   const after = [...store.calls.values()].reduce((sum, count) => sum + count, 0);
-  // Four watches end with each change, and by themselves every two seconds.
+  // Four watches return with each change, and otherwise time out every two seconds.
   expect(after - before).toBeLessThan(4 * (2 * 10 + 10));
 });
 
-// All that watch the store die at the same moment, or lose their way to it. A worker that leaves meanwhile must be known
-// to leave within two seconds, and within four where nobody can see yet that the store doesn't answer.
-test("those that nobody tells of the store ask it themselves", async () => {
+// All watchers fail at once, or lose their connection to the store. A worker that starts to leave
+// must be known as leaving within two seconds, or within four if the loss of the store is not
+// visible to others yet.
+test("instances that no longer receive store changes query the store themselves", async () => {
   const fleet = await startFleet(40);
   const { clock, store, members } = fleet;
   watchersOf(fleet).forEach(stop);
@@ -224,9 +232,10 @@
   expect(known(fleet, "worker")).toEqual(new Map([[undefined, members.length - 4]]));
 });
 
-// What an account may still have until the others are told begins anew with each telling. If asking for the sums counted
-// as one, an instance that asks several times a second would admit a share of the quota each time, and nobody would know.
-test("to ask for the sums tells nobody anything", async () => {
+// Each report to the other instances renews the amount that an account may use until the next
+// report. If reading the sums counted as a report, an instance that reads them several times a
+// second would admit a share of the quota each time without the others' knowledge.
+test("reading the sums does not count as a report", async () => {
   const { members } = await startFleet(14);
   for (const { news, quota } of members) {
     const tell = vi.spyOn(quota, "tell");
--- a/src/process/fleet_roster.ts
+++ b/src/process/fleet_roster.ts
@@ -1,32 +1,37 @@
 import type { Roster, RosterEntry } from "./digest.ts";
 
-/** Instances that are there, as others tell it. */
+/** Instances that other instances report as live. */
 export interface FleetRoster {
   /**
-   * Takes in what an instance tells of others.
+   * Applies a roster from a digest.
    *
-   * @param by The teller's session; `isFirm` says whether it hears them itself or is told by those that do.
+   * @param by The reporter's session. `isAuthoritative` tells whether it receives digests from the
+   * listed instances itself, or from relays that do.
    */
   told(by: { readonly session: number; readonly isFirm: boolean }, roster: Roster): void;
-  /** Whoever isn't among these doesn't tell any more; says whether anything has changed by that. */
+  /**
+   * Starts the expiry of reporters that are not among `sessions`. Returns whether the roster has
+   * changed.
+   */
   keepTellers(sessions: ReadonlySet<number>, now: number): boolean;
-  /** What an instance has told holds no longer. */
+  /** Discards everything that a reporter has sent. */
   forget(teller: number): void;
   /**
-   * All that somebody tells of, by address.
+   * Returns all reported instances by address.
    *
-   * Only what is firm may be told on: two that tell each other what they were told would keep alive whoever is gone.
+   * Only authoritative entries may be forwarded. If two instances forwarded what they had received
+   * from each other, they would keep failed instances in the roster.
    */
   list(options: {
-    /** Whether this instance itself knows of an address that nobody is there any more. */
+    /** Reports whether this instance has itself lost contact with the instance at an address. */
     readonly isLost: (address: string) => boolean;
     readonly onlyFirm: boolean;
   }): ReadonlyMap<string, RosterEntry>;
 }
 
 /**
- * How long the word of one that tells no more is kept, in milliseconds. Where all that told a zone of the others end at
- * once, it has to know its instances to find those that take their place.
+ * Milliseconds for which a lost reporter's entries are kept. If all reporters of a zone fail at
+ * once, the zone needs the entries to select new relays.
  */
 const KEPT_WORD = 3_000;
 
@@ -36,9 +41,9 @@
   lostAt: number | undefined;
 }
 
-/** Makes a roster that names nobody. */
+/** Creates an empty roster. */
 export function createFleetRoster(): FleetRoster {
-  /** By session. */
+  /** Reporters by session. */
   const tellers = new Map<number, Teller>();
   return {
     told: ({ session: by, isFirm }, { isWhole, there, gone }) => {
--- a/src/process/fleet_table.ts
+++ b/src/process/fleet_table.ts
@@ -7,48 +7,59 @@
 import { isHeard, NEVER, unheard } from "./peer.ts";
 import type { Peer, PeerInstance } from "./peer.ts";
 
-/** The instances of the fleet as this one knows them, and its place among them. */
+/** The peers known to this instance, and its role in the fleet's topology. */
 export interface FleetTable {
   readonly tree: FleetTree;
-  /** What others tell of instances. */
+  /** Instances as reported by other instances. */
   readonly roster: FleetRoster;
-  /** All addresses, whether anybody was ever heard there or not. */
+  /** All known addresses, whether or not a digest has arrived from them. */
   readonly peers: ReadonlyMap<string, Peer>;
-  /** Instances expected to be there, this one included. */
+  /** Number of instances expected to be present, including this one. */
   readonly members: number;
-  /** Gives addresses to begin with. */
+  /** Adds addresses of possible peers. */
   introduce(addresses: readonly string[]): void;
-  /** The process that has sent a digest; undefined where it has to introduce itself first. */
+  /**
+   * Returns the peer that sent a digest, creating it if the digest contains an introduction;
+   * undefined if it must introduce itself first.
+   */
   senderOf(digest: Digest): Peer | undefined;
   ofSession(session: number | undefined): PeerInstance | undefined;
-  /** Instances that were heard lately without another between. */
+  /** Returns the live peers that send digests to this instance. */
   heard(): PeerInstance[];
-  /** All that are there; only those that may be told on where `onlyFirm` is set. */
+  /**
+   * Returns all live instances, or only those that may be forwarded if `onlyAuthoritative` is set.
+   */
   live(options?: { onlyFirm: boolean }): RosterEntry[];
-  /** Addresses of which nobody tells, and at which nobody was heard, or not for a while. */
+  /** Returns addresses that no instance reports and from which nothing has arrived for a while. */
   silent(): Peer[];
   isRelay(address: string): boolean;
   isWatcher(address: string): boolean;
-  /** Notes who has fallen silent; says whether anything has changed. */
+  /** Marks silent peers as lost. Returns whether anything has changed. */
   expire(): boolean;
-  /** Finds this instance's place anew; says whether its role has changed. */
+  /** Recomputes the topology. Returns whether this instance's role has changed. */
   plan(ready: boolean): boolean;
   start(): void;
 }
 
-/** An instance silent for so long isn't expected back, in milliseconds. */
+/** Milliseconds after which a silent instance is no longer expected to return. */
 const MEMBER_TIME = 30_000;
-/** After its start an instance expects all that it was given addresses of, for so many milliseconds. */
+/**
+ * Milliseconds after the start during which this instance expects an instance at every known
+ * address.
+ */
 const EXPECT_TIME = 2_000;
 /**
- * How long after it has fallen silent an instance is looked for at its address, in milliseconds: another process may be
- * back there that knows nobody. Until then it may be there for others, of which this one isn't told yet.
+ * Milliseconds after which digests are sent to a silent address again, since a new process that
+ * knows no peers may have started there. Before that, another instance may still report it as live.
  */
 const SILENT_AFTER = 5_000;
-/** How long an instance that has fallen silent here is taken to be gone, against the word of others that are gone too. */
+/**
+ * Milliseconds for which an instance that this one has lost is treated as failed even if lost
+ * reporters still list it.
+ */
 const LOST_TIME = 6_000;
 
-/** Makes the table of an instance that knows no other. */
+/** Creates the table of an instance that knows no peers. */
 export function createFleetTable(parts: {
   readonly clock: Clock;
   readonly introduction: Introduction;
@@ -59,13 +70,13 @@
   const peers = new Map<string, Peer>();
   const bySession = new Map<number, Peer>();
   const roster = createFleetRoster();
-  /** By address, when an instance was last known to be there. */
+  /** When an instance was last known to be live, by address. */
   const seenAt = new Map<string, number>();
   let tree: FleetTree = { role: FleetRole.Equal, relays: new Map(), watchers: new Set() };
   let startedAt = NEVER;
   let isStarting = true;
   let members = 1;
-  /** The addresses that were there at the last plan. */
+  /** Addresses that were live at the last plan. */
   let there: ReadonlySet<string> = new Set();
 
   const livePeers = (): Peer[] => [...peers.values()].filter(({ isLive }) => isLive);
@@ -92,7 +103,8 @@
       if (at >= from) expected.add(address);
       else seenAt.delete(address);
     }
-    // Until it has heard them, each of many that start together would take what all may have for its own.
+    // Instances that start together would otherwise each use a quota meant for all of them until
+    // the first digests arrive.
     if (isStarting) for (const address of peers.keys()) expected.add(address);
     members = 1 + expected.size;
   };
@@ -113,7 +125,8 @@
       if (said.peers === self) return undefined;
       const before = peers.get(said.peers);
       if (before !== undefined) bySession.delete(before.session);
-      // Whoever was there before has ended: what it had, and what it knew, is over.
+      // The previous process at this address has ended. Its counts and acknowledgements no longer
+      // apply.
       const peer = { ...unheard(said.peers), isLive: before?.isLive ?? false, session: sender };
       peers.set(said.peers, peer);
       bySession.set(sender, peer);
@@ -137,9 +150,11 @@
         if (isHeard(peer, now)) continue;
         peer.isLive = false;
         peer.lostAt = now;
-        // What it had here is forgotten with it: once it is back, everything must be told again.
+        // The local copy of its counts is discarded, so the peer must send a full snapshot when it
+        // returns.
         peer.newsSequence = 0;
-        // Another process may be back at its address that knows nobody, and takes in nothing of whom it doesn't know.
+        // A new process at the address doesn't know this instance and would ignore its updates
+        // without an introduction.
         peer.knowsThis = false;
         changed = true;
       }
--- a/src/process/fleet_tree.ts
+++ b/src/process/fleet_tree.ts
@@ -1,64 +1,80 @@
 /**
- * How news travels between the entry instances of a region.
+ * Plans how updates travel between the entry instances of a region.
  *
- * A few instances tell each other everything directly. Told so, hundreds would hear each other every few seconds only,
- * or spend their time on news. So in a larger fleet two relays of each availability zone collect what the zone's
- * instances say, exchange sums with the relays of the other zones, and tell their own zone the sum of all: an instance
- * sends and hears a few messages a period, whatever the fleet's size.
+ * In a small fleet, every instance sends its updates to every other instance. With hundreds of
+ * instances, this would take most of their processor time or delay updates by seconds. In a larger
+ * fleet, two relays per availability zone collect the updates of the zone's instances, exchange
+ * sums with the relays of the other zones, and send the total to their own zone. Each instance then
+ * sends and receives a few messages per period, regardless of the fleet's size.
  *
- * Relays are found by rendezvous hashing over the instances that are there, the larger machines first, so that all find
- * the same ones without a word between them. Where views differ for a moment, whoever is addressed as a relay answers.
+ * Relays are selected by rendezvous hashing over the live instances, larger machines first, so all
+ * instances select the same relays without coordination. If views differ temporarily, an instance
+ * that is addressed as a relay still replies.
  *
  * @module
  */
 import { hashText, mixHashes } from "../version/index.ts";
 
-/** An instance as its place in the tree follows from it. */
+/** Properties of an instance that determine its role. */
 export interface TreeInstance {
-  /** `IP:PORT` for other instances; tells it from all others. */
+  /** Address `IP:PORT` for other instances; it identifies the instance. */
   readonly peers: string;
   readonly zone: string;
-  /** Thousandths of a core that it may use: a whole number, so that all compare the same. */
+  /**
+   * Processor capacity in thousandths of a core. An integer, so that all instances compare equal
+   * values.
+   */
   readonly capacity: number;
-  /** Whether it takes requests: one that stops soon tells nobody any more. */
+  /** Whether the instance accepts requests. One that is stopping will soon send nothing. */
   readonly ready: boolean;
 }
 
-/** What an instance is to the others. */
+/** Role of an instance in the exchange of updates. */
 export enum FleetRole {
-  /** The fleet is small: everyone tells everyone. */
+  /** The fleet is small and every instance sends to every other. */
   Equal = "equal",
-  /** Collects its zone's news and tells its zone those of all. */
+  /** Collects the updates of its zone and sends the total of all zones to it. */
   Relay = "relay",
-  /** Tells its zone's relays and hears from them. */
+  /** Sends its updates to the relays of its zone and receives the total from them. */
   Member = "member",
 }
 
-/** The places of a fleet's instances. */
+/** Roles of the fleet's instances, as seen by one of them. */
 export interface FleetTree {
   readonly role: FleetRole;
-  /** The relays of each zone, the first one first; without any where all are equal. */
+  /** Addresses of each zone's relays in order of preference; empty in a small fleet. */
   readonly relays: ReadonlyMap<string, readonly string[]>;
-  /** The relays that follow the store for all others; without any where each instance does so itself. */
+  /**
+   * Addresses of the relays that watch the store for all others; empty in a small fleet, where
+   * every instance watches the store itself.
+   */
   readonly watchers: ReadonlySet<string>;
 }
 
-/** Up to so many instances tell each other everything directly: a dozen messages a period each. */
+/**
+ * Maximum number of instances that send updates to each other directly: about a dozen messages per
+ * period each.
+ */
 export const GREATEST_MESH = 13;
-/** With one alone, a zone would hear nothing until its loss is noticed. */
+/**
+ * Relays per zone. With a single relay, a zone would receive nothing until its failure is detected.
+ */
 const RELAYS_A_ZONE = 2;
 
-/** With so many in different zones, one of them almost always reaches the store, and each change costs as many calls. */
+/**
+ * Number of relays that watch the store. With this many in different zones, at least one almost
+ * always reaches the store; each store change costs one call per watcher.
+ */
 const WATCHERS = 4;
 
 const KEY = hashText("samphireshore/relays");
 const hashes = new Map<string, number>();
 
 /**
- * Finds the places.
+ * Computes the topology from the live instances.
  *
  * @param self This instance.
- * @param others All others that are there.
+ * @param others All other live instances.
  */
 export function planTree(self: TreeInstance, others: readonly TreeInstance[]): FleetTree {
   const all = [self, ...others];
@@ -79,7 +95,9 @@
   return { role, relays, watchers: watchersOf(relays) };
 }
 
-/** The first relays of some zones; where there are few zones, second ones too. */
+/**
+ * Selects the first relay of up to `WATCHERS` zones, then second relays if there are fewer zones.
+ */
 function watchersOf(relays: ReadonlyMap<string, readonly string[]>): Set<string> {
   const byScore = [...relays]
     .map(([zone, addresses]) => ({ addresses, score: scoreOf({ peers: zone }) }))
--- a/src/process/fleet_tree_test.ts
+++ b/src/process/fleet_tree_test.ts
@@ -20,7 +20,7 @@
   );
 }
 
-test("all find the same relays, two a zone and the larger machines first", () => {
+test("all instances select the same relays, two per zone with the larger machines first", () => {
   const all = fleet(195);
   const plans = all.map((_, place) => planOf(all, place));
   const [first] = plans;
@@ -37,15 +37,16 @@
   expect(roles.filter((role) => role === FleetRole.Member).length).toBe(183);
 });
 
-test("those that follow the store are in different zones", () => {
+test("the watchers of the store are in different zones", () => {
   const all = fleet(60);
   const { watchers } = planOf(all, 0);
   const zones = all.filter(({ peers }) => watchers.has(peers)).map(({ zone }) => zone);
   expect(new Set(zones).size).toBe(4);
 });
 
-// One that has been told to stop is gone within seconds: its zone would hear nothing until that is noticed.
-test("an instance that doesn't take requests is no relay while others do", () => {
+// A stopping instance is gone within seconds. As a relay, it would leave its zone without updates
+// until the loss is detected.
+test("an instance that doesn't accept requests isn't a relay while others do", () => {
   const all = fleet(60);
   const { relays } = planOf(all, 0);
   const [stopping] = relays.get("z0") ?? [];
@@ -59,8 +60,9 @@
   expect(plan.relays.size + plan.watchers.size).toBe(0);
 });
 
-// A relay that goes must not change those of the other zones: each change is a moment without news.
-test("the loss of a relay changes its own zone only", () => {
+// Losing a relay must not change the relays of other zones, since every change interrupts their
+// updates briefly.
+test("losing a relay changes only the relays of its own zone", () => {
   const all = fleet(120);
   const before = planOf(all, 1);
   const [lost] = before.relays.get("z2") ?? [];
--- a/src/process/group_totals.ts
+++ b/src/process/group_totals.ts
@@ -1,23 +1,26 @@
 import type { InstanceNews, WorkerUse } from "./digest.ts";
 import { NO_USE } from "./digest.ts";
 
-/** What is added up over instances. */
+/** Counts that are summed over instances. */
 export type GroupCounts = Pick<InstanceNews, "admitted" | "use">;
 
-/** The sums of what several instances, or groups of them, say. */
+/** Running sums of the counts received from several sources (instances or groups of instances). */
 export interface GroupTotals {
   /**
-   * Takes in news.
+   * Applies an update.
    *
-   * @param source Whose they are.
-   * @param isNew Whether the source has begun to count so lately that all that it has counted is new.
+   * @param source Id of the source.
+   * @param isNew Whether the source started counting so recently that its complete counts are new.
    */
   heard(source: string, news: GroupCounts & { readonly isWhole: boolean }, isNew: boolean): void;
-  /** Forgets all other sources: what they had at workers has ended, and what they have counted stays. */
+  /**
+   * Removes all sources that are not in `sources`. Their running work is subtracted; what they
+   * counted cumulatively stays in the sums.
+   */
   keepSources(sources: ReadonlySet<string>): void;
-  /** The sum at one worker, without what this instance has itself. */
+  /** Returns the sum for one worker, excluding this instance's own counts. */
   useOf(worker: number): WorkerUse | undefined;
-  /** The sums with what this instance has itself. */
+  /** Returns the sums including this instance's own counts. */
   with(own: GroupCounts): GroupCounts;
 }
 
@@ -27,17 +30,18 @@
 }
 
 /**
- * Makes sums of nothing.
+ * Creates empty sums.
  *
- * What a source has at a worker counts while the source is there. What it counts up (requests admitted, runs ended)
- * counts from when it was first heard and stays: whoever is told the sums takes their growth for what happened, so they
- * may neither fall when an instance ends nor rise by what one that is newly heard did long ago.
+ * Work in progress counts while its source is present. Cumulative counts (admitted requests, ended
+ * runs) count from the first update of a source and remain afterwards. Receivers interpret the
+ * growth of these sums as new events, so the sums must not decrease when an instance ends, nor jump
+ * by the past counts of a newly received instance.
  */
 export function createGroupTotals(): GroupTotals {
   const sources = new Map<string, Said>();
   const admitted = new Map<string, number>();
   const use = new Map<number, WorkerUse>();
-  /** By worker, how many sources name it. */
+  /** Number of sources that list each worker. */
   const named = new Map<number, number>();
 
   const add = (worker: number, by: WorkerUse): void => {
@@ -104,7 +108,7 @@
   };
 }
 
-/** Adds up what two have at workers. */
+/** Adds two sets of worker counts. */
 function addUses(
   a: ReadonlyMap<number, WorkerUse>,
   b: ReadonlyMap<number, WorkerUse>,
--- a/src/process/group_totals_test.ts
+++ b/src/process/group_totals_test.ts
@@ -23,7 +23,7 @@
   };
 }
 
-test("what the sources have is added up, with what the instance has itself", () => {
+test("sums include all sources and the instance's own counts", () => {
   const totals = createGroupTotals();
   totals.heard("a", news({ 1: use(2) }, { admitted: 10 }), true);
   totals.heard("b", news({ 1: use(1), 2: use(4) }, { admitted: 5 }), true);
@@ -34,9 +34,10 @@
   expect(sums.get(2)?.running).toBe(5);
 });
 
-// An instance ends. What it had at workers has ended, but what it admitted counts on: others take the growth of the sum
-// for what happened since, and a sum that falls would let an account have it twice.
-test("what a source counted up outlives it, and what it had doesn't", () => {
+// When an instance ends, its running work ends too, but its admissions must remain: others
+// interpret the growth of the sum as new admissions, and a decreasing sum would let an account use
+// its quota twice.
+test("cumulative counts of a source remain after it ends, its running work doesn't", () => {
   const totals = createGroupTotals();
   totals.heard("a", news({ 1: use(2) }, { admitted: 10 }), true);
   totals.heard("b", news({ 1: use(1) }, { admitted: 5 }), true);
@@ -46,9 +47,9 @@
   expect(sums.get(1)?.running).toBe(1);
 });
 
-// A relay that is new hears instances that have run for hours. If all that they ever admitted came into its sum at once,
-// the other zones would take it for a burst and refuse every account.
-test("what a source counted before it was heard doesn't count", () => {
+// A new relay receives updates from instances that have run for hours. If their complete admissions
+// entered its sum at once, other zones would take this for a burst and refuse every account.
+test("counts from before the first update of a source are not included", () => {
   const totals = createGroupTotals();
   totals.heard("a", news({ 1: use(2, 900) }, { admitted: 1_000_000, isWhole: true }), false);
   totals.heard("a", news({ 1: use(3, 902) }, { admitted: 1_000_100 }), false);
@@ -57,14 +58,14 @@
   expect(sums.get(1)).toEqual({ ...NO_USE, running: 3, runs: 2 });
 });
 
-test("a worker that nobody names any more is forgotten", () => {
+test("a worker that no source lists is removed", () => {
   const totals = createGroupTotals();
   totals.heard("a", news({ 1: use(2), 2: use(1) }, { isWhole: true }), true);
   totals.heard("a", news({ 2: use(1) }, { isWhole: true }), true);
   expect([...totals.with(NOTHING).use.keys()]).toEqual([2]);
 });
 
-test("sums are those of what the sources said last, in whatever order it came", () => {
+test("sums equal the latest counts of all sources, in any order of updates", () => {
   const step = fc.record({
     source: fc.constantFrom("a", "b", "c"),
     worker: fc.integer({ min: 1, max: 3 }),
--- a/src/process/instance_hashes.ts
+++ b/src/process/instance_hashes.ts
@@ -1,22 +1,24 @@
 import type { Clock } from "../interface/index.ts";
 import { hashText } from "../version/index.ts";
 
-/** What the hashes are made with. */
+/** Dependencies of {@linkcode createInstanceHashes}. */
 export interface InstanceHashesParts {
   readonly clock: Clock;
-  /** This instance's address for the others. */
+  /** This instance's address for other instances. */
   readonly self: string;
-  /** The other instances that are there. */
+  /** Returns the other live instances. */
   readonly others: () => readonly { readonly peers: string; readonly ready: boolean }[];
 }
 
-/** Milliseconds for which the hashes are kept. */
+/** Milliseconds for which the hashes are cached. */
 const KEPT_FOR = 100;
 
 /**
- * Makes what gives the hashes of all instances that take requests, this one among them.
+ * Creates a function that returns the sorted hashes of all instances that accept requests,
+ * including this one.
  *
- * The array is the same one until the instances change, so that what was found by it can be kept.
+ * It returns the same array until the set of instances changes, so callers can cache what they
+ * derive from it.
  */
 export function createInstanceHashes(parts: InstanceHashesParts): () => readonly number[] {
   const { clock, self, others } = parts;
--- a/src/process/instance_hashes_test.ts
+++ b/src/process/instance_hashes_test.ts
@@ -2,7 +2,7 @@
 import { createVirtualClock } from "../standin/memory/index.ts";
 import { createInstanceHashes } from "./instance_hashes.ts";
 
-test("instances find the same hashes, without those that stop, and the same array until they change", async () => {
+test("instances compute the same hashes, without stopping instances, and reuse the array until a change", async () => {
   const clock = createVirtualClock();
   const instances = [
     { peers: "10.0.0.1:9", ready: true },
@@ -19,7 +19,7 @@
   const found = first?.();
   expect(found?.length).toBe(2);
   expect(second?.()).toEqual(found);
-  // One that stops still finishes what it has begun, and counts itself.
+  // A stopping instance still finishes its requests, so it includes itself.
   expect(third?.().length).toBe(3);
   await clock.advance(1_000);
   expect(first?.()).toBe(found);
--- a/src/process/lease_task.ts
+++ b/src/process/lease_task.ts
@@ -14,83 +14,98 @@
 import type { HeldLease, Lease, LeaseMoment } from "../version/index.ts";
 import type { StorePace } from "./store_pace.ts";
 
-/** A holder renews so many times in a term. */
+/** Number of renewals per lease term. */
 const RENEWALS = 3;
-/** How often the one whose turn it is looks whether it may take over, in milliseconds. */
+/** Milliseconds between checks of the preferred instance whether it can acquire the lease. */
 const LOOK_PERIOD = 2_000;
-/** How long a holder goes on after another instance's turn has come, so that a change is no flapping. */
+/**
+ * Milliseconds for which a holder keeps the lease after another instance has become the preferred
+ * one. This avoids frequent handovers while membership changes.
+ */
 const HANDOVER_AFTER = 20_000;
 
-/** The leases that this instance holds, one a service at most. */
+/** Manages the leases that this instance holds, at most one per service. */
 export interface LeaseTask {
-  /** Services whose orders this instance may give now. */
+  /** Returns the services whose lease this instance holds now. */
   held(): readonly string[];
   /**
-   * The fencing number for an order.
+   * Returns the fencing number for an order, and reserves the lease until the order has timed out.
    *
    * @param service The service that the order is for.
-   * @param orderTime Milliseconds that the order may take until its answer is given up.
-   * @returns Undefined where this instance may not send it: the lease is another's, or would run out
-   * before the order is over.
+   * @param orderTime Timeout of the order in milliseconds.
+   * @returns Undefined if this instance must not send the order: it doesn't hold the lease, or the
+   * lease would expire before the order times out.
    */
   fence(service: string, orderTime: number): number | undefined;
-  /** The store's version of a lease that this instance holds, as it wrote it last; 0 where it doesn't hold it. */
+  /**
+   * Returns the store version of the last write to a lease that this instance holds; 0 if it
+   * doesn't hold the lease.
+   */
   versionOf(service: string): number;
   /**
-   * Another instance says that it holds the lease and has written this version; 0 where it doesn't hold it. The version
-   * is older than the word of it, so a term counted from here is over no sooner than the holder's own. Without it a
-   * successor would begin to count when it looks, after the holder is gone: two terms without anybody.
+   * Records the lease version that another instance reports as holder; 0 if it reports that it
+   * doesn't hold the lease.
+   *
+   * The version was written before the report arrived, so a term counted from here ends no earlier
+   * than the holder's own. Without the report, a successor would start counting only when it first
+   * reads the lease after the holder's failure, which leaves up to two terms without a holder.
    */
   heard(service: string, version: number): void;
   start(): void;
-  /** Gives every lease back, so that another instance needn't wait for them to run out. */
+  /** Returns all leases, so that other instances don't have to wait for them to expire. */
   release(): Promise<void>;
   close(): void;
 }
 
-/** What the task is made with. */
+/** Dependencies and settings of {@linkcode createLeaseTask}. */
 export interface LeaseTaskParts {
   readonly clock: Clock;
   readonly random: Random;
   readonly store: Pick<ObjectStore, "get" | "put">;
   readonly pace: StorePace;
-  /** What there is a lease of each: services, or duties of the whole deployment. */
+  /** Names of the leases: services, or duties of the whole deployment. */
   readonly duties: () => readonly string[];
   readonly members: {
     readonly self: { readonly id: string };
-    /** Instances that may hold a lease. */
+    /** Instances that can hold a lease. */
     alive(): readonly { readonly id: string }[];
   };
-  /** Longest time that any order may take, in milliseconds. */
+  /** Maximum timeout of an order in milliseconds. */
   readonly longestOrder: number;
-  /** Milliseconds for which a lease holds after each write. */
+  /** Milliseconds for which a lease is valid after each write. */
   readonly term?: number;
-  /** Milliseconds between looks of the one whose turn it is. */
+  /** Milliseconds between checks of the preferred instance whether it can acquire the lease. */
   readonly lookPeriod?: number;
-  /** Whether an instance that is heard says that it holds the lease: then there is nothing to look for. */
+  /**
+   * Whether a live instance reports that it holds the lease, so that there is no need to read it.
+   */
   readonly isHeldElsewhere?: (duty: string) => boolean;
-  /** Whether this instance knows enough for the duties that a lease is of; if not, it gives the lease back at once. */
+  /**
+   * Whether this instance has the data that the duties require. If not, it returns the lease at
+   * once.
+   */
   readonly mayHold?: () => boolean;
   readonly count: (name: string) => void;
 }
 
 interface Seen {
-  /** The store's version of the lease. */
+  /** Store version of the lease. */
   readonly version: number;
-  /** When this version was first seen or heard of, in the clock's milliseconds. */
+  /** When this version was first read or reported, in milliseconds of `clock`. */
   readonly since: number;
 }
 
 interface Found {
   readonly lease: Lease;
-  /** When its version was first seen or heard of. */
+  /** When its version was first read or reported, in milliseconds of `clock`. */
   readonly since: number;
 }
 
 /**
- * Makes the task. Each service's lease goes to the first live member in rendezvous order, which spreads
- * them over the instances. Nobody trusts another's clock: a holder counts its term from before its write
- * was sent, and a successor from when it first saw that version, which is later.
+ * Creates the task. Each lease belongs to the first live member in rendezvous order, which spreads
+ * the leases over the instances. No instance relies on another's clock: a holder counts its term
+ * from before its write was sent, a successor from when it first saw the written version, which is
+ * later.
  */
 export function createLeaseTask(parts: LeaseTaskParts): LeaseTask {
   const { clock, random, store, pace, duties, members, count } = parts;
@@ -122,7 +137,10 @@
     const { expect } = lease;
     return pace.run(() => store.put(leaseKey(service), value, { expect }));
   };
-  /** Notes what the store says; a lease of ours whose write was answered late or never is found again. */
+  /**
+   * Reads a lease and records its version. This also finds an own lease whose write was answered
+   * late or never.
+   */
   const look = async (service: string): Promise<Found | undefined | "unavailable"> => {
     const read = await pace.run(() => store.get(leaseKey(service)));
     if (read.kind === "unavailable") return "unavailable";
@@ -144,11 +162,11 @@
     const sentAt = clock.now();
     const offsetThen = dayOffset();
     const outcome = await write(service, { holder: self, expect: found?.lease.version ?? 0 });
-    // After a lost answer nothing is held: the version is seen at the next look and waited out like
-    // another's, and then taken again.
+    // If the response was lost, the lease is not held. The written version is seen at the next
+    // read, waited out like another instance's, and then acquired again.
     if (outcome.kind !== "written") return;
-    // One who gave the lease back had no order under way; one who didn't may have sent its last order in
-    // the last moment of its term.
+    // A holder that returned its lease had no order in progress. One that did not may have sent its
+    // last order at the very end of its term.
     const ordersFrom = given ? clock.now() : clock.now() + parts.longestOrder;
     const { version } = outcome;
     held.set(service, {
@@ -175,8 +193,9 @@
     }
   };
   /**
-   * The answer of a renewal was lost. If a later version names this instance, the renewal stands: nobody else
-   * writes its id, and it writes one renewal at a time.
+   * Handles a renewal whose response was lost. If the store has a later version with this instance
+   * as the holder, the renewal succeeded: no other instance writes this id, and this instance
+   * writes one renewal at a time.
    */
   const adopt = async (service: string, renewal: HeldLease): Promise<void> => {
     const found = await look(service);
@@ -185,16 +204,19 @@
     if (holder !== self) held.delete(service);
     else if (version > renewal.version) keep(service, { ...renewal, version });
   };
-  /** Notes a renewal, unless the lease was given up while its answer was on the way. */
+  /** Records a renewal, unless the lease was dropped while the response was pending. */
   const keep = (service: string, renewed: HeldLease): void => {
     const before = held.get(service);
     if (before === undefined) return;
     held.set(service, { ...renewed, ordersUntil: before.ordersUntil });
   };
-  /** Gives a lease back, once no call is under way; some are left to run out, for the reasons in `giveBackIn`. */
+  /**
+   * Returns a lease once no order is in progress. `giveBackIn` documents when a lease is left to
+   * expire instead.
+   */
   const giveBack = async (service: string): Promise<void> => {
     const mine = held.get(service);
-    // From here on no call is begun.
+    // From here on, no order is started.
     held.delete(service);
     const wait = mine === undefined ? undefined : giveBackIn(mine, clock.now(), { term });
     if (mine === undefined || wait === undefined) return;
--- a/src/process/lease_task_test.ts
+++ b/src/process/lease_task_test.ts
@@ -52,9 +52,12 @@
   readonly at: number;
 }
 
-/** Two workers, one of a service whose servers check fencing numbers and one of another. */
+/**
+ * Two workers: one of a service whose servers check fencing numbers, and one of a service whose
+ * servers don't.
+ */
 interface Servers {
-  /** Orders in the order of their arrival, refused ones included. */
+  /** Orders as they arrived, including refused ones. */
   readonly orders: readonly SentOrder[];
   loaded(service: string): string;
   engineOf(node: ControlNode, fleet: ControlFleet): Engine;
@@ -76,7 +79,7 @@
         } as unknown as LoadReport;
       },
       order: async (worker, { fence, models }) => {
-        // What was handed to the network before the pause reaches the server after it.
+        // An order already handed to the network before the pause arrives after it.
         await node.freezer.gate();
         await sleep(fleet.clock, 1);
         const { service } = worker;
@@ -144,23 +147,23 @@
   };
 }
 
-test("each service has one holder, who orders its workers to be what the configuration says", async () => {
+test("each service has one holder, which orders the configured models", async () => {
   const { servers, tasks, close } = await startLeases(4);
   for (const service of SERVICES) {
     expect(tasks.filter((task) => task.held().includes(service))).toHaveLength(1);
     expect(servers.loaded(service)).toBe("a");
-    // Level-triggered: what is so already is not ordered again.
+    // Orders are level-triggered: a state that already matches is not ordered again.
     expect(servers.orders.filter((order) => order.service === service)).toHaveLength(1);
   }
   close();
 });
 
 test.each(SERVICES)(
-  "a holder paused past its lease gives the %s servers no old order when it wakes",
+  "a holder paused past its lease sends the %s servers no outdated order after it resumes",
   async (service) => {
-    // The holder stands still for a minute, as when its machine swaps. Another takes over and the models
-    // change meanwhile. When it wakes it still believes it is the holder; with the old models loaded again,
-    // the answers of a night would come from the wrong model.
+    // The holder is paused for a minute, for example because its machine swaps. Another instance
+    // takes over and the models change. After resuming, the old holder still assumes that it holds
+    // the lease; if it loaded the old models again, requests would be answered by the wrong model.
     const { fleet, servers, holderOf, tasks, close } = await startLeases(4);
     const before = holderOf(service);
     const paused = fleet.nodes[before];
@@ -179,13 +182,14 @@
 );
 
 test.each(SERVICES)(
-  "an order that was under way when its sender was paused does the %s servers no lasting harm",
+  "an order in progress while its sender is paused has no lasting effect on the %s servers",
   async (service) => {
-    // The order had left the holder's hands when it was paused, and reaches the server a minute later. A
-    // server that checks refuses it; one that ignores the number obeys, and the next reading shows it.
+    // The order was sent before the pause and arrives a minute later. A server that checks fencing
+    // numbers refuses it. One that doesn't executes it, and the next load report causes a
+    // correction.
     const { fleet, servers, holderOf, close } = await startLeases(4);
     const node = fleet.nodes[holderOf(service)];
-    if (node === undefined) throw new Error("Nobody holds the lease.");
+    if (node === undefined) throw new Error("No instance holds the lease.");
     const stale = servers.engineOf(node, fleet);
     node.freezer.freeze();
     const late = stale.order(workerOf(service), { fence: 1, models: ["a"], role: "serve" });
@@ -204,9 +208,9 @@
   },
 );
 
-test("a successor sends its first order only when none of the holder before can be under way", async () => {
-  // The holder dies without a word, its last order perhaps still on the way to a server that ignores
-  // fencing numbers. The successor's first order must not be overtaken by it.
+test("a successor sends its first order only after the previous holder's orders have timed out", async () => {
+  // The holder fails without notice, and its last order may still be on its way to a server that
+  // ignores fencing numbers. The successor's first order must not be followed by it.
   const { fleet, tasks, holderOf, close } = await startLeases(4);
   const before = holderOf("ignoring");
   const others = tasks.filter((_, index) => index !== before);
@@ -224,7 +228,7 @@
   close();
 });
 
-test("renewals whose answers were lost make no second holder", async () => {
+test("renewals with lost responses never cause a second holder", async () => {
   const { fleet, servers, tasks, close } = await startLeases(3);
   for (let round = 0; round < 10; round++) {
     fleet.store.loseAnswers(2);
@@ -241,7 +245,7 @@
   close();
 });
 
-test("a holder that gives its lease back is followed within seconds", async () => {
+test("a returned lease is acquired by another instance within seconds", async () => {
   const { fleet, tasks, holderOf, close } = await startLeases(3);
   const before = holderOf("checking");
   fleet.nodes[before]?.members.leave();
@@ -253,10 +257,10 @@
   close();
 });
 
-test("instances that stop in turn pass the lease on at most once a term", async () => {
-  // All instances are restarted one after another. If the second holder gave the lease back right after it had
-  // taken it, the first one's machine could have it again within a term: a platform that doesn't check the fence
-  // would see two holders act in turn, and scale by the orders of both.
+test("instances that stop in turn pass the lease on at most once per term", async () => {
+  // All instances are restarted one after another. If the second holder returned the lease right
+  // after acquiring it, the first one's machine could hold it again within a term. A platform that
+  // doesn't check fencing numbers would then receive alternating orders from two holders.
   const { fleet, tasks, holderOf, close } = await startLeases(3);
   const stop = async (index: number): Promise<void> => {
     fleet.nodes[index]?.members.leave();
@@ -278,10 +282,11 @@
   close();
 });
 
-// The holder stops answering, its lease runs out and another instance takes it over. That one is restarted right
-// afterwards. If it gave the lease back, the first could have it again within a term of its last order, and a platform
-// that doesn't check the fence would see two holders act in turn.
-test("a lease that was taken over after it had run out isn't passed on within a term", async () => {
+// The holder stops responding, its lease expires, and another instance acquires it but is restarted
+// right afterwards. If it returned the lease, the first holder could hold it again within a term of
+// its last order, and a platform that doesn't check fencing numbers would receive alternating
+// orders from both.
+test("a lease acquired after expiry is not passed on within a term", async () => {
   const { fleet, tasks, holderOf, close } = await startLeases(3);
   const first = holderOf("checking");
   fleet.nodes[first]?.freezer.freeze();
@@ -298,9 +303,10 @@
   close();
 });
 
-// An order is under way to a slow platform when its sender is told to stop. If the lease was free at once, an order of
-// the next holder could arrive before it, and the platform would obey the older one last.
-test("a lease is given back only when no order of its holder can be under way", async () => {
+// An order to a slow platform is in progress when its sender is told to stop. If the lease were
+// free at once, the next holder's order could arrive first, and the older order would take effect
+// last.
+test("a lease is returned only after all orders of its holder have timed out", async () => {
   const { fleet, tasks, holderOf, close } = await startLeases(3);
   const first = holderOf("checking");
   expect(tasks[first]?.fence("checking", ORDER_TIMEOUT)).toBeDefined();
@@ -314,9 +320,10 @@
   close();
 });
 
-// The holder dies. As long as it said that it holds the lease the others had no reason to look at the store, and one
-// that begins to count the term only then leaves two terms without anybody who orders workers or reports usage.
-test("a lease is taken over a term after its last renewal that was heard of", async () => {
+// The holder fails. While it reported holding the lease, the others had no reason to read it from
+// the store. If a successor started counting the term only now, two terms would pass without an
+// instance that orders workers or reports usage.
+test("a lease is taken over one term after its last reported renewal", async () => {
   const fleet = await startControlFleet({
     count: 3,
     zones: 3,
@@ -360,9 +367,9 @@
   fleet.close();
 });
 
-// In a large fleet only relays are told what all instances have counted. One that has ceased to be a relay would report
-// the usage of its own zone for that of all, for as long as it goes on.
-test("a holder that may not hold it any more gives its lease back at once", async () => {
+// In a large fleet, only relays receive the counts of all instances. An instance that is no longer
+// a relay would report the usage of its own zone as that of all zones.
+test("a holder that must not hold the lease any more returns it at once", async () => {
   const clock = createVirtualClock();
   const store = createMemoryStore(clock).connect();
   let mayHold = true;
--- a/src/process/line_writer.ts
+++ b/src/process/line_writer.ts
@@ -1,24 +1,25 @@
 import { write } from "node:fs";
 
-/** Writes lines without ever holding up whoever writes them. */
+/** Writes lines without blocking the caller. */
 export interface LineWriter {
   write(line: string): void;
-  /** Lines that were dropped because the reader was too slow. */
+  /** Number of lines dropped because the reader was too slow, or because a write failed. */
   readonly dropped: number;
-  /** Resolves when all that was taken has been written or has failed. */
+  /** Resolves when all accepted lines have been written or have failed. */
   flush(): Promise<void>;
 }
 
-/** Bytes that may wait: some seconds of a busy instance's lines. */
+/** Maximum number of buffered characters: some seconds of output of a busy instance. */
 const GREATEST_WAITING = 524_288;
 
 /**
- * Writes to a descriptor by asynchronous writes, one at a time.
+ * Creates a writer that uses asynchronous writes to a file descriptor, one at a time.
  *
- * What goes wrong otherwise: a write to a pipe whose reader has stopped blocks the whole process, and every
- * request with it. Here lines beyond a bound are dropped and counted, and the next line written says so.
+ * A synchronous write to a pipe whose reader has stopped blocks the whole process and all its
+ * requests. This writer drops and counts lines above a limit, and reports the number with the next
+ * line written.
  *
- * @param descriptor Such as 1 for standard output.
+ * @param descriptor File descriptor, such as 1 for standard output.
  */
 export function createLineWriter(descriptor: number): LineWriter {
   let waiting: string[] = [];
@@ -50,7 +51,7 @@
         writeAll(bytes.subarray(written));
         return;
       }
-      // The reader has gone: there is nobody left to tell, so the lines count as dropped.
+      // The reader is gone and nothing can be reported to it, so the lines count as dropped.
       if (error !== null) dropped++;
       isWriting = false;
       next();
--- a/src/process/log_switch.ts
+++ b/src/process/log_switch.ts
@@ -1,5 +1,5 @@
-// The log library looks at this variable once, when it is first loaded, and drops every message where it is
-// not set; whether anything is logged is for the settings to say.
+// Roarr reads this variable once when it is loaded and drops all messages if it isn't set. Whether
+// anything is logged is decided by the settings.
 process.env["ROARR_LOG"] = "true";
 
 export {};
--- a/src/process/member_table.ts
+++ b/src/process/member_table.ts
@@ -1,7 +1,10 @@
 import { MemberState } from "../interface/index.ts";
 import type { Member, MemberDelta, Random } from "../interface/index.ts";
 
-/** At the same rise, the state further on in this order overrides. */
+/**
+ * States in increasing precedence. At the same incarnation number (`rise`), a later state overrides
+ * an earlier one.
+ */
 const PRECEDENCE: readonly MemberState[] = [
   MemberState.Alive,
   MemberState.Suspect,
@@ -9,37 +12,49 @@
   MemberState.Dead,
 ];
 
-/** Deltas on one message: with at most this many a message's size doesn't grow with the fleet. */
+/** Maximum number of pending deltas per message, so that its size doesn't grow with the fleet. */
 const MOST_DELTAS = 6;
-/** Each news is sent this many times per doubling of the fleet, which reaches everyone but for rare luck. */
+/**
+ * Number of times each delta is sent per doubling of the fleet's size. With this many, it reaches
+ * all members with high probability.
+ */
 const SENDS_PER_DOUBLING = 3;
-/** How long what is dead or has left is remembered, so that late news of it changes nothing. */
+/**
+ * Milliseconds for which dead members and leaving backend servers are remembered, so that delayed
+ * deltas about them have no effect.
+ */
 const REMEMBERED = 600_000;
 
-/** What is known of one member or backend server. */
+/** State of one member or backend server. */
 export interface MemberEntry extends MemberDelta {
-  /** When this was learned, in the clock's milliseconds. */
+  /** When the state was recorded, in milliseconds of the clock that the caller uses. */
   readonly since: number;
 }
 
-/** All that one instance believes of the others, and the news that it has yet to pass on. */
+/**
+ * States of all other members as known to one instance, and the deltas that it still has to
+ * forward.
+ */
 export interface MemberTable {
-  /** Takes in what was heard; false where it is not newer than what is known. */
+  /** Applies a delta. Returns false if it is not newer than the known state. */
   merge(delta: MemberDelta, now: number): boolean;
   find(id: string): MemberEntry | undefined;
-  /** Entry instances, this one not included. */
+  /** Returns the entry instances other than this one. */
   members(): readonly MemberEntry[];
-  /** Ids of backend servers that are marked as leaving. */
+  /** Returns the ids of backend servers that are marked as leaving. */
   leavingWorkers(): ReadonlySet<string>;
-  /** News for one message, those sent least first, and one random entry against lost news. */
+  /**
+   * Returns deltas for one message: those sent least often, and one random entry as a safeguard
+   * against lost messages.
+   */
   news(random: Random): readonly MemberDelta[];
-  /** Everything, for an instance that joins. */
+  /** Returns all entries, for an instance that joins. */
   all(): readonly MemberDelta[];
-  /** Forgets what has been dead or gone for long. */
+  /** Removes entries that have been dead or leaving for long enough. */
   forget(now: number): void;
 }
 
-/** Makes an empty table. */
+/** Creates an empty table. */
 export function createMemberTable(): MemberTable {
   const entries = new Map<string, MemberEntry>();
   const sends = new Map<string, number>();
@@ -99,7 +114,7 @@
   return [{ member, state, rise, backend }];
 }
 
-/** The part of a member id before its incarnation. */
+/** Returns the part of a member id before the incarnation. */
 export function nameOf(member: Member): string {
   return member.id.slice(0, member.id.lastIndexOf("#"));
 }
--- a/src/process/membership.ts
+++ b/src/process/membership.ts
@@ -18,62 +18,75 @@
 
 /** Milliseconds between probes. */
 const PROBE_PERIOD = 1_000;
-/** How long a probe may take; one through a helper gets twice that. */
+/** Timeout of a probe in milliseconds. A probe through a helper gets twice as long. */
 const PROBE_TIMEOUT = 1_000;
-/** Members that are asked to probe on our behalf before one is suspected. */
+/** Number of members asked to probe a silent member before it is suspected. */
 const HELPERS = 2;
-/** How long a suspected member has to refute, in milliseconds. */
+/** Milliseconds that a suspected member has to refute the suspicion. */
 const SUSPICION = 2_000;
-/** Peers that news is sent to at once, and the delay in which more news joins it. */
+/**
+ * Number of peers that new deltas are sent to at once, and milliseconds during which further deltas
+ * are batched with them.
+ */
 const NEWS_FANOUT = 2;
 const NEWS_DELAY = 50;
-/** Every so many periods a seed or a dead member is probed, which joins fleets that lost each other. */
+/**
+ * Number of probe periods between probes of a seed or a dead member, which rejoin separated parts
+ * of a fleet.
+ */
 const REJOIN_PERIODS = 5;
 
-/** The task that keeps track of the entry instances. */
+/** Tracks the states of the entry instances. */
 export interface Membership extends MembershipView {
   readonly handlers: Pick<PeerHandlers, "probe">;
-  /** Joins by the seeds and begins to probe. */
+  /** Contacts the seeds and starts probing. */
   start(): void;
-  /** Tells everyone that this instance takes nothing new. */
+  /** Announces that this instance accepts no new requests. */
   leave(): void;
-  /** Marks a backend server as leaving and tells everyone at once. */
+  /** Marks a backend server as leaving and announces this at once. */
   markWorkerLeaving(id: string, zone: string): void;
-  /** Tells everyone, the member itself included, that the cloud takes this entry instance back. */
+  /** Announces, also to the member itself, that the cloud is reclaiming an entry instance. */
   markMemberLeaving(name: string): void;
-  /** Ids of backend servers that are marked as leaving. */
+  /** Returns the ids of backend servers that are marked as leaving. */
   leavingWorkers(): ReadonlySet<string>;
-  /** All members that are not dead, this one included, whatever their state. */
+  /** Returns all members that are not dead, including this one. */
   present(): readonly Member[];
-  /** Asks every live member which versions it has in force; those that don't answer are left out. */
+  /**
+   * Asks every live member for the versions that it has applied. Members that don't answer are
+   * missing from the result.
+   */
   survey(): Promise<ReadonlyMap<string, readonly VersionMark[]>>;
-  /** When a peer was last heard, in the clock's milliseconds; undefined where none ever was. */
+  /**
+   * Returns when a message last arrived from a peer, in milliseconds of `clock`; undefined if none
+   * has arrived.
+   */
   heardAt(): number | undefined;
   /** Sends the versions that this instance has applied to a few peers at once. */
   spreadVersions(): void;
-  /** Called when a peer says that this instance is to leave. */
+  /** Adds a listener that is called when a peer reports that this instance must leave. */
   onOwnNotice(listener: () => void): ReturnType<MembershipView["onChange"]>;
   close(): void;
 }
 
-/** What the membership task is made with. */
+/** Dependencies and settings of {@linkcode createMembership}. */
 export interface MembershipParts {
   readonly self: Member;
-  /** Addresses of a few entry instances; their ids are learned from their answers. */
+  /** Addresses of a few entry instances. Their ids are learned from their replies. */
   readonly seeds: readonly string[];
   readonly clock: Clock;
   readonly random: Random;
   readonly peers: Peers;
-  /** The versions that this instance has applied. */
+  /** Returns the versions that this instance has applied. */
   readonly versions: () => readonly VersionMark[];
-  /** Called with the versions that a peer says it has applied. */
+  /** Called with the versions that a peer reports as applied. */
   readonly hearVersions: (from: Member, marks: readonly VersionMark[]) => void;
 }
 
 /**
- * Makes the task: SWIM-style membership. Each second one random member is probed; one that doesn't answer
- * is probed through others, then suspected, then dead unless it refutes by raising its own number. What
- * each instance sends does not grow with the fleet.
+ * Creates the task, which follows the SWIM protocol. Every second, a random member is probed. If it
+ * doesn't answer, it is probed through other members, then suspected, and then declared dead unless
+ * it refutes the suspicion by raising its incarnation number (`rise`). The amount of data that each
+ * instance sends doesn't grow with the fleet.
  */
 export function createMembership(parts: MembershipParts): Membership {
   const { self, clock, random, peers } = parts;
@@ -104,8 +117,8 @@
     }
     const accused = delta.state === MemberState.Suspect || delta.state === MemberState.Dead;
     if (!accused || delta.rise < own.rise) return false;
-    // Only this instance can say that it lives: without the raise others would bury it, and its slots
-    // would be taken over while it serves them.
+    // Only this instance can refute its own suspicion. Without a higher number, others would
+    // declare it dead and take over its slots while it is serving them.
     own = { ...own, rise: delta.rise + 1 };
     return true;
   };
@@ -116,7 +129,10 @@
       tell({ member, state: MemberState.Dead, rise, backend: false });
     });
   };
-  /** A leaving member can't be marked as suspected, so it is probed once more before it is called dead. */
+  /**
+   * Probes a leaving member once more before it is declared dead, since it cannot be marked as
+   * suspected.
+   */
   const judgeLeaving = ({ member, rise }: MemberDelta): void => {
     const judge = async (): Promise<void> => {
       if (closed || (await probe(member))) return;
@@ -145,7 +161,9 @@
     changed();
     spreadNews();
   };
-  /** A restarted instance stands at the same address: the one before it is dead. */
+  /**
+   * Declares earlier processes with the same name dead. A restarted instance uses the same address.
+   */
   const buryEarlier = (sender: Member): void => {
     for (const { member, state, rise } of table.members()) {
       if (member.id === sender.id || nameOf(member) !== nameOf(sender)) continue;
@@ -168,10 +186,11 @@
       const reply = await ask(to, outgoing(to.id));
       if (closed) return true;
       hear(reply.from, reply.deltas, reply.versions);
-      // It answered and yet we believe it dead: it has to hear so, or it can't refute.
+      // The member answered but is recorded as dead. It must receive that state in order to refute
+      // it.
       const answered = table.find(reply.from);
       if (to.id === "" && answered?.state === MemberState.Dead) void probe(answered.member);
-      // Another incarnation may have answered at the same address.
+      // A different incarnation may have answered at the same address.
       return to.id === "" || reply.from === to.id;
     } catch {
       return false;
@@ -221,7 +240,10 @@
     }
   };
   const isClosed = (): boolean => closed;
-  /** News doesn't wait for the next probe: each instance passes it on once, to a few others. */
+  /**
+   * Sends new deltas to a few random members without waiting for the next probe. Each instance
+   * forwards a delta this way once.
+   */
   const spreadNews = (): void => {
     if (newsDue || closed) return;
     newsDue = true;
@@ -246,7 +268,7 @@
         const reply = await ask(member, outgoing(member.id));
         found.set(reply.from, reply.versions);
       } catch {
-        // One that doesn't answer is missing from the result, which is what the asker has to know.
+        // A member that doesn't answer is left out of the result, as callers expect.
       }
     };
     await Promise.all(shuffled(table, random).map(askOne));
@@ -301,7 +323,7 @@
   return table.find(id)?.state ?? MemberState.Dead;
 }
 
-/** What we hold against a member, for it to refute. */
+/** Returns the suspicion or death recorded for a member, so that it can refute it. */
 function accusationOf(table: MemberTable, id: string): MemberDelta[] {
   const known = table.find(id);
   if (known === undefined) return [];
@@ -310,7 +332,7 @@
   return accused ? [{ member, state, rise, backend }] : [];
 }
 
-/** The members that are not dead, in random order. */
+/** Returns the members that are not dead, in random order. */
 function shuffled(table: MemberTable, random: Random): Member[] {
   return table
     .members()
--- a/src/process/membership_test.ts
+++ b/src/process/membership_test.ts
@@ -33,7 +33,7 @@
   fleet.close();
 });
 
-test("a dead instance is known as dead within seconds", async () => {
+test("a failed instance is declared dead within seconds", async () => {
   const fleet = await startFleet(12);
   fleet.nodes[5]?.kill();
   await fleet.clock.advance(15_000);
@@ -44,9 +44,9 @@
   fleet.close();
 });
 
-test("an instance that one peer can't reach is not taken for dead", async () => {
-  // A fault on one path only: without probes through others, the one peer would have the instance buried
-  // and its slots taken over while it serves its callers.
+test("an instance that only one peer can't reach is not declared dead", async () => {
+  // Only one link fails. Without probes through other members, the one peer would have the instance
+  // declared dead and its slots taken over while it is serving callers.
   const fleet = await startFleet(6);
   fleet.network.setCut("e0#1", "e1#1", true);
   await fleet.clock.advance(60_000);
@@ -54,7 +54,7 @@
   fleet.close();
 });
 
-test("a paused instance that was called dead is alive again once it wakes", async () => {
+test("a paused instance that was declared dead is alive again after it resumes", async () => {
   const fleet = await startFleet(6);
   const [paused] = fleet.nodes;
   paused?.freezer.freeze();
@@ -66,7 +66,7 @@
   fleet.close();
 });
 
-test("two halves that lost each other join again", async () => {
+test("two separated halves of a fleet join again", async () => {
   const fleet = await startFleet(8);
   const isLeft = (index: number): boolean => index < 4;
   const pairs = fleet.nodes.flatMap(({ self: a }, i) =>
@@ -81,7 +81,7 @@
   fleet.close();
 });
 
-test("a leaving instance is out of everyone's answers within 3 s, and stays known", async () => {
+test("a leaving instance is marked as leaving everywhere within 3 s and stays known", async () => {
   const fleet = await startFleet(16);
   fleet.nodes[3]?.members.leave();
   await fleet.clock.advance(3_000);
@@ -90,7 +90,7 @@
   fleet.close();
 });
 
-test("an instance whose own notice was missed hears it from the others", async () => {
+test("an instance that missed its own notice receives it from the others", async () => {
   const fleet = await startFleet(8);
   let heard = 0;
   fleet.nodes[2]?.members.onOwnNotice(() => heard++);
@@ -101,9 +101,10 @@
   fleet.close();
 });
 
-test("a leaving worker is leaving everywhere within 3 s, though the list lags and one missed the notice", async () => {
-  // The cloud takes a backend server back. The platform's list shows it as live for another minute, and
-  // one instance was cut off while the mark went round. Work sent there would be lost half way.
+test("a leaving worker is marked everywhere within 3 s although the list lags and one instance missed the notice", async () => {
+  // The cloud reclaims a backend server. The platform's list reports it as live for another minute,
+  // and one instance was unreachable while the mark spread. Requests sent to the server would be
+  // lost halfway.
   const fleet = await startFleet(16);
   const directories = fleet.nodes.map(({ members }, index) =>
     createWorkerDirectory({
@@ -132,7 +133,7 @@
   fleet.close();
 });
 
-test("a survey tells the versions of every instance that answers, and leaves out the others", async () => {
+test("a survey returns the versions of every instance that answers and omits the others", async () => {
   const fleet = await startFleet(6);
   fleet.nodes[4]?.freezer.freeze();
   const surveying = fleet.nodes[0]?.members.survey();
@@ -143,7 +144,7 @@
   fleet.close();
 });
 
-test("what an instance sends does not grow with the fleet", async () => {
+test("the size of a probe reply doesn't grow with the fleet", async () => {
   const sizes = await Promise.all(
     [8, 32].map(async (count) => {
       const fleet = await startFleet(count);
