--- a/src/process/news_sources.ts
+++ b/src/process/news_sources.ts
@@ -8,50 +8,55 @@
 import type { OthersView } from "./others_view.ts";
 import type { Peer } from "./peer.ts";
 
-/** Whose news they are. Two sources that are gone by at a time never tell of the same instance. */
+/**
+ * A selected source of updates. No two sources selected at the same time cover the same instance.
+ */
 export interface NewsSource {
-  /** Tells it from all others, also from another that told of the same instances before. */
+  /** Unique id. It also differs from that of an earlier source with the same subject. */
   readonly id: string;
-  /** Tells the instances that it tells of: a process, or a zone. */
+  /** The instances that the updates cover: an incarnation, a zone, or all. */
   readonly subject: string;
   readonly scope: NewsScope;
 }
 
-/** Chooses by whose news this instance goes. */
+/** Selects the peers whose updates this instance applies. */
 export interface NewsSources {
-  /** Takes in a digest's news; says whether what it builds on is known here. */
+  /**
+   * Applies a digest's update if its sender is selected. Returns false if the update's base is
+   * unknown here, so that a full snapshot is needed.
+   */
   heard(peer: Peer, digest: Digest): boolean;
-  /** Whether this instance goes by the peer's news, or would if it told any. */
+  /** Whether this instance applies the peer's updates, or would apply them if it sent any. */
   follows(peer: Peer): boolean;
-  /** Whether the peer's own news are among those gone by. */
+  /** Whether the peer's own counts are applied. */
   counts(peer: Peer): boolean;
   ids(): ReadonlySet<string>;
-  /** The session of the relay that tells this instance of all others. */
+  /** Returns the session of the relay that sends this instance the counts of all others. */
   teller(): number | undefined;
-  /** Lets go of sources of which nobody tells any more; says whether there were any. */
+  /** Removes sources that no live peer covers any more. Returns whether there were any. */
   expire(): boolean;
-  /** The role has changed: begins without any source. */
+  /** Removes all sources after a change of this instance's role. */
   restart(): void;
 }
 
-/** What the sources are made with. */
+/** Dependencies of {@linkcode createNewsSources}. */
 export interface NewsSourcesParts {
   readonly clock: Clock;
   /** This instance's availability zone. */
   readonly zone: string;
   readonly tree: () => FleetTree;
   readonly peers: () => Iterable<Peer>;
-  /** What this instance had said in a round; undefined where that is forgotten. */
+  /** Returns this instance's own counts as of a round; undefined if they are no longer retained. */
   readonly ownAt: (round: number) => GroupCounts | undefined;
   readonly onNews: (source: NewsSource, news: InstanceNews) => void;
 }
 
-/** The subject of news of all instances. */
+/** Subject of updates that cover all instances. */
 const EVERYONE = "*";
 
 /**
- * How long sums are gone by after nobody tells them any more, in milliseconds: until others do, what a zone had a moment
- * ago is closer to what it has than nothing.
+ * Milliseconds for which sums are kept after their source is lost. Until another relay sends sums,
+ * slightly outdated counts are better than none.
  */
 const KEPT_SUMS = 2_000;
 
@@ -63,11 +68,12 @@
 }
 
 /**
- * Makes the choice, with nobody to go by yet.
+ * Creates the selection without any sources.
  *
- * Each zone has two relays that tell the same sums, and each member hears both of its own zone's. One at a time is gone
- * by, so that nothing counts twice. Where another takes its place, what it counts up is compared with what it says
- * first: its sums began at another moment than those of the one before.
+ * The two relays of each zone send the same sums, and each member receives both. Only one of them
+ * is used at a time, so that nothing is counted twice. When another relay replaces it, cumulative
+ * counts are compared with the new relay's first update, because its sums started at a different
+ * time.
  */
 export function createNewsSources(parts: NewsSourcesParts): NewsSources {
   const { zone, tree } = parts;
@@ -75,7 +81,9 @@
   let changes = 0;
   let hasRestarted = false;
 
-  /** The instances that a peer's news tell of, where this instance may go by them. */
+  /**
+   * Returns which instances a peer's updates cover; undefined if this instance must not apply them.
+   */
   const subjectOf = ({ scope, instance }: Peer): string | undefined => {
     if (instance === undefined) return undefined;
     const { role } = tree();
@@ -89,7 +97,7 @@
   const rank = ({ address, instance }: Peer): number => {
     const relays = tree().relays.get(instance?.zone ?? "") ?? [];
     const place = relays.indexOf(address);
-    // One that doesn't know what changes in the store is the last to go by.
+    // A relay that doesn't receive store changes is the last choice.
     const behind = instance?.isCurrent === true ? 0 : relays.length + 1;
     return (place < 0 ? relays.length : place) + behind;
   };
@@ -130,7 +138,7 @@
       if (news === undefined || subject === undefined || !isFollowed(peer, subject)) return true;
       const before = followed.get(subject);
       const isSame = before?.session === peer.session;
-      // Changes alone say nothing where what they build on was never heard; everything will be told on request.
+      // A delta is useless without its base. A full snapshot will be sent on request.
       if (!isSame && !news.isWhole) return false;
       const now = isSame ? before : follow(peer, subject);
       const isFresh = isSame || (before === undefined && !hasRestarted);
--- a/src/process/object_follower.ts
+++ b/src/process/object_follower.ts
@@ -4,37 +4,37 @@
 import { withinTime } from "./time_limit.ts";
 
 /**
- * How long one watch is kept. An open connection can go silent for good; a new watch takes a new one, so
- * a change that a silent watch has missed is seen after at most this long.
+ * Milliseconds after which a watch is renewed. An open connection can go silent permanently; a new
+ * watch uses a new one, so a change missed by a silent watch is seen after at most this time.
  */
 const WATCH_TIME = 3_000;
-/** How often an instance without a watch looks whether it is to hold one. */
+/** Milliseconds between checks whether an instance without a watch has become a watcher. */
 const STANDBY = 1_000;
 
-/** How long a peer may take to send an object. */
+/** Timeout in milliseconds for pulling an object from a peer. */
 const PULL_TIMEOUT = 2_000;
 
-/** A version of an object with its value. */
+/** Value of an object and the store version of its last write. */
 export interface Version {
   readonly version: number;
   readonly value: string;
 }
 
-/** What follows one object of the store: by a watch, by a slow reread, or from peers. */
+/** Follows one object of the store: by a watch, by periodic reads, and through peers. */
 export interface ObjectFollower {
   readonly key: string;
   latest(): Version | undefined;
-  /** Takes in a version, from wherever it comes; a lower one changes nothing. */
+  /** Applies a version from any source. A version that is not newer is ignored. */
   hear(object: Version): void;
-  /** A peer says that it has applied this version: a higher one is fetched from it. */
+  /** Pulls the object from a peer that reports a newer version. */
   hearMark(from: Member, version: number): Promise<void>;
-  /** Reads the store once. */
+  /** Reads the object from the store. */
   reread(): Promise<GetOutcome>;
   start(): void;
   close(): void;
 }
 
-/** What a follower is made with. */
+/** Dependencies and settings of {@linkcode createObjectFollower}. */
 export interface FollowerParts {
   readonly key: string;
   readonly clock: Clock;
@@ -42,18 +42,18 @@
   readonly store: ObjectStore;
   readonly pace: StorePace;
   readonly peers: Peers;
-  /** Milliseconds between slow rereads. */
+  /** Average interval between periodic reads in milliseconds. */
   readonly rereadPeriod: number;
-  /** Whether this instance is one of those that hold the watch. */
+  /** Whether this instance is one of those that watch the object. */
   readonly isWatcher: () => boolean;
-  /** Takes the object in; throws where it is not what it should be. */
+  /** Applies the object's value. Throws if the value is invalid. */
   readonly apply: (object: Version) => void;
   /** Called whenever the store has answered. */
   readonly storeAnswered: () => void;
   readonly count: (name: string) => void;
 }
 
-/** Makes a follower; it does nothing before it is started or told something. */
+/** Creates a follower. It does nothing until it is started or receives a version. */
 export function createObjectFollower(parts: FollowerParts): ObjectFollower {
   const { key, clock, random, store, pace, peers } = parts;
   const ending = new AbortController();
@@ -70,8 +70,8 @@
       return;
     }
     latest = object;
-    // A watch that has said nothing of this version may be silent: it is begun again on it.
-    watching?.abort(new Error("A later version was heard of elsewhere."));
+    // A watch that has not returned this version may be silent, so it is restarted.
+    watching?.abort(new Error("A later version was received from another source."));
   };
   const reread = async (): Promise<GetOutcome> => {
     const outcome = await pace.run(() => store.get(key));
@@ -95,7 +95,9 @@
   const watch = async (): Promise<void> => {
     const timeout = new AbortController();
     watching = timeout;
-    const timer = clock.after(WATCH_TIME, () => timeout.abort(new Error("The watch is renewed.")));
+    const timer = clock.after(WATCH_TIME, () =>
+      timeout.abort(new Error("The watch timed out and is renewed.")),
+    );
     const signal = AbortSignal.any([timeout.signal, ending.signal]);
     try {
       const changed = await store.watch(key, latest?.version ?? 0, signal);
--- a/src/process/own_news.ts
+++ b/src/process/own_news.ts
@@ -4,33 +4,34 @@
 import { NO_USE } from "./digest.ts";
 import type { InstanceNews, WorkerUse } from "./digest.ts";
 
-/** Everything that an instance could tell of itself now. */
+/** Complete counts that an instance can send at one moment. */
 export type OwnState = Omit<InstanceNews, "isWhole" | "age" | "time">;
 
-/** What each receiver hasn't heard yet of this instance. */
+/** Records counts by round, so that each receiver can be sent what it has not acknowledged. */
 export interface OwnNews {
-  /** Takes in how things stand in this round; rounds count up from 1. */
+  /** Records the counts of a round. Round numbers start at 1 and increase. */
   note(state: OwnState, round: number): void;
   /**
-   * The news for a receiver as of the last round noted; undefined before the first.
+   * Returns the update for a receiver as of the last recorded round; undefined before the first.
    *
-   * @param since The round that it is known to have heard of; 0 where it has heard of none.
+   * @param since The last round that the receiver acknowledged; 0 if there is none.
    */
   since(since: number): Omit<InstanceNews, "age" | "time"> | undefined;
 }
 
 /**
- * Rounds for which it is remembered that something has gone: half a minute, or some seconds of a burst. A receiver that
- * has heard of none since is told everything, as it may know things that nobody here remembers.
+ * Number of rounds for which removals are retained: half a minute, or some seconds during a burst.
+ * A receiver that has not acknowledged a round since then is sent a full snapshot, because it may
+ * have entries whose removal is no longer recorded here.
  */
 export const REMEMBERED_ROUNDS = 128;
 
-/** Makes news of an instance that has told nothing yet. */
+/** Creates a log without any recorded round. */
 export function createOwnNews(): OwnNews {
   const same = (a: number, b: number): boolean => a === b;
   const admitted = createChangeLog<string, number>({ gone: 0, equals: same });
   const use = createChangeLog<number, WorkerUse>({ gone: NO_USE, equals: isSameUse });
-  /** A window's count by account, under the window's number and the account's name. */
+  /** Count of an account in a window, keyed by window number and account name. */
   const usage = createChangeLog<string, AccountCount>({ gone: NO_COUNT, equals: isSameCount });
   let latest: OwnState | undefined;
   let last = 0;
@@ -84,7 +85,7 @@
   );
 }
 
-/** Counts of windows that are over and forgotten aren't told. */
+/** Leaves out the tombstones of windows that are no longer kept. */
 function told(counts: ReadonlyMap<string, AccountCount>): AccountCount[] {
   return [...counts.values()].filter(({ account }) => account !== "");
 }
--- a/src/process/peer.ts
+++ b/src/process/peer.ts
@@ -1,58 +1,61 @@
 import { NewsScope } from "./digest.ts";
 import type { InstanceState, RosterEntry } from "./digest.ts";
 
-/** Another instance, as it was last heard without another between. */
+/** Another instance, as described by its last digest. */
 export interface PeerInstance extends RosterEntry, InstanceState {
-  /** Tells the process from the one before it at the same place. */
+  /** Identifies the process among all that have run under the same name. */
   readonly incarnation: string;
-  /** In the clock's milliseconds. */
+  /** When its last digest arrived, in milliseconds of the local clock. */
   readonly heardAt: number;
 }
 
-/** What is known of the process at an address, and of what it knows. */
+/** State of the exchange with the process at an address. */
 export interface Peer {
   readonly address: string;
   heardAt: number;
   isLive: boolean;
-  /** When it fell silent last. */
+  /** When it was last marked as lost, in milliseconds of the local clock. */
   lostAt: number;
   instance: PeerInstance | undefined;
   session: number;
   lastSequence: number;
-  /** The last digest with news or instances that came of it and was taken in. */
+  /** Sequence number of the last digest from it whose update or roster was applied. */
   newsSequence: number;
-  /** Whose news it told last. */
+  /** Scope of the last update from it. */
   scope: NewsScope;
-  /** Whether it expects to be told something. */
+  /** Whether it expects a digest in return. */
   asks: boolean;
-  /** Whether it goes by this instance's news. */
+  /** Whether it applies this instance's updates. */
   wantsNews: boolean;
-  /** Whether its digests name this session. */
+  /** Whether its digests name this instance's current session. */
   knowsThis: boolean;
-  /** The last round of this instance's news that it has. */
+  /** The last round of this instance that it acknowledged. */
   has: number;
-  /** What it is told now, and from which round on. */
+  /** Kind of update that it is sent, and the round since when. */
   told: string;
   toldSince: number;
 }
 
-/** A moment before all others. */
+/** A time before all others, for events that have not happened. */
 export const NEVER = -Infinity;
 
-/** An instance that wasn't heard for so many milliseconds is taken to be gone: lost packets alone don't make four gaps. */
+/**
+ * Milliseconds without a digest after which an instance counts as lost. Four digests in a row are
+ * almost never lost by packet loss alone.
+ */
 const LIVE_TIME = 1_100;
 
-/** Whether the peer was heard lately. */
+/** Whether a digest from the peer has arrived recently enough. */
 export function isHeard({ heardAt }: Peer, now: number): boolean {
   return heardAt >= now - LIVE_TIME;
 }
 
-/** Names a process among all that run under the instance's name. */
+/** Returns the id of a process: the instance's name and the session in hexadecimal. */
 export function incarnationOf(name: string, session: number): string {
   return `${name}/${session.toString(16).padStart(8, "0")}`;
 }
 
-/** An address at which nobody was heard yet. */
+/** Creates the state for an address from which no digest has arrived. */
 export function unheard(address: string): Peer {
   return {
     address,
--- a/src/process/peer_catch_up.ts
+++ b/src/process/peer_catch_up.ts
@@ -6,53 +6,58 @@
 import type { FetchedObjects } from "./peer_fetch.ts";
 import type { RoutedLog } from "./routed_log.ts";
 
-/** Fetches from other instances what the store or their digests should have told this one. */
+/** Fetches store changes from peers that neither the store nor a digest has delivered in time. */
 export interface PeerCatchUp {
-  /** A peer's digest was heard, and what it told of the store was taken in. */
+  /** Called with a peer's digest after the store changes in it have been applied. */
   heard(peer: PeerInstance): void;
-  /** Whether this instance has known for a while that changes of the kind are missing here, and got them from nobody. */
+  /** Whether changes of the kind have been missing here for some time and no peer has sent them. */
   isBehind(kind: string): boolean;
 }
 
-/** What catching up is made with. */
+/** Dependencies of {@linkcode createPeerCatchUp}. */
 export interface PeerCatchUpParts {
   readonly clock: Clock;
   readonly random: Random;
-  /** What this instance is to the others. */
+  /** Returns this instance's role. */
   readonly role: () => FleetRole;
-  /** By kind of object. */
+  /** Followers by kind of object. */
   readonly feeds: ReadonlyMap<string, FeedFollower>;
   readonly log: RoutedLog;
-  /** Fetches all objects of a kind from the instance at an address; rejects where it doesn't answer in time. */
+  /**
+   * Fetches all objects of a kind from the instance at an address. Rejects if it doesn't answer in
+   * time.
+   */
   readonly fetch: (peer: string, kind: string) => Promise<FetchedObjects>;
 }
 
-/** How long a change that a peer knows is awaited from the store before it is fetched from the peer. */
+/** Milliseconds to wait for the store to deliver a change before it is fetched from a peer. */
 const FETCH_AFTER = 350;
 /**
- * Milliseconds over which the instances spread that a relay tells of a change and can't tell whole: it would have to
- * serve its whole zone at the same moment.
+ * Range in milliseconds of the random delay before a fetch, if a relay reports a change that
+ * doesn't fit into its digest. Otherwise the relay would have to serve its whole zone at the same
+ * moment.
  */
 const FETCH_SPREAD = 120;
-/** A peer that hasn't sent its objects after so many milliseconds may be frozen: another one is asked beside it. */
+/** Milliseconds after which a second peer is asked, because the first one may be frozen. */
 const ASK_ANOTHER_AFTER = 250;
 
-/** An instance that knows for so many milliseconds that it misses something asks the store itself. */
+/** Milliseconds after which an instance that still misses changes queries the store itself. */
 const BEHIND_AFTER = 550;
 
-/** What is missing of one kind, and who was asked for it. */
+/** Missing changes of one kind, and the fetches in progress. */
 interface Missing {
-  /** The latest version that a peer is known to have. */
+  /** The highest version that a peer has reported. */
   version: number;
   since: number;
-  /** The peers that were asked and haven't answered, and when the last one was. */
+  /** Addresses of the peers with a pending fetch, and when the last fetch started. */
   readonly asked: Set<string>;
   askedAt: number;
 }
 
 /**
- * Makes what fetches. Whoever watches the store hears of a change there first and fetches only what it waits for in
- * vain; whoever is told by digests knows with the digest that something is missing in it, and fetches at once.
+ * Creates the component. An instance that watches the store usually receives changes there first,
+ * so it waits before it fetches. An instance that depends on digests knows as soon as one arrives
+ * that something is missing, and fetches after a short random delay.
  */
 export function createPeerCatchUp(parts: PeerCatchUpParts): PeerCatchUp {
   const { clock, random, role, feeds, log } = parts;
@@ -74,7 +79,9 @@
       log.fault("fetch-failed", { kind, peer: peer.name, detail: String(error) });
     }
   };
-  /** What is missing here that the peer has; undefined where it has nothing more. */
+  /**
+   * Records and returns what this instance lacks compared to a peer; undefined if it lacks nothing.
+   */
   const missingAgainst = (
     peer: PeerInstance,
     kind: string,
--- a/src/process/peer_exchange.ts
+++ b/src/process/peer_exchange.ts
@@ -1,12 +1,15 @@
 /**
- * Digests between the entry instances: who is there, and what each has admitted, counted and running.
+ * Exchange of digests between the entry instances: which instances are live, and what each has
+ * admitted, counted and running.
  *
- * Digests are datagrams: a connection between two instances can go silent for good without either noticing. Every
- * one says that the sender is there and whether it takes requests, and tells the news: what has changed since the last
- * news that the receiver is known to have. A digest that is lost costs nothing but time, since what isn't acknowledged
- * is told again.
+ * Digests are sent as datagrams, because a connection between two instances can go silent
+ * permanently without either end noticing. Every digest reports that the sender is live and whether
+ * it accepts requests. It also contains an update: the changes since the last update that the
+ * receiver acknowledged. A lost digest only causes a delay, since unacknowledged changes are sent
+ * again.
  *
- * Who tells whom what follows from the fleet's size, see `fleet_tree.ts`.
+ * `fleet_topology.ts` determines which instances exchange updates, depending on the size of the
+ * fleet.
  *
  * @module
  */
@@ -27,61 +30,79 @@
 import { incarnationOf, NEVER } from "./peer.ts";
 import type { Peer, PeerInstance } from "./peer.ts";
 
-/** Digests between entry instances. */
+/** Exchange of digests between entry instances. */
 export interface PeerExchange {
-  /** Instances that are there, heard lately by this one or by those that tell it. */
+  /**
+   * Returns the live instances: those with a recent digest and those that other instances report.
+   */
   live(): readonly RosterEntry[];
-  /** Instances that were heard lately without another between. */
+  /** Returns the live instances that send digests to this one. */
   heard(): readonly PeerInstance[];
-  /** The ids of those by whose news this instance goes now. */
+  /** Returns the ids of the sources whose updates are applied at the moment. */
   sources(): ReadonlySet<string>;
   readonly role: FleetRole;
-  /** How old what others have at workers is on average where it passes relays, in milliseconds; 0 among equals. */
+  /**
+   * Average age in milliseconds of other instances' counts if they pass through relays; 0 in a
+   * small fleet.
+   */
   readonly newsAge: number;
   /**
-   * Instances that tell this one what changes in the store; none where it has to ask the store itself.
+   * Returns the instances that forward store changes to this one; empty if it must query the store
+   * itself.
    */
   feeders(): readonly PeerInstance[];
-  /** Instances of which duties may be expected: all where all are equal, otherwise the relays that are heard. */
+  /**
+   * Returns the instances that can hold a lease: all in a small fleet, otherwise the relays that
+   * send digests to this instance.
+   */
   dutyCandidates(): readonly PeerInstance[];
-  /** Instances that are expected to be there, this one included: there within the last half minute. */
+  /**
+   * Number of instances expected to be present, including this one: those that were live within the
+   * last half minute.
+   */
   readonly members: number;
   /** Bytes of digests sent since the start. */
   readonly bytesSent: number;
-  /** Gives addresses of instances to begin with. */
+  /** Adds addresses of possible peers. */
   introduce(addresses: readonly string[]): void;
-  /** Sends a digest to all that are told directly now, since something has changed that can't wait. */
+  /** Sends a digest to all direct peers at once, for a change that can't wait. */
   announce(): void;
-  /** Something has changed in the store: those that this instance tells hear of it soon. */
+  /** Reports a change of the store, which is then sent early if this instance is a relay. */
   changed(): void;
-  /** Work has begun at a worker; after a few such words a digest is sent before its time. */
+  /**
+   * Reports that a run has started at a worker. After several of these calls a digest is sent
+   * early.
+   */
   begun(): void;
   start(): Promise<void>;
   close(): void;
 }
 
-/** What the exchange is made with. */
+/** Dependencies and settings of {@linkcode createPeerExchange}. */
 export interface PeerExchangeParts {
   readonly clock: Clock;
   readonly random: Random;
   readonly introduction: Introduction;
-  /** Random and not 0: tells this process from all others. */
+  /** Random nonzero number that identifies this process. */
   readonly session: number;
   readonly state: () => InstanceState;
-  /** All that there is to tell, asked for before each round of news. */
+  /** Returns all counts of a scope; called before each round. */
   readonly news: (scope: NewsScope) => OwnState;
-  /** What this instance holds for the time of day, and the milliseconds since its start. */
+  /** Returns the estimated current time and the milliseconds since the start. */
   readonly moment: () => Pick<InstanceNews, "time" | "age">;
-  /** Changes of the store's objects that an instance doesn't know that has these versions, by kind. */
+  /** Returns the store changes that an instance with the given versions (by kind) doesn't have. */
   readonly feedsSince: (versions: ReadonlyMap<string, number>) => readonly FeedDelta[];
-  /** Called with every digest, before `onNews`. */
+  /** Called with every digest, before its update is applied. */
   readonly onHeard: (peer: PeerInstance, digest: Digest) => void;
   readonly onNews: (source: NewsSource, news: InstanceNews) => void;
-  /** The role has changed: what others have said will be told anew, under other ids. */
+  /**
+   * Called when the role has changed. Other instances' counts will be sent again, under other
+   * source ids.
+   */
   readonly onRole: () => void;
-  /** Instances came, went, or began or ceased to take requests. */
+  /** Called when instances have come or gone, or have started or stopped accepting requests. */
   readonly onChange: () => void;
-  /** Something couldn't be sent or read. */
+  /** Called with a description when something could not be sent or read. */
   readonly onFault: (detail: string) => void;
   readonly open: (parts: DatagramParts) => Promise<Datagrams>;
 }
@@ -89,22 +110,28 @@
 /** Milliseconds between two digests to the same instance. */
 const PERIOD = 250;
 /**
- * Runs begun after which a digest is sent before its time, and the least milliseconds between two. In a burst, a tenth
- * of a second is enough for several instances to choose the same worker for long prompts; where little begins, more
- * digests would tell nothing.
+ * Number of started runs after which a digest is sent early, and the minimum milliseconds between
+ * two digests. During a burst, a tenth of a second is enough for several instances to select the
+ * same worker for long prompts. When few runs start, additional digests would contain nothing new.
  */
 const HURRY_RUNS = 3;
 const LEAST_PERIOD = 60;
-/** The same where the store has changed: a change passes three instances, and each digest to a zone costs one a member. */
+/**
+ * Minimum milliseconds between digests sent because of store changes. A change passes through three
+ * instances, and each digest to a zone costs one message per member.
+ */
 const CHANGE_PERIOD = 120;
-/** Three digests of half a period each on average, by way of two relays. */
+/**
+ * Average age of relayed counts in milliseconds: three digests of half a period each on average,
+ * through two relays.
+ */
 const RELAYED_AGE = 400;
-/** Addresses at which nobody is heard and of which nobody tells, to which a digest goes each period besides. */
+/** Number of silent, unreported addresses that are also sent a digest in each period. */
 const TRIED = 3;
-/** How long a change of the instances that are there waits for others, in milliseconds. */
+/** Milliseconds for which changes of the live instances are batched. */
 const UPDATE_DELAY = 30;
 
-/** Makes the exchange. */
+/** Creates the exchange. */
 export function createPeerExchange(parts: PeerExchangeParts): PeerExchange {
   const { clock, random, introduction, session } = parts;
   const table = createFleetTable({ clock, introduction, session });
@@ -143,13 +170,13 @@
     const state = parts.state();
     for (const target of told) sendDigest(target, rounds.digestFor(target, state));
   };
-  /** Sends what couldn't wait for the next round when it came, but had to for the least time between two. */
+  /** Sends the changes that were delayed by the minimum interval. */
   const sendHurried = (): void => {
     hurrying = undefined;
     if (!isClosed() && clock.now() - sentAt >= CHANGE_PERIOD) sendAll();
   };
   const isDue = (): boolean => clock.now() - sentAt >= LEAST_PERIOD;
-  /** Who is told in a round. */
+  /** Returns the receivers of a round. */
   const targets = (): Peer[] => {
     const all = [...table.peers.values()];
     if (table.tree.role === FleetRole.Equal) return all;
@@ -164,11 +191,11 @@
   const receive = (bytes: Uint8Array): void => {
     const digest = decodeDigest(bytes);
     if (digest === undefined) {
-      parts.onFault("A datagram was no digest.");
+      parts.onFault("A received datagram is not a valid digest.");
       return;
     }
     const peer = table.senderOf(digest);
-    // A process that is known here before it has introduced itself will do so: it isn't told that it is known.
+    // A process that isn't known here yet is asked for its introduction by not being acknowledged.
     if (peer === undefined || digest.sequence <= peer.lastSequence) return;
     const isNew = peer.heardAt === NEVER;
     const knewThis = peer.knowsThis;
@@ -180,11 +207,11 @@
     const changed = !peer.isLive || before?.ready !== digest.ready;
     peer.isLive = true;
     parts.onHeard(instance, digest);
-    // One that is new here, or has just come to know of this one, is answered without waiting for a round.
+    // A new peer, or one that has just acknowledged this instance, gets a reply at once.
     if (isNew || (peer.knowsThis && !knewThis)) sendDigest(peer, rounds.answer(peer));
     if (heardNews(peer, digest) || changed) updateSoon();
   };
-  /** Takes in news and instances; says whether instances are among them. */
+  /** Applies the update and the roster of a digest. Returns whether the roster has changed. */
   const heardNews = (peer: Peer, digest: Digest): boolean => {
     const { roster: told, news: said } = digest;
     if (told === undefined && said === undefined) return false;
@@ -225,11 +252,11 @@
       heardAt: peer.heardAt,
     };
   };
-  /** Many instances come and go at the same moment. */
+  /** Batches changes, since many instances can come and go at the same time. */
   const updateSoon = (): void => {
     updating ??= clock.after(UPDATE_DELAY, update);
   };
-  /** The instances that are there may have changed. */
+  /** Recomputes the topology from the live instances. */
   const update = (): void => {
     updating?.close();
     updating = undefined;
@@ -282,7 +309,8 @@
     introduce: (addresses) => table.introduce(addresses),
     begun: () => {
       begun++;
-      // In a large fleet a digest reaches all others by way of the relays only.
+      // In a large fleet, a digest reaches the others only through relays, so sending it early
+      // gains little.
       const isWorthIt = begun >= HURRY_RUNS && table.tree.role === FleetRole.Equal;
       if (isWorthIt && isDue()) sendAll();
     },
--- a/src/process/peer_exchange_test.ts
+++ b/src/process/peer_exchange_test.ts
@@ -8,7 +8,7 @@
 import { createDatagramNetwork, LONGEST_WAY } from "./testing/datagram_network.ts";
 import type { DatagramNetwork } from "./testing/datagram_network.ts";
 
-/** What an instance has heard of another, put together from its news. */
+/** Counts that an instance has received from another, accumulated over its updates. */
 interface Heard {
   admitted: Record<string, number>;
   use: Record<string, number>;
@@ -23,9 +23,9 @@
     usage: Record<string, number>;
     version: number;
   };
-  /** By the other's name. */
+  /** Received counts by the name of the sending instance. */
   readonly heard: Map<string, Heard>;
-  /** By the other's name, the versions that it knows. */
+  /** Store versions that each other instance reports, by its name. */
   readonly versions: Map<string, Record<string, number>>;
   readonly faults: string[];
   isReady: boolean;
@@ -35,7 +35,10 @@
   readonly clock: ReturnType<typeof createVirtualClock>;
   readonly network: DatagramNetwork;
   readonly members: Member[];
-  /** Starts an instance at the place, with nothing known of one that ran there before. */
+  /**
+   * Starts an instance at the address of the given index, without any state of an earlier one
+   * there.
+   */
   readonly start: (place: number) => Promise<Member>;
 }
 
@@ -94,7 +97,7 @@
         onRole: () => undefined,
         onNews: ({ subject }, news) => {
           const [name = ""] = subject.split("/");
-          // Times are whole milliseconds on the wire.
+          // Times on the wire are whole milliseconds.
           expect(clock.now() - news.time).toBeLessThanOrEqual(LONGEST_WAY + 1);
           heard.set(name, merged(heard.get(name), news));
         },
@@ -142,7 +145,7 @@
   return Object.fromEntries(Object.entries(use).filter(([, running]) => running > 0));
 }
 
-/** Work begins and ends at workers, and accounts ask. */
+/** Changes the running work at a worker and the counts of an account. */
 function change({ state }: Member, random: { next: () => number }): void {
   const worker = String(Math.floor(random.next() * 20));
   const running = Math.floor(random.next() * 4);
@@ -153,11 +156,11 @@
   state.version++;
 }
 
-// Datagrams are lost, come twice and overtake each other. An instance that believed a change that was overtaken by a
-// later one, or never heard of one that was lost, would send to a full worker or refuse an account without a reason,
-// and nothing would put it right.
+// Datagrams are lost, duplicated and reordered. An instance that applied an outdated change, or
+// missed a lost one, would permanently have wrong counts. It would send requests to full workers,
+// or refuse accounts without reason.
 test.each([1, 2, 3, 4, 5])(
-  "what others say is what they have, however digests travel (seed %i)",
+  "received counts match the senders' although digests are lost, duplicated and reordered (seed %i)",
   async (seed) => {
     const { clock, network, members } = await startFleet(6, seed);
     const random = createSeededRandom(100 + seed);
@@ -184,12 +187,13 @@
   },
 );
 
-// Two instances don't hear each other for a while, and each forgets what the other has at workers. What changes
-// afterwards alone would leave out all that goes on unchanged.
-test("after a gap everything is told again", async () => {
+// Two instances lose contact for a while and discard each other's counts. Deltas sent afterwards
+// would omit everything that has not changed since.
+test("a full snapshot is sent after a loss of contact", async () => {
   const { clock, network, members } = await startFleet(3);
   const [first, second] = members;
-  if (first === undefined || second === undefined) throw new Error("The fleet has three members.");
+  if (first === undefined || second === undefined)
+    throw new Error("The fleet must have three members.");
   first.state.use = { 1: 3, 2: 1 };
   await clock.advance(2_000);
   network.cut.add("10.0.0.0:9>10.0.0.1:9");
@@ -202,13 +206,14 @@
   expect(second.heard.get("e0")?.use).toEqual({ 1: 3, 2: 2 });
 });
 
-// An instance dies and another process starts at its address. What the first had at workers has ended, and the new one
-// must be told by everybody what they have.
-test("a process at the same address is a new one to all others, and learns all that they have", async () => {
+// An instance fails and another process starts at its address. Runs of the failed process have
+// ended, and the new one needs the counts of all others.
+test("a new process at the same address replaces the old one and receives all counts", async () => {
   const { clock, members, start } = await startFleet(4);
   await clock.advance(1_000);
   const [first, second] = members;
-  if (first === undefined || second === undefined) throw new Error("The fleet has four members.");
+  if (first === undefined || second === undefined)
+    throw new Error("The fleet must have four members.");
   first.state.use = { 1: 3 };
   second.state.use = { 5: 2 };
   await clock.advance(2_000);
@@ -223,13 +228,14 @@
   expect(again.exchange.members).toBe(4);
 });
 
-// Callers are told to leave an instance that stops, at once; and one that dies without a word within little more than
-// a second.
-test("whether an instance takes requests is known at once, and its death soon", async () => {
+// A stopping instance must be known at once so that callers leave it, and a failed one within
+// little more than a second.
+test("a change of readiness is known at once and a failure soon", async () => {
   const { clock, network, members } = await startFleet(3);
   await clock.advance(1_000);
   const [first, second] = members;
-  if (first === undefined || second === undefined) throw new Error("The fleet has three members.");
+  if (first === undefined || second === undefined)
+    throw new Error("The fleet must have three members.");
   first.isReady = false;
   first.exchange.announce();
   await clock.advance(50);
@@ -243,9 +249,9 @@
   expect(second.exchange.members).toBe(2);
 });
 
-// What instances tell each other grows with what goes on. Unbounded, it would take from the links and processors what
-// callers need.
-test("under load an instance tells what changes, and not everything again", async () => {
+// Digests grow with the rate of changes. Without a limit, they would take bandwidth and processor
+// time from callers.
+test("under load, an instance sends changes and not full snapshots", async () => {
   const { clock, members } = await startFleet(9);
   const random = createSeededRandom(5);
   await clock.advance(5_000);
@@ -260,8 +266,8 @@
   }
 });
 
-// Whatever comes from outside, an instance goes on.
-test("bytes that are no digest are counted and change nothing", async () => {
+// Invalid input must not stop an instance.
+test("invalid datagrams are counted and change nothing", async () => {
   const { clock, network, members } = await startFleet(2);
   const random = createSeededRandom(3);
   const stranger = await network.open({
@@ -278,13 +284,14 @@
   expect(members[0]?.faults.length).toBeGreaterThan(0);
 });
 
-// Many requests come at once, to all instances. Until the next period they would all choose the workers that were idle
-// at the last one.
-test("others hear soon of what begins in a burst, and no more often than is useful", async () => {
+// Many requests arrive at all instances at once. Until the next period, all instances would select
+// the workers that were idle in the last one.
+test("runs started in a burst are sent early, but not too often", async () => {
   const { clock, members } = await startFleet(3);
   await clock.advance(1_000);
   const [first, second] = members;
-  if (first === undefined || second === undefined) throw new Error("The fleet has three members.");
+  if (first === undefined || second === undefined)
+    throw new Error("The fleet must have three members.");
   const before = first.exchange.bytesSent;
   let heardAfter = 0;
   for (let run = 1; run <= 20; run++) {
@@ -295,19 +302,19 @@
   }
   expect(heardAfter).toBeGreaterThan(0);
   expect(heardAfter).toBeLessThanOrEqual(110);
-  // 200 ms have room for four digests to each of two others.
+  // 200 ms allow four digests to each of the two others.
   expect(first.exchange.bytesSent - before).toBeLessThan(4 * 2 * 150);
 });
 
-// All that instances are given to begin with are started anew in the same moment, and know only each other. The rest of
-// the fleet knows their addresses, and has told them everything before.
+// All seed instances restart at the same moment and know only each other. The rest of the fleet
+// knows their addresses and has already sent them everything.
 test.each([
   { size: 6, away: 200 },
   { size: 6, away: 4_000 },
   { size: 20, away: 200 },
   { size: 20, away: 8_000 },
 ])(
-  "guards against a fleet that stays in two parts: $size instances, $away ms",
+  "a fleet doesn't stay in two parts after its seeds restart: $size instances, $away ms",
   async ({ size, away }) => {
     const { clock, members, start } = await startFleet(size);
     await clock.advance(4_000);
@@ -319,7 +326,7 @@
   },
 );
 
-test("guards against an instance that nobody looks for, as all that it was given are gone", async () => {
+test("an instance whose seeds are all gone is found by the rest of the fleet", async () => {
   const { clock, members, start } = await startFleet(20);
   await clock.advance(4_000);
   for (const place of [0, 1, 7]) members[place]?.exchange.close();
--- a/src/process/peer_fetch.ts
+++ b/src/process/peer_fetch.ts
@@ -1,7 +1,7 @@
 import { z } from "zod";
 import { createJsonCaller } from "../connection/json_call.ts";
 
-/** How long a peer may take to send its objects, in milliseconds. */
+/** Timeout in milliseconds for fetching a peer's objects. */
 const FETCH_TIMEOUT = 1_000;
 
 const fetchedSchema = z.object({
@@ -18,14 +18,15 @@
   ),
 });
 
-/** Objects of a kind as another instance has them. */
+/** All objects of a kind, as another instance has them. */
 export type FetchedObjects = z.infer<typeof fetchedSchema>;
 
 /**
  * Fetches all objects of a kind from another instance.
  *
- * @param peer Its address for other instances.
- * @throws {Error} If it doesn't answer in time or answers something else.
+ * @param peer The peer's address for other instances.
+ * @param kind The kind of the objects.
+ * @throws {Error} If the peer doesn't answer in time or its response is invalid.
  */
 export async function fetchObjects(peer: string, kind: string): Promise<FetchedObjects> {
   const caller = createJsonCaller(peer, 1);
--- a/src/process/roster_news.ts
+++ b/src/process/roster_news.ts
@@ -2,15 +2,21 @@
 import type { Roster, RosterEntry } from "./digest.ts";
 import { REMEMBERED_ROUNDS } from "./own_news.ts";
 
-/** What each receiver hasn't heard yet of the instances that are there. */
+/**
+ * Records the live instances by round, so that each receiver can be sent what it has not
+ * acknowledged.
+ */
 export interface RosterNews {
-  /** Takes in who is there in this round; rounds count up from 1. */
+  /** Records the live instances of a round. Round numbers start at 1 and increase. */
   note(there: readonly RosterEntry[], round: number): void;
-  /** What has changed after a round; everything where that is 0, and undefined before the first round. */
+  /**
+   * Returns the changes after a round, or a complete roster if the round is 0; undefined before the
+   * first recorded round.
+   */
   since(round: number): Roster | undefined;
 }
 
-/** Makes news of a fleet without instances. */
+/** Creates a log without any recorded round. */
 export function createRosterNews(): RosterNews {
   const log = createChangeLog<number, RosterEntry | undefined>({ gone: undefined, equals: isSame });
   let last = 0;
--- a/src/process/slot_task.ts
+++ b/src/process/slot_task.ts
@@ -16,33 +16,46 @@
 import type { Configuration } from "./configuration.ts";
 import type { Membership } from "./membership.ts";
 
-/** Delay between two survivors of consecutive ranks, so that the second finds the first one's write. */
+/**
+ * Milliseconds between the writes of survivors with consecutive ranks, so that the second finds the
+ * first one's write.
+ */
 const RANK_DELAY = 150;
-/** Ranks beyond this act at the same time as it, with jitter. */
+/**
+ * Maximum rank that adds to the delay. Instances with higher ranks act at the same time, apart from
+ * jitter.
+ */
 const MOST_RANKS = 8;
-/** A fleet that forms is left to gather this long before the first assignment. */
+/** Milliseconds for which a new fleet gathers members before the first assignment. */
 const GATHERING = 1_000;
-/** How often the plan is looked at without being woken, and the jitter before a primary's own writes. */
+/**
+ * Average interval between checks of the plan, and maximum jitter before a write, both in
+ * milliseconds.
+ */
 const PERIOD = 2_000;
 const OWN_JITTER = 100;
-/** Slots of one primary that move at a time for balance's sake alone. */
+/** Maximum number of slots of one primary that move at the same time only to balance the load. */
 const MOST_MOVES = 32;
 /**
- * A member that believes most owners dead may itself be the one that is cut off, and two sides that take
- * the slots from each other serve nobody. So it writes a claim first, and takes over only when nobody has
- * answered it for this long by writing the map.
+ * Milliseconds for which a claim must stay unanswered before its author takes over slots. A member
+ * that considers most owners dead may itself be cut off, and if two sides took slots from each
+ * other, neither could serve callers. So the member first writes a claim to the map, and takes over
+ * only if no other instance answers it by writing the map.
  */
 const CLAIM_TIME = 3_000;
-/** How long after an answer, or after another's claim, a member waits before it claims. */
+/**
+ * Milliseconds between an answered claim, or another instance's claim, and the next claim of this
+ * instance.
+ */
 const CLAIM_PAUSE = 8_000;
 
-/** The task that keeps the slot map in step with the members. */
+/** Keeps the assignment of slots up to date with the live members. */
 export interface SlotTask {
   start(): void;
   close(): void;
 }
 
-/** What the slot task is made with. */
+/** Dependencies of {@linkcode createSlotTask}. */
 export interface SlotTaskParts {
   readonly clock: Clock;
   readonly random: Random;
@@ -53,7 +66,7 @@
   readonly count: (name: string) => void;
 }
 
-/** Makes the task; it does nothing before it is started. */
+/** Creates the task. It does nothing until it is started. */
 export function createSlotTask(parts: SlotTaskParts): SlotTask {
   const { clock, random, configuration, members } = parts;
   const self = members.self.id;
@@ -102,7 +115,8 @@
     if (claimant !== undefined && claimant !== self && isWrong(claimant)) return answerClaim();
     if (planned().length === 0 || clock.now() - startedAt < GATHERING) return false;
     if (map.version > 0 && !isInTouch() && !isClaimed()) return claim();
-    // Those of a lower rank write first; who comes later reads what they wrote and finds nothing to do.
+    // Members of lower rank write first. Later ones read the written map and find nothing left to
+    // do.
     await waitForRank(rankOf(self, { map, members: members.alive() }));
     await configuration.refresh();
     noteMap();
@@ -119,17 +133,21 @@
       const delay = RANK_DELAY * Math.min(rank, MOST_RANKS) + OWN_JITTER * random.next();
       clock.after(rank === 0 ? 0 : delay, resolve);
     });
-  /** With most owners, and with somebody to bear out that those it can't reach are dead. */
+  /**
+   * Whether most owners are live, and a recent message from a peer confirms that this instance is
+   * not cut off.
+   */
   const isInTouch = (): boolean => {
     const heardAt = members.heardAt();
     const heard = heardAt !== undefined && clock.now() - heardAt < CLAIM_TIME;
     return heard && seesMostOwners(map, members);
   };
   /**
-   * Whether the claimant is wrong about who is dead: it is if this member has touch with most owners, or is an
-   * owner that the claimant may take for dead. An owner that hears the claimant and would itself take slots over
-   * agrees with it: if the survivors of less than half a fleet answered each other's claims, the slots of the dead
-   * would never be assigned again.
+   * Whether the claimant is wrong to consider owners dead. This is so if this member is in touch
+   * with most owners, or if it is an owner that the claimant may consider dead. An owner that has
+   * contact with the claimant and plans a takeover itself agrees with the claim. If the survivors
+   * of less than half a fleet answered each other's claims, the dead instances' slots would never
+   * be reassigned.
    */
   const isWrong = (claimant: string): boolean => {
     if (isInTouch()) return true;
@@ -161,7 +179,10 @@
     changes.push(...planSwaps(map, options).filter(({ slot }) => !moving.has(slot)));
     return changes.length > 0 && (await write(changes)) !== "unavailable";
   };
-  /** The records go first: a backup is named only once it holds them. */
+  /**
+   * Copies the records and returns the resulting assignments. A backup is assigned only once it has
+   * the records.
+   */
   const copied = async (
     plan: ReadonlyMap<string, readonly number[]>,
   ): Promise<readonly SlotChange[]> => {
@@ -172,7 +193,8 @@
       const member = members.find(backup);
       const has = member !== undefined && (await copy(slots, member));
       if (has) return changesTo(basis, slots, (before) => withBackup(before, backup));
-      // A leaving primary that has ceded copies no more: its backup acts already and gets the slot.
+      // A leaving primary that has ceded its slots copies no more. Its backup already serves them
+      // and is promoted.
       return isLeaving()
         ? changesTo(basis, slots, (before) => promotedBackup(before, present))
         : [];
@@ -211,8 +233,8 @@
     } else if (outcome.kind === "conflict") {
       if (outcome.current !== undefined) configuration.hear(SLOT_MAP_KEY, outcome.current);
     } else if (outcome.kind === "unknown") {
-      // The write may stand although its answer was lost. What the store holds now is read back and
-      // planned on: a change that stands is not planned again.
+      // The write may have succeeded although its response was lost. The map is read again before
+      // planning, so a change already made is not planned twice.
       await configuration.refresh();
     }
     noteMap();
@@ -245,7 +267,10 @@
   return { able: elsewhere.length > 0 ? elsewhere : able, present: ids };
 }
 
-/** Where most of a zone is leaving, the rest is about to: nothing is moved into it. */
+/**
+ * Returns the zones in which most instances are leaving. The rest is likely to follow, so no slots
+ * are moved there.
+ */
 function zonesUnderNotice(members: Membership, present: readonly Member[]): ReadonlySet<string> {
   const leaving = present.filter(({ id }) => members.stateOf(id) === MemberState.Leaving);
   const zones = new Set(leaving.map(({ zone }) => zone));
--- a/src/process/slot_task_test.ts
+++ b/src/process/slot_task_test.ts
@@ -23,7 +23,7 @@
   return new Set(map.slots.flatMap(({ primary, backup }) => [primary, backup]));
 }
 
-test("a new fleet assigns every slot to two zones, and all know the same map", async () => {
+test("a new fleet assigns every slot to two zones and all instances have the same map", async () => {
   const fleet = await startAssigned({ count: 6, zones: 3 });
   const map = mapAt(fleet.nodes[0]);
   expect(map.slots.every(({ primary, backup }) => primary !== "" && backup !== "")).toBe(true);
@@ -32,9 +32,10 @@
   fleet.close();
 });
 
-test("a zone lost at once is taken over by one survivor's write", async () => {
-  // All instances of a zone go without a word. Every survivor notices within the same second; if each
-  // wrote the map at once the store would turn most away, and callers would wait for owners meanwhile.
+test("slots of a lost zone are taken over by one survivor's write", async () => {
+  // All instances of a zone fail without notice, and all survivors detect it within the same
+  // second. If each wrote the map at once, the store would reject most writes, and callers would
+  // wait for owners in the meantime.
   const fleet = await startAssigned({ count: 9, zones: 3 });
   const before = mapAt(fleet.nodes[1]);
   const lost = fleet.nodes.filter(({ self }) => self.zone === "z0");
@@ -49,15 +50,15 @@
     expect(epoch).toBeGreaterThanOrEqual(before.slots[slot]?.epoch ?? 0);
     expect(historyLostAt).toBe(0);
   });
-  // Members are found dead one after another, at most one takeover for each.
+  // Members are declared dead one after another, with at most one takeover each.
   expect(counted(survivors, "slots.takeover") - takeoversBefore).toBeLessThanOrEqual(3);
   expect(counted(survivors, "slots.write.conflict")).toBeLessThan(survivors.length);
   fleet.close();
 });
 
-test("a takeover whose answer was lost is recognised and not made twice", async () => {
-  // The store writes the new map but its answer never comes. A second takeover on top of it would give
-  // the slots yet another epoch and break the streams that the new owner has just resumed.
+test("a takeover whose response was lost is recognized and not repeated", async () => {
+  // The store writes the new map, but the response is lost. A second takeover would raise the
+  // slots' epochs again and break the streams that the new owner has just resumed.
   const fleet = await startAssigned({ count: 4, zones: 2 });
   const [first, ...survivors] = fleet.nodes;
   const before = mapAt(first);
@@ -68,7 +69,8 @@
   const after = mapAt(survivors[0]);
   after.slots.forEach(({ epoch, primary }, slot) => {
     const was = before.slots[slot];
-    // One epoch for the promotion, one for the new backup, one more where balance asks for a move.
+    // One epoch for the promotion, one for the new backup, and one more if a slot moves for
+    // balance.
     const most = (was?.epoch ?? 0) + (was?.primary === "e0#1" ? 2 : 1) + 2;
     expect(epoch).toBeLessThanOrEqual(most);
     expect(primary).not.toBe("e0#1");
@@ -77,9 +79,9 @@
   fleet.close();
 });
 
-test("a backup is named only after the records were copied to it", async () => {
-  // The new backup dies or refuses before it has the records. Named all the same, it would be promoted
-  // without them when the primary is reclaimed next, and accepted requests would be gone.
+test("a backup is assigned only after the records were copied to it", async () => {
+  // The new backup fails or refuses before it has the records. If it were assigned anyway, the next
+  // loss of the primary would promote it without them, and accepted requests would be lost.
   let copies = true;
   const fleet = await startControlFleet({
     count: 4,
@@ -102,9 +104,10 @@
   fleet.close();
 });
 
-test("an instance that loses all its peers but not the store takes nothing over", async () => {
-  // A network fault parts one instance from all others; the store is reachable from both sides. It sees
-  // everybody dead. If it took their slots, the two sides would take them from each other for ever.
+test("an instance that loses all its peers but not the store takes over nothing", async () => {
+  // A network fault separates one instance from all others, while both sides reach the store. The
+  // instance considers all others dead. If it took their slots, the two sides would take them from
+  // each other forever.
   const fleet = await startAssigned({ count: 5, zones: 5 });
   const [alone, ...others] = fleet.nodes;
   const takeovers = alone?.counts.get("slots.takeover");
@@ -120,9 +123,10 @@
   fleet.close();
 });
 
-test("the one survivor of all takes everything over", async () => {
-  // All but one instance die at once. It can't tell that from being cut off, so it asks through the store;
-  // nobody answers, and callers find an owner again within seconds.
+test("a single survivor takes over all slots", async () => {
+  // All instances but one fail at once. The survivor can't distinguish this from being cut off, so
+  // it writes a claim to the store. It stays unanswered, and callers find an owner again within
+  // seconds.
   const fleet = await startAssigned({ count: 4, zones: 2 });
   const [survivor, ...others] = fleet.nodes;
   for (const node of others) node.kill();
@@ -131,10 +135,10 @@
   fleet.close();
 });
 
-test.each([5, 7])("two survivors of %i take everything over", async (count) => {
-  // More than half of the instances die at once. Each survivor asks through the store whether it is itself cut
-  // off; if the other answered, though it hears the asker and misses the same owners, neither would ever take
-  // over, and callers of the dead instances' slots would get no answer for good.
+test.each([5, 7])("two survivors of %i take over all slots", async (count) => {
+  // More than half of the instances fail at once. Each survivor claims through the store. If the
+  // other survivor answered although it is in contact and misses the same owners, neither would
+  // ever take over, and callers of the failed instances' slots would never get a response.
   const fleet = await startAssigned({ count, zones: count });
   const [first, second, ...others] = fleet.nodes;
   for (const node of others) node.kill();
@@ -144,14 +148,16 @@
   fleet.close();
 });
 
-test("two halves that are parted take nothing from each other", async () => {
-  // No side has most owners, and both reach the store. A claim of one side is answered by the other, which does
-  // not hear the claimant; otherwise the sides would take the slots from each other in turn.
+test("two separated halves take no slots from each other", async () => {
+  // Neither side has most owners, and both reach the store. A claim of one side is answered by the
+  // other, which has no contact with the claimant; otherwise the sides would take slots from each
+  // other in turn.
   const fleet = await startAssigned({ count: 4, zones: 4 });
   for (const one of ["e0#1", "e1#1"]) {
     for (const other of ["e2#1", "e3#1"]) fleet.network.setCut(one, other, true);
   }
-  // Those of the other half are found dead one after another: the first while most are still thought alive.
+  // The members of the other half are declared dead one after another; when the first one is, most
+  // owners are still considered live.
   await fleet.clock.advance(15_000);
   const before = counted(fleet.nodes, "slots.takeover");
   await fleet.clock.advance(60_000);
@@ -161,8 +167,8 @@
 });
 
 test("a restarted instance gets slots under its new incarnation", async () => {
-  // The process dies and comes back at the same address within a second or two. It holds none of the
-  // records that its name stood for; if it were taken for the old one, lookups would end in nothing.
+  // The process fails and restarts at the same address within a second or two. It has none of the
+  // old one's records; if it were taken for the old one, lookups would find nothing.
   const fleet = await startAssigned({ count: 4, zones: 2 });
   fleet.nodes[3]?.kill();
   fleet.add("e3", { zone: "z1", incarnation: 2 });
--- a/src/process/state_log.ts
+++ b/src/process/state_log.ts
@@ -9,7 +9,7 @@
   WorkerView,
 } from "../request/index.ts";
 
-/** What a state log follows. */
+/** Sources of the state log. */
 export interface StateLogParts {
   readonly self: Member;
   readonly configuration: ConfigurationView;
@@ -17,18 +17,19 @@
   readonly workers: WorkerView;
 }
 
-/** Writes one line of the log, JSON. */
+/** Writes one line of the log, which is JSON. */
 export type LogWriter = (line: string) => void;
 
 /**
- * Logs changes of state, each with its step and peer, and nothing else: what happens often is counted.
+ * Logs changes of state, each with its step and peer. Frequent events are counted instead of
+ * logged.
  *
- * It compares what it sees with what it saw, so that no task has to speak of its changes, and a state that
- * is reported twice is logged once.
+ * The log compares each state with the last one that it saw, so tasks don't have to report their
+ * changes, and a state reported twice is logged once.
  *
- * @param parts What is followed.
- * @param write Takes each line.
- * @returns Closing it ends the log.
+ * @param parts The sources.
+ * @param write Writes a line.
+ * @returns A subscription that ends the log when closed.
  */
 export function startStateLog(parts: StateLogParts, write: LogWriter): Subscription {
   ROARR.write = write;
@@ -42,7 +43,7 @@
     configuration.onChange(onVersions),
     workers.onChange(onWorkers),
   ];
-  // What has come to be before the log began is its first lines.
+  // The states at the start are logged first.
   for (const look of [onMembers, onVersions, onWorkers]) look();
   return {
     close: () => {
--- a/src/process/state_log_test.ts
+++ b/src/process/state_log_test.ts
@@ -13,7 +13,7 @@
   readonly context: Readonly<Record<string, unknown>>;
 }
 
-test("each change of state is one line with its step and peer, and what is the same again is none", () => {
+test("each change of state is one line with its step and peer, and a repeated state is not logged", () => {
   const listeners = new Set<() => void>();
   const onChange: StateLogParts["members"]["onChange"] = (listener) => {
     listeners.add(listener);
--- a/src/process/statsd_sink.ts
+++ b/src/process/statsd_sink.ts
@@ -2,13 +2,18 @@
 import { splitAddress } from "../connection/http_listener.ts";
 import type { CounterSink } from "./counters.ts";
 
-/** Greatest UDP packet, and how long counts are gathered into one, in milliseconds. */
+/**
+ * Maximum size of a UDP packet in bytes, and the interval in milliseconds at which counts are sent.
+ */
 const PACKET_BYTES = 1_400;
 const FLUSH_PERIOD = 1_000;
-/** The part of the times that is sent: there is one for each token. */
+/** Sampling rate of timings, since there is one for each token. */
 const TIME_SAMPLES = 0.01;
 
-/** Sends counts by UDP to a StatsD server at `IP:PORT`; what is lost on the way is not sent again. */
+/**
+ * Creates a sink that sends counts by UDP to the StatsD server at `IP:PORT`. Lost packets are not
+ * sent again.
+ */
 export function createStatsdSink(
   address: string,
   tags: Readonly<Record<string, string>>,
@@ -21,7 +26,7 @@
     globalTags: { ...tags },
     maxBufferSize: PACKET_BYTES,
     bufferFlushInterval: FLUSH_PERIOD,
-    // Counting must never end the process, whatever becomes of the packets.
+    // Errors are ignored: a failure to send metrics must never end the process.
     errorHandler: () => undefined,
   });
   return {
--- a/src/process/store_outage.ts
+++ b/src/process/store_outage.ts
@@ -1,29 +1,37 @@
 import type { Clock } from "../interface/index.ts";
 
-/** Tells an outage of the platform's store from one of this instance's way to it. */
+/**
+ * Distinguishes an outage of the platform's store from a loss of this instance's connection to it.
+ */
 export interface StoreOutage {
-  /** The store has ceased to answer this instance. */
+  /** The store has stopped answering this instance. */
   began(): void;
-  /** Another instance says that the store answers it. */
+  /** Another instance reports that the store answers it. */
   heardAnswering(): void;
-  /** The store answers this instance again; says whether it may have been away for everybody. */
+  /**
+   * The store answers this instance again. Returns whether the outage may have affected all
+   * instances.
+   */
   ended(): boolean;
 }
 
 /**
- * How much later than others an instance may be answered again, in milliseconds: the pauses and the wait of its calls
- * to a store that is away, and as much again. Others that are answered for no longer may just have been sooner.
+ * Milliseconds by which instances may differ in when the store answers them again: the backoff and
+ * timeout of their calls to an unavailable store, doubled. If the others have been answered for
+ * less than this, they may only have recovered a little earlier.
  */
 const RETURN_SPREAD = 2_000;
 
 /**
- * Makes what decides whether the store itself was away.
+ * Creates the detector.
  *
- * After an outage of the store, entries may be missing for a while though their workers are there. After one of this
- * instance's way alone they aren't: what is missing has left, and requests that are sent there on the contrary belief
- * reach workers that may end at any moment. The other instances tell the two apart, as the store goes on answering them.
+ * After an outage of the store, entries may be missing for a while although their workers exist.
+ * After a loss of only this instance's connection, a missing entry means that the worker has left,
+ * and requests sent there would reach a worker that can stop at any moment. The other instances
+ * tell the two cases apart, because the store keeps answering them in the second one.
  *
- * @param staleAfter Milliseconds for which others go on saying that the store answers them after it has ceased to.
+ * @param staleAfter Milliseconds for which other instances keep reporting that the store answers
+ * them after it has stopped.
  */
 export function createStoreOutage(parts: {
   readonly clock: Clock;
@@ -31,7 +39,7 @@
 }): StoreOutage {
   const { clock, staleAfter } = parts;
   let since: number | undefined;
-  /** When another instance was first known to be answered in this outage. */
+  /** When another instance first reported an answer during this outage. */
   let othersSince: number | undefined;
   return {
     began: () => {
--- a/src/process/store_outage_test.ts
+++ b/src/process/store_outage_test.ts
@@ -4,10 +4,10 @@
 
 const STALE_AFTER = 3_500;
 
-// One instance is cut off from the store for twelve seconds, and workers leave meanwhile. If it took their missing
-// entries for lapsed ones on its return, it would send requests to them for two more seconds, long after they said
-// that they leave.
-test("what others were answered all along was no outage of the store", async () => {
+// One instance loses the store for twelve seconds, and workers leave in the meantime. If it took
+// their missing entries for expired ones afterwards, it would send requests to them for two more
+// seconds, long after they announced that they were leaving.
+test("an outage during which others were answered is not an outage of the store", async () => {
   const clock = createVirtualClock();
   const outage = createStoreOutage({ clock, staleAfter: STALE_AFTER });
   outage.began();
@@ -17,9 +17,10 @@
   expect(outage.ended()).toBe(false);
 });
 
-// The store is away for everybody. Right after its loss the others still say that it answers them, since they haven't
-// asked it again; going by that, every worker whose entry has lapsed would be given up on its return.
-test("what others say right after the loss is no sign that the store is there", async () => {
+// The store fails for all instances. Right afterwards, the others still report that it answers
+// them, since they have not called it again yet. Relying on that would remove every worker whose
+// entry has expired.
+test("reports right after the loss don't show that the store is available", async () => {
   const clock = createVirtualClock();
   const outage = createStoreOutage({ clock, staleAfter: STALE_AFTER });
   outage.began();
@@ -29,9 +30,9 @@
   expect(outage.ended()).toBe(true);
 });
 
-// The store was away for six seconds. Other instances happen to ask it again first, and say that it answers them some
-// tenths of a second before it has answered this one.
-test("others that are answered again a little sooner were not answered all along", async () => {
+// The store fails for six seconds. Other instances call it again a little earlier than this one,
+// and report that it answers them some tenths of a second before it answers this one.
+test("others that are answered slightly earlier were not answered throughout", async () => {
   const clock = createVirtualClock();
   const outage = createStoreOutage({ clock, staleAfter: STALE_AFTER });
   outage.began();
@@ -41,7 +42,7 @@
   expect(outage.ended()).toBe(true);
 });
 
-test("an outage is judged by itself, not by one before", async () => {
+test("each outage is evaluated independently of earlier ones", async () => {
   const clock = createVirtualClock();
   const outage = createStoreOutage({ clock, staleAfter: STALE_AFTER });
   outage.began();
--- a/src/process/store_pace.ts
+++ b/src/process/store_pace.ts
@@ -1,32 +1,37 @@
 import { sleep } from "../interface/index.ts";
 import type { Clock, Random } from "../interface/index.ts";
 
-/** Control calls a second that all entry instances together may make: a fraction of what the store takes. */
+/**
+ * Maximum control calls per second of all entry instances together: a fraction of what the store
+ * can handle.
+ */
 const SHARED_RATE = 100;
-/** Least calls a second of one instance, so that a large fleet's members still make progress. */
+/**
+ * Minimum calls per second of one instance, so that members of a large fleet still make progress.
+ */
 const LEAST_RATE = 1;
-/** Calls that may follow one another at once after a quiet time. */
+/** Maximum number of calls in a burst after an idle time. */
 const BURST = 8;
-/** Bounds of the pause after failed calls, in milliseconds. */
+/** Minimum and maximum bound of the backoff after failed calls, in milliseconds. */
 const FIRST_BACK_OFF = 250;
 const LONGEST_BACK_OFF = 4_000;
 
-/** Holds the control calls of one instance on the store to its part of a rate that all share. */
+/** Limits the control calls of one instance to its share of a common rate. */
 export interface StorePace {
-  /** Makes a call when its turn has come; one that ends unavailable lengthens the pauses. */
+  /** Makes a call when the rate permits it. An unavailable store increases the backoff. */
   run<T extends { readonly kind: string }>(call: () => Promise<T>): Promise<T>;
-  /** Waits after a failure: full jitter under a bound that doubles. */
+  /** Waits after a failure, with full jitter below a bound that doubles each time. */
   backOff(): Promise<void>;
 }
 
 /**
- * Makes a pace. Without it, hundreds of instances that wait for a store to return would call it all at
- * once when it does, and bring it down again.
+ * Creates the limiter. Without it, hundreds of instances waiting for the store would all call it at
+ * the moment it recovers, and overload it again.
  */
 export function createStorePace(parts: {
   readonly clock: Clock;
   readonly random: Random;
-  /** How many entry instances share the rate. */
+  /** Returns the number of entry instances that share the rate. */
   readonly members: () => number;
 }): StorePace {
   const { clock, random, members } = parts;
--- a/src/process/store_view.ts
+++ b/src/process/store_view.ts
@@ -22,53 +22,67 @@
 import { createStoreOutage } from "./store_outage.ts";
 import { createWorkerRoster } from "./worker_roster.ts";
 
-/** The configuration and the workers as the store has them, from the store itself or from other instances. */
+/**
+ * The configuration and the workers as stored, received from the store itself or from other
+ * instances.
+ */
 export interface StoreView {
-  /** By kind of object. */
+  /** Followers by kind of object. */
   readonly feeds: ReadonlyMap<string, FeedFollower>;
-  /** The configuration in force; undefined before the first. */
+  /** Returns the routing configuration in force; undefined before the first. */
   table(): RouteTable | undefined;
-  /** Whether any worker was ever there. */
+  /** Whether any worker has ever been present. */
   readonly hasWorkers: boolean;
-  /** What the others are told of the store. */
+  /** Returns what this instance reports about the store in its digests. */
   state(): Pick<InstanceState, "reachesStore" | "storeReturned">;
-  /** Another instance was heard; called before and after what it tells of the store is taken in. */
+  /**
+   * Must be called with each digest's sender, before and after the store changes in the digest are
+   * applied.
+   */
   heard(peer: PeerInstance): void;
   told(peer: PeerInstance): void;
   start(): void;
   close(): void;
 }
 
-/** What the view is made with. */
+/** Dependencies and settings of {@linkcode createStoreView}. */
 export interface StoreViewParts {
   readonly clock: Clock;
   readonly random: Random;
   readonly feed: ObjectFeed;
   readonly kinds: StoredKinds;
-  /** Whether orders to move services to other versions of their workers are followed. */
+  /** Whether orders that move services to other versions are followed. */
   readonly followsRollouts: boolean;
   readonly log: RoutedLog;
-  /** How long others say after the store's last answer that it answers them, in milliseconds. */
+  /**
+   * Milliseconds for which other instances keep reporting that the store answers them after its
+   * last answer.
+   */
   readonly staleAfter: number;
   readonly fleet: () => Pick<FleetNews, "role" | "isFed" | "changed">;
-  /** A configuration has come into force. */
+  /** Called when a routing configuration comes into force. */
   readonly onRouting: (routing: Routing) => void;
   /**
-   * The orders to move services to other versions have changed, so many milliseconds ago; undefined for those that are
-   * found at the start.
+   * Called when orders that move services to other versions have changed, with the age of the
+   * change in milliseconds; undefined for orders found at the start.
    */
   readonly onRollouts: (entries: readonly RolloutEntry[], age: number | undefined) => void;
-  /** The objects of requests that no worker gets have changed. */
+  /** Called when the objects of quarantined requests have changed. */
   readonly onQuarantine: (objects: Iterable<FeedObject>) => void;
-  /** Whether this instance follows these in the store itself; the others are told of them. */
+  /**
+   * Whether this instance follows quarantined requests in the store itself. Other instances receive
+   * them in digests.
+   */
   readonly followsQuarantine: () => boolean;
-  /** Changes of the store have come to be known, so many milliseconds after the first instance knew them. */
+  /**
+   * Called when store changes arrive, with the milliseconds since the first instance received them.
+   */
   readonly onArrival: (way: ChangeWay, late: number) => void;
-  /** The workers have changed. */
+  /** Called when the workers have changed. */
   readonly onWorkers: (workers: readonly RoutedWorker[]) => void;
 }
 
-/** Makes a view that knows nothing yet. */
+/** Creates a view without any objects. */
 export function createStoreView(parts: StoreViewParts): StoreView {
   const { clock, random, kinds, log, fleet } = parts;
   let table: RouteTable | undefined;
@@ -81,12 +95,12 @@
     { way, age, isFirst }: ChangeArrival,
   ): void => {
     fleet().changed();
-    // What an instance finds at its start may have stood there for long.
+    // Objects found at the start may be arbitrarily old.
     const late = isFirst ? undefined : Math.round(age);
     log.changed("store-changed", { kind, way, late, changes: changes.length, store: changedAt });
     if (late !== undefined) parts.onArrival(way, late);
   };
-  /** Follows a kind of objects; `name` is the kind's in the log. */
+  /** Follows a kind of objects. `name` is the kind's name in the log. */
   const follow = (
     { kind, name }: { kind: string; name: string },
     how: {
@@ -171,7 +185,7 @@
     if (object === undefined) return;
     try {
       const routing = kinds.readRouting(object.value);
-      // Versions only rise: one that an instance has acted on is never taken back.
+      // Versions only increase: a routing that an instance has applied is never reverted.
       if (routing.version <= (table?.routing.version ?? -1)) return;
       table = createRouteTable(routing);
       parts.onRouting(routing);
@@ -207,7 +221,10 @@
     }
     for (const worker of gone.keys()) log.changed("worker-gone", { worker });
   };
-  /** Among equals a watch that waits says nothing of the way to the store; watchers have to know sooner. */
+  /**
+   * Whether the store answers this instance. In a small fleet, a pending watch gives no information
+   * about the connection; watchers of a large fleet must detect a loss sooner.
+   */
   const reachesStore = (): boolean =>
     (fleet().role === FleetRole.Equal || workerFeed.isAnswered) &&
     clock.now() - (workerFeed.answeredAt ?? -Infinity) < parts.staleAfter;
@@ -220,7 +237,7 @@
     state: () => ({ reachesStore: reachesStore(), storeReturned: roster.isReturning() }),
     heard: (peer) => {
       if (peer.reachesStore) outage.heardAnswering();
-      // What it tells of entries that are missing now would be taken at its word.
+      // Otherwise the peer's changes would remove workers whose entries have only expired.
       if (peer.storeReturned && fleet().isFed() && !roster.isReturning()) roster.storeReturned();
     },
     told: (peer) => catchUp.heard(peer),
--- a/src/process/subscription.ts
+++ b/src/process/subscription.ts
@@ -1,6 +1,6 @@
 import type { Subscription } from "../request/index.ts";
 
-/** Adds a listener to a set until the subscription is closed. */
+/** Adds a listener to a set. Closing the subscription removes it. */
 export function subscribe(listeners: Set<() => void>, listener: () => void): Subscription {
   listeners.add(listener);
   return { close: () => listeners.delete(listener) };
--- a/src/process/system_clock.ts
+++ b/src/process/system_clock.ts
@@ -1,7 +1,7 @@
 import { performance } from "node:perf_hooks";
 import type { Clock } from "../interface/index.ts";
 
-/** The machine's own clock. */
+/** Clock of the operating system. `now` is monotonic, in milliseconds. */
 export const systemClock: Clock = {
   now: () => performance.now(),
   date: () => new Date(),
--- a/src/process/system_load.ts
+++ b/src/process/system_load.ts
@@ -6,10 +6,10 @@
 const NANOSECONDS_PER_MILLISECOND = 1e6;
 
 /**
- * Measures this process: the delay of its event loop, and its memory.
+ * Starts measuring the load of this process: event loop delay and memory.
  *
- * @param memoryLimit Bytes that the process may use.
- * @returns Reads the load since the last reading.
+ * @param memoryLimit Bytes of memory that the process may use.
+ * @returns A function that returns the load since its last call.
  */
 export function startSystemLoad(memoryLimit: number): () => EntryLoad {
   const delay = monitorEventLoopDelay({ resolution: RESOLUTION });
--- a/src/process/testing/core_fleet.ts
+++ b/src/process/testing/core_fleet.ts
@@ -13,31 +13,33 @@
 import { MINIMAL_REVISION } from "../../version/testing/minimal_revision.ts";
 import { deskWorker, NO_CLOUD } from "./outside.ts";
 
-/** What a caller of a {@linkcode CoreFleet} has got so far. */
+/** Response that a caller of a {@linkcode CoreFleet} has received so far. */
 export interface Answer {
   readonly text: string;
-  /** The last event: an end's state, or a rejection's reason; empty while none has come. */
+  /**
+   * State of the request at its end, or the reason of a rejection; empty while the request runs.
+   */
   readonly end: string;
 }
 
-/** Whole entry instances over fakes in memory. */
+/** Complete entry instances on in-memory fakes of their environment. */
 export interface CoreFleet {
   readonly clock: VirtualClock;
   readonly store: MemoryStore;
   readonly engines: MemoryEngines;
   core(index: number): EntryCore;
-  /** Writes the store's value of a new revision. */
+  /** Writes a new revision to the store. */
   use(revision: string): Promise<void>;
-  /** Takes an instance away. */
+  /** Ends an instance without notice. */
   kill(index: number): void;
   submit(index: number, submission?: Partial<Submission>): Answer;
   close(): void;
 }
 
-/** Time in which a new fleet finds its members and assigns its slots, in milliseconds. */
+/** Milliseconds in which a new fleet finds its members and assigns its slots. */
 const FORMING = 8_000;
 
-/** Starts entry instances in availability zones of their own, and lets them form a fleet. */
+/** Starts entry instances, each in its own availability zone, and waits until they form a fleet. */
 export async function startCoreFleet(count = 3): Promise<CoreFleet> {
   const clock = createVirtualClock();
   const store = createMemoryStore(clock);
--- a/src/process/testing/datagram_network.ts
+++ b/src/process/testing/datagram_network.ts
@@ -1,19 +1,22 @@
 import type { DatagramParts, Datagrams } from "../../connection/datagrams.ts";
 import type { Clock, Random } from "../../interface/index.ts";
 
-/** Datagrams between tests' instances, with what can go wrong with them. */
+/** In-memory datagram network for tests, with fault injection. */
 export interface DatagramNetwork {
   readonly open: (parts: DatagramParts) => Promise<Datagrams>;
-  /** The share of datagrams that are lost, and of those that come twice, from 0 to 1. */
+  /** Fractions of datagrams to lose and to duplicate, from 0 to 1. */
   trouble: { lost: number; twice: number };
-  /** From whom to whom nothing goes, as `from>to`. */
+  /** Links that drop all datagrams, in the form `from>to`. */
   readonly cut: Set<string>;
 }
 
-/** The longest time on the way in milliseconds; each datagram takes its own, so that they overtake each other. */
+/**
+ * Maximum delivery delay in milliseconds. Each datagram gets a random delay, so datagrams overtake
+ * each other.
+ */
 export const LONGEST_WAY = 40;
 
-/** Makes a network on which nothing goes wrong yet. */
+/** Creates a network without faults. */
 export function createDatagramNetwork(clock: Clock, random: Random): DatagramNetwork {
   const receivers = new Map<string, DatagramParts>();
   const deliver = (bytes: Uint8Array, to: string): void => {
--- a/src/process/testing/memory_feed.ts
+++ b/src/process/testing/memory_feed.ts
@@ -1,23 +1,23 @@
 import { sleep } from "../../interface/index.ts";
 import type { Clock, FeedChange, FeedObject, ObjectFeed } from "../../interface/index.ts";
 
-/** A store's objects of one kind in memory, with what can go wrong on the way to it. */
+/** In-memory store of objects of one kind, with fault injection. */
 export interface MemoryFeed {
-  /** Writes an object, or removes it where no value is given. */
+  /** Writes an object, or removes it if no value is given. */
   put(name: string, value?: unknown): void;
-  /** The store as the instance of that name reaches it. */
+  /** Returns the store as accessed by the named instance. */
   of(instance: string): ObjectFeed;
-  /** Instances that get no answer. */
+  /** Names of instances that get no answer. */
   readonly cut: Set<string>;
-  /** Calls since the start, by instance. */
+  /** Number of calls since the start, by instance. */
   readonly calls: Map<string, number>;
 }
 
-/** How much later than its wait a watch that isn't answered is given up, in milliseconds. */
+/** Milliseconds after its timeout at which an unanswered call fails. */
 const GIVE_UP = 500;
 const CALL_TIME = 4;
 
-/** Makes an empty store. */
+/** Creates an empty store. */
 export function createMemoryFeed(clock: Clock): MemoryFeed {
   let version = 1;
   const objects = new Map<string, FeedObject>();
--- a/src/process/testing/news_fleet.ts
+++ b/src/process/testing/news_fleet.ts
@@ -29,52 +29,58 @@
 import { createDatagramNetwork } from "./datagram_network.ts";
 import type { DatagramNetwork } from "./datagram_network.ts";
 
-/** The one service of the fleet's workers. */
+/** The only service of the fleet's workers. */
 export const NEWS_SERVICE = "desk";
-/** The kind of the store's objects. */
+/** Kind of the store's objects. */
 const KIND = "workers";
-/** A window of usage. */
+/** Number of the usage window in which all runs count. */
 export const NEWS_WINDOW = 7;
 const QUOTA = { unit: QuotaUnit.Tokens, unstatedTokens: 0, perSecond: 1_000, burst: 1e9 };
-/** How long an instance takes to send all objects, and how long one is waited for that doesn't, in milliseconds. */
+/**
+ * Milliseconds that an instance takes to send all its objects, and that a fetch waits for an
+ * instance that doesn't answer.
+ */
 const FETCH_TIME = 15;
 const UNANSWERED_TIME = 1_000;
 const REPEATS = { ratio: 0.2, slack: 50, window: 10_000 };
 
-/** An instance with all that news come from and go to. */
+/** An instance with the components that its updates come from and go to. */
 export interface NewsMember {
   readonly zone: string;
   readonly news: FleetNews;
   readonly board: RoutedBoard;
   readonly ledger: UsageLedger;
   readonly quota: SharedQuota;
-  /** What it knows of requests that crash workers. */
+  /** Known requests that crash workers. */
   readonly evidence: CrashEvidence;
-  /** What it knows of the store. */
+  /** The instance's view of the store. */
   readonly feed: FeedFollower;
-  /** Where the others reach it. */
+  /** Address for other instances. */
   readonly address: string;
-  /** Whether it goes on; the fleet doesn't know. */
+  /** Whether the instance runs. Setting this does not stop it. */
   isLive: boolean;
-  /** Whether others that fetch from it are answered. */
+  /** Whether the instance answers fetches from other instances. */
   answersFetches: boolean;
 }
 
-/** Instances that tell each other news, without callers and workers, before a store of one kind of objects. */
+/**
+ * Instances that exchange digests, with a store of one kind of objects but without callers and
+ * workers.
+ */
 export interface NewsFleet {
   readonly store: MemoryFeed;
   readonly clock: ReturnType<typeof createVirtualClock>;
   readonly network: DatagramNetwork;
   readonly members: NewsMember[];
   readonly workers: readonly RoutedWorker[];
-  /** A run for the account begins at the worker. */
+  /** Starts a run for the account at the worker with the given index. */
   begin(member: NewsMember, run: { worker: number; account: string }): BoardRun;
-  /** Whether the account may have something more at the instance. */
+  /** Whether the instance would admit another request of the account. */
   hasRoom(member: NewsMember, account: string): boolean;
   close(): void;
 }
 
-/** What a fleet is made of. */
+/** Size of a fleet. */
 export interface NewsFleetSize {
   readonly instances: number;
   readonly workers: number;
@@ -82,7 +88,7 @@
   readonly seed?: number;
 }
 
-/** Starts instances in four availability zones that know two of each other at first. */
+/** Starts instances in four availability zones. Each knows the addresses of two others at first. */
 export async function startNewsFleet(size: NewsFleetSize): Promise<NewsFleet> {
   const clock = createVirtualClock();
   const random = createSeededRandom(size.seed ?? 1);
@@ -101,7 +107,7 @@
     await news.start();
     feed.start();
   }
-  // What runs there doesn't matter for beginning a run: one list does for all.
+  // A run starts the same way whatever the load, so one list of candidates serves all instances.
   const places: readonly BoardWorker[] = members[0]?.board.candidates(SERVICE) ?? [];
   return {
     clock,
@@ -127,20 +133,20 @@
   };
 }
 
-/** Milliseconds between two looks at what the instances know, and the longest that they are looked at. */
+/** Milliseconds between two checks of the instances' objects, and the maximum time of checking. */
 const LOOK = 20;
 const LONGEST_LOOK = 6_000;
-/** Characters of an object, about those of a worker's entry. */
+/** Size of an object's value in characters, similar to a worker's entry. */
 const OBJECT_SIZE = 240;
 
-/** Starts instances of which only what they know of the store matters, and waits until they know each other. */
+/** Starts a fleet for tests of store changes and waits until its instances know each other. */
 export async function startChangeFleet(instances: number, seed = 1): Promise<NewsFleet> {
   const fleet = await startNewsFleet({ instances, workers: 4, accounts: [], seed });
   await fleet.clock.advance(4_000);
   return fleet;
 }
 
-/** Writes objects and says how many milliseconds it took until all of the instances had the last one. */
+/** Writes objects and returns the milliseconds until all given instances have the last one. */
 export async function knownIn(
   { clock, store, members }: NewsFleet,
   objects: readonly string[],
--- a/src/process/time_limit.ts
+++ b/src/process/time_limit.ts
@@ -1,12 +1,13 @@
 import type { Clock } from "../interface/index.ts";
 
 /**
- * Waits for an answer for a limited time, since a connection can go silent for good and its call with it.
+ * Waits for an answer with a timeout, since a connection, and with it a call, can go silent
+ * permanently.
  *
- * @param clock The clock to wait on.
- * @param answer What is waited for; it goes on unheard when the time is over.
- * @param options The limit in milliseconds, and what was tried, for the error.
- * @throws {Error} When no answer came in time.
+ * @param clock The clock for the timeout.
+ * @param answer The pending answer. It is ignored after the timeout.
+ * @param options The timeout in milliseconds, and the attempted action for the error message.
+ * @throws {Error} If no answer arrives in time.
  */
 export function withinTime<T>(
   clock: Clock,
@@ -16,7 +17,7 @@
   const { limit, step } = options;
   return new Promise((resolve, reject) => {
     const timer = clock.after(limit, () =>
-      reject(new Error(`Waited to ${step}: no answer came within ${limit} ms.`)),
+      reject(new Error(`Timed out after ${limit} ms: ${step}.`)),
     );
     answer.then(resolve, reject).finally(() => timer.close());
   });
