--- a/src/process/change_log.ts
+++ b/src/process/change_log.ts
@@ -4,40 +4,41 @@
    * Records the complete set of values in a round. A key that is missing from `values` gets the
    * tombstone value.
    */
-  note(values: ReadonlyMap<K, V>, round: number): void;
+  record(values: ReadonlyMap<K, V>, round: number): void;
   /** Returns the values that changed after the given round, in no particular order. */
   since(round: number): Map<K, V>;
   /**
    * Drops keys that were already removed in the given round. A receiver that has not acknowledged
    * that round must be sent a full snapshot instead.
    */
-  forgetGone(round: number): void;
+  prune(round: number): void;
 }
 
 /** Options for {@linkcode createChangeLog}. */
 export interface ChangeLogOptions<V> {
-  readonly gone: V;
+  readonly tombstone: V;
   readonly equals: (a: V, b: V) => boolean;
 }
 
 interface Change<V> {
   readonly value: V;
   readonly round: number;
-  readonly isGone: boolean;
+  readonly isRemoved: boolean;
 }
 
 /** Creates an empty change log. */
-export function createChangeLog<K, V>({ gone, equals }: ChangeLogOptions<V>): ChangeLog<K, V> {
+export function createChangeLog<K, V>({ tombstone, equals }: ChangeLogOptions<V>): ChangeLog<K, V> {
   const changes = new Map<K, Change<V>>();
   return {
-    note: (values, round) => {
+    record: (values, round) => {
       for (const [key, value] of values) {
         const known = changes.get(key);
-        if (known !== undefined && !known.isGone && equals(known.value, value)) continue;
-        changes.set(key, { value, round, isGone: false });
+        if (known !== undefined && !known.isRemoved && equals(known.value, value)) continue;
+        changes.set(key, { value, round, isRemoved: false });
       }
-      for (const [key, { isGone }] of changes) {
-        if (!isGone && !values.has(key)) changes.set(key, { value: gone, round, isGone: true });
+      for (const [key, { isRemoved }] of changes) {
+        if (!isRemoved && !values.has(key))
+          changes.set(key, { value: tombstone, round, isRemoved: true });
       }
     },
     since: (round) => {
@@ -45,9 +46,9 @@
       for (const [key, change] of changes) if (change.round > round) found.set(key, change.value);
       return found;
     },
-    forgetGone: (round) => {
+    prune: (round) => {
       for (const [key, change] of changes) {
-        if (change.isGone && change.round <= round) changes.delete(key);
+        if (change.isRemoved && change.round <= round) changes.delete(key);
       }
     },
   };
--- a/src/process/change_way_large_test.ts
+++ b/src/process/change_way_large_test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from "vitest";
-import { knownIn, startChangeFleet } from "./testing/news_fleet.ts";
+import { measurePropagation, startChangeFleet } from "./testing/news_fleet.ts";
 
 /**
  * Maximum time in milliseconds from the store's acknowledgement until every instance has the
@@ -10,7 +10,7 @@
  * Test timeout in milliseconds. Hundreds of instances in one process take half a minute on a busy
  * machine.
  */
-const GREATEST_TIME = 240_000;
+const TEST_TIMEOUT = 240_000;
 
 // A worker may stop three seconds after it announces that it is leaving. Requests sent to it after
 // that are lost.
@@ -19,11 +19,11 @@
   async (size) => {
     const fleet = await startChangeFleet(size);
     try {
-      expect(await knownIn(fleet, ["one"])).toBeLessThanOrEqual(BOUND);
-      expect(await knownIn(fleet, ["two"])).toBeLessThanOrEqual(BOUND);
+      expect(await measurePropagation(fleet, ["one"])).toBeLessThanOrEqual(BOUND);
+      expect(await measurePropagation(fleet, ["two"])).toBeLessThanOrEqual(BOUND);
     } finally {
       fleet.close();
     }
   },
-  GREATEST_TIME,
+  TEST_TIMEOUT,
 );
--- a/src/process/change_way_test.ts
+++ b/src/process/change_way_test.ts
@@ -1,6 +1,6 @@
 import { afterEach, expect, test } from "vitest";
 import { FleetRole } from "./fleet_tree.ts";
-import { knownIn, startChangeFleet } from "./testing/news_fleet.ts";
+import { measurePropagation, startChangeFleet } from "./testing/news_fleet.ts";
 import type { NewsFleet, NewsMember } from "./testing/news_fleet.ts";
 
 /**
@@ -25,13 +25,13 @@
 }
 
 /** Drops all datagrams from one instance to the others. */
-function silence(fleet: NewsFleet, member: NewsMember): void {
+function dropDatagramsFrom(fleet: NewsFleet, member: NewsMember): void {
   for (const other of fleet.members) {
     fleet.network.cut.add(`${member.address}>${other.address}`);
   }
 }
 
-function named(prefix: string, count: number): string[] {
+function numberedNames(prefix: string, count: number): string[] {
   return Array.from({ length: count }, (_, index) => `${prefix}-${index}`);
 }
 
@@ -40,7 +40,7 @@
 test.each([14, 67])("a store change reaches each of %i instances within a second", async (size) => {
   const fleet = await startFleet(size);
   for (let change = 0; change < 6; change++) {
-    expect(await knownIn(fleet, [`w-${change}`])).toBeLessThanOrEqual(BOUND);
+    expect(await measurePropagation(fleet, [`w-${change}`])).toBeLessThanOrEqual(BOUND);
     // The bound holds for any interval between changes.
     await fleet.clock.advance(70 * change);
   }
@@ -52,7 +52,9 @@
   async (size) => {
     const fleet = await startFleet(size);
     for (let wave = 0; wave < 3; wave++) {
-      expect(await knownIn(fleet, named(`wave-${wave}`, 60))).toBeLessThanOrEqual(BOUND);
+      expect(
+        await measurePropagation(fleet, numberedNames(`wave-${wave}`, 60)),
+      ).toBeLessThanOrEqual(BOUND);
       await fleet.clock.advance(500);
     }
   },
@@ -65,8 +67,10 @@
     const fleet = await startFleet(67, seed);
     fleet.network.trouble = { lost: 0.3, twice: 0.1 };
     for (let change = 0; change < 5; change++) {
-      expect(await knownIn(fleet, [`w-${change}`])).toBeLessThanOrEqual(BOUND);
-      expect(await knownIn(fleet, named(`many-${change}`, 40))).toBeLessThanOrEqual(BOUND);
+      expect(await measurePropagation(fleet, [`w-${change}`])).toBeLessThanOrEqual(BOUND);
+      expect(
+        await measurePropagation(fleet, numberedNames(`many-${change}`, 40)),
+      ).toBeLessThanOrEqual(BOUND);
     }
   },
 );
@@ -80,11 +84,13 @@
     const relay = relaysOf(fleet)[place];
     if (relay === undefined)
       throw new Error("A fleet of 67 instances in four zones must have eight relays.");
-    silence(fleet, relay);
-    relay.answersFetches = false;
+    dropDatagramsFrom(fleet, relay);
+    relay.canAnswerFetches = false;
     const others = fleet.members.filter((member) => member !== relay);
-    expect(await knownIn(fleet, ["one"], others)).toBeLessThanOrEqual(BOUND);
-    expect(await knownIn(fleet, named("many", 60), others)).toBeLessThanOrEqual(BOUND);
+    expect(await measurePropagation(fleet, ["one"], others)).toBeLessThanOrEqual(BOUND);
+    expect(await measurePropagation(fleet, numberedNames("many", 60), others)).toBeLessThanOrEqual(
+      BOUND,
+    );
   },
 );
 
@@ -96,10 +102,12 @@
     const fleet = await startFleet(67);
     for (const zone of ["z0", "z1", "z2", "z3"]) {
       const relays = relaysOf(fleet).filter((relay) => relay.zone === zone);
-      for (const relay of relays.slice(0, count)) relay.answersFetches = false;
+      for (const relay of relays.slice(0, count)) relay.canAnswerFetches = false;
     }
     for (let wave = 0; wave < 3; wave++) {
-      expect(await knownIn(fleet, named(`wave-${wave}`, 140))).toBeLessThanOrEqual(BOUND);
+      expect(
+        await measurePropagation(fleet, numberedNames(`wave-${wave}`, 140)),
+      ).toBeLessThanOrEqual(BOUND);
       await fleet.clock.advance(300);
     }
   },
@@ -108,28 +116,30 @@
 // Both relays of a zone are suspended at once, so its members receive no store changes from them.
 test("members of a zone whose relays are both frozen read the store themselves", async () => {
   const fleet = await startFleet(67);
-  const pair = relaysOf(fleet).filter(({ zone }) => zone === "z1");
-  for (const relay of pair) {
-    silence(fleet, relay);
-    relay.answersFetches = false;
+  const zoneRelays = relaysOf(fleet).filter(({ zone }) => zone === "z1");
+  for (const relay of zoneRelays) {
+    dropDatagramsFrom(fleet, relay);
+    relay.canAnswerFetches = false;
   }
-  const others = fleet.members.filter((member) => !pair.includes(member));
-  expect(await knownIn(fleet, ["one"], others)).toBeLessThanOrEqual(BOUND);
+  const others = fleet.members.filter((member) => !zoneRelays.includes(member));
+  expect(await measurePropagation(fleet, ["one"], others)).toBeLessThanOrEqual(BOUND);
 });
 
 // One instance doesn't see most of the others, so it wrongly takes the role of a relay and expects
 // the watchers to send it store changes.
 test("an instance that wrongly takes itself for a relay still receives changes", async () => {
   const fleet = await startFleet(67);
-  const lone = fleet.members.filter(({ news }) => news.role === FleetRole.Member).at(-1);
-  if (lone === undefined) throw new Error("A fleet of 67 instances must have members.");
+  const isolated = fleet.members.filter(({ news }) => news.role === FleetRole.Member).at(-1);
+  if (isolated === undefined) throw new Error("A fleet of 67 instances must have members.");
   // No digests pass between this instance and the rest of its zone.
-  for (const other of fleet.members.filter((one) => one !== lone && one.zone === lone.zone)) {
-    fleet.network.cut.add(`${other.address}>${lone.address}`);
-    fleet.network.cut.add(`${lone.address}>${other.address}`);
+  for (const other of fleet.members.filter(
+    (one) => one !== isolated && one.zone === isolated.zone,
+  )) {
+    fleet.network.cut.add(`${other.address}>${isolated.address}`);
+    fleet.network.cut.add(`${isolated.address}>${other.address}`);
   }
   for (let change = 0; change < 12; change++) {
-    expect(await knownIn(fleet, [`w-${change}`])).toBeLessThanOrEqual(BOUND);
+    expect(await measurePropagation(fleet, [`w-${change}`])).toBeLessThanOrEqual(BOUND);
     await fleet.clock.advance(400);
   }
 });
--- a/src/process/configuration.ts
+++ b/src/process/configuration.ts
@@ -11,9 +11,9 @@
 } from "../version/index.ts";
 import type { Revision, SlotMap } from "../version/index.ts";
 import { createObjectFollower } from "./object_follower.ts";
-import type { ObjectFollower, Version } from "./object_follower.ts";
+import type { ObjectFollower, VersionedValue } from "./object_follower.ts";
 import { createStorePace } from "./store_pace.ts";
-import type { StorePace } from "./store_pace.ts";
+import type { StoreThrottle } from "./store_pace.ts";
 import { subscribe } from "./subscription.ts";
 
 /**
@@ -25,26 +25,26 @@
  * Milliseconds without an answer from the store or any peer after which this instance considers
  * itself cut off: it can no longer know which configuration is in force.
  */
-const CUT_OFF_AFTER = 3_000;
+const CUT_OFF_TIMEOUT = 3_000;
 /**
  * Milliseconds without contact to any peer after which an instance reads the store directly, and
  * the interval between these reads.
  */
-const LONELY_AFTER = 2_000;
-const LONELY_READ = 1_000;
+const ISOLATION_TIMEOUT = 2_000;
+const ISOLATED_READ_INTERVAL = 1_000;
 /**
  * Milliseconds between read attempts during startup, and how long a starting instance collects
  * versions from peers when the store is down.
  */
-const START_PAUSE = 200;
-const START_LISTENING = 1_500;
+const START_RETRY_DELAY = 200;
+const START_COLLECTION_TIME = 1_500;
 
 /** Follows the configuration that is in force: the revision and the slot map. */
 export interface Configuration extends ConfigurationView {
   /** Resolves once a revision is known and starts following the configuration. */
   start(): Promise<void>;
   /** Applies an object that this instance has read or written itself. */
-  hear(key: string, object: Version): void;
+  hear(key: string, object: VersionedValue): void;
   /**
    * Compares the versions that a peer has applied with the local ones and pulls newer objects from
    * it.
@@ -53,9 +53,9 @@
   /** Returns the versions that this instance has applied. */
   versions(): readonly VersionMark[];
   /** Returns the local version of an object for a peer that pulls it. */
-  pull(key: string): Version | undefined;
+  pull(key: string): VersionedValue | undefined;
   /** Limits the rate of this instance's control calls to the store. */
-  readonly pace: StorePace;
+  readonly pace: StoreThrottle;
   close(): void;
 }
 
@@ -78,97 +78,99 @@
   readonly reread?: number;
 }
 
-const DEFAULT_REREAD = 30_000;
+const DEFAULT_REREAD_INTERVAL = 30_000;
 
 /** Creates the task. It does nothing until it is started. */
 export function createConfiguration(parts: ConfigurationParts): Configuration {
   const { clock, random, store, self } = parts;
   const listeners = new Set<() => void>();
-  const pace = createStorePace({ clock, random, members: () => parts.alive().length });
+  const throttle = createStorePace({ clock, random, members: () => parts.alive().length });
   let revision: Revision | undefined;
   let slotMap: SlotMap = EMPTY_SLOT_MAP;
-  let storeHeardAt: number | undefined;
+  let storeAnsweredAt: number | undefined;
   let closed = false;
   const isClosed = (): boolean => closed;
 
   const changed = (): void => {
     for (const listener of listeners) listener();
   };
-  const followerOf = (key: string, apply: (object: Version) => void): ObjectFollower =>
+  const addFollower = (key: string, apply: (object: VersionedValue) => void): ObjectFollower =>
     createObjectFollower({
       ...parts,
       key,
-      pace,
+      throttle,
       store,
-      rereadPeriod: parts.reread ?? DEFAULT_REREAD,
+      rereadInterval: parts.reread ?? DEFAULT_REREAD_INTERVAL,
       isWatcher: () => isWatcher(key, { self, alive: parts.alive() }),
       apply: (object) => {
         apply(object);
         changed();
       },
-      storeAnswered: () => {
-        storeHeardAt = clock.now();
+      onStoreAnswer: () => {
+        storeAnsweredAt = clock.now();
       },
     });
   const followers = [
-    followerOf(REVISION_KEY, ({ version, value }) => {
+    addFollower(REVISION_KEY, ({ version, value }) => {
       revision = parseRevision(version, value);
     }),
-    followerOf(SLOT_MAP_KEY, ({ version, value }) => {
+    addFollower(SLOT_MAP_KEY, ({ version, value }) => {
       slotMap = parseSlotMap(version, value);
     }),
   ];
   const find = (key: string): ObjectFollower | undefined =>
     followers.find((follower) => follower.key === key);
-  const silentFor = (heardAt: number | undefined): number =>
-    heardAt === undefined ? Number.POSITIVE_INFINITY : clock.now() - heardAt;
+  const timeSince = (time: number | undefined): number =>
+    time === undefined ? Number.POSITIVE_INFINITY : clock.now() - time;
   /**
    * Reads the store while no peer is in contact. An isolated instance has no other evidence that it
    * is not cut off.
    */
-  const watchLoneliness = async (): Promise<void> => {
+  const readWhileIsolated = async (): Promise<void> => {
     while (!isClosed()) {
-      const lonely = silentFor(parts.peerHeardAt()) > LONELY_AFTER;
-      if (lonely && silentFor(storeHeardAt) > LONELY_READ) await find(REVISION_KEY)?.reread();
-      await sleep(clock, LONELY_READ);
+      const isIsolated = timeSince(parts.peerHeardAt()) > ISOLATION_TIMEOUT;
+      if (isIsolated && timeSince(storeAnsweredAt) > ISOLATED_READ_INTERVAL)
+        await find(REVISION_KEY)?.reread();
+      await sleep(clock, ISOLATED_READ_INTERVAL);
     }
   };
   const readAll = async (): Promise<boolean> => {
     const outcomes = await Promise.all(followers.map((follower) => follower.reread()));
     return outcomes.every((outcome) => outcome.kind !== "unavailable");
   };
-  const begin = async (): Promise<void> => {
+  const initialize = async (): Promise<void> => {
     let deadline = Number.POSITIVE_INFINITY;
     while (!isClosed()) {
       const read = await readAll();
       if (read && revision !== undefined) return;
       // A single peer may be out of date. Versions are collected from several peers before the
       // highest one is taken as the configuration in force.
-      if (revision !== undefined) deadline = Math.min(deadline, clock.now() + START_LISTENING);
+      if (revision !== undefined)
+        deadline = Math.min(deadline, clock.now() + START_COLLECTION_TIME);
       if (clock.now() >= deadline) return;
-      await sleep(clock, START_PAUSE);
+      await sleep(clock, START_RETRY_DELAY);
     }
   };
   return {
-    pace,
+    pace: throttle,
     revision: () => revision,
     slotMap: () => slotMap,
     onChange: (listener) => subscribe(listeners, listener),
     isCutOff: () =>
-      Math.min(silentFor(storeHeardAt), silentFor(parts.peerHeardAt())) > CUT_OFF_AFTER,
+      Math.min(timeSince(storeAnsweredAt), timeSince(parts.peerHeardAt())) > CUT_OFF_TIMEOUT,
     refresh: async () => {
       await find(SLOT_MAP_KEY)?.reread();
     },
-    hear: (key, object) => find(key)?.hear(object),
+    hear: (key, object) => find(key)?.receive(object),
     hearVersions: (from, marks) => {
-      for (const { key, version } of marks) void find(key)?.hearMark(from, version);
+      for (const { key, version } of marks) void find(key)?.receiveMark(from, version);
     },
     versions: () => followers.flatMap(markOf),
     pull: (key) => find(key)?.latest(),
     start: async () => {
-      await begin();
+      await initialize();
       for (const follower of followers) follower.start();
-      void watchLoneliness();
+      void readWhileIsolated();
     },
     close: () => {
       closed = true;
--- a/src/process/digest.ts
+++ b/src/process/digest.ts
@@ -52,7 +52,7 @@
    * Whether the store has just returned from an outage that affected all instances. Workers'
    * entries may have expired in the meantime.
    */
-  readonly storeReturned: boolean;
+  readonly hasStoreReturned: boolean;
   /** How versions on trial are used, as last received from the lease holder. */
   readonly plans: readonly RolloutPlan[];
   /** Recent changes of the request rate limits that workers state, including limits withdrawn. */
@@ -68,14 +68,14 @@
 /** Instances that the sender knows to be live, as a snapshot or a delta. */
 export interface Roster {
   /** Whether the roster is complete; otherwise it contains only changes. */
-  readonly isWhole: boolean;
-  readonly there: readonly RosterEntry[];
+  readonly isSnapshot: boolean;
+  readonly live: readonly RosterEntry[];
   /** Sessions of instances that are no longer live. */
-  readonly gone: readonly number[];
+  readonly removedSessions: readonly number[];
 }
 
 /** Which instances the counts in a digest cover. */
-export enum NewsScope {
+export enum UpdateScope {
   /** The digest carries no counts. */
   None = "none",
   /** The sender only. */
@@ -97,7 +97,7 @@
    */
   readonly isWhole: boolean;
   /** Milliseconds since the sender started. */
-  readonly age: number;
+  readonly uptime: number;
   /** The sender's estimate of the current time, in milliseconds since 1970. */
   readonly time: number;
   /** Tokens or requests admitted since the sender started, by client account. */
@@ -113,7 +113,7 @@
    * Workers known to be leaving, each identified by id and start time. Listed for as long as they
    * exist.
    */
-  readonly leaving: readonly string[];
+  readonly leavingWorkers: readonly string[];
 }
 
 /** Message that an instance sends to another several times a second. */
@@ -129,18 +129,18 @@
    * The receiver's session as known to the sender, and the last digest from it whose update was
    * applied.
    */
-  readonly heard: { readonly session: number; readonly sequence: number } | undefined;
+  readonly acknowledged: { readonly session: number; readonly sequence: number } | undefined;
   /** Included until the receiver acknowledges this session. */
   readonly introduction: Introduction | undefined;
-  readonly scope: NewsScope;
-  readonly news: InstanceNews | undefined;
+  readonly scope: UpdateScope;
+  readonly update: InstanceNews | undefined;
   /** Whether the sender uses the receiver's updates. */
-  readonly wantsNews: boolean;
+  readonly wantsUpdate: boolean;
   /** Whether the counts include those of the receiver, up to the acknowledged digest. */
-  readonly countsReceiver: boolean;
+  readonly includesReceiver: boolean;
   readonly roster: Roster | undefined;
   /** Changes of the store's objects that the receiver doesn't have yet. */
-  readonly feeds: readonly FeedDelta[];
+  readonly feedDeltas: readonly FeedDelta[];
   /** Addresses at which the sender has received digests from other instances. */
-  readonly known: readonly string[];
+  readonly knownAddresses: readonly string[];
 }
--- a/src/process/digest_codec.ts
+++ b/src/process/digest_codec.ts
@@ -14,7 +14,7 @@
 import { countsByWindow, RolloutPhase } from "../decision/index.ts";
 import type { LimitStatement, WindowCounts } from "../decision/index.ts";
 import type { FeedDelta, FeedObject } from "../interface/index.ts";
-import { NewsScope } from "./digest.ts";
+import { UpdateScope } from "./digest.ts";
 import type { Digest, InstanceNews, Introduction, Roster, WorkerUse } from "./digest.ts";
 import type { RolloutPlan } from "./rollout_plan.ts";
 
@@ -22,55 +22,59 @@
  * Number of unread prompt tokens per unit on the wire. Worker ranking ignores differences below
  * this, which a worker reads in about a millisecond.
  */
-const UNREAD_UNIT = 64;
+const UNREAD_TOKENS_PER_UNIT = 64;
 
 /** Maximum uptime on the wire in milliseconds: one hour. Longer uptimes are not distinguished. */
-const GREATEST_AGE = 3_600_000;
+const MAX_UPTIME = 3_600_000;
 
-const SCOPES: Readonly<Record<NewsScope, Scope>> = {
-  [NewsScope.None]: Scope.UNSPECIFIED,
-  [NewsScope.Own]: Scope.OWN,
-  [NewsScope.Group]: Scope.GROUP,
-  [NewsScope.Fleet]: Scope.FLEET,
+const SCOPES: Readonly<Record<UpdateScope, Scope>> = {
+  [UpdateScope.None]: Scope.UNSPECIFIED,
+  [UpdateScope.Own]: Scope.OWN,
+  [UpdateScope.Group]: Scope.GROUP,
+  [UpdateScope.Fleet]: Scope.FLEET,
 };
 
 /** Encodes a digest as the payload of a datagram. */
 export function encodeDigest(digest: Digest): Uint8Array {
-  const { session, sequence, ready, reachesStore, heard, introduction, news } = digest;
+  const { session, sequence, ready, reachesStore, acknowledged, introduction, update } = digest;
   const message = create(DigestSchema, {
     session,
     sequence,
     ready,
     reachesStore,
     leaseVersion: BigInt(digest.leaseVersion),
-    heardSession: heard?.session ?? 0,
-    heardSequence: heard?.sequence ?? 0,
+    heardSession: acknowledged?.session ?? 0,
+    heardSequence: acknowledged?.sequence ?? 0,
     ...(introduction === undefined ? {} : { introduction }),
-    ...(news === undefined ? {} : { news: encodeNews(news) }),
-    known: [...digest.known],
+    ...(update === undefined ? {} : { news: encodeUpdate(update) }),
+    known: [...digest.knownAddresses],
     scope: SCOPES[digest.scope],
-    wantsNews: digest.wantsNews,
-    countsReceiver: digest.countsReceiver,
-    storeReturned: digest.storeReturned,
+    wantsNews: digest.wantsUpdate,
+    countsReceiver: digest.includesReceiver,
+    storeReturned: digest.hasStoreReturned,
     current: digest.isCurrent,
     versions: [...digest.versions].map(([kind, version]) => ({ kind, version: BigInt(version) })),
     ...(digest.roster === undefined ? {} : { roster: encodeRoster(digest.roster) }),
-    feeds: digest.feeds.map(encodeFeed),
+    feeds: digest.feedDeltas.map(encodeFeed),
     plans: digest.plans.map(encodePlan),
     limits: digest.limits.map(encodeLimit),
   });
   return toBinary(DigestSchema, message);
 }
 
-function encodeRoster({ isWhole, there, gone }: Roster): Omit<wire.Roster, "$typeName"> {
+function encodeRoster({
+  isSnapshot,
+  live,
+  removedSessions,
+}: Roster): Omit<wire.Roster, "$typeName"> {
   return {
-    whole: isWhole,
-    there: there.map(({ session, ready, reachesStore, ...rest }) => {
+    whole: isSnapshot,
+    there: live.map(({ session, ready, reachesStore, ...rest }) => {
       const { name, zone, callers, peers, capacity } = rest;
       const introduction = create(IntroductionSchema, { name, zone, callers, peers, capacity });
       return create(RosterEntrySchema, { session, ready, reachesStore, introduction });
     }),
-    gone: [...gone],
+    gone: [...removedSessions],
   };
 }
 
@@ -133,20 +137,20 @@
   return JSON.stringify(value ?? null);
 }
 
-function encodeNews(news: InstanceNews): wire.News {
-  const use = [...news.use.values()];
+function encodeUpdate(update: InstanceNews): wire.News {
+  const counts = [...update.use.values()];
   return create(NewsSchema, {
-    whole: news.isWhole,
-    age: Math.min(GREATEST_AGE, Math.round(news.age)),
-    time: BigInt(Math.round(news.time)),
-    accounts: accountsOf(news),
-    window: BigInt(lastWindow(news)),
-    workers: [...news.use.keys()],
-    running: use.map(({ running }) => running),
-    unread: use.map(({ unreadTokens }) => Math.ceil(unreadTokens / UNREAD_UNIT)),
-    runs: use.map(({ runs }) => runs),
-    failures: use.map(({ failures }) => failures),
-    leaving: [...news.leaving],
+    whole: update.isWhole,
+    age: Math.min(MAX_UPTIME, Math.round(update.uptime)),
+    time: BigInt(Math.round(update.time)),
+    accounts: accountsOf(update),
+    window: BigInt(lastWindow(update)),
+    workers: [...update.use.keys()],
+    running: counts.map(({ running }) => running),
+    unread: counts.map(({ unreadTokens }) => Math.ceil(unreadTokens / UNREAD_TOKENS_PER_UNIT)),
+    runs: counts.map(({ runs }) => runs),
+    failures: counts.map(({ failures }) => failures),
+    leaving: [...update.leavingWorkers],
   });
 }
 
@@ -187,34 +191,34 @@
 
 function digestOf(message: wire.Digest): Digest | undefined {
   const { session, sequence, introduction, news, heardSession } = message;
-  if (session === 0 || (news !== undefined && !isEvenlyLong(news))) return undefined;
+  if (session === 0 || (news !== undefined && !hasEqualLengths(news))) return undefined;
   return {
     session,
     sequence,
     ready: message.ready,
     reachesStore: message.reachesStore,
     leaseVersion: Number(message.leaseVersion),
-    heard:
+    acknowledged:
       heardSession === 0 ? undefined : { session: heardSession, sequence: message.heardSequence },
     introduction: introduction === undefined ? undefined : decodeIntroduction(introduction),
     scope: scopeOf(message.scope),
-    news: news === undefined ? undefined : decodeNews(news),
-    wantsNews: message.wantsNews,
-    countsReceiver: message.countsReceiver,
-    storeReturned: message.storeReturned,
+    update: news === undefined ? undefined : decodeUpdate(news),
+    wantsUpdate: message.wantsNews,
+    includesReceiver: message.countsReceiver,
+    hasStoreReturned: message.storeReturned,
     isCurrent: message.current,
     versions: new Map(message.versions.map(({ kind, version }) => [kind, Number(version)])),
     roster: message.roster === undefined ? undefined : decodeRoster(message.roster),
-    feeds: message.feeds.map(decodeFeed),
+    feedDeltas: message.feeds.map(decodeFeed),
     plans: message.plans.map(decodePlan),
     limits: message.limits.map(decodeLimit),
-    known: message.known,
+    knownAddresses: message.known,
   };
 }
 
-function scopeOf(scope: Scope): NewsScope {
-  const found = Object.values(NewsScope).find((one) => SCOPES[one] === scope);
-  return found ?? NewsScope.None;
+function scopeOf(scope: Scope): UpdateScope {
+  const found = Object.values(UpdateScope).find((one) => SCOPES[one] === scope);
+  return found ?? UpdateScope.None;
 }
 
 function decodeIntroduction(introduction: wire.Introduction): Introduction {
@@ -222,15 +226,15 @@
   return { name, zone, callers, peers, capacity };
 }
 
-function decodeRoster({ whole, there, gone }: wire.Roster): Roster {
+function decodeRoster({ whole, there, gone: removedSessions }: wire.Roster): Roster {
   return {
-    isWhole: whole,
-    there: there.flatMap(({ session, ready, reachesStore, introduction }) =>
+    isSnapshot: whole,
+    live: there.flatMap(({ session, ready, reachesStore, introduction }) =>
       introduction === undefined
         ? []
         : [{ session, ready, reachesStore, ...decodeIntroduction(introduction) }],
     ),
-    gone,
+    removedSessions,
   };
 }
 
@@ -255,20 +259,20 @@
   };
 }
 
-function isEvenlyLong({ workers, running, unread, runs, failures }: wire.News): boolean {
+function hasEqualLengths({ workers, running, unread, runs, failures }: wire.News): boolean {
   return [running, unread, runs, failures].every(({ length }) => length === workers.length);
 }
 
-function decodeNews(news: wire.News): InstanceNews {
-  const use = (index: number): WorkerUse => ({
+function decodeUpdate(news: wire.News): InstanceNews {
+  const countsAt = (index: number): WorkerUse => ({
     running: news.running[index] ?? 0,
-    unreadTokens: (news.unread[index] ?? 0) * UNREAD_UNIT,
+    unreadTokens: (news.unread[index] ?? 0) * UNREAD_TOKENS_PER_UNIT,
     runs: news.runs[index] ?? 0,
     failures: news.failures[index] ?? 0,
   });
   return {
     isWhole: news.whole,
-    age: news.age,
+    uptime: news.age,
     time: Number(news.time),
     admitted: new Map(
       news.accounts
@@ -276,14 +280,14 @@
         .map(({ account, admitted }) => [account, Number(admitted)]),
     ),
     usage: decodeUsage(news),
-    use: new Map(news.workers.map((worker, index) => [worker, use(index)])),
-    leaving: news.leaving,
+    use: new Map(news.workers.map((worker, index) => [worker, countsAt(index)])),
+    leavingWorkers: news.leaving,
   };
 }
 
 function decodeUsage({ accounts, window: last }: wire.News): WindowCounts[] {
   const counts = accounts.flatMap(({ account, begun }) =>
-    begun.map((count, back) => ({ window: Number(last) - back, account, count })),
+    begun.map((count, offset) => ({ window: Number(last) - offset, account, count })),
   );
   return countsByWindow(counts.filter(({ count }) => count > 0));
 }
--- a/src/process/digest_codec_test.ts
+++ b/src/process/digest_codec_test.ts
@@ -2,16 +2,16 @@
 import { expect, test } from "vitest";
 import { RolloutPhase } from "../decision/index.ts";
 import { decodeDigest, encodeDigest } from "./digest_codec.ts";
-import { NewsScope } from "./digest.ts";
+import { UpdateScope } from "./digest.ts";
 import type { Digest, InstanceNews } from "./digest.ts";
 
 const COUNT = fc.integer({ min: 1, max: 2 ** 31 });
 const NAME = fc.string({ minLength: 1, maxLength: 20 });
 const SESSION = fc.integer({ min: 1, max: 2 ** 32 - 1 });
 
-const NEWS: fc.Arbitrary<InstanceNews> = fc.record({
+const UPDATE: fc.Arbitrary<InstanceNews> = fc.record({
   isWhole: fc.boolean(),
-  age: fc.nat(3_600_000),
+  uptime: fc.nat(3_600_000),
   time: fc.nat({ max: 2 ** 50 }),
   admitted: fc.array(fc.tuple(NAME, COUNT)).map((entries) => new Map(entries)),
   // Windows are consecutive and in ascending order.
@@ -31,7 +31,7 @@
       ),
     )
     .map((entries) => new Map(entries)),
-  leaving: fc.array(NAME),
+  leavingWorkers: fc.array(NAME),
 });
 
 const INTRODUCTION = fc.record({
@@ -42,8 +42,8 @@
   capacity: fc.nat(),
 });
 const ROSTER = fc.record({
-  isWhole: fc.boolean(),
-  there: fc.array(
+  isSnapshot: fc.boolean(),
+  live: fc.array(
     fc
       .tuple(
         INTRODUCTION,
@@ -51,7 +51,7 @@
       )
       .map(([introduction, state]) => ({ ...introduction, ...state })),
   ),
-  gone: fc.array(SESSION),
+  removedSessions: fc.array(SESSION),
 });
 const CHANGE = fc
   .tuple(NAME, fc.nat(), fc.option(fc.record({ zone: NAME, slots: fc.nat() }), { nil: undefined }))
@@ -59,7 +59,7 @@
     object: { name, version, value },
     removed: value === undefined,
   }));
-const FEED = fc.record({
+const FEED_DELTA = fc.record({
   kind: NAME,
   from: fc.nat(),
   to: fc.nat(),
@@ -73,7 +73,7 @@
   ready: fc.boolean(),
   reachesStore: fc.boolean(),
   leaseVersion: fc.nat(),
-  heard: fc.option(fc.record({ session: SESSION, sequence: fc.nat() }), { nil: undefined }),
+  acknowledged: fc.option(fc.record({ session: SESSION, sequence: fc.nat() }), { nil: undefined }),
   isCurrent: fc.boolean(),
   limits: fc.array(
     fc.record({
@@ -93,15 +93,15 @@
     }),
   ),
   versions: fc.array(fc.tuple(NAME, fc.nat())).map((entries) => new Map(entries)),
-  storeReturned: fc.boolean(),
+  hasStoreReturned: fc.boolean(),
   introduction: fc.option(INTRODUCTION, { nil: undefined }),
-  scope: fc.constantFrom(...Object.values(NewsScope)),
-  news: fc.option(NEWS, { nil: undefined }),
-  wantsNews: fc.boolean(),
-  countsReceiver: fc.boolean(),
+  scope: fc.constantFrom(...Object.values(UpdateScope)),
+  update: fc.option(UPDATE, { nil: undefined }),
+  wantsUpdate: fc.boolean(),
+  includesReceiver: fc.boolean(),
   roster: fc.option(ROSTER, { nil: undefined }),
-  feeds: fc.array(FEED),
-  known: fc.array(NAME),
+  feedDeltas: fc.array(FEED_DELTA),
+  knownAddresses: fc.array(NAME),
 });
 
 test("a decoded digest equals the encoded one", () => {
@@ -110,10 +110,10 @@
       const read = decodeDigest(encodeDigest(digest));
       const byWindow = (a: { window: number }, b: { window: number }): number =>
         a.window - b.window;
-      expect(read?.news?.usage.toSorted(byWindow)).toEqual(digest.news?.usage);
-      expect({ ...read, news: { ...read?.news, usage: [] } }).toEqual({
+      expect(read?.update?.usage.toSorted(byWindow)).toEqual(digest.update?.usage);
+      expect({ ...read, update: { ...read?.update, usage: [] } }).toEqual({
         ...digest,
-        news: { ...digest.news, usage: [] },
+        update: { ...digest.update, usage: [] },
       });
     }),
   );
@@ -134,7 +134,7 @@
       const read = decodeDigest(bytes);
       if (read === undefined) return;
       expect(read.session).toBeGreaterThan(0);
-      for (const { running } of read.news?.use.values() ?? []) {
+      for (const { running } of read.update?.use.values() ?? []) {
         expect(Number.isInteger(running)).toBe(true);
       }
     }),
@@ -147,9 +147,9 @@
   const [digest] = fc.sample(DIGEST, { numRuns: 1, seed: 1 });
   if (digest === undefined) throw new Error("fast-check returned no sample.");
   const change = { object: { name: "w", version: 3, value: undefined }, removed: false };
-  const feeds = [{ kind: "servers", from: 2, to: 3, changes: [change], age: 0 }];
-  const read = decodeDigest(encodeDigest({ ...digest, feeds }));
-  expect(read?.feeds[0]?.changes).toEqual([
+  const feedDeltas = [{ kind: "servers", from: 2, to: 3, changes: [change], age: 0 }];
+  const read = decodeDigest(encodeDigest({ ...digest, feedDeltas }));
+  expect(read?.feedDeltas[0]?.changes).toEqual([
     { object: { name: "w", version: 3, value: null }, removed: false },
   ]);
 });
--- a/src/process/digest_rounds.ts
+++ b/src/process/digest_rounds.ts
@@ -1,15 +1,15 @@
 import { sample } from "../decision/index.ts";
 import type { FeedDelta, Random } from "../interface/index.ts";
-import { NewsScope } from "./digest.ts";
+import { UpdateScope } from "./digest.ts";
 import type { Digest, InstanceNews, InstanceState, Introduction, Roster } from "./digest.ts";
 import type { FleetTable } from "./fleet_table.ts";
 import { FleetRole } from "./fleet_tree.ts";
-import type { NewsSources } from "./news_sources.ts";
-import { createOwnNews, REMEMBERED_ROUNDS } from "./own_news.ts";
-import type { OwnNews, OwnState } from "./own_news.ts";
+import type { UpdateSources } from "./news_sources.ts";
+import { createCountLog, RETAINED_ROUNDS } from "./own_news.ts";
+import type { CountLog, InstanceCounts } from "./own_news.ts";
 import { NEVER } from "./peer.ts";
 import type { Peer } from "./peer.ts";
-import { createRosterNews } from "./roster_news.ts";
+import { createRosterLog } from "./roster_news.ts";
 
 /** Builds the digests that this instance sends, round by round. */
 export interface DigestRounds {
@@ -26,7 +26,7 @@
    * Returns this instance's own counts as of the given round; undefined if they are no longer
    * retained.
    */
-  ownAt(round: number): OwnState | undefined;
+  ownCountsAt(round: number): InstanceCounts | undefined;
 }
 
 /** Dependencies of {@linkcode createDigestRounds}. */
@@ -35,103 +35,110 @@
   readonly introduction: Introduction;
   readonly session: number;
   readonly table: FleetTable;
-  readonly sources: () => Pick<NewsSources, "follows" | "counts">;
+  readonly sources: () => Pick<UpdateSources, "accepts" | "includes">;
   readonly state: () => InstanceState;
-  readonly news: (scope: NewsScope) => OwnState;
-  readonly moment: () => Pick<InstanceNews, "time" | "age">;
-  readonly feedsSince: (versions: ReadonlyMap<string, number>) => readonly FeedDelta[];
+  readonly counts: (scope: UpdateScope) => InstanceCounts;
+  readonly timestamps: () => Pick<InstanceNews, "time" | "uptime">;
+  readonly deltasSince: (versions: ReadonlyMap<string, number>) => readonly FeedDelta[];
 }
 
 /**
  * Maximum number of peer addresses to include in a digest. They are included together with an
  * introduction, and otherwise once every `FORWARD_INTERVAL` rounds.
  */
-const PASSED_ON = 8;
-const PASS_ON_EVERY = 16;
+const MAX_FORWARDED_ADDRESSES = 8;
+const FORWARD_INTERVAL = 16;
 /**
  * Number of rounds for which this instance's own counts are retained, so that they can be
  * subtracted from sums that include them.
  */
-const KEPT_ROUNDS = 32;
+const RETAINED_OWN_ROUNDS = 32;
 
 /** Creates the builder. No round has started yet. */
 export function createDigestRounds(parts: DigestRoundsParts): DigestRounds {
   const { random, introduction, session, table } = parts;
-  const news: Readonly<Record<Exclude<NewsScope, NewsScope.None>, OwnNews>> = {
-    [NewsScope.Own]: createOwnNews(),
-    [NewsScope.Group]: createOwnNews(),
-    [NewsScope.Fleet]: createOwnNews(),
+  const countLogs: Readonly<Record<Exclude<UpdateScope, UpdateScope.None>, CountLog>> = {
+    [UpdateScope.Own]: createCountLog(),
+    [UpdateScope.Group]: createCountLog(),
+    [UpdateScope.Fleet]: createCountLog(),
   };
-  const rosters = { zone: createRosterNews(), all: createRosterNews() };
-  const ownRounds = new Map<number, OwnState>();
+  const rosterLogs = { zone: createRosterLog(), all: createRosterLog() };
+  const ownCountsByRound = new Map<number, InstanceCounts>();
   let sequence = 0;
 
   /** Returns which counts a peer is sent. */
-  const scopeFor = ({ instance, address }: Peer): NewsScope => {
-    const { role } = table.tree;
-    if (role === FleetRole.Equal) return NewsScope.Own;
+  const scopeFor = ({ instance, address }: Peer): UpdateScope => {
+    const { role } = table.topology;
+    if (role === FleetRole.Mesh) return UpdateScope.Own;
     const isInZone = instance?.zone === introduction.zone;
     const isRelay = table.isRelay(address);
-    if (isInZone && isRelay) return NewsScope.Own;
-    if (role === FleetRole.Member) return NewsScope.None;
-    if (isInZone) return NewsScope.Fleet;
-    return isRelay ? NewsScope.Group : NewsScope.None;
+    if (isInZone && isRelay) return UpdateScope.Own;
+    if (role === FleetRole.Member) return UpdateScope.None;
+    if (isInZone) return UpdateScope.Fleet;
+    return isRelay ? UpdateScope.Group : UpdateScope.None;
   };
   /** Returns the round that a delta is based on; 0 if the peer must be sent a full snapshot. */
-  const buildsOn = (target: Peer, scope: NewsScope): number => {
-    const told = `${scope} ${target.wantsNews}`;
-    if (target.told !== told) {
+  const baseRoundOf = (target: Peer, scope: UpdateScope): number => {
+    const kind = `${scope} ${target.wantsUpdate}`;
+    if (target.updateKind !== kind) {
       // Acknowledgements so far were for updates of another scope.
-      target.told = told;
-      target.toldSince = sequence;
+      target.updateKind = kind;
+      target.updateKindSince = sequence;
     }
-    const { has, toldSince } = target;
-    return has < toldSince || has <= sequence - REMEMBERED_ROUNDS ? 0 : has;
+    const { acknowledgedRound, updateKindSince } = target;
+    return acknowledgedRound < updateKindSince || acknowledgedRound <= sequence - RETAINED_ROUNDS
+      ? 0
+      : acknowledgedRound;
   };
-  const rosterFor = ({ asks }: Peer, scope: NewsScope, from: number): Roster | undefined => {
-    if (table.tree.role === FleetRole.Equal || scope === NewsScope.Own) return undefined;
-    if (scope === NewsScope.None && !asks) return undefined;
-    return (scope === NewsScope.Group ? rosters.zone : rosters.all).since(from);
+  const rosterFor = (
+    { expectsDigest }: Peer,
+    scope: UpdateScope,
+    from: number,
+  ): Roster | undefined => {
+    if (table.topology.role === FleetRole.Mesh || scope === UpdateScope.Own) return undefined;
+    if (scope === UpdateScope.None && !expectsDigest) return undefined;
+    return (scope === UpdateScope.Group ? rosterLogs.zone : rosterLogs.all).since(from);
   };
   /**
    * Watchers send store changes to the relays, and relays to their zones. A relay that cannot reach
    * the store is sent the changes by all others.
    */
-  const feedsFor = ({ address, instance }: Peer, scope: NewsScope): readonly FeedDelta[] => {
+  const deltasFor = ({ address, instance }: Peer, scope: UpdateScope): readonly FeedDelta[] => {
     if (instance === undefined) return [];
     const follows = table.isWatcher(address)
       ? instance.reachesStore
       : !table.isWatcher(introduction.peers);
-    const isTold = scope === NewsScope.Fleet || (table.isRelay(address) && !follows);
-    return isTold ? parts.feedsSince(instance.versions) : [];
+    const canSendDeltas = scope === UpdateScope.Fleet || (table.isRelay(address) && !follows);
+    return canSendDeltas ? parts.deltasSince(instance.versions) : [];
   };
-  const passedOn = (target: Peer): string[] => {
-    if (target.knowsThis && sequence % PASS_ON_EVERY !== 0) return [];
-    const known = [...table.peers.values()].filter(({ heardAt }) => heardAt !== NEVER);
-    return sample(known, { count: PASSED_ON, random }).map(({ address }) => address);
+  const addressesFor = (target: Peer): string[] => {
+    if (target.hasOurSession && sequence % FORWARD_INTERVAL !== 0) return [];
+    const known = [...table.peers.values()].filter(({ receivedAt }) => receivedAt !== NEVER);
+    return sample(known, { count: MAX_FORWARDED_ADDRESSES, random }).map(({ address }) => address);
   };
   const digestFor = (target: Peer, state: InstanceState): Digest => {
-    const { session: theirs, newsSequence, knowsThis, wantsNews } = target;
+    const { session: peerSession, updateSequence, hasOurSession, wantsUpdate } = target;
     const scope = scopeFor(target);
-    const from = buildsOn(target, scope);
-    const isTold = knowsThis && scope !== NewsScope.None && wantsNews;
-    const told = isTold ? news[scope].since(from) : undefined;
-    const roster = knowsThis ? rosterFor(target, scope, from) : undefined;
+    const from = baseRoundOf(target, scope);
+    const canSendUpdate = hasOurSession && scope !== UpdateScope.None && wantsUpdate;
+    const update = canSendUpdate ? countLogs[scope].since(from) : undefined;
+    const roster = hasOurSession ? rosterFor(target, scope, from) : undefined;
     // An instance that addresses this one as a relay by mistake gets one reply per digest.
-    if (scope === NewsScope.None) target.asks = false;
+    if (scope === UpdateScope.None) target.expectsDigest = false;
     return {
       session,
       sequence,
       ...state,
-      heard: theirs === 0 ? undefined : { session: theirs, sequence: newsSequence },
-      introduction: knowsThis ? undefined : introduction,
+      acknowledged:
+        peerSession === 0 ? undefined : { session: peerSession, sequence: updateSequence },
+      introduction: hasOurSession ? undefined : introduction,
       scope,
-      news: told === undefined ? undefined : { ...told, ...parts.moment() },
-      wantsNews: parts.sources().follows(target),
-      countsReceiver: scope === NewsScope.Fleet && parts.sources().counts(target),
+      update: update === undefined ? undefined : { ...update, ...parts.timestamps() },
+      wantsUpdate: parts.sources().accepts(target),
+      includesReceiver: scope === UpdateScope.Fleet && parts.sources().includes(target),
       roster,
-      feeds: feedsFor(target, scope),
-      known: passedOn(target),
+      feedDeltas: deltasFor(target, scope),
+      knownAddresses: addressesFor(target),
     };
   };
   return {
@@ -140,26 +147,26 @@
       const scopes = new Set(targets.map(scopeFor));
       // Runs even without targets, since the quota that may be admitted before the next report
       // depends on it.
-      const own = parts.news(NewsScope.Own);
-      news[NewsScope.Own].note(own, sequence);
-      ownRounds.set(sequence, { ...own, admitted: new Map(own.admitted) });
-      for (const round of ownRounds.keys()) {
-        if (round <= sequence - KEPT_ROUNDS) ownRounds.delete(round);
+      const own = parts.counts(UpdateScope.Own);
+      countLogs[UpdateScope.Own].record(own, sequence);
+      ownCountsByRound.set(sequence, { ...own, admitted: new Map(own.admitted) });
+      for (const round of ownCountsByRound.keys()) {
+        if (round <= sequence - RETAINED_OWN_ROUNDS) ownCountsByRound.delete(round);
       }
-      for (const scope of [NewsScope.Group, NewsScope.Fleet] as const) {
-        if (scopes.has(scope)) news[scope].note(parts.news(scope), sequence);
+      for (const scope of [UpdateScope.Group, UpdateScope.Fleet] as const) {
+        if (scopes.has(scope)) countLogs[scope].record(parts.counts(scope), sequence);
       }
-      if (table.tree.role === FleetRole.Equal) return;
+      if (table.topology.role === FleetRole.Mesh) return;
       // Reports from relays about a zone are not forwarded to other zones.
-      const zone = table.heard().filter((one) => one.zone === introduction.zone);
-      rosters.zone.note(zone, sequence);
-      rosters.all.note(table.live({ onlyFirm: true }), sequence);
+      const zone = table.directPeers().filter((one) => one.zone === introduction.zone);
+      rosterLogs.zone.record(zone, sequence);
+      rosterLogs.all.record(table.live({ onlyAuthoritative: true }), sequence);
     },
     answer: (target) => {
       sequence++;
       return digestFor(target, parts.state());
     },
     digestFor,
-    ownAt: (round) => ownRounds.get(round),
+    ownCountsAt: (round) => ownCountsByRound.get(round),
   };
 }
--- a/src/process/feed_follower.ts
+++ b/src/process/feed_follower.ts
@@ -10,7 +10,7 @@
 } from "../interface/index.ts";
 
 /** The source from which an instance received a change. */
-export enum ChangeWay {
+export enum ChangeSource {
   /** A list or watch response of the store. */
   Store = "store",
   /** Another instance's digest. */
@@ -21,7 +21,7 @@
 
 /** How and how late changes arrived. */
 export interface ChangeArrival {
-  readonly way: ChangeWay;
+  readonly source: ChangeSource;
   /**
    * Milliseconds since the first instance received the oldest of the changes; 0 if this instance
    * was the first.
@@ -41,7 +41,7 @@
   /** Store version of the last known change; 0 until the first list arrives. */
   readonly changedAt: number;
   /** Whether the store answered the most recent call. */
-  readonly isAnswered: boolean;
+  readonly isStoreAnswering: boolean;
   /**
    * Milliseconds since the first instance received the last change; undefined until the first list
    * arrives.
@@ -50,12 +50,12 @@
   /** When the store last answered, in milliseconds of `clock`; undefined if it never has. */
   readonly answeredAt: number | undefined;
   /** Applies a list from another instance unless it is older than what is known. */
-  adopt(list: FeedList): void;
+  applyList(list: FeedList): void;
   /**
    * Applies changes from another instance. A delta that starts after the last known change is
    * ignored, because there would be a gap.
    */
-  adoptChanges(delta: FeedDelta): void;
+  applyDelta(delta: FeedDelta): void;
   /**
    * Returns the changes after a store version; undefined if there are none or if they are no longer
    * retained.
@@ -88,7 +88,7 @@
   /** Called after objects have changed. */
   readonly onChange: (changes: readonly FeedChange[], arrival: ChangeArrival) => void;
   /** Called when the store starts or stops answering. */
-  readonly onReach: (reached: boolean, detail: string) => void;
+  readonly onReachabilityChange: (reached: boolean, detail: string) => void;
 }
 
 /**
@@ -97,37 +97,37 @@
  * change informs the others, so even if all connections go silent at once, a change is delayed only
  * until the first timeout. Shorter timeouts cost more calls.
  */
-const WATCH_WAIT = { least: 3_000, most: 10_000 };
+const WATCH_TIMEOUT = { least: 3_000, most: 10_000 };
 /**
  * Range of the watch timeout in milliseconds where a few instances watch the store for hundreds.
  * They detect a silent connection sooner, and with few watchers the additional calls are few.
  */
-const FEEDING_WAIT = { least: 1_500, most: 2_500 };
+const FEEDER_WATCH_TIMEOUT = { least: 1_500, most: 2_500 };
 /**
  * Watch timeout in milliseconds after a failed call. A request sent to a silent store is never
  * answered, even after the store recovers; with a long timeout, the instance would miss changes in
  * the first seconds after the recovery.
  */
-const PROBE_WAIT = 400;
+const RETRY_WATCH_TIMEOUT = 400;
 /**
  * Milliseconds between a change and the next watch. Changes come in bursts, and every watch
  * response costs a call.
  */
-const GROUP_TIME = 120;
+const BATCH_DELAY = 120;
 /** Minimum and maximum of the exponential backoff after failed calls, in milliseconds. */
-const FIRST_PAUSE = 100;
-const LONGEST_PAUSE = 800;
+const MIN_BACKOFF = 100;
+const MAX_BACKOFF = 800;
 /** Milliseconds between checks whether the store must be queried. */
-const IDLE_LOOK = 100;
+const IDLE_POLL_INTERVAL = 100;
 /** Maximum number of batches of changes retained for other instances. */
-const REMEMBERED_GROUPS = 64;
+const MAX_RETAINED_BATCHES = 64;
 
-const FROM_STORE: ChangeArrival = { way: ChangeWay.Store, age: 0, isFirst: false };
+const FROM_STORE: ChangeArrival = { source: ChangeSource.Store, age: 0, isFirst: false };
 
 /** Changes that arrived together. */
-interface Remembered extends Pick<FeedDelta, "from" | "to" | "changes"> {
+interface ChangeBatch extends Pick<FeedDelta, "from" | "to" | "changes"> {
   /** When the first instance received them, in milliseconds of the local clock. */
-  readonly firstHeardAt: number;
+  readonly firstReceivedAt: number;
 }
 
 /** Creates a follower without any objects. */
@@ -138,75 +138,83 @@
   let version = 0;
   let changedAt = 0;
   let answeredAt: number | undefined;
-  let isReached: boolean | undefined;
+  let hasReachedStore: boolean | undefined;
   let failures = 0;
-  let mustList = true;
+  let isListNeeded = true;
   /** The most recent batches of changes; each starts at the version where the previous one ends. */
-  const remembered: Remembered[] = [];
+  const batches: ChangeBatch[] = [];
   /** When the first instance received the last change, in milliseconds of the local clock. */
-  let firstHeardAt: number | undefined;
+  let firstReceivedAt: number | undefined;
   let closed = false;
   const isClosed = (): boolean => closed;
 
-  const reach = (reached: boolean, detail: string): void => {
-    if (reached === isReached) return;
-    isReached = reached;
-    parts.onReach(reached, detail);
+  const updateReachability = (reached: boolean, detail: string): void => {
+    if (reached === hasReachedStore) return;
+    hasReachedStore = reached;
+    parts.onReachabilityChange(reached, detail);
   };
-  const changed = (to: number, changes: readonly FeedChange[], arrival: ChangeArrival): void => {
-    firstHeardAt = clock.now() - arrival.age;
-    if (to > changedAt) remembered.push({ from: changedAt, to, changes, firstHeardAt });
-    if (remembered.length > REMEMBERED_GROUPS) remembered.shift();
+  const recordChanges = (
+    to: number,
+    changes: readonly FeedChange[],
+    arrival: ChangeArrival,
+  ): void => {
+    firstReceivedAt = clock.now() - arrival.age;
+    if (to > changedAt) batches.push({ from: changedAt, to, changes, firstReceivedAt });
+    if (batches.length > MAX_RETAINED_BATCHES) batches.shift();
     changedAt = to;
     if (changes.length > 0) parts.onChange(changes, arrival);
   };
   const apply = (changes: readonly FeedChange[]): FeedChange[] => {
-    const later = changes.filter(({ object }) => !isOlder(object, objects));
-    for (const { object, removed } of later) {
+    const newer = changes.filter(({ object }) => !isOlder(object, objects));
+    for (const { object, removed } of newer) {
       if (removed) objects.delete(object.name);
       else objects.set(object.name, object);
     }
-    return later;
+    return newer;
   };
-  const take = (found: FeedList, from: ChangeArrival): void => {
+  const replaceObjects = (found: FeedList, from: ChangeArrival): void => {
     // A list older than the known version would restore removed objects.
     if (found.version < version) return;
-    const before = objects;
+    const previous = objects;
     const arrival = { ...from, isFirst: version === 0 };
     objects = new Map(found.objects.map((object) => [object.name, object]));
     version = found.version;
-    const changes = differences(before, objects);
+    const changes = differences(previous, objects);
     if (changes.length === 0) {
       if (found.changedAt !== undefined) {
-        changed(Math.max(changedAt, found.changedAt), [], arrival);
+        recordChanges(Math.max(changedAt, found.changedAt), [], arrival);
       }
       return;
     }
     const latest = found.objects.reduce((most, object) => Math.max(most, object.version), 0);
     const isRemoval = changes.some(({ removed }) => removed);
     const at = found.changedAt ?? (isRemoval ? found.version : latest);
-    changed(Math.max(changedAt, at), changes, arrival);
+    recordChanges(Math.max(changedAt, at), changes, arrival);
   };
-  const adopt = (found: FeedList): void =>
-    take(found, { way: ChangeWay.Fetch, age: found.age ?? 0, isFirst: false });
-  const adoptChanges = (delta: FeedDelta): void => {
-    if (delta.from > changedAt || delta.to <= changedAt || mustList) return;
+  const applyList = (found: FeedList): void =>
+    replaceObjects(found, { source: ChangeSource.Fetch, age: found.age ?? 0, isFirst: false });
+  const applyDelta = (delta: FeedDelta): void => {
+    if (delta.from > changedAt || delta.to <= changedAt || isListNeeded) return;
     // The store has already returned a later version, so the delta contains nothing new.
     const isKnown = delta.to <= version;
     const changes = isKnown ? [] : apply(delta.changes);
     version = Math.max(version, delta.to);
-    changed(delta.to, changes, { way: ChangeWay.Digest, age: delta.age, isFirst: false });
+    recordChanges(delta.to, changes, {
+      source: ChangeSource.Digest,
+      age: delta.age,
+      isFirst: false,
+    });
   };
   const list = async (): Promise<void> => {
-    take(await feed.listKind(kind), FROM_STORE);
-    mustList = false;
+    replaceObjects(await feed.listKind(kind), FROM_STORE);
+    isListNeeded = false;
   };
   const watch = async (): Promise<void> => {
-    const { least, most } = feedsOthers() ? FEEDING_WAIT : WATCH_WAIT;
-    const wait = failures > 0 ? PROBE_WAIT : least + random.next() * (most - least);
+    const { least, most } = feedsOthers() ? FEEDER_WATCH_TIMEOUT : WATCH_TIMEOUT;
+    const wait = failures > 0 ? RETRY_WATCH_TIMEOUT : least + random.next() * (most - least);
     const outcome = await feed.watchKind(kind, version, wait);
     if (outcome.kind === "history-lost") {
-      mustList = true;
+      isListNeeded = true;
       return;
     }
     // A newer list may have been applied while the watch was pending.
@@ -214,27 +222,27 @@
     const changes = apply(outcome.changes);
     version = outcome.version;
     if (changes.length === 0) return;
-    changed(version, changes, FROM_STORE);
-    await sleep(clock, GROUP_TIME);
+    recordChanges(version, changes, FROM_STORE);
+    await sleep(clock, BATCH_DELAY);
   };
   const run = async (): Promise<void> => {
     while (!isClosed()) {
-      if (!mustList && !isNeeded()) {
-        await sleep(clock, IDLE_LOOK);
+      if (!isListNeeded && !isNeeded()) {
+        await sleep(clock, IDLE_POLL_INTERVAL);
         continue;
       }
       try {
-        await (mustList ? list() : watch());
+        await (isListNeeded ? list() : watch());
         failures = 0;
-        reach(true, "");
+        updateReachability(true, "");
         answeredAt = clock.now();
       } catch (error) {
         // An error caused by closing this follower is not a failure of the store.
         if (isClosed()) return;
-        reach(false, String(error));
+        updateReachability(false, String(error));
         failures++;
-        const bound = Math.min(LONGEST_PAUSE, FIRST_PAUSE * 2 ** failures);
-        await sleep(clock, bound * (0.5 + 0.5 * random.next()));
+        const maxDelay = Math.min(MAX_BACKOFF, MIN_BACKOFF * 2 ** failures);
+        await sleep(clock, maxDelay * (0.5 + 0.5 * random.next()));
       }
     }
   };
@@ -249,29 +257,29 @@
     get changedAt() {
       return changedAt;
     },
-    get isAnswered() {
-      return isReached === true;
+    get isStoreAnswering() {
+      return hasReachedStore === true;
     },
     get age() {
-      return firstHeardAt === undefined ? undefined : clock.now() - firstHeardAt;
+      return firstReceivedAt === undefined ? undefined : clock.now() - firstReceivedAt;
     },
     get answeredAt() {
       return answeredAt;
     },
-    adopt,
-    adoptChanges,
+    applyList,
+    applyDelta,
     changesSince: (since, fits = () => true) => {
-      const first = remembered.findIndex(({ to }) => to > since);
-      const oldest = remembered[first];
+      const first = batches.findIndex(({ to }) => to > since);
+      const oldest = batches[first];
       if (oldest === undefined || oldest.from > since) return undefined;
       const changes: FeedChange[] = [];
       let to = since;
-      for (const group of remembered.slice(first)) {
-        if (!fits(group.changes)) break;
-        changes.push(...group.changes);
-        to = group.to;
+      for (const batch of batches.slice(first)) {
+        if (!fits(batch.changes)) break;
+        changes.push(...batch.changes);
+        to = batch.to;
       }
-      const age = clock.now() - oldest.firstHeardAt;
+      const age = clock.now() - oldest.firstReceivedAt;
       return to === since ? undefined : { kind, from: since, to, changes, age };
     },
     start: () => void run(),
--- a/src/process/feed_follower_test.ts
+++ b/src/process/feed_follower_test.ts
@@ -63,7 +63,7 @@
     random: createSeededRandom(1),
     feed: store,
     onChange: () => undefined,
-    onReach: (now) => reached.push(now),
+    onReachabilityChange: (now) => reached.push(now),
   });
   follower.start();
   await clock.advance(1);
@@ -102,7 +102,7 @@
 // peer.
 test("an older response of the store doesn't override a peer's list", async () => {
   const { clock, store, names, follower } = await follow([object("a", 3)]);
-  follower.adopt({ objects: [object("a", 15), object("c", 16)], version: 17 });
+  follower.applyList({ objects: [object("a", 15), object("c", 16)], version: 17 });
   store.answer({
     kind: "changed",
     version: 14,
@@ -115,7 +115,7 @@
 
 test("an older list is ignored", async () => {
   const { follower, names } = await follow([object("a", 3)]);
-  follower.adopt({ objects: [], version: 9 });
+  follower.applyList({ objects: [], version: 9 });
   expect(names()).toEqual(["a"]);
 });
 
@@ -150,15 +150,15 @@
 test("a forwarded delta is applied only if it leaves no gap", async () => {
   const { follower, names } = await follow([object("a", 3)]);
   const added = { object: object("b", 12), removed: false };
-  follower.adoptChanges({ kind: "k", from: 11, to: 12, changes: [added], age: 0 });
+  follower.applyDelta({ kind: "k", from: 11, to: 12, changes: [added], age: 0 });
   expect(names()).toEqual(["a"]);
-  follower.adoptChanges({ kind: "k", from: 3, to: 12, changes: [added], age: 0 });
+  follower.applyDelta({ kind: "k", from: 3, to: 12, changes: [added], age: 0 });
   expect(names()).toEqual(["a", "b"]);
   expect(follower.changedAt).toBe(12);
   const removed = { object: object("a", 14), removed: true };
-  follower.adoptChanges({ kind: "k", from: 3, to: 14, changes: [added, removed], age: 0 });
+  follower.applyDelta({ kind: "k", from: 3, to: 14, changes: [added, removed], age: 0 });
   expect(names()).toEqual(["b"]);
-  follower.adoptChanges({ kind: "k", from: 3, to: 12, changes: [added], age: 0 });
+  follower.applyDelta({ kind: "k", from: 3, to: 12, changes: [added], age: 0 });
   expect(follower.changedAt).toBe(14);
 });
 
@@ -207,7 +207,7 @@
   store.answer({ kind: "changed", changes, version: 11 });
   await clock.advance(150);
   expect(follower.changesSince(10)?.age).toBe(150);
-  follower.adoptChanges({ kind: "k", from: 11, to: 12, changes: [], age: 400 });
+  follower.applyDelta({ kind: "k", from: 11, to: 12, changes: [], age: 400 });
   await clock.advance(50);
   expect(follower.changesSince(11)?.age).toBe(450);
   expect(follower.age).toBe(450);
@@ -225,7 +225,7 @@
     feed: store,
     isNeeded: () => isNeeded,
     onChange: () => undefined,
-    onReach: () => undefined,
+    onReachabilityChange: () => undefined,
   });
   follower.start();
   await clock.advance(1_000);
--- a/src/process/fleet_news.ts
+++ b/src/process/fleet_news.ts
@@ -9,13 +9,13 @@
 } from "../decision/index.ts";
 import type { Clock, FeedChange, FeedDelta, FeedObject, Random } from "../interface/index.ts";
 import { objectText } from "./digest_codec.ts";
-import { NewsScope } from "./digest.ts";
+import { UpdateScope } from "./digest.ts";
 import type { Digest, InstanceNews, InstanceState, WorkerUse } from "./digest.ts";
 import type { FeedFollower } from "./feed_follower.ts";
 import { FleetRole } from "./fleet_tree.ts";
 import { createGroupTotals } from "./group_totals.ts";
-import type { NewsSource } from "./news_sources.ts";
-import type { OwnState } from "./own_news.ts";
+import type { UpdateSource } from "./news_sources.ts";
+import type { InstanceCounts } from "./own_news.ts";
 import { incarnationOf } from "./peer.ts";
 import type { PeerInstance } from "./peer.ts";
 import { createPeerExchange } from "./peer_exchange.ts";
@@ -26,7 +26,7 @@
 import type { RoutedSettings } from "./routed_settings.ts";
 
 /** Synchronizes counts, quotas and store changes with the other instances through digests. */
-export interface FleetNews extends Omit<PeerExchange, "sources"> {
+export interface FleetSync extends Omit<PeerExchange, "sources"> {
   /** Identifies this process: the instance's name and the session. */
   readonly incarnation: string;
   /** Whether other instances forward store changes to this one. */
@@ -44,7 +44,7 @@
 }
 
 /** Dependencies of the synchronization. */
-export interface FleetNewsParts {
+export interface FleetSyncParts {
   readonly settings: RoutedSettings;
   readonly clock: Clock;
   readonly random: Random;
@@ -68,78 +68,79 @@
  * Number of usage windows sent to other instances: those still growing or not reported yet, with a
  * margin for differences between clocks.
  */
-const TOLD_WINDOWS = 4;
+const SENT_WINDOWS = 4;
 /** Exclusive upper bound of the session number, which has 32 bits. */
-const GREATEST_SESSION = 2 ** 32;
+const SESSION_RANGE = 2 ** 32;
 /** Milliseconds without a digest after which a feeding relay no longer counts: three digests. */
-const FED_TIME = 800;
+const FEEDER_TIMEOUT = 800;
 /**
  * Maximum number of store changes, and of JSON characters in them, in one digest; far below the
  * maximum datagram size. Remaining changes go into the next digest; a single change that exceeds
  * the limit is fetched.
  */
-const MOST_CHANGES = 128;
-const MOST_CHANGE_TEXT = 24_000;
+const MAX_CHANGES = 128;
+const MAX_CHANGE_CHARACTERS = 24_000;
 /** Uptime in milliseconds below which a process cannot have counts that the others already know. */
-const NEW_AGE = 3_000;
+const MAX_NEW_UPTIME = 3_000;
 /** Maximum number of instances logged by name; above it only their number is logged. */
-const LOGGED_NAMES = 16;
+const MAX_LOGGED_NAMES = 16;
 
 /** Creates the synchronization. Nothing is sent before it is started. */
-export function createFleetNews(parts: FleetNewsParts): FleetNews {
+export function createFleetNews(parts: FleetSyncParts): FleetSync {
   const { settings, clock, random, log, feeds, time, quota, ledger, health, board } = parts;
-  const session = randomInt(1, GREATEST_SESSION);
+  const session = randomInt(1, SESSION_RANGE);
   const startedAt = clock.now();
   /** Sums over the instances that this one receives from directly, and over all instances. */
   const totals = { group: createGroupTotals(), fleet: createGroupTotals() };
 
-  const ownState = (): OwnState => ({
+  const collectOwnCounts = (): InstanceCounts => ({
     admitted: quota.tell(clock.now()),
-    usage: ledger.own().slice(-TOLD_WINDOWS),
+    usage: ledger.own().slice(-SENT_WINDOWS),
     use: board.use(),
-    leaving: board.leaving(),
+    leavingWorkers: board.leaving(),
   });
   /** Counts of all other instances as last received from a relay, if this instance is a member. */
-  let told: ReadonlyMap<number, WorkerUse> = new Map();
-  let logged = "";
-  let own: OwnState | undefined;
-  const newsOf = (scope: NewsScope): OwnState => {
+  let relayedCounts: ReadonlyMap<number, WorkerUse> = new Map();
+  let lastLogged = "";
+  let own: InstanceCounts | undefined;
+  const countsOf = (scope: UpdateScope): InstanceCounts => {
     // A round starts with this instance's own counts, so that the sums describe the same moment.
-    if (scope === NewsScope.Own || own === undefined) return (own = ownState());
-    if (scope === NewsScope.Fleet) return { ...own, ...totals.fleet.with(own), usage: [] };
-    const usage = ledger.group().slice(-TOLD_WINDOWS);
-    return { ...own, ...totals.group.with(own), usage };
+    if (scope === UpdateScope.Own || own === undefined) return (own = collectOwnCounts());
+    if (scope === UpdateScope.Fleet) return { ...own, ...totals.fleet.plus(own), usage: [] };
+    const usage = ledger.group().slice(-SENT_WINDOWS);
+    return { ...own, ...totals.group.plus(own), usage };
   };
-  const onNews = ({ id, subject, scope }: NewsSource, news: InstanceNews): void => {
+  const onUpdate = ({ id, subject, scope }: UpdateSource, update: InstanceNews): void => {
     const now = clock.now();
-    quota.heard(id, { admitted: news.admitted, age: news.age });
-    board.heard(id, news);
-    health.heard(id, news.use, now);
-    board.heardLeaving(news.leaving);
-    if (scope === NewsScope.Group) ledger.heardGroup(subject, news.usage);
-    else ledger.heard(subject, news.usage);
-    if (scope === NewsScope.Fleet) told = news.use;
+    quota.heard(id, { admitted: update.admitted, age: update.uptime });
+    board.heard(id, update);
+    health.heard(id, update.use, now);
+    board.heardLeaving(update.leavingWorkers);
+    if (scope === UpdateScope.Group) ledger.heardGroup(subject, update.usage);
+    else ledger.heard(subject, update.usage);
+    if (scope === UpdateScope.Fleet) relayedCounts = update.use;
     if (exchange.role === FleetRole.Member) return;
-    const isNew = news.age < NEW_AGE;
-    totals.fleet.heard(id, news, isNew);
-    if (exchange.role === FleetRole.Relay && scope === NewsScope.Own)
-      totals.group.heard(id, news, isNew);
+    const isNew = update.uptime < MAX_NEW_UPTIME;
+    totals.fleet.receive(id, update, isNew);
+    if (exchange.role === FleetRole.Relay && scope === UpdateScope.Own)
+      totals.group.receive(id, update, isNew);
   };
-  const onHeard = (peer: PeerInstance, digest: Digest): void => {
-    if (digest.news !== undefined) {
-      time.heard(peer.incarnation, { time: digest.news.time, steady: clock.now() });
+  const onDigest = (peer: PeerInstance, digest: Digest): void => {
+    if (digest.update !== undefined) {
+      time.heard(peer.incarnation, { time: digest.update.time, steady: clock.now() });
     }
     parts.onHeard(peer);
-    for (const delta of digest.feeds) feeds.get(delta.kind)?.adoptChanges(delta);
+    for (const delta of digest.feedDeltas) feeds.get(delta.kind)?.applyDelta(delta);
     parts.onTold(peer);
   };
-  const feedsSince = (versions: ReadonlyMap<string, number>): FeedDelta[] =>
+  const deltasSince = (versions: ReadonlyMap<string, number>): FeedDelta[] =>
     [...feeds].flatMap(([kind, feed]) => {
       const known = versions.get(kind) ?? 0;
-      const delta = known < feed.changedAt ? feed.changesSince(known, createRoom()) : undefined;
+      const delta =
+        known < feed.changedAt ? feed.changesSince(known, createDeltaBudget()) : undefined;
       return delta === undefined ? [] : [delta];
     });
-  const onMembers = (): void => {
+  const updateMembers = (): void => {
     const live = exchange.live();
     const count = exchange.members;
     parts.repeats.setMembers(count);
@@ -147,13 +148,13 @@
     const sources = exchange.sources();
     board.keepInstances(sources);
     health.keepInstances(sources);
-    for (const sums of [totals.group, totals.fleet]) sums.keepSources(sources);
+    for (const sums of [totals.group, totals.fleet]) sums.retainSources(sources);
     const names = live.map(({ name, ready }) => `${name}${ready ? "" : "-"}`).sort();
-    const heard = names.length > LOGGED_NAMES ? names.length : names.join(" ");
+    const heard = names.length > MAX_LOGGED_NAMES ? names.length : names.join(" ");
     const line = { expected: count, heard, role: exchange.role };
     const text = JSON.stringify(line);
-    if (text !== logged) log.changed("members", line);
-    logged = text;
+    if (text !== lastLogged) log.changed("members", line);
+    lastLogged = text;
   };
   const exchange = createPeerExchange({
     clock,
@@ -174,37 +175,37 @@
         versions: new Map([...feeds].map(([kind, feed]) => [kind, feed.changedAt])),
       };
     },
-    news: newsOf,
-    moment: () => ({ time: time.now(clock.now()), age: clock.now() - startedAt }),
-    feedsSince,
-    onHeard,
-    onNews,
-    onRole: () => ledger.forgetOthers(),
-    onChange: () => onMembers(),
+    counts: countsOf,
+    timestamps: () => ({ time: time.now(clock.now()), uptime: clock.now() - startedAt }),
+    deltasSince,
+    onDigest,
+    onUpdate,
+    onRoleChange: () => ledger.forgetOthers(),
+    onChange: () => updateMembers(),
     onFault: (detail) => log.fault("digest", { detail }),
     open: parts.open,
   });
   const isFed = (): boolean => {
-    const from = clock.now() - FED_TIME;
+    const from = clock.now() - FEEDER_TIMEOUT;
     return exchange.feeders().some(({ heardAt }) => heardAt >= from);
   };
   return Object.assign(exchange, {
     incarnation: incarnationOf(settings.name, session),
     isFed,
-    sums: () => totals.fleet.with({ admitted: new Map(), use: board.use() }).use,
+    sums: () => totals.fleet.plus({ admitted: new Map(), use: board.use() }).use,
     sumOf: (key: number) =>
-      exchange.role === FleetRole.Member ? told.get(key) : totals.fleet.useOf(key),
+      exchange.role === FleetRole.Member ? relayedCounts.get(key) : totals.fleet.countsOf(key),
   });
 }
 
 /** Creates a function that reports whether a further batch of changes still fits into a digest. */
-function createRoom(): (group: readonly FeedChange[]) => boolean {
+function createDeltaBudget(): (group: readonly FeedChange[]) => boolean {
   let count = 0;
   let characters = 0;
-  return (group) => {
-    count += group.length;
-    for (const { object, removed } of group) if (!removed) characters += sizeOf(object);
-    return count <= MOST_CHANGES && characters <= MOST_CHANGE_TEXT;
+  return (batch) => {
+    count += batch.length;
+    for (const { object, removed } of batch) if (!removed) characters += sizeOf(object);
+    return count <= MAX_CHANGES && characters <= MAX_CHANGE_CHARACTERS;
   };
 }
 
--- a/src/process/fleet_news_test.ts
+++ b/src/process/fleet_news_test.ts
@@ -1,17 +1,17 @@
 import { afterEach, expect, test, vi } from "vitest";
 import { createSeededRandom } from "../interface/index.ts";
 import { FleetRole } from "./fleet_tree.ts";
-import { NEWS_SERVICE, NEWS_WINDOW, startNewsFleet } from "./testing/news_fleet.ts";
+import { NEWS_SERVICE, FLEET_WINDOW, startNewsFleet } from "./testing/news_fleet.ts";
 import type { NewsFleet, NewsMember } from "./testing/news_fleet.ts";
 
 const ACCOUNT = "club";
 const WORKERS = 8;
 
 /** Number of runs that each instance has started at every worker. */
-const begun = new Map<NewsMember, number>();
+const startedRuns = new Map<NewsMember, number>();
 const closers: (() => void)[] = [];
 afterEach(() => {
-  begun.clear();
+  startedRuns.clear();
   for (const close of closers.splice(0)) close();
 });
 
@@ -23,24 +23,24 @@
 }
 
 /** Starts one run at each worker. */
-function begin(fleet: NewsFleet, member: NewsMember): void {
+function startRuns(fleet: NewsFleet, member: NewsMember): void {
   for (let worker = 0; worker < WORKERS; worker++)
     fleet.begin(member, { worker, account: ACCOUNT });
-  begun.set(member, (begun.get(member) ?? 0) + 1);
+  startedRuns.set(member, (startedRuns.get(member) ?? 0) + 1);
 }
 
-function running({ board }: NewsMember): number[] {
+function runningCounts({ board }: NewsMember): number[] {
   return board.loads(NEWS_SERVICE).map((load) => load.running);
 }
 
 function expected(members: readonly NewsMember[]): number[] {
-  const all = members.reduce((sum, one) => sum + (one.isLive ? (begun.get(one) ?? 0) : 0), 0);
+  const all = members.reduce((sum, one) => sum + (one.isLive ? (startedRuns.get(one) ?? 0) : 0), 0);
   return Array.from({ length: WORKERS }, () => all);
 }
 
 /** Returns the total number of runs ever started. */
-function counted(members: readonly NewsMember[]): number {
-  return WORKERS * members.reduce((sum, one) => sum + (begun.get(one) ?? 0), 0);
+function totalRuns(members: readonly NewsMember[]): number {
+  return WORKERS * members.reduce((sum, one) => sum + (startedRuns.get(one) ?? 0), 0);
 }
 
 function relaysOf(members: readonly NewsMember[]): NewsMember[] {
@@ -62,7 +62,7 @@
 }
 
 /** Returns how many instances have each value of a store object. */
-function known({ members }: NewsFleet, name: string): Map<unknown, number> {
+function countByValue({ members }: NewsFleet, name: string): Map<unknown, number> {
   const counts = new Map<unknown, number>();
   for (const { feed, isLive } of members) {
     const value = feed.objects.get(name)?.value;
@@ -80,19 +80,19 @@
     const { clock, members } = fleet;
     const random = createSeededRandom(2);
     for (let step = 0; step < 40; step++) {
-      for (const member of members) if (random.next() < 0.3) begin(fleet, member);
+      for (const member of members) if (random.next() < 0.3) startRuns(fleet, member);
       await clock.advance(50);
     }
     await clock.advance(1_500);
     for (const member of members) {
       expect(member.news.members).toBe(size);
       expect(member.news.live().length).toBe(size - 1);
-      expect(running(member)).toEqual(expected(members));
+      expect(runningCounts(member)).toEqual(expected(members));
     }
     const relays = relaysOf(members);
     expect(relays.length).toBe(size <= 13 ? 0 : 8);
     for (const { ledger } of size <= 13 ? members : relays) {
-      expect(ledger.total(NEWS_WINDOW)).toEqual({ [ACCOUNT]: counted(members) });
+      expect(ledger.total(FLEET_WINDOW)).toEqual({ [ACCOUNT]: totalRuns(members) });
     }
   },
 );
@@ -107,12 +107,12 @@
     network.trouble = { lost: 0.2, twice: 0.2 };
     const random = createSeededRandom(100 + seed);
     for (let step = 0; step < 100; step++) {
-      for (const member of members) if (random.next() < 0.1) begin(fleet, member);
+      for (const member of members) if (random.next() < 0.1) startRuns(fleet, member);
       await clock.advance(50);
     }
     network.trouble = { lost: 0, twice: 0 };
     await clock.advance(4_000);
-    for (const member of members) expect(running(member)).toEqual(expected(members));
+    for (const member of members) expect(runningCounts(member)).toEqual(expected(members));
   },
 );
 
@@ -121,25 +121,25 @@
 async function expectRelaysReplaced(seed: number): Promise<void> {
   const fleet = await startFleet(40, seed);
   const { clock, members } = fleet;
-  for (const member of members) begin(fleet, member);
+  for (const member of members) startRuns(fleet, member);
   await clock.advance(2_000);
-  const pair = relaysOf(members).filter(({ zone }) => zone === "z1");
-  pair.forEach(stop);
+  const failedRelays = relaysOf(members).filter(({ zone }) => zone === "z1");
+  failedRelays.forEach(stop);
   const survivors = members.filter(({ isLive }) => isLive);
   expect(survivors.length).toBe(38);
   await clock.advance(3_500);
   for (const member of survivors) {
-    expect(running(member)).toEqual(expected(members));
+    expect(runningCounts(member)).toEqual(expected(members));
     expect(member.news.live().length).toBe(37);
   }
-  for (const member of survivors) begin(fleet, member);
+  for (const member of survivors) startRuns(fleet, member);
   await clock.advance(1_500);
-  for (const member of survivors) expect(running(member)).toEqual(expected(members));
+  for (const member of survivors) expect(runningCounts(member)).toEqual(expected(members));
   for (const { ledger } of relaysOf(members)) {
     // Only the two failed relays knew their own counts for this window.
-    const known = ledger.total(NEWS_WINDOW)[ACCOUNT] ?? 0;
-    expect(known).toBeLessThanOrEqual(counted(members));
-    expect(known).toBeGreaterThanOrEqual(counted(members) - counted(pair));
+    const known = ledger.total(FLEET_WINDOW)[ACCOUNT] ?? 0;
+    expect(known).toBeLessThanOrEqual(totalRuns(members));
+    expect(known).toBeGreaterThanOrEqual(totalRuns(members) - totalRuns(failedRelays));
   }
 }
 
@@ -154,7 +154,7 @@
 test("admissions are counted once by every instance, even when relays change", async () => {
   const fleet = await startFleet(40);
   const { clock, members } = fleet;
-  for (const member of members) begin(fleet, member);
+  for (const member of members) startRuns(fleet, member);
   await clock.advance(2_000);
   const relaysBefore = new Set(relaysOf(members));
   const [first] = relaysBefore;
@@ -162,17 +162,17 @@
   stop(first);
   await clock.advance(3_500);
   const survivors = members.filter(({ isLive }) => isLive);
-  for (const member of survivors) expect(fleet.hasRoom(member, ACCOUNT)).toBe(true);
+  for (const member of survivors) expect(fleet.canAdmit(member, ACCOUNT)).toBe(true);
   for (let round = 0; round < 3; round++) {
-    for (const member of survivors) begin(fleet, member);
+    for (const member of survivors) startRuns(fleet, member);
     await clock.advance(1_000);
   }
-  for (const member of survivors) expect(fleet.hasRoom(member, ACCOUNT)).toBe(true);
+  for (const member of survivors) expect(fleet.canAdmit(member, ACCOUNT)).toBe(true);
   for (const relay of relaysOf(members)) {
     // A new relay is not sent the counts that the failed relay had recorded itself.
-    const least = counted(members) - (relaysBefore.has(relay) ? 0 : counted([first]));
-    expect(relay.ledger.total(NEWS_WINDOW)[ACCOUNT]).toBeGreaterThanOrEqual(least);
-    expect(relay.ledger.total(NEWS_WINDOW)[ACCOUNT]).toBeLessThanOrEqual(counted(members));
+    const least = totalRuns(members) - (relaysBefore.has(relay) ? 0 : totalRuns([first]));
+    expect(relay.ledger.total(FLEET_WINDOW)[ACCOUNT]).toBeGreaterThanOrEqual(least);
+    expect(relay.ledger.total(FLEET_WINDOW)[ACCOUNT]).toBeLessThanOrEqual(totalRuns(members));
   }
 });
 
@@ -184,7 +184,7 @@
   const before = members.map(({ news }) => news.bytesSent);
   const random = createSeededRandom(3);
   for (let step = 0; step < 40; step++) {
-    for (const member of members) if (random.next() < 0.15) begin(fleet, member);
+    for (const member of members) if (random.next() < 0.15) startRuns(fleet, member);
     await clock.advance(50);
   }
   const rates = members.map(({ news }, place) => (news.bytesSent - (before[place] ?? 0)) / 2);
@@ -205,8 +205,10 @@
     store.put(`object-${change}`, change);
     if (change > 1) store.put(`object-${change - 1}`);
     await clock.advance(1_000);
-    expect(known(fleet, `object-${change}`)).toEqual(new Map([[change, members.length]]));
-    expect(known(fleet, `object-${change - 1}`)).toEqual(new Map([[undefined, members.length]]));
+    expect(countByValue(fleet, `object-${change}`)).toEqual(new Map([[change, members.length]]));
+    expect(countByValue(fleet, `object-${change - 1}`)).toEqual(
+      new Map([[undefined, members.length]]),
+    );
   }
   const after = [...store.calls.values()].reduce((sum, count) => sum + count, 0);
   // Four watches return with each change, and otherwise time out every two seconds.
@@ -222,14 +224,14 @@
   watchersOf(fleet).forEach(stop);
   store.put("worker", "leaving");
   await clock.advance(2_000);
-  expect(known(fleet, "worker")).toEqual(new Map([["leaving", members.length - 4]]));
+  expect(countByValue(fleet, "worker")).toEqual(new Map([["leaving", members.length - 4]]));
   await clock.advance(3_000);
   const watchers = watchersOf(fleet);
   expect(watchers.length).toBe(4);
   for (const watcher of watchers) store.cut.add(`e${members.indexOf(watcher)}`);
   store.put("worker");
   await clock.advance(4_000);
-  expect(known(fleet, "worker")).toEqual(new Map([[undefined, members.length - 4]]));
+  expect(countByValue(fleet, "worker")).toEqual(new Map([[undefined, members.length - 4]]));
 });
 
 // Each report to the other instances renews the amount that an account may use until the next
--- a/src/process/fleet_roster.ts
+++ b/src/process/fleet_roster.ts
@@ -8,12 +8,15 @@
    * @param by The reporter's session. `isAuthoritative` tells whether it receives digests from the
    * listed instances itself, or from relays that do.
    */
-  told(by: { readonly session: number; readonly isFirm: boolean }, roster: Roster): void;
+  receive(
+    by: { readonly session: number; readonly isAuthoritative: boolean },
+    roster: Roster,
+  ): void;
   /**
    * Starts the expiry of reporters that are not among `sessions`. Returns whether the roster has
    * changed.
    */
-  keepTellers(sessions: ReadonlySet<number>, now: number): boolean;
+  retainReporters(sessions: ReadonlySet<number>, now: number): boolean;
   /** Discards everything that a reporter has sent. */
   forget(teller: number): void;
   /**
@@ -25,7 +28,7 @@
   list(options: {
     /** Reports whether this instance has itself lost contact with the instance at an address. */
     readonly isLost: (address: string) => boolean;
-    readonly onlyFirm: boolean;
+    readonly onlyAuthoritative: boolean;
   }): ReadonlyMap<string, RosterEntry>;
 }
 
@@ -33,47 +36,50 @@
  * Milliseconds for which a lost reporter's entries are kept. If all reporters of a zone fail at
  * once, the zone needs the entries to select new relays.
  */
-const KEPT_WORD = 3_000;
+const LOST_REPORTER_TTL = 3_000;
 
-interface Teller {
-  readonly isFirm: boolean;
-  readonly told: Map<number, RosterEntry>;
+interface Reporter {
+  readonly isAuthoritative: boolean;
+  readonly entries: Map<number, RosterEntry>;
   lostAt: number | undefined;
 }
 
 /** Creates an empty roster. */
 export function createFleetRoster(): FleetRoster {
   /** Reporters by session. */
-  const tellers = new Map<number, Teller>();
+  const reporters = new Map<number, Reporter>();
   return {
-    told: ({ session: by, isFirm }, { isWhole, there, gone }) => {
-      const known = isWhole ? undefined : tellers.get(by)?.told;
-      const told = known ?? new Map<number, RosterEntry>();
-      for (const entry of there) told.set(entry.session, entry);
-      for (const session of gone) told.delete(session);
-      tellers.set(by, { isFirm, told, lostAt: undefined });
+    receive: (
+      { session: reporterSession, isAuthoritative },
+      { isSnapshot, live, removedSessions },
+    ) => {
+      const previous = isSnapshot ? undefined : reporters.get(reporterSession)?.entries;
+      const entries = previous ?? new Map<number, RosterEntry>();
+      for (const entry of live) entries.set(entry.session, entry);
+      for (const session of removedSessions) entries.delete(session);
+      reporters.set(reporterSession, { isAuthoritative, entries, lostAt: undefined });
     },
-    keepTellers: (sessions, now) => {
+    retainReporters: (sessions, now) => {
       let changed = false;
-      for (const [session, teller] of tellers) {
+      for (const [session, reporter] of reporters) {
         if (sessions.has(session)) {
-          teller.lostAt = undefined;
+          reporter.lostAt = undefined;
           continue;
         }
-        changed ||= teller.lostAt === undefined;
-        teller.lostAt ??= now;
-        if (now - teller.lostAt <= KEPT_WORD) continue;
-        tellers.delete(session);
+        changed ||= reporter.lostAt === undefined;
+        reporter.lostAt ??= now;
+        if (now - reporter.lostAt <= LOST_REPORTER_TTL) continue;
+        reporters.delete(session);
         changed = true;
       }
       return changed;
     },
-    forget: (teller) => void tellers.delete(teller),
-    list: ({ isLost, onlyFirm }) => {
+    forget: (reporter) => void reporters.delete(reporter),
+    list: ({ isLost, onlyAuthoritative }) => {
       const found = new Map<string, RosterEntry>();
-      for (const { told, lostAt, isFirm } of tellers.values()) {
-        if (onlyFirm && !isFirm) continue;
-        for (const entry of told.values()) {
+      for (const { entries, lostAt, isAuthoritative } of reporters.values()) {
+        if (onlyAuthoritative && !isAuthoritative) continue;
+        for (const entry of entries.values()) {
           if (lostAt === undefined || !isLost(entry.peers)) found.set(entry.peers, entry);
         }
       }
--- a/src/process/fleet_table.ts
+++ b/src/process/fleet_table.ts
@@ -2,14 +2,14 @@
 import type { Digest, Introduction, RosterEntry } from "./digest.ts";
 import { createFleetRoster } from "./fleet_roster.ts";
 import type { FleetRoster } from "./fleet_roster.ts";
-import { FleetRole, planTree } from "./fleet_tree.ts";
-import type { FleetTree } from "./fleet_tree.ts";
-import { isHeard, NEVER, unheard } from "./peer.ts";
+import { FleetRole, planTopology } from "./fleet_tree.ts";
+import type { FleetTopology } from "./fleet_tree.ts";
+import { isResponding, NEVER, createPeer } from "./peer.ts";
 import type { Peer, PeerInstance } from "./peer.ts";
 
 /** The peers known to this instance, and its role in the fleet's topology. */
 export interface FleetTable {
-  readonly tree: FleetTree;
+  readonly topology: FleetTopology;
   /** Instances as reported by other instances. */
   readonly roster: FleetRoster;
   /** All known addresses, whether or not a digest has arrived from them. */
@@ -17,19 +17,19 @@
   /** Number of instances expected to be present, including this one. */
   readonly members: number;
   /** Adds addresses of possible peers. */
-  introduce(addresses: readonly string[]): void;
+  addAddresses(addresses: readonly string[]): void;
   /**
    * Returns the peer that sent a digest, creating it if the digest contains an introduction;
    * undefined if it must introduce itself first.
    */
   senderOf(digest: Digest): Peer | undefined;
-  ofSession(session: number | undefined): PeerInstance | undefined;
+  findBySession(session: number | undefined): PeerInstance | undefined;
   /** Returns the live peers that send digests to this instance. */
-  heard(): PeerInstance[];
+  directPeers(): PeerInstance[];
   /**
    * Returns all live instances, or only those that may be forwarded if `onlyAuthoritative` is set.
    */
-  live(options?: { onlyFirm: boolean }): RosterEntry[];
+  live(options?: { onlyAuthoritative: boolean }): RosterEntry[];
   /** Returns addresses that no instance reports and from which nothing has arrived for a while. */
   silent(): Peer[];
   isRelay(address: string): boolean;
@@ -42,22 +42,22 @@
 }
 
 /** Milliseconds after which a silent instance is no longer expected to return. */
-const MEMBER_TIME = 30_000;
+const MEMBER_TIMEOUT = 30_000;
 /**
  * Milliseconds after the start during which this instance expects an instance at every known
  * address.
  */
-const EXPECT_TIME = 2_000;
+const STARTUP_TIME = 2_000;
 /**
  * Milliseconds after which digests are sent to a silent address again, since a new process that
  * knows no peers may have started there. Before that, another instance may still report it as live.
  */
-const SILENT_AFTER = 5_000;
+const SILENT_RETRY_DELAY = 5_000;
 /**
  * Milliseconds for which an instance that this one has lost is treated as failed even if lost
  * reporters still list it.
  */
-const LOST_TIME = 6_000;
+const LOST_TTL = 6_000;
 
 /** Creates the table of an instance that knows no peers. */
 export function createFleetTable(parts: {
@@ -71,37 +71,37 @@
   const bySession = new Map<number, Peer>();
   const roster = createFleetRoster();
   /** When an instance was last known to be live, by address. */
-  const seenAt = new Map<string, number>();
-  let tree: FleetTree = { role: FleetRole.Equal, relays: new Map(), watchers: new Set() };
+  const lastLiveAt = new Map<string, number>();
+  let topology: FleetTopology = { role: FleetRole.Mesh, relays: new Map(), watchers: new Set() };
   let startedAt = NEVER;
   let isStarting = true;
   let members = 1;
   /** Addresses that were live at the last plan. */
-  let there: ReadonlySet<string> = new Set();
+  let liveAddresses: ReadonlySet<string> = new Set();
 
   const livePeers = (): Peer[] => [...peers.values()].filter(({ isLive }) => isLive);
-  const heard = (): PeerInstance[] =>
+  const directPeers = (): PeerInstance[] =>
     livePeers().flatMap(({ instance }) => (instance === undefined ? [] : [instance]));
-  const live: FleetTable["live"] = ({ onlyFirm } = { onlyFirm: false }) => {
-    const found = new Map(heard().map((one): [string, RosterEntry] => [one.peers, one]));
-    const from = clock.now() - LOST_TIME;
+  const live: FleetTable["live"] = ({ onlyAuthoritative } = { onlyAuthoritative: false }) => {
+    const found = new Map(directPeers().map((one): [string, RosterEntry] => [one.peers, one]));
+    const from = clock.now() - LOST_TTL;
     const isLost = (address: string): boolean => (peers.get(address)?.lostAt ?? NEVER) >= from;
-    for (const [address, entry] of roster.list({ isLost, onlyFirm })) {
+    for (const [address, entry] of roster.list({ isLost, onlyAuthoritative })) {
       if (address !== self && !found.has(address)) found.set(address, entry);
     }
     return [...found.values()];
   };
-  const introduce = (addresses: readonly string[]): void => {
+  const addAddresses = (addresses: readonly string[]): void => {
     const unknown = addresses.filter((address) => address !== self && !peers.has(address));
-    for (const address of unknown) peers.set(address, unheard(address));
-    if (unknown.length > 0) count();
+    for (const address of unknown) peers.set(address, createPeer(address));
+    if (unknown.length > 0) updateMemberCount();
   };
-  const count = (): void => {
-    const from = clock.now() - MEMBER_TIME;
+  const updateMemberCount = (): void => {
+    const from = clock.now() - MEMBER_TIMEOUT;
     const expected = new Set(live().map((entry) => entry.peers));
-    for (const [address, at] of seenAt) {
+    for (const [address, at] of lastLiveAt) {
       if (at >= from) expected.add(address);
-      else seenAt.delete(address);
+      else lastLiveAt.delete(address);
     }
     // Instances that start together would otherwise each use a quota meant for all of them until
     // the first digests arrive.
@@ -111,73 +111,77 @@
   return {
     roster,
     peers,
-    get tree() {
-      return tree;
+    get topology() {
+      return topology;
     },
     get members() {
       return members;
     },
-    introduce,
-    senderOf: ({ session: sender, introduction: said }) => {
+    addAddresses,
+    senderOf: ({ session: sender, introduction: received }) => {
       if (sender === session) return undefined;
       const known = bySession.get(sender);
-      if (known !== undefined || said === undefined) return known;
-      if (said.peers === self) return undefined;
-      const before = peers.get(said.peers);
+      if (known !== undefined || received === undefined) return known;
+      if (received.peers === self) return undefined;
+      const before = peers.get(received.peers);
       if (before !== undefined) bySession.delete(before.session);
       // The previous process at this address has ended. Its counts and acknowledgements no longer
       // apply.
-      const peer = { ...unheard(said.peers), isLive: before?.isLive ?? false, session: sender };
-      peers.set(said.peers, peer);
+      const peer = {
+        ...createPeer(received.peers),
+        isLive: before?.isLive ?? false,
+        session: sender,
+      };
+      peers.set(received.peers, peer);
       bySession.set(sender, peer);
       return peer;
     },
-    ofSession: (one) => (one === undefined ? undefined : bySession.get(one)?.instance),
-    heard,
+    findBySession: (one) => (one === undefined ? undefined : bySession.get(one)?.instance),
+    directPeers,
     live,
     silent: () => {
-      const from = clock.now() - SILENT_AFTER;
+      const from = clock.now() - SILENT_RETRY_DELAY;
       return [...peers.values()].filter(
-        ({ isLive, lostAt, address }) => !isLive && lostAt < from && !there.has(address),
+        ({ isLive, lostAt, address }) => !isLive && lostAt < from && !liveAddresses.has(address),
       );
     },
-    isRelay: (address) => [...tree.relays.values()].some((relays) => relays.includes(address)),
-    isWatcher: (address) => tree.watchers.has(address),
+    isRelay: (address) => [...topology.relays.values()].some((relays) => relays.includes(address)),
+    isWatcher: (address) => topology.watchers.has(address),
     expire: () => {
       const now = clock.now();
       let changed = false;
       for (const peer of livePeers()) {
-        if (isHeard(peer, now)) continue;
+        if (isResponding(peer, now)) continue;
         peer.isLive = false;
         peer.lostAt = now;
         // The local copy of its counts is discarded, so the peer must send a full snapshot when it
         // returns.
-        peer.newsSequence = 0;
+        peer.updateSequence = 0;
         // A new process at the address doesn't know this instance and would ignore its updates
         // without an introduction.
-        peer.knowsThis = false;
+        peer.hasOurSession = false;
         changed = true;
       }
-      const tellers = new Set(livePeers().map((peer) => peer.session));
-      if (roster.keepTellers(tellers, now)) changed = true;
-      if (isStarting && now - startedAt > EXPECT_TIME) {
+      const reporters = new Set(livePeers().map((peer) => peer.session));
+      if (roster.retainReporters(reporters, now)) changed = true;
+      if (isStarting && now - startedAt > STARTUP_TIME) {
         isStarting = false;
         changed = true;
       }
-      if (!changed) count();
+      if (!changed) updateMemberCount();
       return changed;
     },
     plan: (ready) => {
       const now = clock.now();
       const entries = live();
       const addresses = entries.map((entry) => entry.peers);
-      for (const address of [...there, ...addresses]) seenAt.set(address, now);
-      there = new Set(addresses);
-      introduce(addresses);
-      count();
-      const { role } = tree;
-      tree = planTree({ ...introduction, ready }, entries);
-      return tree.role !== role;
+      for (const address of [...liveAddresses, ...addresses]) lastLiveAt.set(address, now);
+      liveAddresses = new Set(addresses);
+      addAddresses(addresses);
+      updateMemberCount();
+      const { role } = topology;
+      topology = planTopology({ ...introduction, ready }, entries);
+      return topology.role !== role;
     },
     start: () => {
       startedAt = clock.now();
--- a/src/process/fleet_tree.ts
+++ b/src/process/fleet_tree.ts
@@ -16,7 +16,7 @@
 import { hashText, mixHashes } from "../version/index.ts";
 
 /** Properties of an instance that determine its role. */
-export interface TreeInstance {
+export interface TopologyInstance {
   /** Address `IP:PORT` for other instances; it identifies the instance. */
   readonly peers: string;
   readonly zone: string;
@@ -32,7 +32,7 @@
 /** Role of an instance in the exchange of updates. */
 export enum FleetRole {
   /** The fleet is small and every instance sends to every other. */
-  Equal = "equal",
+  Mesh = "equal",
   /** Collects the updates of its zone and sends the total of all zones to it. */
   Relay = "relay",
   /** Sends its updates to the relays of its zone and receives the total from them. */
@@ -40,7 +40,7 @@
 }
 
 /** Roles of the fleet's instances, as seen by one of them. */
-export interface FleetTree {
+export interface FleetTopology {
   readonly role: FleetRole;
   /** Addresses of each zone's relays in order of preference; empty in a small fleet. */
   readonly relays: ReadonlyMap<string, readonly string[]>;
@@ -59,7 +59,7 @@
 /**
  * Relays per zone. With a single relay, a zone would receive nothing until its failure is detected.
  */
-const RELAYS_A_ZONE = 2;
+const RELAYS_PER_ZONE = 2;
 
 /**
  * Number of relays that watch the store. With this many in different zones, at least one almost
@@ -67,7 +67,7 @@
  */
 const WATCHERS = 4;
 
-const KEY = hashText("samphireshore/relays");
+const HASH_KEY = hashText("samphireshore/relays");
 const hashes = new Map<string, number>();
 
 /**
@@ -76,49 +76,55 @@
  * @param self This instance.
  * @param others All other live instances.
  */
-export function planTree(self: TreeInstance, others: readonly TreeInstance[]): FleetTree {
+export function planTopology(
+  self: TopologyInstance,
+  others: readonly TopologyInstance[],
+): FleetTopology {
   const all = [self, ...others];
   if (all.length <= GREATEST_MESH) {
-    return { role: FleetRole.Equal, relays: new Map(), watchers: new Set() };
+    return { role: FleetRole.Mesh, relays: new Map(), watchers: new Set() };
   }
-  const zones = new Map<string, TreeInstance[]>();
+  const zones = new Map<string, TopologyInstance[]>();
   for (const instance of all) {
     const zone = zones.get(instance.zone) ?? [];
     zones.set(instance.zone, zone);
     zone.push(instance);
   }
   const relays = new Map(
-    [...zones].map(([zone, instances]) => [zone, firstOf(instances).map(({ peers }) => peers)]),
+    [...zones].map(([zone, instances]) => [
+      zone,
+      selectRelays(instances).map(({ peers }) => peers),
+    ]),
   );
   const isRelay = relays.get(self.zone)?.includes(self.peers) === true;
   const role = isRelay ? FleetRole.Relay : FleetRole.Member;
-  return { role, relays, watchers: watchersOf(relays) };
+  return { role, relays, watchers: selectWatchers(relays) };
 }
 
 /**
  * Selects the first relay of up to `WATCHERS` zones, then second relays if there are fewer zones.
  */
-function watchersOf(relays: ReadonlyMap<string, readonly string[]>): Set<string> {
+function selectWatchers(relays: ReadonlyMap<string, readonly string[]>): Set<string> {
   const byScore = [...relays]
     .map(([zone, addresses]) => ({ addresses, score: scoreOf({ peers: zone }) }))
     .sort((a, b) => b.score - a.score);
-  const inTurn = Array.from({ length: RELAYS_A_ZONE }, (_, place) =>
+  const byPreference = Array.from({ length: RELAYS_PER_ZONE }, (_, place) =>
     byScore.flatMap(({ addresses }) => addresses.slice(place, place + 1)),
   );
-  return new Set(inTurn.flat().slice(0, WATCHERS));
+  return new Set(byPreference.flat().slice(0, WATCHERS));
 }
 
-function firstOf(instances: TreeInstance[]): TreeInstance[] {
+function selectRelays(instances: TopologyInstance[]): TopologyInstance[] {
   return instances
     .sort(
       (a, b) =>
         Number(b.ready) - Number(a.ready) || b.capacity - a.capacity || scoreOf(b) - scoreOf(a),
     )
-    .slice(0, RELAYS_A_ZONE);
+    .slice(0, RELAYS_PER_ZONE);
 }
 
-function scoreOf({ peers }: Pick<TreeInstance, "peers">): number {
-  const known = hashes.get(peers) ?? hashText(peers);
-  hashes.set(peers, known);
-  return mixHashes(known, KEY);
+function scoreOf({ peers }: Pick<TopologyInstance, "peers">): number {
+  const hash = hashes.get(peers) ?? hashText(peers);
+  hashes.set(peers, hash);
+  return mixHashes(hash, HASH_KEY);
 }
--- a/src/process/fleet_tree_test.ts
+++ b/src/process/fleet_tree_test.ts
@@ -1,8 +1,8 @@
 import { expect, test } from "vitest";
-import { FleetRole, GREATEST_MESH, planTree } from "./fleet_tree.ts";
-import type { TreeInstance } from "./fleet_tree.ts";
+import { FleetRole, GREATEST_MESH, planTopology } from "./fleet_tree.ts";
+import type { TopologyInstance } from "./fleet_tree.ts";
 
-function fleet(size: number): TreeInstance[] {
+function fleet(size: number): TopologyInstance[] {
   return Array.from({ length: size }, (_, place) => ({
     peers: `10.0.${place >> 8}.${place & 255}:9`,
     zone: `z${place % 6}`,
@@ -11,10 +11,10 @@
   }));
 }
 
-function planOf(all: readonly TreeInstance[], place: number): ReturnType<typeof planTree> {
+function planOf(all: readonly TopologyInstance[], place: number): ReturnType<typeof planTopology> {
   const self = all[place];
   if (self === undefined) throw new Error(`There is no instance ${place}.`);
-  return planTree(
+  return planTopology(
     self,
     all.filter((one) => one !== self),
   );
@@ -56,7 +56,7 @@
 
 test("a small fleet has no relays", () => {
   const plan = planOf(fleet(GREATEST_MESH), 0);
-  expect(plan.role).toBe(FleetRole.Equal);
+  expect(plan.role).toBe(FleetRole.Mesh);
   expect(plan.relays.size + plan.watchers.size).toBe(0);
 });
 
--- a/src/process/group_totals.ts
+++ b/src/process/group_totals.ts
@@ -12,21 +12,25 @@
    * @param source Id of the source.
    * @param isNew Whether the source started counting so recently that its complete counts are new.
    */
-  heard(source: string, news: GroupCounts & { readonly isWhole: boolean }, isNew: boolean): void;
+  receive(
+    source: string,
+    update: GroupCounts & { readonly isWhole: boolean },
+    isNew: boolean,
+  ): void;
   /**
    * Removes all sources that are not in `sources`. Their running work is subtracted; what they
    * counted cumulatively stays in the sums.
    */
-  keepSources(sources: ReadonlySet<string>): void;
+  retainSources(sources: ReadonlySet<string>): void;
   /** Returns the sum for one worker, excluding this instance's own counts. */
-  useOf(worker: number): WorkerUse | undefined;
+  countsOf(worker: number): WorkerUse | undefined;
   /** Returns the sums including this instance's own counts. */
-  with(own: GroupCounts): GroupCounts;
+  plus(own: GroupCounts): GroupCounts;
 }
 
-interface Said {
+interface SourceCounts {
   readonly admitted: Map<string, number>;
-  readonly use: Map<number, WorkerUse>;
+  readonly workerCounts: Map<number, WorkerUse>;
 }
 
 /**
@@ -38,87 +42,93 @@
  * by the past counts of a newly received instance.
  */
 export function createGroupTotals(): GroupTotals {
-  const sources = new Map<string, Said>();
+  const sources = new Map<string, SourceCounts>();
   const admitted = new Map<string, number>();
-  const use = new Map<number, WorkerUse>();
+  const workerSums = new Map<number, WorkerUse>();
   /** Number of sources that list each worker. */
-  const named = new Map<number, number>();
+  const sourcesPerWorker = new Map<number, number>();
 
-  const add = (worker: number, by: WorkerUse): void => {
-    use.set(worker, addUse(use.get(worker) ?? NO_USE, by));
+  const add = (worker: number, delta: WorkerUse): void => {
+    workerSums.set(worker, addWorkerCounts(workerSums.get(worker) ?? NO_USE, delta));
   };
-  const name = (worker: number, by: number): void => {
-    const count = (named.get(worker) ?? 0) + by;
+  const adjustSourceCount = (worker: number, delta: number): void => {
+    const count = (sourcesPerWorker.get(worker) ?? 0) + delta;
     if (count > 0) {
-      named.set(worker, count);
+      sourcesPerWorker.set(worker, count);
       return;
     }
-    named.delete(worker);
-    use.delete(worker);
+    sourcesPerWorker.delete(worker);
+    workerSums.delete(worker);
   };
-  const forget = (source: string): void => {
-    for (const [worker, { running, unreadTokens }] of sources.get(source)?.use ?? []) {
+  const removeSource = (source: string): void => {
+    for (const [worker, { running, unreadTokens }] of sources.get(source)?.workerCounts ?? []) {
       add(worker, { ...NO_USE, running: -running, unreadTokens: -unreadTokens });
-      name(worker, -1);
+      adjustSourceCount(worker, -1);
     }
     sources.delete(source);
   };
-  const heardUse = (known: Said, worker: number, said: WorkerUse, counts: boolean): void => {
-    const before = known.use.get(worker);
-    const isGone = said.running === 0 && said.unreadTokens === 0 && said.runs === 0;
+  const applyWorkerCounts = (
+    sourceCounts: SourceCounts,
+    worker: number,
+    latest: WorkerUse,
+    isCounted: boolean,
+  ): void => {
+    const before = sourceCounts.workerCounts.get(worker);
+    const isGone = latest.running === 0 && latest.unreadTokens === 0 && latest.runs === 0;
     if (isGone && before === undefined) return;
     const { running, unreadTokens, runs, failures } = before ?? NO_USE;
     add(worker, {
-      running: said.running - running,
-      unreadTokens: said.unreadTokens - unreadTokens,
-      runs: counts ? Math.max(0, said.runs - runs) : 0,
-      failures: counts ? Math.max(0, said.failures - failures) : 0,
+      running: latest.running - running,
+      unreadTokens: latest.unreadTokens - unreadTokens,
+      runs: isCounted ? Math.max(0, latest.runs - runs) : 0,
+      failures: isCounted ? Math.max(0, latest.failures - failures) : 0,
     });
-    if (isGone) known.use.delete(worker);
-    else known.use.set(worker, said);
-    if (isGone) name(worker, -1);
-    else if (before === undefined) name(worker, 1);
+    if (isGone) sourceCounts.workerCounts.delete(worker);
+    else sourceCounts.workerCounts.set(worker, latest);
+    if (isGone) adjustSourceCount(worker, -1);
+    else if (before === undefined) adjustSourceCount(worker, 1);
   };
   return {
-    heard: (source, news, isNew) => {
+    receive: (source, update, isNew) => {
       const before = sources.get(source);
-      const known: Said = before ?? { admitted: new Map(), use: new Map() };
-      sources.set(source, known);
-      const counts = before !== undefined || isNew;
-      if (news.isWhole) {
-        for (const worker of known.use.keys()) {
-          if (!news.use.has(worker)) heardUse(known, worker, NO_USE, counts);
+      const sourceCounts: SourceCounts = before ?? { admitted: new Map(), workerCounts: new Map() };
+      sources.set(source, sourceCounts);
+      const isCounted = before !== undefined || isNew;
+      if (update.isWhole) {
+        for (const worker of sourceCounts.workerCounts.keys()) {
+          if (!update.use.has(worker)) applyWorkerCounts(sourceCounts, worker, NO_USE, isCounted);
         }
       }
-      for (const [worker, said] of news.use) heardUse(known, worker, said, counts);
-      for (const [account, count] of news.admitted) {
-        const more = count - (known.admitted.get(account) ?? 0);
-        known.admitted.set(account, count);
-        if (counts) admitted.set(account, (admitted.get(account) ?? 0) + more);
+      for (const [worker, latest] of update.use)
+        applyWorkerCounts(sourceCounts, worker, latest, isCounted);
+      for (const [account, count] of update.admitted) {
+        const increase = count - (sourceCounts.admitted.get(account) ?? 0);
+        sourceCounts.admitted.set(account, count);
+        if (isCounted) admitted.set(account, (admitted.get(account) ?? 0) + increase);
       }
     },
-    keepSources: (kept) => {
-      for (const source of sources.keys()) if (!kept.has(source)) forget(source);
+    retainSources: (retained) => {
+      for (const source of sources.keys()) if (!retained.has(source)) removeSource(source);
     },
-    useOf: (worker) => use.get(worker),
-    with: (own) => ({
-      admitted: addCounts(admitted, own.admitted),
-      use: addUses(use, own.use),
+    countsOf: (worker) => workerSums.get(worker),
+    plus: (own) => ({
+      admitted: addAccountCounts(admitted, own.admitted),
+      use: addAllWorkerCounts(workerSums, own.use),
     }),
   };
 }
 
 /** Adds two sets of worker counts. */
-function addUses(
+function addAllWorkerCounts(
   a: ReadonlyMap<number, WorkerUse>,
   b: ReadonlyMap<number, WorkerUse>,
 ): Map<number, WorkerUse> {
   const sums = new Map(a);
-  for (const [worker, use] of b) sums.set(worker, addUse(sums.get(worker) ?? NO_USE, use));
+  for (const [worker, use] of b) sums.set(worker, addWorkerCounts(sums.get(worker) ?? NO_USE, use));
   return sums;
 }
 
-function addUse(a: WorkerUse, b: WorkerUse): WorkerUse {
+function addWorkerCounts(a: WorkerUse, b: WorkerUse): WorkerUse {
   return {
     running: a.running + b.running,
     unreadTokens: a.unreadTokens + b.unreadTokens,
@@ -127,7 +137,7 @@
   };
 }
 
-function addCounts(
+function addAccountCounts(
   a: ReadonlyMap<string, number>,
   b: ReadonlyMap<string, number>,
 ): Map<string, number> {
--- a/src/process/group_totals_test.ts
+++ b/src/process/group_totals_test.ts
@@ -25,10 +25,10 @@
 
 test("sums include all sources and the instance's own counts", () => {
   const totals = createGroupTotals();
-  totals.heard("a", news({ 1: use(2) }, { admitted: 10 }), true);
-  totals.heard("b", news({ 1: use(1), 2: use(4) }, { admitted: 5 }), true);
+  totals.receive("a", news({ 1: use(2) }, { admitted: 10 }), true);
+  totals.receive("b", news({ 1: use(1), 2: use(4) }, { admitted: 5 }), true);
   const own = news({ 2: use(1) }, { admitted: 1 });
-  const { admitted, use: sums } = totals.with(own);
+  const { admitted, use: sums } = totals.plus(own);
   expect(admitted.get("club")).toBe(16);
   expect(sums.get(1)?.running).toBe(3);
   expect(sums.get(2)?.running).toBe(5);
@@ -39,10 +39,10 @@
 // its quota twice.
 test("cumulative counts of a source remain after it ends, its running work doesn't", () => {
   const totals = createGroupTotals();
-  totals.heard("a", news({ 1: use(2) }, { admitted: 10 }), true);
-  totals.heard("b", news({ 1: use(1) }, { admitted: 5 }), true);
-  totals.keepSources(new Set(["b"]));
-  const { admitted, use: sums } = totals.with(NOTHING);
+  totals.receive("a", news({ 1: use(2) }, { admitted: 10 }), true);
+  totals.receive("b", news({ 1: use(1) }, { admitted: 5 }), true);
+  totals.retainSources(new Set(["b"]));
+  const { admitted, use: sums } = totals.plus(NOTHING);
   expect(admitted.get("club")).toBe(15);
   expect(sums.get(1)?.running).toBe(1);
 });
@@ -51,18 +51,18 @@
 // entered its sum at once, other zones would take this for a burst and refuse every account.
 test("counts from before the first update of a source are not included", () => {
   const totals = createGroupTotals();
-  totals.heard("a", news({ 1: use(2, 900) }, { admitted: 1_000_000, isWhole: true }), false);
-  totals.heard("a", news({ 1: use(3, 902) }, { admitted: 1_000_100 }), false);
-  const { admitted, use: sums } = totals.with(NOTHING);
+  totals.receive("a", news({ 1: use(2, 900) }, { admitted: 1_000_000, isWhole: true }), false);
+  totals.receive("a", news({ 1: use(3, 902) }, { admitted: 1_000_100 }), false);
+  const { admitted, use: sums } = totals.plus(NOTHING);
   expect(admitted.get("club")).toBe(100);
   expect(sums.get(1)).toEqual({ ...NO_USE, running: 3, runs: 2 });
 });
 
 test("a worker that no source lists is removed", () => {
   const totals = createGroupTotals();
-  totals.heard("a", news({ 1: use(2), 2: use(1) }, { isWhole: true }), true);
-  totals.heard("a", news({ 2: use(1) }, { isWhole: true }), true);
-  expect([...totals.with(NOTHING).use.keys()]).toEqual([2]);
+  totals.receive("a", news({ 1: use(2), 2: use(1) }, { isWhole: true }), true);
+  totals.receive("a", news({ 2: use(1) }, { isWhole: true }), true);
+  expect([...totals.plus(NOTHING).use.keys()]).toEqual([2]);
 });
 
 test("sums equal the latest counts of all sources, in any order of updates", () => {
@@ -79,9 +79,9 @@
       for (const { source, worker, running, isWhole } of steps) {
         const known = isWhole ? new Map<number, number>() : (last.get(source) ?? new Map());
         last.set(source, known.set(worker, running) as Map<number, number>);
-        totals.heard(source, news({ [worker]: use(running, 1) }, { isWhole }), true);
+        totals.receive(source, news({ [worker]: use(running, 1) }, { isWhole }), true);
       }
-      const { use: sums } = totals.with(NOTHING);
+      const { use: sums } = totals.plus(NOTHING);
       for (const worker of [1, 2, 3]) {
         const expected = [...last.values()].reduce((sum, one) => sum + (one.get(worker) ?? 0), 0);
         expect(sums.get(worker)?.running ?? 0).toBe(expected);
--- a/src/process/instance_hashes.ts
+++ b/src/process/instance_hashes.ts
@@ -11,7 +11,7 @@
 }
 
 /** Milliseconds for which the hashes are cached. */
-const KEPT_FOR = 100;
+const CACHE_TIME = 100;
 
 /**
  * Creates a function that returns the sorted hashes of all instances that accept requests,
@@ -22,23 +22,23 @@
  */
 export function createInstanceHashes(parts: InstanceHashesParts): () => readonly number[] {
   const { clock, self, others } = parts;
-  let foundAt = -Infinity;
-  let found: readonly number[] = [hashText(self)];
-  const known = new Map<string, number>();
+  let computedAt = -Infinity;
+  let cached: readonly number[] = [hashText(self)];
+  const hashByAddress = new Map<string, number>();
   const hashOf = (address: string): number => {
-    const hash = known.get(address) ?? hashText(address);
-    known.set(address, hash);
+    const hash = hashByAddress.get(address) ?? hashText(address);
+    hashByAddress.set(address, hash);
     return hash;
   };
   return () => {
     const now = clock.now();
-    if (now - foundAt < KEPT_FOR) return found;
-    foundAt = now;
+    if (now - computedAt < CACHE_TIME) return cached;
+    computedAt = now;
     const ready = others().filter((one) => one.ready);
     const hashes = [self, ...ready.map(({ peers }) => peers)].map(hashOf).sort((a, b) => a - b);
     const isSame =
-      hashes.length === found.length && hashes.every((hash, place) => hash === found[place]);
-    if (!isSame) found = hashes;
-    return found;
+      hashes.length === cached.length && hashes.every((hash, place) => hash === cached[place]);
+    if (!isSame) cached = hashes;
+    return cached;
   };
 }
--- a/src/process/lease_task.ts
+++ b/src/process/lease_task.ts
@@ -12,17 +12,17 @@
   rendezvousOrder,
 } from "../version/index.ts";
 import type { HeldLease, Lease, LeaseMoment } from "../version/index.ts";
-import type { StorePace } from "./store_pace.ts";
+import type { StoreThrottle } from "./store_pace.ts";
 
 /** Number of renewals per lease term. */
-const RENEWALS = 3;
+const RENEWALS_PER_TERM = 3;
 /** Milliseconds between checks of the preferred instance whether it can acquire the lease. */
-const LOOK_PERIOD = 2_000;
+const POLL_INTERVAL = 2_000;
 /**
  * Milliseconds for which a holder keeps the lease after another instance has become the preferred
  * one. This avoids frequent handovers while membership changes.
  */
-const HANDOVER_AFTER = 20_000;
+const HANDOVER_DELAY = 20_000;
 
 /** Manages the leases that this instance holds, at most one per service. */
 export interface LeaseTask {
@@ -62,7 +62,7 @@
   readonly clock: Clock;
   readonly random: Random;
   readonly store: Pick<ObjectStore, "get" | "put">;
-  readonly pace: StorePace;
+  readonly pace: StoreThrottle;
   /** Names of the leases: services, or duties of the whole deployment. */
   readonly duties: () => readonly string[];
   readonly members: {
@@ -88,17 +88,17 @@
   readonly count: (name: string) => void;
 }
 
-interface Seen {
+interface SeenVersion {
   /** Store version of the lease. */
   readonly version: number;
   /** When this version was first read or reported, in milliseconds of `clock`. */
-  readonly since: number;
+  readonly firstSeenAt: number;
 }
 
-interface Found {
+interface FoundLease {
   readonly lease: Lease;
   /** When its version was first read or reported, in milliseconds of `clock`. */
-  readonly since: number;
+  readonly firstSeenAt: number;
 }
 
 /**
@@ -108,26 +108,30 @@
  * later.
  */
 export function createLeaseTask(parts: LeaseTaskParts): LeaseTask {
-  const { clock, random, store, pace, duties, members, count } = parts;
-  const { term = LEASE_TERM, lookPeriod = LOOK_PERIOD, isHeldElsewhere = () => false } = parts;
-  const { mayHold = () => true } = parts;
+  const { clock, random, store, pace: throttle, duties, members, count } = parts;
+  const {
+    term = LEASE_TERM,
+    lookPeriod: pollInterval = POLL_INTERVAL,
+    isHeldElsewhere = () => false,
+  } = parts;
+  const { mayHold: canHold = () => true } = parts;
   const self = members.self.id;
   const held = new Map<string, HeldLease>();
-  const seen = new Map<string, Seen>();
-  const turnLostAt = new Map<string, number>();
+  const seenVersions = new Map<string, SeenVersion>();
+  const notPreferredSince = new Map<string, number>();
   let writes = 0;
   let closed = false;
   const isClosed = (): boolean => closed;
 
-  const isMyTurn = (service: string): boolean => {
-    const able = members.alive().map(({ id }) => id);
-    return rendezvousOrder(leaseKey(service), able)[0] === self;
+  const isPreferredHolder = (service: string): boolean => {
+    const candidates = members.alive().map(({ id }) => id);
+    return rendezvousOrder(leaseKey(service), candidates)[0] === self;
   };
   const dayOffset = (): number => clock.date().getTime() - clock.now();
   const moment = (): LeaseMoment => ({ now: clock.now(), dayOffset: dayOffset() });
   const isHeld = (service: string): boolean => {
-    const mine = held.get(service);
-    return mine !== undefined && leaseTimeLeft(mine, moment()) > 0;
+    const lease = held.get(service);
+    return lease !== undefined && leaseTimeLeft(lease, moment()) > 0;
   };
   const write = async (
     service: string,
@@ -135,30 +139,31 @@
   ): Promise<PutOutcome> => {
     const value = formatLease({ holder: lease.holder, term, renewal: ++writes });
     const { expect } = lease;
-    return pace.run(() => store.put(leaseKey(service), value, { expect }));
+    return throttle.run(() => store.put(leaseKey(service), value, { expect }));
   };
   /**
    * Reads a lease and records its version. This also finds an own lease whose write was answered
    * late or never.
    */
-  const look = async (service: string): Promise<Found | undefined | "unavailable"> => {
-    const read = await pace.run(() => store.get(leaseKey(service)));
+  const readLease = async (service: string): Promise<FoundLease | undefined | "unavailable"> => {
+    const read = await throttle.run(() => store.get(leaseKey(service)));
     if (read.kind === "unavailable") return "unavailable";
     if (read.kind === "absent") return undefined;
     const lease = parseLease(read.object.version, read.object.value);
     const { version } = lease;
-    const before = seen.get(service);
-    const since = before?.version === version ? before.since : clock.now();
-    seen.set(service, { version, since });
-    return { lease, since };
+    const before = seenVersions.get(service);
+    const firstSeenAt = before?.version === version ? before.firstSeenAt : clock.now();
+    seenVersions.set(service, { version, firstSeenAt });
+    return { lease, firstSeenAt };
   };
-  const take = async (service: string): Promise<void> => {
-    const found = await look(service);
+  const acquire = async (service: string): Promise<void> => {
+    const found = await readLease(service);
     if (found === "unavailable") return;
-    const given = found === undefined || found.lease.holder === "";
-    const ranOut =
-      found !== undefined && hasRunOut({ since: found.since, term: found.lease.term }, clock.now());
-    if (!given && !ranOut) return;
+    const isReturned = found === undefined || found.lease.holder === "";
+    const isExpired =
+      found !== undefined &&
+      hasRunOut({ since: found.firstSeenAt, term: found.lease.term }, clock.now());
+    if (!isReturned && !isExpired) return;
     const sentAt = clock.now();
     const offsetThen = dayOffset();
     const outcome = await write(service, { holder: self, expect: found?.lease.version ?? 0 });
@@ -167,7 +172,7 @@
     if (outcome.kind !== "written") return;
     // A holder that returned its lease had no order in progress. One that did not may have sent its
     // last order at the very end of its term.
-    const ordersFrom = given ? clock.now() : clock.now() + parts.longestOrder;
+    const ordersFrom = isReturned ? clock.now() : clock.now() + parts.longestOrder;
     const { version } = outcome;
     held.set(service, {
       version,
@@ -180,16 +185,16 @@
     });
     count("lease.taken");
   };
-  const renew = async (service: string, mine: HeldLease): Promise<void> => {
-    const renewed = { ...mine, until: clock.now() + term, dayOffset: dayOffset() };
-    const outcome = await write(service, { holder: self, expect: mine.version });
+  const renew = async (service: string, lease: HeldLease): Promise<void> => {
+    const renewed = { ...lease, until: clock.now() + term, dayOffset: dayOffset() };
+    const outcome = await write(service, { holder: self, expect: lease.version });
     if (outcome.kind === "written") {
-      keep(service, { ...renewed, version: outcome.version });
+      recordRenewal(service, { ...renewed, version: outcome.version });
     } else if (outcome.kind === "conflict") {
       held.delete(service);
       count("lease.lost");
     } else if (outcome.kind === "unknown") {
-      await adopt(service, renewed);
+      await confirmRenewal(service, renewed);
     }
   };
   /**
@@ -197,15 +202,15 @@
    * as the holder, the renewal succeeded: no other instance writes this id, and this instance
    * writes one renewal at a time.
    */
-  const adopt = async (service: string, renewal: HeldLease): Promise<void> => {
-    const found = await look(service);
+  const confirmRenewal = async (service: string, renewal: HeldLease): Promise<void> => {
+    const found = await readLease(service);
     if (found === "unavailable" || found === undefined) return;
     const { holder, version } = found.lease;
     if (holder !== self) held.delete(service);
-    else if (version > renewal.version) keep(service, { ...renewal, version });
+    else if (version > renewal.version) recordRenewal(service, { ...renewal, version });
   };
   /** Records a renewal, unless the lease was dropped while the response was pending. */
-  const keep = (service: string, renewed: HeldLease): void => {
+  const recordRenewal = (service: string, renewed: HeldLease): void => {
     const before = held.get(service);
     if (before === undefined) return;
     held.set(service, { ...renewed, ordersUntil: before.ordersUntil });
@@ -214,54 +219,54 @@
    * Returns a lease once no order is in progress. `giveBackIn` documents when a lease is left to
    * expire instead.
    */
-  const giveBack = async (service: string): Promise<void> => {
-    const mine = held.get(service);
+  const returnLease = async (service: string): Promise<void> => {
+    const lease = held.get(service);
     // From here on, no order is started.
     held.delete(service);
-    const wait = mine === undefined ? undefined : giveBackIn(mine, clock.now(), { term });
-    if (mine === undefined || wait === undefined) return;
+    const wait = lease === undefined ? undefined : giveBackIn(lease, clock.now(), { term });
+    if (lease === undefined || wait === undefined) return;
     if (wait > 0) await sleep(clock, wait);
-    await write(service, { holder: "", expect: mine.version });
+    await write(service, { holder: "", expect: lease.version });
   };
-  const tend = async (service: string): Promise<void> => {
-    const mine = held.get(service);
-    const isMine = isMyTurn(service);
-    if (mine === undefined || !isHeld(service)) {
+  const maintain = async (service: string): Promise<void> => {
+    const lease = held.get(service);
+    const isPreferred = isPreferredHolder(service);
+    if (lease === undefined || !isHeld(service)) {
       held.delete(service);
-      if (isMine && !isHeldElsewhere(service)) await take(service);
+      if (isPreferred && !isHeldElsewhere(service)) await acquire(service);
       return;
     }
-    if (isMine) turnLostAt.delete(service);
-    else if (!turnLostAt.has(service)) turnLostAt.set(service, clock.now());
-    const lostFor = clock.now() - (turnLostAt.get(service) ?? clock.now());
-    if (!mayHold() || lostFor > HANDOVER_AFTER) await giveBack(service);
-    else await renew(service, mine);
+    if (isPreferred) notPreferredSince.delete(service);
+    else if (!notPreferredSince.has(service)) notPreferredSince.set(service, clock.now());
+    const notPreferredFor = clock.now() - (notPreferredSince.get(service) ?? clock.now());
+    if (!canHold() || notPreferredFor > HANDOVER_DELAY) await returnLease(service);
+    else await renew(service, lease);
   };
   const run = async (): Promise<void> => {
     while (!isClosed()) {
-      await Promise.all(duties().map((duty) => tend(duty)));
-      const period = held.size > 0 ? term / RENEWALS : lookPeriod;
+      await Promise.all(duties().map((duty) => maintain(duty)));
+      const period = held.size > 0 ? term / RENEWALS_PER_TERM : pollInterval;
       await sleep(clock, period * (0.8 + 0.2 * random.next()));
     }
   };
   return {
     held: () => duties().filter(isHeld),
     fence: (service, orderTime) => {
-      const mine = held.get(service);
-      if (mine === undefined || !mayOrder(mine, moment(), { orderTime })) return undefined;
-      const ordersUntil = Math.max(mine.ordersUntil ?? 0, clock.now() + orderTime);
-      held.set(service, { ...mine, ordersUntil });
-      return mine.fence;
+      const lease = held.get(service);
+      if (lease === undefined || !mayOrder(lease, moment(), { orderTime })) return undefined;
+      const ordersUntil = Math.max(lease.ordersUntil ?? 0, clock.now() + orderTime);
+      held.set(service, { ...lease, ordersUntil });
+      return lease.fence;
     },
     versionOf: (service) => (isHeld(service) ? (held.get(service)?.version ?? 0) : 0),
     heard: (service, version) => {
-      if (version <= (seen.get(service)?.version ?? 0)) return;
-      seen.set(service, { version, since: clock.now() });
+      if (version <= (seenVersions.get(service)?.version ?? 0)) return;
+      seenVersions.set(service, { version, firstSeenAt: clock.now() });
     },
     start: () => void run(),
     release: async () => {
       closed = true;
-      await Promise.all([...held.keys()].map(giveBack));
+      await Promise.all([...held.keys()].map(returnLease));
     },
     close: () => {
       closed = true;
--- a/src/process/line_writer.ts
+++ b/src/process/line_writer.ts
@@ -10,7 +10,7 @@
 }
 
 /** Maximum number of buffered characters: some seconds of output of a busy instance. */
-const GREATEST_WAITING = 524_288;
+const MAX_BUFFERED_CHARACTERS = 524_288;
 
 /**
  * Creates a writer that uses asynchronous writes to a file descriptor, one at a time.
@@ -22,27 +22,27 @@
  * @param descriptor File descriptor, such as 1 for standard output.
  */
 export function createLineWriter(descriptor: number): LineWriter {
-  let waiting: string[] = [];
-  let size = 0;
+  let buffer: string[] = [];
+  let bufferedCharacters = 0;
   let isWriting = false;
   let dropped = 0;
-  let untold = 0;
-  let idle: (() => void)[] = [];
+  let unreported = 0;
+  let flushWaiters: (() => void)[] = [];
 
-  const settle = (): void => {
-    const waiters = idle;
-    idle = [];
+  const resolveFlushes = (): void => {
+    const waiters = flushWaiters;
+    flushWaiters = [];
     for (const waiter of waiters) waiter();
   };
-  const next = (): void => {
-    if (isWriting || waiting.length === 0) {
-      if (!isWriting) settle();
+  const writeNext = (): void => {
+    if (isWriting || buffer.length === 0) {
+      if (!isWriting) resolveFlushes();
       return;
     }
     isWriting = true;
-    const bytes = Buffer.from(`${waiting.join("\n")}\n`);
-    waiting = [];
-    size = 0;
+    const bytes = Buffer.from(`${buffer.join("\n")}\n`);
+    buffer = [];
+    bufferedCharacters = 0;
     writeAll(bytes);
   };
   const writeAll = (bytes: Buffer): void => {
@@ -54,31 +54,31 @@
       // The reader is gone and nothing can be reported to it, so the lines count as dropped.
       if (error !== null) dropped++;
       isWriting = false;
-      next();
+      writeNext();
     });
   };
   return {
     write: (line) => {
-      if (size > GREATEST_WAITING) {
+      if (bufferedCharacters > MAX_BUFFERED_CHARACTERS) {
         dropped++;
-        untold++;
+        unreported++;
         return;
       }
-      if (untold > 0) {
-        waiting.push(JSON.stringify({ step: "log-lines-dropped", count: untold }));
-        untold = 0;
+      if (unreported > 0) {
+        buffer.push(JSON.stringify({ step: "log-lines-dropped", count: unreported }));
+        unreported = 0;
       }
-      waiting.push(line);
-      size += line.length;
-      if (!isWriting && waiting.length === 1) setImmediate(next);
+      buffer.push(line);
+      bufferedCharacters += line.length;
+      if (!isWriting && buffer.length === 1) setImmediate(writeNext);
     },
     get dropped() {
       return dropped;
     },
     flush: () =>
       new Promise((resolve) => {
-        idle.push(resolve);
-        next();
+        flushWaiters.push(resolve);
+        writeNext();
       }),
   };
 }
--- a/src/process/member_table.ts
+++ b/src/process/member_table.ts
@@ -13,7 +13,7 @@
 ];
 
 /** Maximum number of pending deltas per message, so that its size doesn't grow with the fleet. */
-const MOST_DELTAS = 6;
+const MAX_DELTAS = 6;
 /**
  * Number of times each delta is sent per doubling of the fleet's size. With this many, it reaches
  * all members with high probability.
@@ -23,12 +23,12 @@
  * Milliseconds for which dead members and leaving backend servers are remembered, so that delayed
  * deltas about them have no effect.
  */
-const REMEMBERED = 600_000;
+const RETENTION_TIME = 600_000;
 
 /** State of one member or backend server. */
 export interface MemberEntry extends MemberDelta {
   /** When the state was recorded, in milliseconds of the clock that the caller uses. */
-  readonly since: number;
+  readonly changedAt: number;
 }
 
 /**
@@ -47,57 +47,57 @@
    * Returns deltas for one message: those sent least often, and one random entry as a safeguard
    * against lost messages.
    */
-  news(random: Random): readonly MemberDelta[];
+  nextDeltas(random: Random): readonly MemberDelta[];
   /** Returns all entries, for an instance that joins. */
   all(): readonly MemberDelta[];
   /** Removes entries that have been dead or leaving for long enough. */
-  forget(now: number): void;
+  prune(now: number): void;
 }
 
 /** Creates an empty table. */
 export function createMemberTable(): MemberTable {
   const entries = new Map<string, MemberEntry>();
-  const sends = new Map<string, number>();
+  const sendCounts = new Map<string, number>();
   let leaving: ReadonlySet<string> = new Set();
   const members = (): readonly MemberEntry[] =>
     [...entries.values()].filter((entry) => !entry.backend);
-  const listLeaving = (): void => {
+  const updateLeaving = (): void => {
     const marked = [...entries.values()].filter((entry) => entry.backend);
     leaving = new Set(marked.map((entry) => entry.member.id));
   };
-  const mostSends = (): number => SENDS_PER_DOUBLING * Math.ceil(Math.log2(entries.size + 2));
+  const maxSends = (): number => SENDS_PER_DOUBLING * Math.ceil(Math.log2(entries.size + 2));
   return {
     merge: (delta, now) => {
       if (!overrides(delta, entries.get(delta.member.id))) return false;
-      entries.set(delta.member.id, { ...delta, since: now });
-      sends.set(delta.member.id, 0);
-      if (delta.backend) listLeaving();
+      entries.set(delta.member.id, { ...delta, changedAt: now });
+      sendCounts.set(delta.member.id, 0);
+      if (delta.backend) updateLeaving();
       return true;
     },
     find: (id) => entries.get(id),
     members,
     leavingWorkers: () => leaving,
-    news: (random) => {
-      const fresh = [...sends.entries()].sort(([, a], [, b]) => a - b).slice(0, MOST_DELTAS);
-      for (const [id, count] of fresh) {
-        if (count + 1 >= mostSends()) sends.delete(id);
-        else sends.set(id, count + 1);
+    nextDeltas: (random) => {
+      const pending = [...sendCounts.entries()].sort(([, a], [, b]) => a - b).slice(0, MAX_DELTAS);
+      for (const [id, count] of pending) {
+        if (count + 1 >= maxSends()) sendCounts.delete(id);
+        else sendCounts.set(id, count + 1);
       }
       const known = [...entries.values()];
-      const any = known[Math.floor(random.next() * known.length)];
-      const ids = new Set(fresh.map(([id]) => id));
-      if (any !== undefined) ids.add(any.member.id);
+      const randomEntry = known[Math.floor(random.next() * known.length)];
+      const ids = new Set(pending.map(([id]) => id));
+      if (randomEntry !== undefined) ids.add(randomEntry.member.id);
       return [...ids].flatMap((id) => deltaOf(entries.get(id)));
     },
     all: () => [...entries.values()].flatMap(deltaOf),
-    forget: (now) => {
-      for (const [id, { state, backend, since }] of entries) {
-        const over = backend || state === MemberState.Dead;
-        if (!over || now - since < REMEMBERED) continue;
+    prune: (now) => {
+      for (const [id, { state, backend, changedAt }] of entries) {
+        const isFinal = backend || state === MemberState.Dead;
+        if (!isFinal || now - changedAt < RETENTION_TIME) continue;
         entries.delete(id);
-        sends.delete(id);
+        sendCounts.delete(id);
       }
-      listLeaving();
+      updateLeaving();
     },
   };
 }
--- a/src/process/membership.ts
+++ b/src/process/membership.ts
@@ -21,15 +21,15 @@
 /** Timeout of a probe in milliseconds. A probe through a helper gets twice as long. */
 const PROBE_TIMEOUT = 1_000;
 /** Number of members asked to probe a silent member before it is suspected. */
-const HELPERS = 2;
+const PROBE_HELPERS = 2;
 /** Milliseconds that a suspected member has to refute the suspicion. */
-const SUSPICION = 2_000;
+const SUSPICION_TIMEOUT = 2_000;
 /**
  * Number of peers that new deltas are sent to at once, and milliseconds during which further deltas
  * are batched with them.
  */
-const NEWS_FANOUT = 2;
-const NEWS_DELAY = 50;
+const DELTA_FANOUT = 2;
+const DELTA_DELAY = 50;
 /**
  * Number of probe periods between probes of a seed or a dead member, which rejoin separated parts
  * of a fleet.
@@ -94,87 +94,87 @@
   const listeners = new Set<() => void>();
   const noticeListeners = new Set<() => void>();
   let own: MemberDelta = { member: self, state: MemberState.Alive, rise: 0, backend: false };
-  let heardAt: number | undefined;
+  let lastMessageAt: number | undefined;
   let closed = false;
-  let newsDue = false;
-  let round: Member[] = [];
+  let isSendScheduled = false;
+  let probeQueue: Member[] = [];
 
   const changed = (): void => {
     for (const listener of listeners) listener();
   };
   const merge = (delta: MemberDelta): boolean => {
-    if (delta.member.id === self.id) return hearOfSelf(delta);
-    const isNews = table.merge(delta, clock.now());
-    if (isNews && !delta.backend && delta.state === MemberState.Suspect) judgeLater(delta);
-    return isNews;
+    if (delta.member.id === self.id) return mergeOwnState(delta);
+    const isNew = table.merge(delta, clock.now());
+    if (isNew && !delta.backend && delta.state === MemberState.Suspect) scheduleDeath(delta);
+    return isNew;
   };
-  const hearOfSelf = (delta: MemberDelta): boolean => {
-    const noticed = delta.state === MemberState.Leaving && own.state === MemberState.Alive;
-    if (noticed && delta.rise >= own.rise) {
+  const mergeOwnState = (delta: MemberDelta): boolean => {
+    const isNotice = delta.state === MemberState.Leaving && own.state === MemberState.Alive;
+    if (isNotice && delta.rise >= own.rise) {
       own = { ...own, state: MemberState.Leaving, rise: delta.rise + 1 };
       for (const listener of noticeListeners) listener();
       return true;
     }
-    const accused = delta.state === MemberState.Suspect || delta.state === MemberState.Dead;
-    if (!accused || delta.rise < own.rise) return false;
+    const isAccused = delta.state === MemberState.Suspect || delta.state === MemberState.Dead;
+    if (!isAccused || delta.rise < own.rise) return false;
     // Only this instance can refute its own suspicion. Without a higher number, others would
     // declare it dead and take over its slots while it is serving them.
     own = { ...own, rise: delta.rise + 1 };
     return true;
   };
-  const judgeLater = ({ member, rise }: MemberDelta): void => {
-    clock.after(SUSPICION, () => {
+  const scheduleDeath = ({ member, rise }: MemberDelta): void => {
+    clock.after(SUSPICION_TIMEOUT, () => {
       const known = table.find(member.id);
       if (closed || known?.rise !== rise || known.state === MemberState.Dead) return;
-      tell({ member, state: MemberState.Dead, rise, backend: false });
+      announce({ member, state: MemberState.Dead, rise, backend: false });
     });
   };
   /**
    * Probes a leaving member once more before it is declared dead, since it cannot be marked as
    * suspected.
    */
-  const judgeLeaving = ({ member, rise }: MemberDelta): void => {
-    const judge = async (): Promise<void> => {
+  const confirmLeavingMember = ({ member, rise }: MemberDelta): void => {
+    const probeAgain = async (): Promise<void> => {
       if (closed || (await probe(member))) return;
-      tell({ member, state: MemberState.Dead, rise, backend: false });
+      announce({ member, state: MemberState.Dead, rise, backend: false });
     };
-    clock.after(SUSPICION, () => void judge());
+    clock.after(SUSPICION_TIMEOUT, () => void probeAgain());
   };
-  const tell = (delta: MemberDelta): void => {
+  const announce = (delta: MemberDelta): void => {
     if (!merge(delta)) return;
     changed();
-    spreadNews();
+    sendDeltas();
   };
-  const hear = (
+  const receive = (
     from: string,
     deltas: readonly MemberDelta[],
     marks: readonly VersionMark[],
   ): void => {
-    heardAt = clock.now();
-    const news = deltas.filter(merge);
+    lastMessageAt = clock.now();
+    const newDeltas = deltas.filter(merge);
     const sender = table.find(from)?.member;
     if (sender !== undefined) {
-      buryEarlier(sender);
+      declareEarlierDead(sender);
       parts.hearVersions(sender, marks);
     }
-    if (news.length === 0) return;
+    if (newDeltas.length === 0) return;
     changed();
-    spreadNews();
+    sendDeltas();
   };
   /**
    * Declares earlier processes with the same name dead. A restarted instance uses the same address.
    */
-  const buryEarlier = (sender: Member): void => {
+  const declareEarlierDead = (sender: Member): void => {
     for (const { member, state, rise } of table.members()) {
       if (member.id === sender.id || nameOf(member) !== nameOf(sender)) continue;
       if (state !== MemberState.Dead) {
-        tell({ member, state: MemberState.Dead, rise, backend: false });
+        announce({ member, state: MemberState.Dead, rise, backend: false });
       }
     }
   };
   const outgoing = (to: string): Pick<ProbeMessage, "from" | "deltas" | "versions"> => ({
     from: self.id,
-    deltas: [own, ...accusationOf(table, to), ...table.news(random)],
+    deltas: [own, ...suspicionOf(table, to), ...table.nextDeltas(random)],
     versions: parts.versions(),
   });
   const ask = (to: Member, message: ProbeMessage): Promise<ProbeReply> => {
@@ -185,7 +185,7 @@
     try {
       const reply = await ask(to, outgoing(to.id));
       if (closed) return true;
-      hear(reply.from, reply.deltas, reply.versions);
+      receive(reply.from, reply.deltas, reply.versions);
       // The member answered but is recorded as dead. It must receive that state in order to refute
       // it.
       const answered = table.find(reply.from);
@@ -199,43 +199,43 @@
   const probeThrough = async (helper: Member, target: Member): Promise<boolean> => {
     try {
       const reply = await ask(helper, { ...outgoing(helper.id), target });
-      hear(reply.from, reply.deltas, reply.versions);
+      receive(reply.from, reply.deltas, reply.versions);
       return reply.reached;
     } catch {
       return false;
     }
   };
-  const examine = async (target: Member): Promise<void> => {
+  const checkMember = async (target: Member): Promise<void> => {
     if (await probe(target)) return;
     const helpers = shuffled(table, random)
       .filter((member) => member.id !== target.id)
-      .slice(0, HELPERS);
+      .slice(0, PROBE_HELPERS);
     const reached = await Promise.all(helpers.map((helper) => probeThrough(helper, target)));
     if (reached.includes(true) || closed) return;
     const known = table.find(target.id);
     if (known === undefined || known.state === MemberState.Dead) return;
-    if (known.state === MemberState.Leaving) judgeLeaving(known);
-    else tell({ member: target, state: MemberState.Suspect, rise: known.rise, backend: false });
+    if (known.state === MemberState.Leaving) confirmLeavingMember(known);
+    else announce({ member: target, state: MemberState.Suspect, rise: known.rise, backend: false });
   };
   const nextTarget = (): Member | undefined => {
-    if (round.length === 0) round = shuffled(table, random);
-    const target = round.pop();
-    const gone = target !== undefined && stateOf(table, target.id) === MemberState.Dead;
-    return gone ? undefined : target;
+    if (probeQueue.length === 0) probeQueue = shuffled(table, random);
+    const target = probeQueue.pop();
+    const isDead = target !== undefined && stateOf(table, target.id) === MemberState.Dead;
+    return isDead ? undefined : target;
   };
   const rejoin = async (): Promise<void> => {
-    const lost = table.members().filter(({ state }) => state === MemberState.Dead);
-    const addresses = [...parts.seeds, ...lost.map(({ member }) => member.address)];
-    const foreign = addresses.filter((address) => address !== self.address);
-    const address = foreign[Math.floor(random.next() * foreign.length)];
+    const deadMembers = table.members().filter(({ state }) => state === MemberState.Dead);
+    const addresses = [...parts.seeds, ...deadMembers.map(({ member }) => member.address)];
+    const otherAddresses = addresses.filter((address) => address !== self.address);
+    const address = otherAddresses[Math.floor(random.next() * otherAddresses.length)];
     if (address !== undefined) await probe({ id: "", address, callerAddress: "", zone: "" });
   };
   const run = async (): Promise<void> => {
     for (let period = 0; !isClosed(); period++) {
       const target = nextTarget();
-      if (target !== undefined) void examine(target);
+      if (target !== undefined) void checkMember(target);
       if (target === undefined || period % REJOIN_PERIODS === 0) void rejoin();
-      table.forget(clock.now());
+      table.prune(clock.now());
       await sleep(clock, PROBE_PERIOD * (0.9 + 0.2 * random.next()));
     }
   };
@@ -244,18 +244,18 @@
    * Sends new deltas to a few random members without waiting for the next probe. Each instance
    * forwards a delta this way once.
    */
-  const spreadNews = (): void => {
-    if (newsDue || closed) return;
-    newsDue = true;
-    clock.after(NEWS_DELAY, () => {
-      newsDue = false;
+  const sendDeltas = (): void => {
+    if (isSendScheduled || closed) return;
+    isSendScheduled = true;
+    clock.after(DELTA_DELAY, () => {
+      isSendScheduled = false;
       if (closed) return;
-      for (const peer of shuffled(table, random).slice(0, NEWS_FANOUT)) void probe(peer);
+      for (const peer of shuffled(table, random).slice(0, DELTA_FANOUT)) void probe(peer);
     });
   };
   const answerProbe = async (message: ProbeMessage): Promise<ProbeReply> => {
     const isNew = table.find(message.from) === undefined;
-    hear(message.from, message.deltas, message.versions);
+    receive(message.from, message.deltas, message.versions);
     const { target } = message;
     const reached = target === undefined || target.id === self.id || (await probe(target));
     const deltas = isNew ? [own, ...table.all()] : outgoing(message.from).deltas;
@@ -274,7 +274,7 @@
     await Promise.all(shuffled(table, random).map(askOne));
     return found;
   };
-  const isIn = (...states: MemberState[]): readonly Member[] => {
+  const membersIn = (...states: MemberState[]): readonly Member[] => {
     const others = table.members().filter(({ state }) => states.includes(state));
     const found = others.map(({ member }) => member);
     return states.includes(own.state) ? [self, ...found] : found;
@@ -284,31 +284,31 @@
     self,
     find: (id) => (id === self.id ? self : table.find(id)?.member),
     stateOf: (id) => (id === self.id ? own.state : stateOf(table, id)),
-    alive: () => isIn(MemberState.Alive, MemberState.Suspect),
-    present: () => isIn(MemberState.Alive, MemberState.Suspect, MemberState.Leaving),
+    alive: () => membersIn(MemberState.Alive, MemberState.Suspect),
+    present: () => membersIn(MemberState.Alive, MemberState.Suspect, MemberState.Leaving),
     onChange: (listener) => subscribe(listeners, listener),
     onOwnNotice: (listener) => subscribe(noticeListeners, listener),
-    heardAt: () => heardAt,
+    heardAt: () => lastMessageAt,
     survey,
     leavingWorkers: () => table.leavingWorkers(),
     handlers: { probe: answerProbe },
     start: () => void run(),
-    spreadVersions: spreadNews,
+    spreadVersions: sendDeltas,
     leave: () => {
       if (own.state === MemberState.Leaving) return;
       own = { ...own, state: MemberState.Leaving, rise: own.rise + 1 };
       changed();
-      spreadNews();
+      sendDeltas();
     },
     markWorkerLeaving: (id, zone) => {
       const member = { id, address: "", callerAddress: "", zone };
-      tell({ member, state: MemberState.Leaving, rise: 1, backend: true });
+      announce({ member, state: MemberState.Leaving, rise: 1, backend: true });
     },
     markMemberLeaving: (name) => {
-      if (nameOf(self) === name) tell({ ...own, state: MemberState.Leaving });
+      if (nameOf(self) === name) announce({ ...own, state: MemberState.Leaving });
       for (const { member, state, rise, backend } of table.members()) {
         const named = nameOf(member) === name && state !== MemberState.Dead;
-        if (named) tell({ member, state: MemberState.Leaving, rise, backend });
+        if (named) announce({ member, state: MemberState.Leaving, rise, backend });
       }
     },
     close: () => {
@@ -324,12 +324,12 @@
 }
 
 /** Returns the suspicion or death recorded for a member, so that it can refute it. */
-function accusationOf(table: MemberTable, id: string): MemberDelta[] {
+function suspicionOf(table: MemberTable, id: string): MemberDelta[] {
   const known = table.find(id);
   if (known === undefined) return [];
   const { member, state, rise, backend } = known;
-  const accused = state === MemberState.Suspect || state === MemberState.Dead;
-  return accused ? [{ member, state, rise, backend }] : [];
+  const isAccused = state === MemberState.Suspect || state === MemberState.Dead;
+  return isAccused ? [{ member, state, rise, backend }] : [];
 }
 
 /** Returns the members that are not dead, in random order. */
--- a/src/process/own_news.ts
+++ b/src/process/own_news.ts
@@ -5,18 +5,18 @@
 import type { InstanceNews, WorkerUse } from "./digest.ts";
 
 /** Complete counts that an instance can send at one moment. */
-export type OwnState = Omit<InstanceNews, "isWhole" | "age" | "time">;
+export type InstanceCounts = Omit<InstanceNews, "isWhole" | "uptime" | "time">;
 
 /** Records counts by round, so that each receiver can be sent what it has not acknowledged. */
-export interface OwnNews {
+export interface CountLog {
   /** Records the counts of a round. Round numbers start at 1 and increase. */
-  note(state: OwnState, round: number): void;
+  record(state: InstanceCounts, round: number): void;
   /**
    * Returns the update for a receiver as of the last recorded round; undefined before the first.
    *
    * @param since The last round that the receiver acknowledged; 0 if there is none.
    */
-  since(since: number): Omit<InstanceNews, "age" | "time"> | undefined;
+  since(since: number): Omit<InstanceNews, "uptime" | "time"> | undefined;
 }
 
 /**
@@ -24,36 +24,36 @@
  * A receiver that has not acknowledged a round since then is sent a full snapshot, because it may
  * have entries whose removal is no longer recorded here.
  */
-export const REMEMBERED_ROUNDS = 128;
+export const RETAINED_ROUNDS = 128;
 
 /** Creates a log without any recorded round. */
-export function createOwnNews(): OwnNews {
-  const same = (a: number, b: number): boolean => a === b;
-  const admitted = createChangeLog<string, number>({ gone: 0, equals: same });
-  const use = createChangeLog<number, WorkerUse>({ gone: NO_USE, equals: isSameUse });
+export function createCountLog(): CountLog {
+  const isEqual = (a: number, b: number): boolean => a === b;
+  const admitted = createChangeLog<string, number>({ tombstone: 0, equals: isEqual });
+  const use = createChangeLog<number, WorkerUse>({ tombstone: NO_USE, equals: isSameWorkerCounts });
   /** Count of an account in a window, keyed by window number and account name. */
-  const usage = createChangeLog<string, AccountCount>({ gone: NO_COUNT, equals: isSameCount });
-  let latest: OwnState | undefined;
-  let last = 0;
+  const usage = createChangeLog<string, AccountCount>({ tombstone: NO_COUNT, equals: isSameCount });
+  let latest: InstanceCounts | undefined;
+  let lastRound = 0;
   return {
-    note: (state, round) => {
+    record: (state, round) => {
       latest = state;
-      last = round;
-      admitted.note(state.admitted, round);
-      use.note(state.use, round);
-      usage.note(usageByKey(state.usage), round);
-      for (const log of [admitted, use, usage]) log.forgetGone(round - REMEMBERED_ROUNDS);
+      lastRound = round;
+      admitted.record(state.admitted, round);
+      use.record(state.use, round);
+      usage.record(usageByKey(state.usage), round);
+      for (const log of [admitted, use, usage]) log.prune(round - RETAINED_ROUNDS);
     },
     since: (since) => {
       if (latest === undefined) return undefined;
-      const isWhole = since <= last - REMEMBERED_ROUNDS || since === 0;
+      const isWhole = since <= lastRound - RETAINED_ROUNDS || since === 0;
       const from = isWhole ? 0 : since;
       return {
         isWhole,
         admitted: admitted.since(from),
-        usage: countsByWindow(told(usage.since(from))),
+        usage: countsByWindow(withoutTombstones(usage.since(from))),
         use: use.since(from),
-        leaving: latest.leaving,
+        leavingWorkers: latest.leavingWorkers,
       };
     },
   };
@@ -65,7 +65,7 @@
   return a.window === b.window && a.account === b.account && a.count === b.count;
 }
 
-function isSameUse(a: WorkerUse, b: WorkerUse): boolean {
+function isSameWorkerCounts(a: WorkerUse, b: WorkerUse): boolean {
   return (
     a.running === b.running &&
     a.unreadTokens === b.unreadTokens &&
@@ -86,6 +86,6 @@
 }
 
 /** Leaves out the tombstones of windows that are no longer kept. */
-function told(counts: ReadonlyMap<string, AccountCount>): AccountCount[] {
+function withoutTombstones(counts: ReadonlyMap<string, AccountCount>): AccountCount[] {
   return [...counts.values()].filter(({ account }) => account !== "");
 }
--- a/src/process/peer.ts
+++ b/src/process/peer.ts
@@ -1,4 +1,4 @@
-import { NewsScope } from "./digest.ts";
+import { UpdateScope } from "./digest.ts";
 import type { InstanceState, RosterEntry } from "./digest.ts";
 
 /** Another instance, as described by its last digest. */
@@ -12,7 +12,7 @@
 /** State of the exchange with the process at an address. */
 export interface Peer {
   readonly address: string;
-  heardAt: number;
+  receivedAt: number;
   isLive: boolean;
   /** When it was last marked as lost, in milliseconds of the local clock. */
   lostAt: number;
@@ -20,20 +20,20 @@
   session: number;
   lastSequence: number;
   /** Sequence number of the last digest from it whose update or roster was applied. */
-  newsSequence: number;
+  updateSequence: number;
   /** Scope of the last update from it. */
-  scope: NewsScope;
+  scope: UpdateScope;
   /** Whether it expects a digest in return. */
-  asks: boolean;
+  expectsDigest: boolean;
   /** Whether it applies this instance's updates. */
-  wantsNews: boolean;
+  wantsUpdate: boolean;
   /** Whether its digests name this instance's current session. */
-  knowsThis: boolean;
+  hasOurSession: boolean;
   /** The last round of this instance that it acknowledged. */
-  has: number;
+  acknowledgedRound: number;
   /** Kind of update that it is sent, and the round since when. */
-  told: string;
-  toldSince: number;
+  updateKind: string;
+  updateKindSince: number;
 }
 
 /** A time before all others, for events that have not happened. */
@@ -43,11 +43,11 @@
  * Milliseconds without a digest after which an instance counts as lost. Four digests in a row are
  * almost never lost by packet loss alone.
  */
-const LIVE_TIME = 1_100;
+const LIVENESS_TIMEOUT = 1_100;
 
 /** Whether a digest from the peer has arrived recently enough. */
-export function isHeard({ heardAt }: Peer, now: number): boolean {
-  return heardAt >= now - LIVE_TIME;
+export function isResponding({ receivedAt }: Peer, now: number): boolean {
+  return receivedAt >= now - LIVENESS_TIMEOUT;
 }
 
 /** Returns the id of a process: the instance's name and the session in hexadecimal. */
@@ -56,22 +56,22 @@
 }
 
 /** Creates the state for an address from which no digest has arrived. */
-export function unheard(address: string): Peer {
+export function createPeer(address: string): Peer {
   return {
     address,
-    heardAt: NEVER,
+    receivedAt: NEVER,
     isLive: false,
     lostAt: NEVER,
     instance: undefined,
     session: 0,
     lastSequence: 0,
-    newsSequence: 0,
-    scope: NewsScope.None,
-    asks: false,
-    wantsNews: true,
-    knowsThis: false,
-    has: 0,
-    told: "",
-    toldSince: 0,
+    updateSequence: 0,
+    scope: UpdateScope.None,
+    expectsDigest: false,
+    wantsUpdate: true,
+    hasOurSession: false,
+    acknowledgedRound: 0,
+    updateKind: "",
+    updateKindSince: 0,
   };
 }
--- a/src/process/peer_catch_up.ts
+++ b/src/process/peer_catch_up.ts
@@ -9,7 +9,7 @@
 /** Fetches store changes from peers that neither the store nor a digest has delivered in time. */
 export interface PeerCatchUp {
   /** Called with a peer's digest after the store changes in it have been applied. */
-  heard(peer: PeerInstance): void;
+  receive(peer: PeerInstance): void;
   /** Whether changes of the kind have been missing here for some time and no peer has sent them. */
   isBehind(kind: string): boolean;
 }
@@ -31,27 +31,27 @@
 }
 
 /** Milliseconds to wait for the store to deliver a change before it is fetched from a peer. */
-const FETCH_AFTER = 350;
+const FETCH_DELAY = 350;
 /**
  * Range in milliseconds of the random delay before a fetch, if a relay reports a change that
  * doesn't fit into its digest. Otherwise the relay would have to serve its whole zone at the same
  * moment.
  */
-const FETCH_SPREAD = 120;
+const FETCH_JITTER = 120;
 /** Milliseconds after which a second peer is asked, because the first one may be frozen. */
-const ASK_ANOTHER_AFTER = 250;
+const NEXT_PEER_DELAY = 250;
 
 /** Milliseconds after which an instance that still misses changes queries the store itself. */
-const BEHIND_AFTER = 550;
+const BEHIND_TIMEOUT = 550;
 
 /** Missing changes of one kind, and the fetches in progress. */
-interface Missing {
+interface MissingChanges {
   /** The highest version that a peer has reported. */
   version: number;
   since: number;
   /** Addresses of the peers with a pending fetch, and when the last fetch started. */
-  readonly asked: Set<string>;
-  askedAt: number;
+  readonly pendingPeers: Set<string>;
+  lastFetchAt: number;
 }
 
 /**
@@ -61,20 +61,20 @@
  */
 export function createPeerCatchUp(parts: PeerCatchUpParts): PeerCatchUp {
   const { clock, random, role, feeds, log } = parts;
-  const missing = new Map<string, Missing>();
+  const missing = new Map<string, MissingChanges>();
 
   const delay = (feed: FeedFollower): number => {
     if (feed.version === 0) return 0;
-    return role() === FleetRole.Equal ? FETCH_AFTER : random.next() * FETCH_SPREAD;
+    return role() === FleetRole.Mesh ? FETCH_DELAY : random.next() * FETCH_JITTER;
   };
-  const ask = async (peer: PeerInstance, kind: string, feed: FeedFollower): Promise<void> => {
-    const theirs = peer.versions.get(kind) ?? 0;
+  const fetchFrom = async (peer: PeerInstance, kind: string, feed: FeedFollower): Promise<void> => {
+    const peerVersion = peer.versions.get(kind) ?? 0;
     await sleep(clock, delay(feed));
-    if (theirs <= feed.version) return;
+    if (peerVersion <= feed.version) return;
     try {
       const found = await parts.fetch(peer.peers, kind);
       log.changed("fetched-from-peer", { kind, peer: peer.name, version: found.version });
-      feed.adopt(found);
+      feed.applyList(found);
     } catch (error) {
       log.fault("fetch-failed", { kind, peer: peer.name, detail: String(error) });
     }
@@ -86,7 +86,7 @@
     peer: PeerInstance,
     kind: string,
     feed: FeedFollower,
-  ): Missing | undefined => {
+  ): MissingChanges | undefined => {
     const version = peer.versions.get(kind) ?? 0;
     if (version <= feed.version) return undefined;
     const known = missing.get(kind);
@@ -94,8 +94,8 @@
     const found = {
       version: Math.max(version, known?.version ?? 0),
       since: isNew ? clock.now() : known.since,
-      asked: known?.asked ?? new Set<string>(),
-      askedAt: known?.askedAt ?? -Infinity,
+      pendingPeers: known?.pendingPeers ?? new Set<string>(),
+      lastFetchAt: known?.lastFetchAt ?? -Infinity,
     };
     missing.set(kind, found);
     return found;
@@ -103,23 +103,23 @@
   const catchUp = async (peer: PeerInstance, kind: string, feed: FeedFollower): Promise<void> => {
     const found = missingAgainst(peer, kind, feed);
     if (found === undefined) return;
-    const { asked } = found;
+    const { pendingPeers } = found;
     const now = clock.now();
-    const isAnotherDue = asked.size === 0 || now - found.askedAt >= ASK_ANOTHER_AFTER;
-    if (asked.has(peer.peers) || !isAnotherDue) return;
-    asked.add(peer.peers);
-    found.askedAt = now;
-    await ask(peer, kind, feed);
-    asked.delete(peer.peers);
+    const canFetch = pendingPeers.size === 0 || now - found.lastFetchAt >= NEXT_PEER_DELAY;
+    if (pendingPeers.has(peer.peers) || !canFetch) return;
+    pendingPeers.add(peer.peers);
+    found.lastFetchAt = now;
+    await fetchFrom(peer, kind, feed);
+    pendingPeers.delete(peer.peers);
   };
   return {
-    heard: (peer) => {
+    receive: (peer) => {
       for (const [kind, feed] of feeds) void catchUp(peer, kind, feed);
     },
     isBehind: (kind) => {
       const found = missing.get(kind);
       if (found === undefined || found.version <= (feeds.get(kind)?.version ?? 0)) return false;
-      return clock.now() - found.since >= BEHIND_AFTER;
+      return clock.now() - found.since >= BEHIND_TIMEOUT;
     },
   };
 }
--- a/src/process/peer_exchange.ts
+++ b/src/process/peer_exchange.ts
@@ -18,15 +18,15 @@
 import { sleep } from "../interface/index.ts";
 import type { Clock, FeedDelta, Random, Timer } from "../interface/index.ts";
 import { decodeDigest, encodeDigest } from "./digest_codec.ts";
-import { NewsScope } from "./digest.ts";
+import { UpdateScope } from "./digest.ts";
 import type { Digest, InstanceNews, InstanceState, Introduction, RosterEntry } from "./digest.ts";
 import { createDigestRounds } from "./digest_rounds.ts";
 import type { DigestRounds } from "./digest_rounds.ts";
 import { createFleetTable } from "./fleet_table.ts";
 import { FleetRole } from "./fleet_tree.ts";
-import { createNewsSources } from "./news_sources.ts";
-import type { NewsSource } from "./news_sources.ts";
-import type { OwnState } from "./own_news.ts";
+import { createUpdateSources } from "./news_sources.ts";
+import type { UpdateSource } from "./news_sources.ts";
+import type { InstanceCounts } from "./own_news.ts";
 import { incarnationOf, NEVER } from "./peer.ts";
 import type { Peer, PeerInstance } from "./peer.ts";
 
@@ -68,7 +68,7 @@
   /** Sends a digest to all direct peers at once, for a change that can't wait. */
   announce(): void;
   /** Reports a change of the store, which is then sent early if this instance is a relay. */
-  changed(): void;
+  reportStoreChange(): void;
   /**
    * Reports that a run has started at a worker. After several of these calls a digest is sent
    * early.
@@ -87,19 +87,19 @@
   readonly session: number;
   readonly state: () => InstanceState;
   /** Returns all counts of a scope; called before each round. */
-  readonly news: (scope: NewsScope) => OwnState;
+  readonly counts: (scope: UpdateScope) => InstanceCounts;
   /** Returns the estimated current time and the milliseconds since the start. */
-  readonly moment: () => Pick<InstanceNews, "time" | "age">;
+  readonly timestamps: () => Pick<InstanceNews, "time" | "uptime">;
   /** Returns the store changes that an instance with the given versions (by kind) doesn't have. */
-  readonly feedsSince: (versions: ReadonlyMap<string, number>) => readonly FeedDelta[];
+  readonly deltasSince: (versions: ReadonlyMap<string, number>) => readonly FeedDelta[];
   /** Called with every digest, before its update is applied. */
-  readonly onHeard: (peer: PeerInstance, digest: Digest) => void;
-  readonly onNews: (source: NewsSource, news: InstanceNews) => void;
+  readonly onDigest: (peer: PeerInstance, digest: Digest) => void;
+  readonly onUpdate: (source: UpdateSource, update: InstanceNews) => void;
   /**
    * Called when the role has changed. Other instances' counts will be sent again, under other
    * source ids.
    */
-  readonly onRole: () => void;
+  readonly onRoleChange: () => void;
   /** Called when instances have come or gone, or have started or stopped accepting requests. */
   readonly onChange: () => void;
   /** Called with a description when something could not be sent or read. */
@@ -108,28 +108,28 @@
 }
 
 /** Milliseconds between two digests to the same instance. */
-const PERIOD = 250;
+const DIGEST_INTERVAL = 250;
 /**
  * Number of started runs after which a digest is sent early, and the minimum milliseconds between
  * two digests. During a burst, a tenth of a second is enough for several instances to select the
  * same worker for long prompts. When few runs start, additional digests would contain nothing new.
  */
-const HURRY_RUNS = 3;
-const LEAST_PERIOD = 60;
+const EARLY_DIGEST_RUNS = 3;
+const MIN_DIGEST_INTERVAL = 60;
 /**
  * Minimum milliseconds between digests sent because of store changes. A change passes through three
  * instances, and each digest to a zone costs one message per member.
  */
-const CHANGE_PERIOD = 120;
+const MIN_CHANGE_INTERVAL = 120;
 /**
  * Average age of relayed counts in milliseconds: three digests of half a period each on average,
  * through two relays.
  */
-const RELAYED_AGE = 400;
+const RELAYED_UPDATE_AGE = 400;
 /** Number of silent, unreported addresses that are also sent a digest in each period. */
-const TRIED = 3;
+const RETRIED_ADDRESSES = 3;
 /** Milliseconds for which changes of the live instances are batched. */
-const UPDATE_DELAY = 30;
+const TOPOLOGY_DELAY = 30;
 
 /** Creates the exchange. */
 export function createPeerExchange(parts: PeerExchangeParts): PeerExchange {
@@ -140,20 +140,20 @@
     table,
     sources: () => sources,
   });
-  const sources = createNewsSources({
+  const sources = createUpdateSources({
     clock,
     zone: introduction.zone,
-    tree: () => table.tree,
+    topology: () => table.topology,
     peers: () => table.peers.values(),
-    ownAt: (round) => rounds.ownAt(round),
-    onNews: parts.onNews,
+    ownCountsAt: (round) => rounds.ownCountsAt(round),
+    onUpdate: parts.onUpdate,
   });
   let socket: Datagrams | undefined;
   let bytesSent = 0;
   let sentAt = NEVER;
-  let begun = 0;
-  let updating: Timer | undefined;
-  let hurrying: Timer | undefined;
+  let startedRuns = 0;
+  let topologyTimer: Timer | undefined;
+  let earlyTimer: Timer | undefined;
   let closed = false;
   const isClosed = (): boolean => closed;
 
@@ -163,29 +163,29 @@
     bytesSent += bytes.length;
   };
   const sendAll = (): void => {
-    const told = targets();
-    rounds.begin(told);
+    const receivers = targets();
+    rounds.begin(receivers);
     sentAt = clock.now();
-    begun = 0;
+    startedRuns = 0;
     const state = parts.state();
-    for (const target of told) sendDigest(target, rounds.digestFor(target, state));
+    for (const target of receivers) sendDigest(target, rounds.digestFor(target, state));
   };
   /** Sends the changes that were delayed by the minimum interval. */
-  const sendHurried = (): void => {
-    hurrying = undefined;
-    if (!isClosed() && clock.now() - sentAt >= CHANGE_PERIOD) sendAll();
+  const sendDelayed = (): void => {
+    earlyTimer = undefined;
+    if (!isClosed() && clock.now() - sentAt >= MIN_CHANGE_INTERVAL) sendAll();
   };
-  const isDue = (): boolean => clock.now() - sentAt >= LEAST_PERIOD;
+  const canSend = (): boolean => clock.now() - sentAt >= MIN_DIGEST_INTERVAL;
   /** Returns the receivers of a round. */
   const targets = (): Peer[] => {
     const all = [...table.peers.values()];
-    if (table.tree.role === FleetRole.Equal) return all;
-    const own = table.tree.relays.get(introduction.zone) ?? [];
+    if (table.topology.role === FleetRole.Mesh) return all;
+    const own = table.topology.relays.get(introduction.zone) ?? [];
     const isPartner = ({ address }: Peer): boolean =>
-      table.tree.role === FleetRole.Relay ? table.isRelay(address) : own.includes(address);
+      table.topology.role === FleetRole.Relay ? table.isRelay(address) : own.includes(address);
     return [
-      ...all.filter((peer) => (peer.isLive && peer.asks) || isPartner(peer)),
-      ...sample(table.silent(), { count: TRIED, random }),
+      ...all.filter((peer) => (peer.isLive && peer.expectsDigest) || isPartner(peer)),
+      ...sample(table.silent(), { count: RETRIED_ADDRESSES, random }),
     ];
   };
   const receive = (bytes: Uint8Array): void => {
@@ -197,73 +197,85 @@
     const peer = table.senderOf(digest);
     // A process that isn't known here yet is asked for its introduction by not being acknowledged.
     if (peer === undefined || digest.sequence <= peer.lastSequence) return;
-    const isNew = peer.heardAt === NEVER;
-    const knewThis = peer.knowsThis;
-    takeIn(peer, digest);
+    const isNew = peer.receivedAt === NEVER;
+    const hadOurSession = peer.hasOurSession;
+    recordDigest(peer, digest);
     const before = peer.instance;
     const instance = instanceOf(peer, digest);
     if (instance === undefined) return;
     peer.instance = instance;
     const changed = !peer.isLive || before?.ready !== digest.ready;
     peer.isLive = true;
-    parts.onHeard(instance, digest);
+    parts.onDigest(instance, digest);
     // A new peer, or one that has just acknowledged this instance, gets a reply at once.
-    if (isNew || (peer.knowsThis && !knewThis)) sendDigest(peer, rounds.answer(peer));
-    if (heardNews(peer, digest) || changed) updateSoon();
+    if (isNew || (peer.hasOurSession && !hadOurSession)) sendDigest(peer, rounds.answer(peer));
+    if (applyUpdate(peer, digest) || changed) scheduleTopologyUpdate();
   };
   /** Applies the update and the roster of a digest. Returns whether the roster has changed. */
-  const heardNews = (peer: Peer, digest: Digest): boolean => {
-    const { roster: told, news: said } = digest;
-    if (told === undefined && said === undefined) return false;
-    const isWhole = said?.isWhole ?? told?.isWhole ?? false;
-    if (!isWhole && peer.newsSequence === 0) return false;
-    if (told !== undefined) {
-      const isFirm = digest.scope !== NewsScope.None;
-      table.roster.told({ session: peer.session, isFirm }, told);
+  const applyUpdate = (peer: Peer, digest: Digest): boolean => {
+    const { roster, update: counts } = digest;
+    if (roster === undefined && counts === undefined) return false;
+    const isSnapshot = counts?.isWhole ?? roster?.isSnapshot ?? false;
+    if (!isSnapshot && peer.updateSequence === 0) return false;
+    if (roster !== undefined) {
+      const isAuthoritative = digest.scope !== UpdateScope.None;
+      table.roster.receive({ session: peer.session, isAuthoritative }, roster);
     }
-    peer.newsSequence = sources.heard(peer, digest) ? digest.sequence : 0;
-    return told !== undefined && (told.isWhole || told.there.length + told.gone.length > 0);
+    peer.updateSequence = sources.receive(peer, digest) ? digest.sequence : 0;
+    return (
+      roster !== undefined &&
+      (roster.isSnapshot || roster.live.length + roster.removedSessions.length > 0)
+    );
   };
-  const takeIn = (peer: Peer, digest: Digest): void => {
+  const recordDigest = (peer: Peer, digest: Digest): void => {
     peer.lastSequence = digest.sequence;
-    peer.heardAt = clock.now();
-    peer.asks = digest.scope !== NewsScope.None;
-    peer.wantsNews = digest.wantsNews;
+    peer.receivedAt = clock.now();
+    peer.expectsDigest = digest.scope !== UpdateScope.None;
+    peer.wantsUpdate = digest.wantsUpdate;
     if (peer.scope !== digest.scope) {
       peer.scope = digest.scope;
-      peer.newsSequence = 0;
+      peer.updateSequence = 0;
       table.roster.forget(peer.session);
     }
-    peer.knowsThis = digest.heard?.session === session;
-    peer.has = peer.knowsThis ? (digest.heard?.sequence ?? 0) : 0;
-    table.introduce(digest.known);
+    peer.hasOurSession = digest.acknowledged?.session === session;
+    peer.acknowledgedRound = peer.hasOurSession ? (digest.acknowledged?.sequence ?? 0) : 0;
+    table.addAddresses(digest.knownAddresses);
   };
   const instanceOf = (peer: Peer, digest: Digest): PeerInstance | undefined => {
-    const said = digest.introduction ?? peer.instance;
-    if (said === undefined) return undefined;
-    const { name, zone, callers, peers, capacity } = said;
-    const { ready, reachesStore, isCurrent, versions, leaseVersion, storeReturned } = digest;
+    const knownIntroduction = digest.introduction ?? peer.instance;
+    if (knownIntroduction === undefined) return undefined;
+    const { name, zone, callers, peers, capacity } = knownIntroduction;
+    const { ready, reachesStore, isCurrent, versions, leaseVersion, hasStoreReturned } = digest;
     const { plans, limits } = digest;
     return {
       ...{ name, zone, callers, peers, capacity },
-      ...{ ready, reachesStore, isCurrent, versions, leaseVersion, storeReturned, plans, limits },
+      ...{
+        ready,
+        reachesStore,
+        isCurrent,
+        versions,
+        leaseVersion,
+        hasStoreReturned,
+        plans,
+        limits,
+      },
       session: digest.session,
       incarnation: incarnationOf(name, digest.session),
-      heardAt: peer.heardAt,
+      heardAt: peer.receivedAt,
     };
   };
   /** Batches changes, since many instances can come and go at the same time. */
-  const updateSoon = (): void => {
-    updating ??= clock.after(UPDATE_DELAY, update);
+  const scheduleTopologyUpdate = (): void => {
+    topologyTimer ??= clock.after(TOPOLOGY_DELAY, updateTopology);
   };
   /** Recomputes the topology from the live instances. */
-  const update = (): void => {
-    updating?.close();
-    updating = undefined;
+  const updateTopology = (): void => {
+    topologyTimer?.close();
+    topologyTimer = undefined;
     if (isClosed()) return;
     if (table.plan(parts.state().ready)) {
-      sources.restart();
-      parts.onRole();
+      sources.reset();
+      parts.onRoleChange();
     }
     sources.expire();
     parts.onChange();
@@ -271,55 +283,55 @@
   const run = async (): Promise<void> => {
     while (!isClosed()) {
       const hasLostSource = sources.expire();
-      if (table.expire() || hasLostSource) update();
-      if (clock.now() - sentAt >= PERIOD / 2) sendAll();
-      await sleep(clock, PERIOD * (0.9 + 0.2 * random.next()));
+      if (table.expire() || hasLostSource) updateTopology();
+      if (clock.now() - sentAt >= DIGEST_INTERVAL / 2) sendAll();
+      await sleep(clock, DIGEST_INTERVAL * (0.9 + 0.2 * random.next()));
     }
   };
-  const teller = (): PeerInstance | undefined => table.ofSession(sources.teller());
+  const currentRelay = (): PeerInstance | undefined => table.findBySession(sources.relaySession());
   return {
     live: () => table.live(),
-    heard: () => table.heard(),
+    heard: () => table.directPeers(),
     sources: () => sources.ids(),
     get role() {
-      return table.tree.role;
+      return table.topology.role;
     },
     get newsAge() {
-      return table.tree.role === FleetRole.Equal ? 0 : RELAYED_AGE;
+      return table.topology.role === FleetRole.Mesh ? 0 : RELAYED_UPDATE_AGE;
     },
     feeders: () => {
-      const { role } = table.tree;
-      if (role === FleetRole.Equal || table.isWatcher(introduction.peers)) return [];
+      const { role } = table.topology;
+      if (role === FleetRole.Mesh || table.isWatcher(introduction.peers)) return [];
       if (role === FleetRole.Relay) {
-        return table.heard().filter((one) => table.isWatcher(one.peers) && one.reachesStore);
+        return table.directPeers().filter((one) => table.isWatcher(one.peers) && one.reachesStore);
       }
-      const feeder = teller();
+      const feeder = currentRelay();
       return feeder?.isCurrent === true ? [feeder] : [];
     },
     dutyCandidates: () =>
       table
-        .heard()
-        .filter(({ peers }) => table.tree.role === FleetRole.Equal || table.isRelay(peers)),
+        .directPeers()
+        .filter(({ peers }) => table.topology.role === FleetRole.Mesh || table.isRelay(peers)),
     get members() {
       return table.members;
     },
     get bytesSent() {
       return bytesSent;
     },
-    introduce: (addresses) => table.introduce(addresses),
+    introduce: (addresses) => table.addAddresses(addresses),
     begun: () => {
-      begun++;
+      startedRuns++;
       // In a large fleet, a digest reaches the others only through relays, so sending it early
       // gains little.
-      const isWorthIt = begun >= HURRY_RUNS && table.tree.role === FleetRole.Equal;
-      if (isWorthIt && isDue()) sendAll();
+      const isUseful = startedRuns >= EARLY_DIGEST_RUNS && table.topology.role === FleetRole.Mesh;
+      if (isUseful && canSend()) sendAll();
     },
     announce: sendAll,
-    changed: () => {
-      if (table.tree.role !== FleetRole.Relay || isClosed()) return;
-      const left = sentAt + CHANGE_PERIOD - clock.now();
-      if (left <= 0) sendAll();
-      else hurrying ??= clock.after(left, sendHurried);
+    reportStoreChange: () => {
+      if (table.topology.role !== FleetRole.Relay || isClosed()) return;
+      const remaining = sentAt + MIN_CHANGE_INTERVAL - clock.now();
+      if (remaining <= 0) sendAll();
+      else earlyTimer ??= clock.after(remaining, sendDelayed);
     },
     start: async () => {
       const { onFault } = parts;
@@ -330,8 +342,8 @@
     },
     close: () => {
       closed = true;
-      updating?.close();
-      hurrying?.close();
+      topologyTimer?.close();
+      earlyTimer?.close();
       socket?.close();
       socket = undefined;
     },
--- a/src/process/peer_exchange_test.ts
+++ b/src/process/peer_exchange_test.ts
@@ -2,14 +2,14 @@
 import { createSeededRandom } from "../interface/index.ts";
 import { createVirtualClock } from "../standin/memory/index.ts";
 import type { InstanceNews, WorkerUse } from "./digest.ts";
-import type { OwnState } from "./own_news.ts";
+import type { InstanceCounts } from "./own_news.ts";
 import { createPeerExchange } from "./peer_exchange.ts";
 import type { PeerExchange } from "./peer_exchange.ts";
-import { createDatagramNetwork, LONGEST_WAY } from "./testing/datagram_network.ts";
+import { createDatagramNetwork, MAX_DELAY } from "./testing/datagram_network.ts";
 import type { DatagramNetwork } from "./testing/datagram_network.ts";
 
 /** Counts that an instance has received from another, accumulated over its updates. */
-interface Heard {
+interface ReceivedCounts {
   admitted: Record<string, number>;
   use: Record<string, number>;
   usage: Record<string, number>;
@@ -24,7 +24,7 @@
     version: number;
   };
   /** Received counts by the name of the sending instance. */
-  readonly heard: Map<string, Heard>;
+  readonly received: Map<string, ReceivedCounts>;
   /** Store versions that each other instance reports, by its name. */
   readonly versions: Map<string, Record<string, number>>;
   readonly faults: string[];
@@ -56,14 +56,14 @@
   let session = 0;
   const start = async (place: number): Promise<Member> => {
     const address = `10.0.0.${place}:9`;
-    const heard = new Map<string, Heard>();
+    const received = new Map<string, ReceivedCounts>();
     const versions = new Map<string, Record<string, number>>();
     const state: Member["state"] = { admitted: {}, use: {}, usage: {}, version: 0 };
     const faults: string[] = [];
     const startedAt = clock.now();
     const member: Member = {
       state,
-      heard,
+      received,
       versions,
       faults,
       isReady: true,
@@ -82,24 +82,24 @@
           ready: member.isReady,
           reachesStore: true,
           leaseVersion: 0,
-          storeReturned: false,
+          hasStoreReturned: false,
           plans: [],
           limits: [],
           isCurrent: true,
           versions: new Map([["routing", state.version]]),
         }),
-        news: () => newsOf(state),
-        moment: () => ({ time: clock.now(), age: clock.now() - startedAt }),
-        feedsSince: () => [],
-        onHeard: ({ name, versions: said }) => {
+        counts: () => newsOf(state),
+        timestamps: () => ({ time: clock.now(), uptime: clock.now() - startedAt }),
+        deltasSince: () => [],
+        onDigest: ({ name, versions: said }) => {
           versions.set(name, Object.fromEntries(said));
         },
-        onRole: () => undefined,
-        onNews: ({ subject }, news) => {
+        onRoleChange: () => undefined,
+        onUpdate: ({ subject }, news) => {
           const [name = ""] = subject.split("/");
           // Times on the wire are whole milliseconds.
-          expect(clock.now() - news.time).toBeLessThanOrEqual(LONGEST_WAY + 1);
-          heard.set(name, merged(heard.get(name), news));
+          expect(clock.now() - news.time).toBeLessThanOrEqual(MAX_DELAY + 1);
+          received.set(name, merged(received.get(name), news));
         },
         onChange: () => undefined,
         onFault: (detail) => faults.push(detail),
@@ -116,12 +116,12 @@
   return { clock, network, members, start };
 }
 
-function newsOf({ admitted, use, usage }: Member["state"]): OwnState {
+function newsOf({ admitted, use, usage }: Member["state"]): InstanceCounts {
   return {
     admitted: new Map(Object.entries(admitted)),
     usage: [{ window: WINDOW, counts: { ...usage } }],
     use: new Map(Object.entries(use).map(([worker, running]) => [Number(worker), used(running)])),
-    leaving: [],
+    leavingWorkers: [],
   };
 }
 
@@ -129,7 +129,7 @@
   return { running, unreadTokens: 0, runs: 0, failures: 0 };
 }
 
-function merged(before: Heard | undefined, news: InstanceNews): Heard {
+function merged(before: ReceivedCounts | undefined, news: InstanceNews): ReceivedCounts {
   const known = news.isWhole ? undefined : before;
   const use = Object.fromEntries(
     [...news.use].map(([worker, { running }]): [string, number] => [String(worker), running]),
@@ -174,9 +174,9 @@
     await clock.advance(3_000);
     for (const [place, { state }] of members.entries()) {
       const others = members.filter((_, other) => other !== place);
-      for (const { heard, versions } of others) {
+      for (const { received, versions } of others) {
         expect(versions.get(`e${place}`)).toEqual({ routing: state.version });
-        expect(heard.get(`e${place}`)).toMatchObject({
+        expect(received.get(`e${place}`)).toMatchObject({
           admitted: state.admitted,
           use: withoutIdle(state.use),
           usage: state.usage,
@@ -199,11 +199,11 @@
   network.cut.add("10.0.0.0:9>10.0.0.1:9");
   await clock.advance(2_000);
   expect(second.exchange.live().map(({ name }) => name)).toEqual(["e2"]);
-  second.heard.delete("e0");
+  second.received.delete("e0");
   first.state.use = { 1: 3, 2: 2 };
   network.cut.clear();
   await clock.advance(2_000);
-  expect(second.heard.get("e0")?.use).toEqual({ 1: 3, 2: 2 });
+  expect(second.received.get("e0")?.use).toEqual({ 1: 3, 2: 2 });
 });
 
 // An instance fails and another process starts at its address. Runs of the failed process have
@@ -222,9 +222,9 @@
   const again = await start(0);
   again.state.use = { 2: 1 };
   await clock.advance(2_000);
-  expect(second.heard.get("e0")?.use).toEqual({ 2: 1 });
+  expect(second.received.get("e0")?.use).toEqual({ 2: 1 });
   expect(second.exchange.heard().find(({ name }) => name === "e0")?.incarnation).not.toBe(before);
-  expect(again.heard.get("e1")?.use).toEqual({ 5: 2 });
+  expect(again.received.get("e1")?.use).toEqual({ 5: 2 });
   expect(again.exchange.members).toBe(4);
 });
 
@@ -298,7 +298,7 @@
     first.state.use = { 1: run };
     first.exchange.begun();
     await clock.advance(10);
-    if (heardAfter === 0 && (second.heard.get("e0")?.use["1"] ?? 0) > 0) heardAfter = run * 10;
+    if (heardAfter === 0 && (second.received.get("e0")?.use["1"] ?? 0) > 0) heardAfter = run * 10;
   }
   expect(heardAfter).toBeGreaterThan(0);
   expect(heardAfter).toBeLessThanOrEqual(110);
--- a/src/process/slot_task.ts
+++ b/src/process/slot_task.ts
@@ -25,29 +25,29 @@
  * Maximum rank that adds to the delay. Instances with higher ranks act at the same time, apart from
  * jitter.
  */
-const MOST_RANKS = 8;
+const MAX_RANK = 8;
 /** Milliseconds for which a new fleet gathers members before the first assignment. */
-const GATHERING = 1_000;
+const GATHERING_TIME = 1_000;
 /**
  * Average interval between checks of the plan, and maximum jitter before a write, both in
  * milliseconds.
  */
-const PERIOD = 2_000;
-const OWN_JITTER = 100;
+const POLL_INTERVAL = 2_000;
+const WRITE_JITTER = 100;
 /** Maximum number of slots of one primary that move at the same time only to balance the load. */
-const MOST_MOVES = 32;
+const MAX_MOVES = 32;
 /**
  * Milliseconds for which a claim must stay unanswered before its author takes over slots. A member
  * that considers most owners dead may itself be cut off, and if two sides took slots from each
  * other, neither could serve callers. So the member first writes a claim to the map, and takes over
  * only if no other instance answers it by writing the map.
  */
-const CLAIM_TIME = 3_000;
+const CLAIM_TIMEOUT = 3_000;
 /**
  * Milliseconds between an answered claim, or another instance's claim, and the next claim of this
  * instance.
  */
-const CLAIM_PAUSE = 8_000;
+const CLAIM_INTERVAL = 8_000;
 
 /** Keeps the assignment of slots up to date with the live members. */
 export interface SlotTask {
@@ -72,8 +72,8 @@
   const self = members.self.id;
   let timer: Timer | undefined;
   let dueAt = Number.POSITIVE_INFINITY;
-  let busy = false;
-  let wokenMeanwhile = false;
+  let isBusy = false;
+  let isWokenWhileBusy = false;
   let closed = false;
   let startedAt = 0;
   let map = configuration.slotMap();
@@ -89,37 +89,39 @@
       void step();
     });
   };
-  const noteMap = (): void => {
+  const refreshMap = (): void => {
     if (configuration.slotMap().version === map.version) return;
     map = configuration.slotMap();
     mapChangedAt = clock.now();
   };
   const step = async (): Promise<void> => {
     if (closed) return;
-    if (busy) {
-      wokenMeanwhile = true;
+    if (isBusy) {
+      isWokenWhileBusy = true;
       return;
     }
-    busy = true;
-    wokenMeanwhile = false;
-    noteMap();
+    isBusy = true;
+    isWokenWhileBusy = false;
+    refreshMap();
     try {
-      const acted = (await takeOver()) || (await tendOwn()) || wokenMeanwhile;
-      wakeIn(acted ? OWN_JITTER * random.next() : PERIOD * (0.75 + 0.5 * random.next()));
+      const hasActed = (await takeOver()) || (await maintainOwnSlots()) || isWokenWhileBusy;
+      wakeIn(
+        hasActed ? WRITE_JITTER * random.next() : POLL_INTERVAL * (0.75 + 0.5 * random.next()),
+      );
     } finally {
-      busy = false;
+      isBusy = false;
     }
   };
   const takeOver = async (): Promise<boolean> => {
     const { claim: claimant } = map;
     if (claimant !== undefined && claimant !== self && isWrong(claimant)) return answerClaim();
-    if (planned().length === 0 || clock.now() - startedAt < GATHERING) return false;
+    if (planned().length === 0 || clock.now() - startedAt < GATHERING_TIME) return false;
     if (map.version > 0 && !isInTouch() && !isClaimed()) return claim();
     // Members of lower rank write first. Later ones read the written map and find nothing left to
     // do.
     await waitForRank(rankOf(self, { map, members: members.alive() }));
     await configuration.refresh();
-    noteMap();
+    refreshMap();
     const changes = planned();
     if (closed || changes.length === 0) return false;
     const outcome = await write(changes);
@@ -130,7 +132,7 @@
     planTakeover(map, fleetOf(members), clock.date().getTime());
   const waitForRank = (rank: number): Promise<void> =>
     new Promise((resolve) => {
-      const delay = RANK_DELAY * Math.min(rank, MOST_RANKS) + OWN_JITTER * random.next();
+      const delay = RANK_DELAY * Math.min(rank, MAX_RANK) + WRITE_JITTER * random.next();
       clock.after(rank === 0 ? 0 : delay, resolve);
     });
   /**
@@ -139,7 +141,7 @@
    */
   const isInTouch = (): boolean => {
     const heardAt = members.heardAt();
-    const heard = heardAt !== undefined && clock.now() - heardAt < CLAIM_TIME;
+    const heard = heardAt !== undefined && clock.now() - heardAt < CLAIM_TIMEOUT;
     return heard && seesMostOwners(map, members);
   };
   /**
@@ -154,10 +156,12 @@
     const agrees = members.stateOf(claimant) === MemberState.Alive && planned().length > 0;
     return ownersOf(map).has(self) && !agrees;
   };
-  const isClaimed = (): boolean => map.claim === self && clock.now() - mapChangedAt >= CLAIM_TIME;
+  const isClaimed = (): boolean =>
+    map.claim === self && clock.now() - mapChangedAt >= CLAIM_TIMEOUT;
   const claim = async (): Promise<boolean> => {
     if (map.claim === self) return false;
-    const pause = map.claim === undefined && claimedAt === undefined ? CLAIM_TIME : CLAIM_PAUSE;
+    const pause =
+      map.claim === undefined && claimedAt === undefined ? CLAIM_TIMEOUT : CLAIM_INTERVAL;
     const since = Math.max(startedAt, mapChangedAt, claimedAt ?? 0);
     if (clock.now() - since < pause) return false;
     claimedAt = clock.now();
@@ -167,13 +171,13 @@
   const answerClaim = async (): Promise<boolean> => {
     await waitForRank(rankOf(self, { map, members: members.alive() }));
     await configuration.refresh();
-    noteMap();
+    refreshMap();
     if (closed || map.claim === undefined) return false;
     return (await writeMap(map.slots)) === "written";
   };
-  const tendOwn = async (): Promise<boolean> => {
-    const options = { self, fleet: fleetOf(members), mostMoves: MOST_MOVES };
-    const changes = [...(await copied(planBackups(map, options)))];
+  const maintainOwnSlots = async (): Promise<boolean> => {
+    const options = { self, fleet: fleetOf(members), mostMoves: MAX_MOVES };
+    const changes = [...(await copyRecords(planBackups(map, options)))];
     if (closed) return false;
     const moving = new Set(changes.map(({ slot }) => slot));
     changes.push(...planSwaps(map, options).filter(({ slot }) => !moving.has(slot)));
@@ -183,20 +187,20 @@
    * Copies the records and returns the resulting assignments. A backup is assigned only once it has
    * the records.
    */
-  const copied = async (
+  const copyRecords = async (
     plan: ReadonlyMap<string, readonly number[]>,
   ): Promise<readonly SlotChange[]> => {
-    const basis = map;
+    const baseMap = map;
     const { present } = fleetOf(members);
     const isLeaving = (): boolean => members.stateOf(self) === MemberState.Leaving;
     const copies = [...plan].map(async ([backup, slots]) => {
       const member = members.find(backup);
-      const has = member !== undefined && (await copy(slots, member));
-      if (has) return changesTo(basis, slots, (before) => withBackup(before, backup));
+      const hasRecords = member !== undefined && (await copy(slots, member));
+      if (hasRecords) return mapSlots(baseMap, slots, (before) => withBackup(before, backup));
       // A leaving primary that has ceded its slots copies no more. Its backup already serves them
       // and is promoted.
       return isLeaving()
-        ? changesTo(basis, slots, (before) => promotedBackup(before, present))
+        ? mapSlots(baseMap, slots, (before) => promotedBackup(before, present))
         : [];
     });
     return (await Promise.all(copies)).flat();
@@ -210,7 +214,7 @@
     }
   };
   const write = async (changes: readonly SlotChange[]): Promise<PutOutcome["kind"]> => {
-    noteMap();
+    refreshMap();
     const slots = applyChanges(map, changes);
     return slots === undefined ? "conflict" : writeMap(slots);
   };
@@ -224,10 +228,10 @@
       parts.store.put(SLOT_MAP_KEY, value, { expect }),
     );
     parts.count(`slots.write.${outcome.kind}`);
-    await hearOutcome(outcome, value);
+    await applyOutcome(outcome, value);
     return outcome.kind;
   };
-  const hearOutcome = async (outcome: PutOutcome, value: string): Promise<void> => {
+  const applyOutcome = async (outcome: PutOutcome, value: string): Promise<void> => {
     if (outcome.kind === "written") {
       configuration.hear(SLOT_MAP_KEY, { version: outcome.version, value });
     } else if (outcome.kind === "conflict") {
@@ -237,18 +241,18 @@
       // planning, so a change already made is not planned twice.
       await configuration.refresh();
     }
-    noteMap();
+    refreshMap();
   };
-  const onNews = (): void => {
-    noteMap();
-    wakeIn(OWN_JITTER * random.next());
+  const onChange = (): void => {
+    refreshMap();
+    wakeIn(WRITE_JITTER * random.next());
   };
-  const subscriptions = [members.onChange(onNews), configuration.onChange(onNews)];
+  const subscriptions = [members.onChange(onChange), configuration.onChange(onChange)];
   return {
     start: () => {
       startedAt = clock.now();
       mapChangedAt = startedAt;
-      clock.after(GATHERING, () => wakeIn(0));
+      clock.after(GATHERING_TIME, () => wakeIn(0));
     },
     close: () => {
       closed = true;
@@ -261,10 +265,10 @@
 function fleetOf(members: Membership): SlotFleet {
   const present = members.present();
   const able = members.alive();
-  const noticed = zonesUnderNotice(members, present);
-  const elsewhere = able.filter(({ zone }) => !noticed.has(zone));
+  const leavingZones = zonesUnderNotice(members, present);
+  const outsideLeavingZones = able.filter(({ zone }) => !leavingZones.has(zone));
   const ids = new Set(present.map(({ id }) => id));
-  return { able: elsewhere.length > 0 ? elsewhere : able, present: ids };
+  return { able: outsideLeavingZones.length > 0 ? outsideLeavingZones : able, present: ids };
 }
 
 /**
@@ -303,7 +307,7 @@
   return 2 * seen > owners.size;
 }
 
-function changesTo(
+function mapSlots(
   map: SlotMap,
   slots: readonly number[],
   change: (before: Assignment) => Assignment | undefined,
--- a/src/process/state_log.ts
+++ b/src/process/state_log.ts
@@ -44,7 +44,7 @@
     workers.onChange(onWorkers),
   ];
   // The states at the start are logged first.
-  for (const look of [onMembers, onVersions, onWorkers]) look();
+  for (const logChanges of [onMembers, onVersions, onWorkers]) logChanges();
   return {
     close: () => {
       for (const subscription of subscriptions) subscription.close();
--- a/src/process/statsd_sink.ts
+++ b/src/process/statsd_sink.ts
@@ -5,10 +5,10 @@
 /**
  * Maximum size of a UDP packet in bytes, and the interval in milliseconds at which counts are sent.
  */
-const PACKET_BYTES = 1_400;
-const FLUSH_PERIOD = 1_000;
+const MAX_PACKET_BYTES = 1_400;
+const FLUSH_INTERVAL = 1_000;
 /** Sampling rate of timings, since there is one for each token. */
-const TIME_SAMPLES = 0.01;
+const TIMING_SAMPLE_RATE = 0.01;
 
 /**
  * Creates a sink that sends counts by UDP to the StatsD server at `IP:PORT`. Lost packets are not
@@ -24,14 +24,14 @@
     port,
     prefix: "samphireshore.",
     globalTags: { ...tags },
-    maxBufferSize: PACKET_BYTES,
-    bufferFlushInterval: FLUSH_PERIOD,
+    maxBufferSize: MAX_PACKET_BYTES,
+    bufferFlushInterval: FLUSH_INTERVAL,
     // Errors are ignored: a failure to send metrics must never end the process.
     errorHandler: () => undefined,
   });
   return {
     add: (name, amount) => client.increment(name, amount),
-    time: (name, milliseconds) => client.timing(name, milliseconds, TIME_SAMPLES),
+    time: (name, milliseconds) => client.timing(name, milliseconds, TIMING_SAMPLE_RATE),
     close: () => client.close(),
   };
 }
--- a/src/process/store_outage.ts
+++ b/src/process/store_outage.ts
@@ -5,14 +5,14 @@
  */
 export interface StoreOutage {
   /** The store has stopped answering this instance. */
-  began(): void;
+  start(): void;
   /** Another instance reports that the store answers it. */
-  heardAnswering(): void;
+  reportAnswer(): void;
   /**
    * The store answers this instance again. Returns whether the outage may have affected all
    * instances.
    */
-  ended(): boolean;
+  end(): boolean;
 }
 
 /**
@@ -20,7 +20,7 @@
  * timeout of their calls to an unavailable store, doubled. If the others have been answered for
  * less than this, they may only have recovered a little earlier.
  */
-const RETURN_SPREAD = 2_000;
+const RECOVERY_SPREAD = 2_000;
 
 /**
  * Creates the detector.
@@ -38,21 +38,23 @@
   readonly staleAfter: number;
 }): StoreOutage {
   const { clock, staleAfter } = parts;
-  let since: number | undefined;
+  let startedAt: number | undefined;
   /** When another instance first reported an answer during this outage. */
-  let othersSince: number | undefined;
+  let othersAnsweredSince: number | undefined;
   return {
-    began: () => {
-      since = clock.now();
-      othersSince = undefined;
+    start: () => {
+      startedAt = clock.now();
+      othersAnsweredSince = undefined;
     },
-    heardAnswering: () => {
+    reportAnswer: () => {
       const now = clock.now();
-      if (since !== undefined && now - since > staleAfter) othersSince ??= now;
+      if (startedAt !== undefined && now - startedAt > staleAfter) othersAnsweredSince ??= now;
     },
-    ended: () => {
-      since = undefined;
-      return othersSince === undefined || clock.now() - othersSince < RETURN_SPREAD;
+    end: () => {
+      startedAt = undefined;
+      return (
+        othersAnsweredSince === undefined || clock.now() - othersAnsweredSince < RECOVERY_SPREAD
+      );
     },
   };
 }
--- a/src/process/store_outage_test.ts
+++ b/src/process/store_outage_test.ts
@@ -10,11 +10,11 @@
 test("an outage during which others were answered is not an outage of the store", async () => {
   const clock = createVirtualClock();
   const outage = createStoreOutage({ clock, staleAfter: STALE_AFTER });
-  outage.began();
+  outage.start();
   await clock.advance(STALE_AFTER + 1);
-  outage.heardAnswering();
+  outage.reportAnswer();
   await clock.advance(8_000);
-  expect(outage.ended()).toBe(false);
+  expect(outage.end()).toBe(false);
 });
 
 // The store fails for all instances. Right afterwards, the others still report that it answers
@@ -23,11 +23,11 @@
 test("reports right after the loss don't show that the store is available", async () => {
   const clock = createVirtualClock();
   const outage = createStoreOutage({ clock, staleAfter: STALE_AFTER });
-  outage.began();
+  outage.start();
   await clock.advance(STALE_AFTER - 1);
-  outage.heardAnswering();
+  outage.reportAnswer();
   await clock.advance(2_000);
-  expect(outage.ended()).toBe(true);
+  expect(outage.end()).toBe(true);
 });
 
 // The store fails for six seconds. Other instances call it again a little earlier than this one,
@@ -35,23 +35,23 @@
 test("others that are answered slightly earlier were not answered throughout", async () => {
   const clock = createVirtualClock();
   const outage = createStoreOutage({ clock, staleAfter: STALE_AFTER });
-  outage.began();
+  outage.start();
   await clock.advance(5_800);
-  outage.heardAnswering();
+  outage.reportAnswer();
   await clock.advance(250);
-  expect(outage.ended()).toBe(true);
+  expect(outage.end()).toBe(true);
 });
 
 test("each outage is evaluated independently of earlier ones", async () => {
   const clock = createVirtualClock();
   const outage = createStoreOutage({ clock, staleAfter: STALE_AFTER });
-  outage.began();
+  outage.start();
   await clock.advance(STALE_AFTER + 1);
-  outage.heardAnswering();
+  outage.reportAnswer();
   await clock.advance(3_000);
-  expect(outage.ended()).toBe(false);
-  outage.heardAnswering();
-  outage.began();
+  expect(outage.end()).toBe(false);
+  outage.reportAnswer();
+  outage.start();
   await clock.advance(STALE_AFTER + 1);
-  expect(outage.ended()).toBe(true);
+  expect(outage.end()).toBe(true);
 });
