--- a/src/process/store_view.ts
+++ b/src/process/store_view.ts
@@ -11,8 +11,8 @@
 import type { Routing, RouteTable } from "../version/index.ts";
 import type { InstanceState } from "./digest.ts";
 import { createFeedFollower } from "./feed_follower.ts";
-import type { ChangeArrival, ChangeWay, FeedFollower } from "./feed_follower.ts";
-import type { FleetNews } from "./fleet_news.ts";
+import type { ChangeArrival, ChangeSource, FeedFollower } from "./feed_follower.ts";
+import type { FleetSync } from "./fleet_news.ts";
 import { FleetRole } from "./fleet_tree.ts";
 import { createPeerCatchUp } from "./peer_catch_up.ts";
 import { fetchObjects } from "./peer_fetch.ts";
@@ -34,7 +34,7 @@
   /** Whether any worker has ever been present. */
   readonly hasWorkers: boolean;
   /** Returns what this instance reports about the store in its digests. */
-  state(): Pick<InstanceState, "reachesStore" | "storeReturned">;
+  state(): Pick<InstanceState, "reachesStore" | "hasStoreReturned">;
   /**
    * Must be called with each digest's sender, before and after the store changes in the digest are
    * applied.
@@ -59,7 +59,7 @@
    * last answer.
    */
   readonly staleAfter: number;
-  readonly fleet: () => Pick<FleetNews, "role" | "isFed" | "changed">;
+  readonly fleet: () => Pick<FleetSync, "role" | "isFed" | "reportStoreChange">;
   /** Called when a routing configuration comes into force. */
   readonly onRouting: (routing: Routing) => void;
   /**
@@ -77,7 +77,7 @@
   /**
    * Called when store changes arrive, with the milliseconds since the first instance received them.
    */
-  readonly onArrival: (way: ChangeWay, late: number) => void;
+  readonly onArrival: (way: ChangeSource, late: number) => void;
   /** Called when the workers have changed. */
   readonly onWorkers: (workers: readonly RoutedWorker[]) => void;
 }
@@ -89,41 +89,47 @@
   let workers: readonly RoutedWorker[] = [];
   let hasWorkers = false;
 
-  const changed = (
+  const reportChanges = (
     { kind, changedAt }: Pick<FeedFollower, "kind" | "changedAt">,
     changes: readonly FeedChange[],
-    { way, age, isFirst }: ChangeArrival,
+    { source, age, isFirst }: ChangeArrival,
   ): void => {
-    fleet().changed();
+    fleet().reportStoreChange();
     // Objects found at the start may be arbitrarily old.
     const late = isFirst ? undefined : Math.round(age);
-    log.changed("store-changed", { kind, way, late, changes: changes.length, store: changedAt });
-    if (late !== undefined) parts.onArrival(way, late);
+    log.changed("store-changed", {
+      kind,
+      way: source,
+      late,
+      changes: changes.length,
+      store: changedAt,
+    });
+    if (late !== undefined) parts.onArrival(source, late);
   };
   /** Follows a kind of objects. `name` is the kind's name in the log. */
   const follow = (
     { kind, name }: { kind: string; name: string },
-    how: {
+    options: {
       readonly apply: (changes: readonly FeedChange[], arrival: ChangeArrival) => void;
       readonly isNeeded?: () => boolean;
       readonly feedsOthers?: () => boolean;
       readonly onReach?: (reached: boolean) => void;
     },
   ): FeedFollower => {
-    const { apply, feedsOthers = () => false, onReach = () => undefined } = how;
-    const isAsked = how.isNeeded ?? (() => !fleet().isFed());
+    const { apply, feedsOthers = () => false, onReach = () => undefined } = options;
+    const isQueryNeeded = options.isNeeded ?? (() => !fleet().isFed());
     const follower: FeedFollower = createFeedFollower({
       kind,
       clock,
       random,
       feed: parts.feed,
-      isNeeded: () => isAsked() || catchUp.isBehind(kind),
+      isNeeded: () => isQueryNeeded() || catchUp.isBehind(kind),
       feedsOthers,
       onChange: (changes, arrival) => {
         apply(changes, arrival);
-        changed(follower, changes, arrival);
+        reportChanges(follower, changes, arrival);
       },
-      onReach: (reached, detail) => {
+      onReachabilityChange: (reached, detail) => {
         onReach(reached);
         log.changed("store-reached", { kind: name, reached, detail });
       },
@@ -137,14 +143,14 @@
   const workerFeed: FeedFollower = follow(
     { kind: kinds.workers, name: "workers" },
     {
-      feedsOthers: () => fleet().role !== FleetRole.Equal,
+      feedsOthers: () => fleet().role !== FleetRole.Mesh,
       apply: (changes) => {
         roster.changed(changes);
         applyWorkers();
       },
       onReach: (reached) => {
-        if (!reached) outage.began();
-        else if (outage.ended() && workerFeed.answeredAt !== undefined) roster.storeReturned();
+        if (!reached) outage.start();
+        else if (outage.end() && workerFeed.answeredAt !== undefined) roster.storeReturned();
       },
     },
   );
@@ -226,7 +232,7 @@
    * about the connection; watchers of a large fleet must detect a loss sooner.
    */
   const reachesStore = (): boolean =>
-    (fleet().role === FleetRole.Equal || workerFeed.isAnswered) &&
+    (fleet().role === FleetRole.Mesh || workerFeed.isStoreAnswering) &&
     clock.now() - (workerFeed.answeredAt ?? -Infinity) < parts.staleAfter;
   return {
     feeds,
@@ -234,13 +240,13 @@
     get hasWorkers() {
       return hasWorkers;
     },
-    state: () => ({ reachesStore: reachesStore(), storeReturned: roster.isReturning() }),
+    state: () => ({ reachesStore: reachesStore(), hasStoreReturned: roster.isReturning() }),
     heard: (peer) => {
-      if (peer.reachesStore) outage.heardAnswering();
+      if (peer.reachesStore) outage.reportAnswer();
       // Otherwise the peer's changes would remove workers whose entries have only expired.
-      if (peer.storeReturned && fleet().isFed() && !roster.isReturning()) roster.storeReturned();
+      if (peer.hasStoreReturned && fleet().isFed() && !roster.isReturning()) roster.storeReturned();
     },
-    told: (peer) => catchUp.heard(peer),
+    told: (peer) => catchUp.receive(peer),
     start: () => {
       for (const feed of feeds.values()) feed.start();
     },
--- a/src/process/system_load.ts
+++ b/src/process/system_load.ts
@@ -1,7 +1,7 @@
 import { monitorEventLoopDelay } from "node:perf_hooks";
 import type { EntryLoad } from "../decision/index.ts";
 
-const RESOLUTION = 10;
+const RESOLUTION_MS = 10;
 const PERCENTILE = 99;
 const NANOSECONDS_PER_MILLISECOND = 1e6;
 
@@ -12,10 +12,10 @@
  * @returns A function that returns the load since its last call.
  */
 export function startSystemLoad(memoryLimit: number): () => EntryLoad {
-  const delay = monitorEventLoopDelay({ resolution: RESOLUTION });
+  const delay = monitorEventLoopDelay({ resolution: RESOLUTION_MS });
   delay.enable();
   return () => {
-    const beyond = delay.percentile(PERCENTILE) / NANOSECONDS_PER_MILLISECOND - RESOLUTION;
+    const beyond = delay.percentile(PERCENTILE) / NANOSECONDS_PER_MILLISECOND - RESOLUTION_MS;
     delay.reset();
     const loopDelay = Number.isFinite(beyond) ? Math.max(0, beyond) : 0;
     return { loopDelay, memory: process.memoryUsage.rss(), memoryLimit, inProgress: 0 };
--- a/src/process/testing/core_fleet.ts
+++ b/src/process/testing/core_fleet.ts
@@ -37,7 +37,7 @@
 }
 
 /** Milliseconds in which a new fleet finds its members and assigns its slots. */
-const FORMING = 8_000;
+const FORMING_TIME = 8_000;
 
 /** Starts entry instances, each in its own availability zone, and waits until they form a fleet. */
 export async function startCoreFleet(count = 3): Promise<CoreFleet> {
@@ -67,7 +67,7 @@
     void core.start();
     return core;
   });
-  await clock.advance(FORMING);
+  await clock.advance(FORMING_TIME);
   const coreAt = (index: number): EntryCore => {
     const core = cores[index];
     if (core === undefined) throw new Error(`The fleet has no instance ${index}.`);
--- a/src/process/testing/datagram_network.ts
+++ b/src/process/testing/datagram_network.ts
@@ -14,13 +14,13 @@
  * Maximum delivery delay in milliseconds. Each datagram gets a random delay, so datagrams overtake
  * each other.
  */
-export const LONGEST_WAY = 40;
+export const MAX_DELAY = 40;
 
 /** Creates a network without faults. */
 export function createDatagramNetwork(clock: Clock, random: Random): DatagramNetwork {
   const receivers = new Map<string, DatagramParts>();
   const deliver = (bytes: Uint8Array, to: string): void => {
-    clock.after(random.next() * LONGEST_WAY, () => receivers.get(to)?.onMessage(bytes));
+    clock.after(random.next() * MAX_DELAY, () => receivers.get(to)?.onMessage(bytes));
   };
   const network: DatagramNetwork = {
     trouble: { lost: 0, twice: 0 },
--- a/src/process/testing/memory_feed.ts
+++ b/src/process/testing/memory_feed.ts
@@ -14,7 +14,7 @@
 }
 
 /** Milliseconds after its timeout at which an unanswered call fails. */
-const GIVE_UP = 500;
+const GIVE_UP_DELAY = 500;
 const CALL_TIME = 4;
 
 /** Creates an empty store. */
@@ -26,11 +26,11 @@
   const cut = new Set<string>();
   const calls = new Map<string, number>();
 
-  const called = (instance: string): void =>
+  const countCall = (instance: string): void =>
     void calls.set(instance, (calls.get(instance) ?? 0) + 1);
   const since = (from: number): FeedChange[] =>
     history.filter((one) => one.version > from).map(({ change }) => change);
-  const changed = (milliseconds: number): Promise<void> =>
+  const waitForChange = (milliseconds: number): Promise<void> =>
     new Promise((resolve) => {
       const timer = clock.after(milliseconds, () => {
         waiting.delete(wake);
@@ -42,10 +42,10 @@
       };
       waiting.add(wake);
     });
-  const answered = async (instance: string, wait: number): Promise<void> => {
+  const simulateCall = async (instance: string, wait: number): Promise<void> => {
     await sleep(clock, CALL_TIME);
     if (!cut.has(instance)) return;
-    await sleep(clock, wait + GIVE_UP);
+    await sleep(clock, wait + GIVE_UP_DELAY);
     throw new Error("no answer");
   };
   return {
@@ -60,14 +60,14 @@
     },
     of: (instance) => ({
       listKind: async () => {
-        called(instance);
-        await answered(instance, GIVE_UP);
+        countCall(instance);
+        await simulateCall(instance, GIVE_UP_DELAY);
         return { objects: [...objects.values()], version };
       },
       watchKind: async (_kind, from, wait) => {
-        called(instance);
-        if (since(from).length === 0) await changed(wait);
-        await answered(instance, 0);
+        countCall(instance);
+        if (since(from).length === 0) await waitForChange(wait);
+        await simulateCall(instance, 0);
         return { kind: "changed", changes: since(from), version };
       },
     }),
--- a/src/process/testing/news_fleet.ts
+++ b/src/process/testing/news_fleet.ts
@@ -15,7 +15,7 @@
 import { hashText, QuotaUnit } from "../../version/index.ts";
 import type { RoutedService } from "../../version/index.ts";
 import { createFleetNews } from "../fleet_news.ts";
-import type { FleetNews } from "../fleet_news.ts";
+import type { FleetSync } from "../fleet_news.ts";
 import { FleetRole } from "../fleet_tree.ts";
 import { createInstanceHashes } from "../instance_hashes.ts";
 import { createRoutedBoard } from "../routed_board.ts";
@@ -34,20 +34,20 @@
 /** Kind of the store's objects. */
 const KIND = "workers";
 /** Number of the usage window in which all runs count. */
-export const NEWS_WINDOW = 7;
+export const FLEET_WINDOW = 7;
 const QUOTA = { unit: QuotaUnit.Tokens, unstatedTokens: 0, perSecond: 1_000, burst: 1e9 };
 /**
  * Milliseconds that an instance takes to send all its objects, and that a fetch waits for an
  * instance that doesn't answer.
  */
 const FETCH_TIME = 15;
-const UNANSWERED_TIME = 1_000;
+const FETCH_TIMEOUT = 1_000;
 const REPEATS = { ratio: 0.2, slack: 50, window: 10_000 };
 
 /** An instance with the components that its updates come from and go to. */
 export interface NewsMember {
   readonly zone: string;
-  readonly news: FleetNews;
+  readonly news: FleetSync;
   readonly board: RoutedBoard;
   readonly ledger: UsageLedger;
   readonly quota: SharedQuota;
@@ -60,7 +60,7 @@
   /** Whether the instance runs. Setting this does not stop it. */
   isLive: boolean;
   /** Whether the instance answers fetches from other instances. */
-  answersFetches: boolean;
+  canAnswerFetches: boolean;
 }
 
 /**
@@ -76,12 +76,12 @@
   /** Starts a run for the account at the worker with the given index. */
   begin(member: NewsMember, run: { worker: number; account: string }): BoardRun;
   /** Whether the instance would admit another request of the account. */
-  hasRoom(member: NewsMember, account: string): boolean;
+  canAdmit(member: NewsMember, account: string): boolean;
   close(): void;
 }
 
 /** Size of a fleet. */
-export interface NewsFleetSize {
+export interface SyncFleetSize {
   readonly instances: number;
   readonly workers: number;
   readonly accounts: readonly string[];
@@ -89,15 +89,15 @@
 }
 
 /** Starts instances in four availability zones. Each knows the addresses of two others at first. */
-export async function startNewsFleet(size: NewsFleetSize): Promise<NewsFleet> {
+export async function startNewsFleet(size: SyncFleetSize): Promise<NewsFleet> {
   const clock = createVirtualClock();
   const random = createSeededRandom(size.seed ?? 1);
   const network = createDatagramNetwork(clock, random);
   const workers = Array.from({ length: size.workers }, (_, index) => workerAt(index));
   const store = createMemoryFeed(clock);
   const members: NewsMember[] = [];
-  for (let place = 0; place < size.instances; place++) {
-    members.push(startMember(place, { clock, random, network, store, members }));
+  for (let index = 0; index < size.instances; index++) {
+    members.push(startMember(index, { clock, random, network, store, members }));
   }
   for (const { board, quota, news, feed } of members) {
     board.setWorkers(workers);
@@ -108,7 +108,7 @@
     feed.start();
   }
   // A run starts the same way whatever the load, so one list of candidates serves all instances.
-  const places: readonly BoardWorker[] = members[0]?.board.candidates(SERVICE) ?? [];
+  const candidates: readonly BoardWorker[] = members[0]?.board.candidates(SERVICE) ?? [];
   return {
     clock,
     network,
@@ -116,13 +116,13 @@
     members,
     workers,
     begin: ({ board, ledger, quota }, { worker, account }) => {
-      const found = places[worker];
+      const found = candidates[worker];
       if (found === undefined) throw new Error(`There is no worker ${worker}.`);
-      ledger.began(account, NEWS_WINDOW);
+      ledger.began(account, FLEET_WINDOW);
       quota.take({ account, quota: QUOTA, size: 100, now: clock.now() });
       return board.begin(found, { reads: 640, route: "desk" });
     },
-    hasRoom: ({ quota }, account) =>
+    canAdmit: ({ quota }, account) =>
       quota.take({ account, quota: QUOTA, size: 0, now: clock.now() }) === 0,
     close: () => {
       for (const { news, feed } of members) {
@@ -134,8 +134,8 @@
 }
 
 /** Milliseconds between two checks of the instances' objects, and the maximum time of checking. */
-const LOOK = 20;
-const LONGEST_LOOK = 6_000;
+const CHECK_INTERVAL = 20;
+const MAX_CHECK_TIME = 6_000;
 /** Size of an object's value in characters, similar to a worker's entry. */
 const OBJECT_SIZE = 240;
 
@@ -147,7 +147,7 @@
 }
 
 /** Writes objects and returns the milliseconds until all given instances have the last one. */
-export async function knownIn(
+export async function measurePropagation(
   { clock, store, members }: NewsFleet,
   objects: readonly string[],
   among: readonly NewsMember[] = members,
@@ -155,9 +155,9 @@
   for (const name of objects) store.put(name, `${name} ${"x".repeat(OBJECT_SIZE)}`);
   const last = objects.at(-1) ?? "";
   const startedAt = clock.now();
-  while (clock.now() - startedAt < LONGEST_LOOK) {
+  while (clock.now() - startedAt < MAX_CHECK_TIME) {
     if (among.every(({ feed }) => feed.objects.has(last))) break;
-    await clock.advance(LOOK);
+    await clock.advance(CHECK_INTERVAL);
   }
   return clock.now() - startedAt;
 }
@@ -169,8 +169,8 @@
   scaling: undefined,
 };
 
-function addressAt(place: number): string {
-  return `10.0.${place >> 8}.${place & 255}:9`;
+function addressAt(index: number): string {
+  return `10.0.${index >> 8}.${index & 255}:9`;
 }
 
 function workerAt(index: number): RoutedWorker {
@@ -190,15 +190,15 @@
 }
 
 function startMember(
-  place: number,
-  outside: Pick<NewsFleet, "clock" | "network" | "store" | "members"> & {
+  index: number,
+  environment: Pick<NewsFleet, "clock" | "network" | "store" | "members"> & {
     random: ReturnType<typeof createSeededRandom>;
   },
 ): NewsMember {
-  const { clock, random, network, store, members } = outside;
-  const name = `e${place}`;
-  const zone = `z${place % 4}`;
-  const address = addressAt(place);
+  const { clock, random, network, store, members } = environment;
+  const name = `e${index}`;
+  const zone = `z${index % 4}`;
+  const address = addressAt(index);
   const health = createWorkerHealth();
   const quota = createSharedQuota(clock.now());
   const ledger = createUsageLedger();
@@ -225,9 +225,9 @@
     random,
     feed: store.of(name),
     isNeeded: () => !news.isFed() || catchUp.isBehind(KIND),
-    feedsOthers: () => news.role !== FleetRole.Equal,
-    onChange: () => news.changed(),
-    onReach: () => undefined,
+    feedsOthers: () => news.role !== FleetRole.Mesh,
+    onChange: () => news.reportStoreChange(),
+    onReachabilityChange: () => undefined,
   });
   const log = createRoutedLog({ instance: name, clock, write: () => undefined });
   const feeds = new Map([[KIND, feed]]);
@@ -240,15 +240,15 @@
     fetch: async (peer) => {
       await sleep(clock, FETCH_TIME);
       const found = members.find((one) => one.address === peer);
-      if (found?.isLive === true && found.answersFetches) {
+      if (found?.isLive === true && found.canAnswerFetches) {
         const { objects, version, changedAt, age } = found.feed;
         return { objects: [...objects.values()], version, changedAt, age };
       }
-      await sleep(clock, UNANSWERED_TIME);
+      await sleep(clock, FETCH_TIMEOUT);
       throw new Error(`${peer} doesn't answer.`);
     },
   });
-  const news: FleetNews = createFleetNews({
+  const news: FleetSync = createFleetNews({
     settings: {
       name,
       zone,
@@ -270,9 +270,9 @@
     feeds,
     state: () => ({
       ready: true,
-      reachesStore: feed.isAnswered,
+      reachesStore: feed.isStoreAnswering,
       leaseVersion: 0,
-      storeReturned: false,
+      hasStoreReturned: false,
       plans: [],
       limits: board.limitStatements(),
     }),
@@ -283,9 +283,9 @@
     health,
     board,
     onHeard: (peer) => board.heardLimits(peer.limits),
-    onTold: (peer) => catchUp.heard(peer),
+    onTold: (peer) => catchUp.receive(peer),
     open: network.open,
   });
   const parts = { zone, news, feed, address, board, ledger, quota, evidence };
-  return { ...parts, isLive: true, answersFetches: true };
+  return { ...parts, isLive: true, canAnswerFetches: true };
 }
