--- a/src/process/digest_rounds.ts
+++ b/src/process/digest_rounds.ts
@@ -4,12 +4,12 @@
 import type { Digest, InstanceNews, InstanceState, Introduction, Roster } from "./digest.ts";
 import type { FleetTable } from "./fleet_table.ts";
 import { FleetRole } from "./fleet_tree.ts";
-import type { UpdateSources } from "./news_sources.ts";
-import { createCountLog, RETAINED_ROUNDS } from "./own_news.ts";
-import type { CountLog, InstanceCounts } from "./own_news.ts";
+import type { UpdateSources } from "./update_sources.ts";
+import { createCountLog, RETAINED_ROUNDS } from "./count_log.ts";
+import type { CountLog, InstanceCounts } from "./count_log.ts";
 import { NEVER } from "./peer.ts";
 import type { Peer } from "./peer.ts";
-import { createRosterLog } from "./roster_news.ts";
+import { createRosterLog } from "./roster_log.ts";
 
 /** Builds the digests that this instance sends, round by round. */
 export interface DigestRounds {
--- a/src/process/fleet_news.ts
+++ b/src/process/fleet_news.ts
@@ -14,8 +14,8 @@
 import type { FeedFollower } from "./feed_follower.ts";
 import { FleetRole } from "./fleet_tree.ts";
 import { createGroupTotals } from "./group_totals.ts";
-import type { UpdateSource } from "./news_sources.ts";
-import type { InstanceCounts } from "./own_news.ts";
+import type { UpdateSource } from "./update_sources.ts";
+import type { InstanceCounts } from "./count_log.ts";
 import { incarnationOf } from "./peer.ts";
 import type { PeerInstance } from "./peer.ts";
 import { createPeerExchange } from "./peer_exchange.ts";
--- a/src/process/peer_exchange.ts
+++ b/src/process/peer_exchange.ts
@@ -24,9 +24,9 @@
 import type { DigestRounds } from "./digest_rounds.ts";
 import { createFleetTable } from "./fleet_table.ts";
 import { FleetRole } from "./fleet_tree.ts";
-import { createUpdateSources } from "./news_sources.ts";
-import type { UpdateSource } from "./news_sources.ts";
-import type { InstanceCounts } from "./own_news.ts";
+import { createUpdateSources } from "./update_sources.ts";
+import type { UpdateSource } from "./update_sources.ts";
+import type { InstanceCounts } from "./count_log.ts";
 import { incarnationOf, NEVER } from "./peer.ts";
 import type { Peer, PeerInstance } from "./peer.ts";
 
--- a/src/process/peer_exchange_test.ts
+++ b/src/process/peer_exchange_test.ts
@@ -2,7 +2,7 @@
 import { createSeededRandom } from "../interface/index.ts";
 import { createVirtualClock } from "../standin/memory/index.ts";
 import type { InstanceNews, WorkerUse } from "./digest.ts";
-import type { InstanceCounts } from "./own_news.ts";
+import type { InstanceCounts } from "./count_log.ts";
 import { createPeerExchange } from "./peer_exchange.ts";
 import type { PeerExchange } from "./peer_exchange.ts";
 import { createDatagramNetwork, MAX_DELAY } from "./testing/datagram_network.ts";
--- a/src/process/roster_news.ts
+++ b/src/process/roster_log.ts
@@ -1,6 +1,6 @@
 import { createChangeLog } from "./change_log.ts";
 import type { Roster, RosterEntry } from "./digest.ts";
-import { RETAINED_ROUNDS } from "./own_news.ts";
+import { RETAINED_ROUNDS } from "./count_log.ts";
 
 /**
  * Records the live instances by round, so that each receiver can be sent what it has not
