--- a/src/process/testing/news_fleet.ts
+++ b/src/process/testing/news_fleet.ts
@@ -202,7 +202,7 @@
   const health = createWorkerHealth();
   const quota = createSharedQuota(clock.now());
   const ledger = createUsageLedger();
-  const evidence = createCrashEvidence((key) => news.sumOf(key));
+  const evidence = createCrashEvidence((key) => sync.sumOf(key));
   const board = createRoutedBoard({
     clock,
     random,
@@ -210,13 +210,13 @@
     health,
     members: () => 1,
     newsAge: () => 0,
-    onBegin: () => news.begun(),
+    onBegin: () => sync.begun(),
     counted: () => evidence.counts(clock.now()),
     time: () => clock.now(),
     limits: createWorkerLimits({
       time: () => clock.now(),
       self: hashText(address),
-      instances: createInstanceHashes({ clock, self: address, others: () => news.live() }),
+      instances: createInstanceHashes({ clock, self: address, others: () => sync.live() }),
     }),
   });
   const feed: FeedFollower = createFeedFollower({
@@ -224,9 +224,9 @@
     clock,
     random,
     feed: store.of(name),
-    isNeeded: () => !news.isFed() || catchUp.isBehind(KIND),
-    feedsOthers: () => news.role !== FleetRole.Mesh,
-    onChange: () => news.reportStoreChange(),
+    isNeeded: () => !sync.isFed() || catchUp.isBehind(KIND),
+    feedsOthers: () => sync.role !== FleetRole.Mesh,
+    onChange: () => sync.reportStoreChange(),
     onReachabilityChange: () => undefined,
   });
   const log = createRoutedLog({ instance: name, clock, write: () => undefined });
@@ -234,7 +234,7 @@
   const catchUp = createPeerCatchUp({
     clock,
     random,
-    role: () => news.role,
+    role: () => sync.role,
     feeds,
     log,
     fetch: async (peer) => {
@@ -248,7 +248,7 @@
       throw new Error(`${peer} doesn't answer.`);
     },
   });
-  const news: FleetSync = createFleetNews({
+  const sync: FleetSync = createFleetNews({
     settings: {
       name,
       zone,
@@ -286,6 +286,6 @@
     onTold: (peer) => catchUp.receive(peer),
     open: network.open,
   });
-  const parts = { zone, news, feed, address, board, ledger, quota, evidence };
+  const parts = { zone, news: sync, feed, address, board, ledger, quota, evidence };
   return { ...parts, isLive: true, canAnswerFetches: true };
 }
--- a/src/process/update_sources.ts
+++ b/src/process/update_sources.ts
@@ -48,7 +48,7 @@
   readonly peers: () => Iterable<Peer>;
   /** Returns this instance's own counts as of a round; undefined if they are no longer retained. */
   readonly ownCountsAt: (round: number) => GroupCounts | undefined;
-  readonly onUpdate: (source: UpdateSource, news: InstanceNews) => void;
+  readonly onUpdate: (source: UpdateSource, update: InstanceNews) => void;
 }
 
 /** Subject of updates that cover all instances. */
@@ -124,14 +124,14 @@
   };
   const subtractOwn = (
     { others }: SelectedSource,
-    news: InstanceNews,
+    update: InstanceNews,
     digest: Digest,
   ): InstanceNews | undefined => {
     const own = digest.includesReceiver
       ? parts.ownCountsAt(digest.acknowledged?.sequence ?? 0)
       : undefined;
     if (digest.includesReceiver && own === undefined) return undefined;
-    return { ...news, ...others.heard(news, own), isWhole: true };
+    return { ...update, ...others.heard(update, own), isWhole: true };
   };
   return {
     receive: (peer, digest) => {
