--- a/src/process/change_propagation_test.ts
+++ b/src/process/change_propagation_test.ts
@@ -79,9 +79,9 @@
 // store changes.
 test.each([0, 1, 2, 3, 4, 5, 6, 7])(
   "a change arrives although a relay is frozen (relay %i)",
-  async (place) => {
+  async (index) => {
     const fleet = await startFleet(67);
-    const relay = relaysOf(fleet)[place];
+    const relay = relaysOf(fleet)[index];
     if (relay === undefined)
       throw new Error("A fleet of 67 instances in four zones must have eight relays.");
     dropDatagramsFrom(fleet, relay);
--- a/src/process/feed_follower.ts
+++ b/src/process/feed_follower.ts
@@ -97,12 +97,12 @@
  * change informs the others, so even if all connections go silent at once, a change is delayed only
  * until the first timeout. Shorter timeouts cost more calls.
  */
-const WATCH_TIMEOUT = { least: 3_000, most: 10_000 };
+const WATCH_TIMEOUT = { min: 3_000, max: 10_000 };
 /**
  * Range of the watch timeout in milliseconds where a few instances watch the store for hundreds.
  * They detect a silent connection sooner, and with few watchers the additional calls are few.
  */
-const FEEDER_WATCH_TIMEOUT = { least: 1_500, most: 2_500 };
+const FEEDER_WATCH_TIMEOUT = { min: 1_500, max: 2_500 };
 /**
  * Watch timeout in milliseconds after a failed call. A request sent to a silent store is never
  * answered, even after the store recovers; with a long timeout, the instance would miss changes in
@@ -186,7 +186,7 @@
       }
       return;
     }
-    const latest = found.objects.reduce((most, object) => Math.max(most, object.version), 0);
+    const latest = found.objects.reduce((max, object) => Math.max(max, object.version), 0);
     const isRemoval = changes.some(({ removed }) => removed);
     const at = found.changedAt ?? (isRemoval ? found.version : latest);
     recordChanges(Math.max(changedAt, at), changes, arrival);
@@ -210,8 +210,8 @@
     isListNeeded = false;
   };
   const watch = async (): Promise<void> => {
-    const { least, most } = feedsOthers() ? FEEDER_WATCH_TIMEOUT : WATCH_TIMEOUT;
-    const wait = failures > 0 ? RETRY_WATCH_TIMEOUT : least + random.next() * (most - least);
+    const { min, max } = feedsOthers() ? FEEDER_WATCH_TIMEOUT : WATCH_TIMEOUT;
+    const wait = failures > 0 ? RETRY_WATCH_TIMEOUT : min + random.next() * (max - min);
     const outcome = await feed.watchKind(kind, version, wait);
     if (outcome.kind === "history-lost") {
       isListNeeded = true;
--- a/src/process/fleet_roster.ts
+++ b/src/process/fleet_roster.ts
@@ -5,8 +5,8 @@
   /**
    * Applies a roster from a digest.
    *
-   * @param by The reporter's session. `isAuthoritative` tells whether it receives digests from the
-   * listed instances itself, or from relays that do.
+   * @param by The reporter's session. `isAuthoritative` is set if the reporter receives
+   * digests from the listed instances itself, or from relays that do.
    */
   receive(
     by: { readonly session: number; readonly isAuthoritative: boolean },
@@ -18,7 +18,7 @@
    */
   retainReporters(sessions: ReadonlySet<number>, now: number): boolean;
   /** Discards everything that a reporter has sent. */
-  forget(teller: number): void;
+  forget(reporter: number): void;
   /**
    * Returns all reported instances by address.
    *
--- a/src/process/fleet_sync_test.ts
+++ b/src/process/fleet_sync_test.ts
@@ -57,7 +57,7 @@
 function watchersOf({ members, store }: NewsFleet): NewsMember[] {
   const before = new Map(store.calls);
   return members.filter(
-    ({ news, isLive }, place) => isLive && !news.isFed() && before.has(`e${place}`),
+    ({ news, isLive }, index) => isLive && !news.isFed() && before.has(`e${index}`),
   );
 }
 
@@ -170,8 +170,8 @@
   for (const member of survivors) expect(fleet.canAdmit(member, ACCOUNT)).toBe(true);
   for (const relay of relaysOf(members)) {
     // A new relay is not sent the counts that the failed relay had recorded itself.
-    const least = totalRuns(members) - (relaysBefore.has(relay) ? 0 : totalRuns([first]));
-    expect(relay.ledger.total(FLEET_WINDOW)[ACCOUNT]).toBeGreaterThanOrEqual(least);
+    const min = totalRuns(members) - (relaysBefore.has(relay) ? 0 : totalRuns([first]));
+    expect(relay.ledger.total(FLEET_WINDOW)[ACCOUNT]).toBeGreaterThanOrEqual(min);
     expect(relay.ledger.total(FLEET_WINDOW)[ACCOUNT]).toBeLessThanOrEqual(totalRuns(members));
   }
 });
@@ -187,9 +187,9 @@
     for (const member of members) if (random.next() < 0.15) startRuns(fleet, member);
     await clock.advance(50);
   }
-  const rates = members.map(({ news }, place) => (news.bytesSent - (before[place] ?? 0)) / 2);
-  for (const [place, member] of members.entries()) {
-    if (member.news.role === FleetRole.Member) expect(rates[place]).toBeLessThan(2_048);
+  const rates = members.map(({ news }, index) => (news.bytesSent - (before[index] ?? 0)) / 2);
+  for (const [index, member] of members.entries()) {
+    if (member.news.role === FleetRole.Member) expect(rates[index]).toBeLessThan(2_048);
   }
   expect(relaysOf(members).length).toBe(8);
 });
--- a/src/process/fleet_topology_test.ts
+++ b/src/process/fleet_topology_test.ts
@@ -3,17 +3,17 @@
 import type { TopologyInstance } from "./fleet_tree.ts";
 
 function fleet(size: number): TopologyInstance[] {
-  return Array.from({ length: size }, (_, place) => ({
-    peers: `10.0.${place >> 8}.${place & 255}:9`,
-    zone: `z${place % 6}`,
-    capacity: Math.floor(place / 6) % 10 === 0 ? 1_350 : 324,
+  return Array.from({ length: size }, (_, index) => ({
+    peers: `10.0.${index >> 8}.${index & 255}:9`,
+    zone: `z${index % 6}`,
+    capacity: Math.floor(index / 6) % 10 === 0 ? 1_350 : 324,
     ready: true,
   }));
 }
 
-function planOf(all: readonly TopologyInstance[], place: number): ReturnType<typeof planTopology> {
-  const self = all[place];
-  if (self === undefined) throw new Error(`There is no instance ${place}.`);
+function planOf(all: readonly TopologyInstance[], index: number): ReturnType<typeof planTopology> {
+  const self = all[index];
+  if (self === undefined) throw new Error(`There is no instance ${index}.`);
   return planTopology(
     self,
     all.filter((one) => one !== self),
@@ -22,7 +22,7 @@
 
 test("all instances select the same relays, two per zone with the larger machines first", () => {
   const all = fleet(195);
-  const plans = all.map((_, place) => planOf(all, place));
+  const plans = all.map((_, index) => planOf(all, index));
   const [first] = plans;
   const relays = [...(first?.relays.values() ?? [])].flat();
   expect(relays.length).toBe(12);
--- a/src/process/fleet_tree.ts
+++ b/src/process/fleet_tree.ts
@@ -108,8 +108,8 @@
   const byScore = [...relays]
     .map(([zone, addresses]) => ({ addresses, score: scoreOf({ peers: zone }) }))
     .sort((a, b) => b.score - a.score);
-  const byPreference = Array.from({ length: RELAYS_PER_ZONE }, (_, place) =>
-    byScore.flatMap(({ addresses }) => addresses.slice(place, place + 1)),
+  const byPreference = Array.from({ length: RELAYS_PER_ZONE }, (_, preference) =>
+    byScore.flatMap(({ addresses }) => addresses.slice(preference, preference + 1)),
   );
   return new Set(byPreference.flat().slice(0, WATCHERS));
 }
--- a/src/process/group_totals.ts
+++ b/src/process/group_totals.ts
@@ -74,8 +74,8 @@
     isCounted: boolean,
   ): void => {
     const before = sourceCounts.workerCounts.get(worker);
-    const isGone = latest.running === 0 && latest.unreadTokens === 0 && latest.runs === 0;
-    if (isGone && before === undefined) return;
+    const isEmpty = latest.running === 0 && latest.unreadTokens === 0 && latest.runs === 0;
+    if (isEmpty && before === undefined) return;
     const { running, unreadTokens, runs, failures } = before ?? NO_USE;
     add(worker, {
       running: latest.running - running,
@@ -83,9 +83,9 @@
       runs: isCounted ? Math.max(0, latest.runs - runs) : 0,
       failures: isCounted ? Math.max(0, latest.failures - failures) : 0,
     });
-    if (isGone) sourceCounts.workerCounts.delete(worker);
+    if (isEmpty) sourceCounts.workerCounts.delete(worker);
     else sourceCounts.workerCounts.set(worker, latest);
-    if (isGone) adjustSourceCount(worker, -1);
+    if (isEmpty) adjustSourceCount(worker, -1);
     else if (before === undefined) adjustSourceCount(worker, 1);
   };
   return {
--- a/src/process/group_totals_test.ts
+++ b/src/process/group_totals_test.ts
@@ -7,27 +7,27 @@
 
 const NOTHING: GroupCounts = { admitted: new Map(), use: new Map() };
 
-function use(running: number, runs = running): WorkerUse {
+function countsOf(running: number, runs = running): WorkerUse {
   return { ...NO_USE, running, runs };
 }
 
-function news(
-  said: Record<number, WorkerUse>,
+function updateOf(
+  counts: Record<number, WorkerUse>,
   more: { admitted?: number; isWhole?: boolean } = {},
 ): GroupCounts & { isWhole: boolean } {
   const { admitted = 0, isWhole = false } = more;
   return {
     isWhole,
     admitted: new Map([["club", admitted]]),
-    use: new Map(Object.entries(said).map(([worker, one]) => [Number(worker), one])),
+    use: new Map(Object.entries(counts).map(([worker, one]) => [Number(worker), one])),
   };
 }
 
 test("sums include all sources and the instance's own counts", () => {
   const totals = createGroupTotals();
-  totals.receive("a", news({ 1: use(2) }, { admitted: 10 }), true);
-  totals.receive("b", news({ 1: use(1), 2: use(4) }, { admitted: 5 }), true);
-  const own = news({ 2: use(1) }, { admitted: 1 });
+  totals.receive("a", updateOf({ 1: countsOf(2) }, { admitted: 10 }), true);
+  totals.receive("b", updateOf({ 1: countsOf(1), 2: countsOf(4) }, { admitted: 5 }), true);
+  const own = updateOf({ 2: countsOf(1) }, { admitted: 1 });
   const { admitted, use: sums } = totals.plus(own);
   expect(admitted.get("club")).toBe(16);
   expect(sums.get(1)?.running).toBe(3);
@@ -39,8 +39,8 @@
 // its quota twice.
 test("cumulative counts of a source remain after it ends, its running work doesn't", () => {
   const totals = createGroupTotals();
-  totals.receive("a", news({ 1: use(2) }, { admitted: 10 }), true);
-  totals.receive("b", news({ 1: use(1) }, { admitted: 5 }), true);
+  totals.receive("a", updateOf({ 1: countsOf(2) }, { admitted: 10 }), true);
+  totals.receive("b", updateOf({ 1: countsOf(1) }, { admitted: 5 }), true);
   totals.retainSources(new Set(["b"]));
   const { admitted, use: sums } = totals.plus(NOTHING);
   expect(admitted.get("club")).toBe(15);
@@ -51,8 +51,12 @@
 // entered its sum at once, other zones would take this for a burst and refuse every account.
 test("counts from before the first update of a source are not included", () => {
   const totals = createGroupTotals();
-  totals.receive("a", news({ 1: use(2, 900) }, { admitted: 1_000_000, isWhole: true }), false);
-  totals.receive("a", news({ 1: use(3, 902) }, { admitted: 1_000_100 }), false);
+  totals.receive(
+    "a",
+    updateOf({ 1: countsOf(2, 900) }, { admitted: 1_000_000, isWhole: true }),
+    false,
+  );
+  totals.receive("a", updateOf({ 1: countsOf(3, 902) }, { admitted: 1_000_100 }), false);
   const { admitted, use: sums } = totals.plus(NOTHING);
   expect(admitted.get("club")).toBe(100);
   expect(sums.get(1)).toEqual({ ...NO_USE, running: 3, runs: 2 });
@@ -60,8 +64,8 @@
 
 test("a worker that no source lists is removed", () => {
   const totals = createGroupTotals();
-  totals.receive("a", news({ 1: use(2), 2: use(1) }, { isWhole: true }), true);
-  totals.receive("a", news({ 2: use(1) }, { isWhole: true }), true);
+  totals.receive("a", updateOf({ 1: countsOf(2), 2: countsOf(1) }, { isWhole: true }), true);
+  totals.receive("a", updateOf({ 2: countsOf(1) }, { isWhole: true }), true);
   expect([...totals.plus(NOTHING).use.keys()]).toEqual([2]);
 });
 
@@ -79,7 +83,7 @@
       for (const { source, worker, running, isWhole } of steps) {
         const known = isWhole ? new Map<number, number>() : (last.get(source) ?? new Map());
         last.set(source, known.set(worker, running) as Map<number, number>);
-        totals.receive(source, news({ [worker]: use(running, 1) }, { isWhole }), true);
+        totals.receive(source, updateOf({ [worker]: countsOf(running, 1) }, { isWhole }), true);
       }
       const { use: sums } = totals.plus(NOTHING);
       for (const worker of [1, 2, 3]) {
--- a/src/process/instance_hashes.ts
+++ b/src/process/instance_hashes.ts
@@ -37,7 +37,7 @@
     const ready = others().filter((one) => one.ready);
     const hashes = [self, ...ready.map(({ peers }) => peers)].map(hashOf).sort((a, b) => a - b);
     const isSame =
-      hashes.length === cached.length && hashes.every((hash, place) => hash === cached[place]);
+      hashes.length === cached.length && hashes.every((hash, index) => hash === cached[index]);
     if (!isSame) cached = hashes;
     return cached;
   };
--- a/src/process/membership_test.ts
+++ b/src/process/membership_test.ts
@@ -92,11 +92,11 @@
 
 test("an instance that missed its own notice receives it from the others", async () => {
   const fleet = await startFleet(8);
-  let heard = 0;
-  fleet.nodes[2]?.members.onOwnNotice(() => heard++);
+  let notices = 0;
+  fleet.nodes[2]?.members.onOwnNotice(() => notices++);
   fleet.nodes[6]?.members.markMemberLeaving("e2");
   await fleet.clock.advance(3_000);
-  expect(heard).toBe(1);
+  expect(notices).toBe(1);
   expect(statesOf(fleet, "e2#1")).toEqual(new Set([MemberState.Leaving]));
   fleet.close();
 });
--- a/src/process/peer_exchange_test.ts
+++ b/src/process/peer_exchange_test.ts
@@ -54,8 +54,8 @@
   const network = createDatagramNetwork(clock, random);
   const members: Member[] = [];
   let session = 0;
-  const start = async (place: number): Promise<Member> => {
-    const address = `10.0.0.${place}:9`;
+  const start = async (index: number): Promise<Member> => {
+    const address = `10.0.0.${index}:9`;
     const received = new Map<string, ReceivedCounts>();
     const versions = new Map<string, Record<string, number>>();
     const state: Member["state"] = { admitted: {}, use: {}, usage: {}, version: 0 };
@@ -72,7 +72,7 @@
         random,
         session: ++session,
         introduction: {
-          name: `e${place}`,
+          name: `e${index}`,
           zone: "a",
           callers: address,
           peers: address,
@@ -88,18 +88,18 @@
           isCurrent: true,
           versions: new Map([["routing", state.version]]),
         }),
-        counts: () => newsOf(state),
+        counts: () => countsOf(state),
         timestamps: () => ({ time: clock.now(), uptime: clock.now() - startedAt }),
         deltasSince: () => [],
-        onDigest: ({ name, versions: said }) => {
-          versions.set(name, Object.fromEntries(said));
+        onDigest: ({ name, versions: reported }) => {
+          versions.set(name, Object.fromEntries(reported));
         },
         onRoleChange: () => undefined,
-        onUpdate: ({ subject }, news) => {
+        onUpdate: ({ subject }, update) => {
           const [name = ""] = subject.split("/");
           // Times on the wire are whole milliseconds.
-          expect(clock.now() - news.time).toBeLessThanOrEqual(MAX_DELAY + 1);
-          received.set(name, merged(received.get(name), news));
+          expect(clock.now() - update.time).toBeLessThanOrEqual(MAX_DELAY + 1);
+          received.set(name, merged(received.get(name), update));
         },
         onChange: () => undefined,
         onFault: (detail) => faults.push(detail),
@@ -109,14 +109,14 @@
     member.exchange.introduce(["10.0.0.0:9", "10.0.0.1:9"]);
     await member.exchange.start();
     closers.push(() => member.exchange.close());
-    members[place] = member;
+    members[index] = member;
     return member;
   };
-  for (let place = 0; place < size; place++) await start(place);
+  for (let index = 0; index < size; index++) await start(index);
   return { clock, network, members, start };
 }
 
-function newsOf({ admitted, use, usage }: Member["state"]): InstanceCounts {
+function countsOf({ admitted, use, usage }: Member["state"]): InstanceCounts {
   return {
     admitted: new Map(Object.entries(admitted)),
     usage: [{ window: WINDOW, counts: { ...usage } }],
@@ -129,14 +129,17 @@
   return { running, unreadTokens: 0, runs: 0, failures: 0 };
 }
 
-function merged(before: ReceivedCounts | undefined, news: InstanceNews): ReceivedCounts {
-  const known = news.isWhole ? undefined : before;
+function merged(before: ReceivedCounts | undefined, update: InstanceNews): ReceivedCounts {
+  const known = update.isWhole ? undefined : before;
   const use = Object.fromEntries(
-    [...news.use].map(([worker, { running }]): [string, number] => [String(worker), running]),
+    [...update.use].map(([worker, { running }]): [string, number] => [String(worker), running]),
   );
   return {
-    admitted: { ...before?.admitted, ...Object.fromEntries(news.admitted) },
-    usage: news.usage.reduce((known, { counts }) => ({ ...known, ...counts }), before?.usage ?? {}),
+    admitted: { ...before?.admitted, ...Object.fromEntries(update.admitted) },
+    usage: update.usage.reduce(
+      (known, { counts }) => ({ ...known, ...counts }),
+      before?.usage ?? {},
+    ),
     use: withoutIdle({ ...known?.use, ...use }),
   };
 }
@@ -172,11 +175,11 @@
     }
     network.trouble = { lost: 0, twice: 0 };
     await clock.advance(3_000);
-    for (const [place, { state }] of members.entries()) {
-      const others = members.filter((_, other) => other !== place);
+    for (const [index, { state }] of members.entries()) {
+      const others = members.filter((_, other) => other !== index);
       for (const { received, versions } of others) {
-        expect(versions.get(`e${place}`)).toEqual({ routing: state.version });
-        expect(received.get(`e${place}`)).toMatchObject({
+        expect(versions.get(`e${index}`)).toEqual({ routing: state.version });
+        expect(received.get(`e${index}`)).toMatchObject({
           admitted: state.admitted,
           use: withoutIdle(state.use),
           usage: state.usage,
@@ -261,8 +264,8 @@
     for (const member of members) change(member, random);
     await clock.advance(50);
   }
-  for (const [place, { exchange }] of members.entries()) {
-    expect((exchange.bytesSent - (before[place] ?? 0)) / seconds).toBeLessThan(6_500);
+  for (const [index, { exchange }] of members.entries()) {
+    expect((exchange.bytesSent - (before[index] ?? 0)) / seconds).toBeLessThan(6_500);
   }
 });
 
@@ -293,15 +296,16 @@
   if (first === undefined || second === undefined)
     throw new Error("The fleet must have three members.");
   const before = first.exchange.bytesSent;
-  let heardAfter = 0;
+  let receivedAfter = 0;
   for (let run = 1; run <= 20; run++) {
     first.state.use = { 1: run };
     first.exchange.begun();
     await clock.advance(10);
-    if (heardAfter === 0 && (second.received.get("e0")?.use["1"] ?? 0) > 0) heardAfter = run * 10;
+    if (receivedAfter === 0 && (second.received.get("e0")?.use["1"] ?? 0) > 0)
+      receivedAfter = run * 10;
   }
-  expect(heardAfter).toBeGreaterThan(0);
-  expect(heardAfter).toBeLessThanOrEqual(110);
+  expect(receivedAfter).toBeGreaterThan(0);
+  expect(receivedAfter).toBeLessThanOrEqual(110);
   // 200 ms allow four digests to each of the two others.
   expect(first.exchange.bytesSent - before).toBeLessThan(4 * 2 * 150);
 });
@@ -320,7 +324,7 @@
     await clock.advance(4_000);
     for (const member of members.slice(0, 2)) member.exchange.close();
     await clock.advance(away);
-    for (const place of [0, 1]) await start(place);
+    for (const index of [0, 1]) await start(index);
     await clock.advance(4_000);
     for (const { exchange } of members) expect(exchange.live().length).toBe(size - 1);
   },
@@ -329,7 +333,7 @@
 test("an instance whose seeds are all gone is found by the rest of the fleet", async () => {
   const { clock, members, start } = await startFleet(20);
   await clock.advance(4_000);
-  for (const place of [0, 1, 7]) members[place]?.exchange.close();
+  for (const index of [0, 1, 7]) members[index]?.exchange.close();
   await clock.advance(8_000);
   const alone = await start(7);
   await clock.advance(8_000);
--- a/src/process/slot_task.ts
+++ b/src/process/slot_task.ts
@@ -140,9 +140,9 @@
    * not cut off.
    */
   const isInTouch = (): boolean => {
-    const heardAt = members.heardAt();
-    const heard = heardAt !== undefined && clock.now() - heardAt < CLAIM_TIMEOUT;
-    return heard && seesMostOwners(map, members);
+    const lastMessageAt = members.heardAt();
+    const hasContact = lastMessageAt !== undefined && clock.now() - lastMessageAt < CLAIM_TIMEOUT;
+    return hasContact && seesMajorityOfOwners(map, members);
   };
   /**
    * Whether the claimant is wrong to consider owners dead. This is so if this member is in touch
@@ -301,7 +301,7 @@
   return owners;
 }
 
-function seesMostOwners(map: SlotMap, members: Membership): boolean {
+function seesMajorityOfOwners(map: SlotMap, members: Membership): boolean {
   const owners = ownersOf(map);
   const seen = [...owners].filter((id) => members.stateOf(id) !== MemberState.Dead).length;
   return 2 * seen > owners.size;
--- a/src/process/state_log_test.ts
+++ b/src/process/state_log_test.ts
@@ -41,17 +41,17 @@
   const log = startStateLog({ self: SELF, configuration, members, workers }, (line) => {
     lines.push(JSON.parse(line) as Logged);
   });
-  const tell = (): void => {
+  const notify = (): void => {
     for (const listener of listeners) listener();
   };
-  tell();
-  tell();
+  notify();
+  notify();
   states.set(PEER.id, MemberState.Leaving);
   slotMap = { ...EMPTY_SLOT_MAP, version: 1 };
-  tell();
+  notify();
   log.close();
   states.set(PEER.id, MemberState.Dead);
-  tell();
+  notify();
   expect(lines.map(({ context }) => [context["step"], context["peer"], context["state"]])).toEqual([
     ["membership", PEER.id, MemberState.Alive],
     ["membership", PEER.id, MemberState.Leaving],
--- a/src/process/store_view.ts
+++ b/src/process/store_view.ts
@@ -217,15 +217,15 @@
     logWorkers(before, workers);
   };
   const logWorkers = (before: readonly RoutedWorker[], now: readonly RoutedWorker[]): void => {
-    const gone = new Map(before.map((worker) => [worker.id, worker]));
+    const removed = new Map(before.map((worker) => [worker.id, worker]));
     for (const worker of now) {
-      const known = gone.get(worker.id);
-      gone.delete(worker.id);
+      const known = removed.get(worker.id);
+      removed.delete(worker.id);
       if (known?.born === worker.born && known.isLeaving === worker.isLeaving) continue;
       const { id, service, zone, purchase, isLeaving, leavesIn } = worker;
       log.changed("worker", { worker: id, service, zone, purchase, isLeaving, leavesIn });
     }
-    for (const worker of gone.keys()) log.changed("worker-gone", { worker });
+    for (const worker of removed.keys()) log.changed("worker-gone", { worker });
   };
   /**
    * Whether the store answers this instance. In a small fleet, a pending watch gives no information
--- a/src/process/update_sources.ts
+++ b/src/process/update_sources.ts
@@ -39,7 +39,7 @@
   reset(): void;
 }
 
-/** Dependencies of {@linkcode createNewsSources}. */
+/** Dependencies of {@linkcode createUpdateSources}. */
 export interface UpdateSourcesParts {
   readonly clock: Clock;
   /** This instance's availability zone. */
