--- a/src/process/digest.ts
+++ b/src/process/digest.ts
@@ -4,6 +4,7 @@
 
 /** Counts of one instance, or of several added up, at one worker. */
 export interface WorkerUse {
+  /** Runs in progress at the worker. */
   readonly running: number;
   /** Prompt tokens of runs at the worker that have not produced their first token yet. */
   readonly unreadTokens: number;
@@ -69,6 +70,7 @@
 export interface Roster {
   /** Whether the roster is complete; otherwise it contains only changes. */
   readonly isSnapshot: boolean;
+  /** Live instances; in a delta, those that are new or have changed. */
   readonly live: readonly RosterEntry[];
   /** Sessions of instances that are no longer live. */
   readonly removedSessions: readonly number[];
@@ -105,8 +107,8 @@
   /** Runs started, by usage window and client account. */
   readonly usage: readonly WindowCounts[];
   /**
-   * Worker counts by hash: of the worker's id, of the keys from `tallyKeys` while a version is on
-   * trial, or of a request's key.
+   * Worker counts by hash: of the worker's id, of the keys that count a version on trial, or of a
+   * request's key.
    */
   readonly use: ReadonlyMap<number, WorkerUse>;
   /**
@@ -133,6 +135,7 @@
   /** Included until the receiver acknowledges this session. */
   readonly introduction: Introduction | undefined;
   readonly scope: UpdateScope;
+  /** Counts for the receiver; undefined if the scope is `None` or the receiver wants none. */
   readonly update: InstanceNews | undefined;
   /** Whether the sender uses the receiver's updates. */
   readonly wantsUpdate: boolean;
--- a/src/process/lease_task.ts
+++ b/src/process/lease_task.ts
@@ -215,10 +215,7 @@
     if (before === undefined) return;
     held.set(service, { ...renewed, ordersUntil: before.ordersUntil });
   };
-  /**
-   * Returns a lease once no order is in progress. `giveBackIn` documents when a lease is left to
-   * expire instead.
-   */
+  /** Returns a lease once no order is in progress, unless it must be left to expire. */
   const returnLease = async (service: string): Promise<void> => {
     const lease = held.get(service);
     // From here on, no order is started.
--- a/src/process/line_writer.ts
+++ b/src/process/line_writer.ts
@@ -3,7 +3,10 @@
 /** Writes lines without blocking the caller. */
 export interface LineWriter {
   write(line: string): void;
-  /** Number of lines dropped because the reader was too slow, or because a write failed. */
+  /**
+   * Number of lines dropped because the reader was too slow. A failed write counts as one line,
+   * however many lines it contained.
+   */
   readonly dropped: number;
   /** Resolves when all accepted lines have been written or have failed. */
   flush(): Promise<void>;
--- a/src/process/peer_exchange.ts
+++ b/src/process/peer_exchange.ts
@@ -65,7 +65,7 @@
   readonly bytesSent: number;
   /** Adds addresses of possible peers. */
   introduce(addresses: readonly string[]): void;
-  /** Sends a digest to all direct peers at once, for a change that can't wait. */
+  /** Starts a round at once, for a change that can't wait. */
   announce(): void;
   /** Reports a change of the store, which is then sent early if this instance is a relay. */
   reportStoreChange(): void;
--- a/src/process/update_sources.ts
+++ b/src/process/update_sources.ts
@@ -60,6 +60,7 @@
  */
 const LOST_SUMS_TTL = 2_000;
 
+/** A selected source, and what is needed to apply its updates. */
 interface SelectedSource {
   readonly session: number;
   lostAt: number | undefined;
@@ -79,7 +80,7 @@
   const { zone, topology } = parts;
   const selected = new Map<string, SelectedSource>();
   let selections = 0;
-  let hasRestarted = false;
+  let hasBeenReset = false;
 
   /**
    * Returns which instances a peer's updates cover; undefined if this instance must not apply them.
@@ -114,7 +115,7 @@
   const select = (peer: Peer, subject: string): SelectedSource => {
     selections++;
     const id =
-      peer.scope === UpdateScope.Own && !hasRestarted
+      peer.scope === UpdateScope.Own && !hasBeenReset
         ? subject
         : `${subject}/${peer.session.toString(16)}/${selections}`;
     const source = { id, subject, scope: peer.scope };
@@ -143,7 +144,7 @@
       // A delta is useless without its base. A full snapshot will be sent on request.
       if (!isSame && !update.isWhole) return false;
       const current = isSame ? before : select(peer, subject);
-      const isFresh = isSame || (before === undefined && !hasRestarted);
+      const isFresh = isSame || (before === undefined && !hasBeenReset);
       const uptime = isFresh ? update.uptime : Infinity;
       const applied =
         digest.scope === UpdateScope.Fleet ? subtractOwn(current, update, digest) : update;
@@ -177,7 +178,7 @@
       return changed;
     },
     reset: () => {
-      hasRestarted = true;
+      hasBeenReset = true;
       selected.clear();
       for (const peer of parts.peers()) peer.updateSequence = 0;
     },
