--- a/src/process/membership.ts
+++ b/src/process/membership.ts
@@ -115,8 +115,8 @@
       for (const listener of noticeListeners) listener();
       return true;
     }
-    const isAccused = delta.state === MemberState.Suspect || delta.state === MemberState.Dead;
-    if (!isAccused || delta.rise < own.rise) return false;
+    const isSuspectOrDead = delta.state === MemberState.Suspect || delta.state === MemberState.Dead;
+    if (!isSuspectOrDead || delta.rise < own.rise) return false;
     // Only this instance can refute its own suspicion. Without a higher number, others would
     // declare it dead and take over its slots while it is serving them.
     own = { ...own, rise: delta.rise + 1 };
@@ -328,8 +328,8 @@
   const known = table.find(id);
   if (known === undefined) return [];
   const { member, state, rise, backend } = known;
-  const isAccused = state === MemberState.Suspect || state === MemberState.Dead;
-  return isAccused ? [{ member, state, rise, backend }] : [];
+  const isSuspectOrDead = state === MemberState.Suspect || state === MemberState.Dead;
+  return isSuspectOrDead ? [{ member, state, rise, backend }] : [];
 }
 
 /** Returns the members that are not dead, in random order. */
--- a/src/process/slot_task.ts
+++ b/src/process/slot_task.ts
@@ -116,7 +116,7 @@
     const { claim: claimant } = map;
     if (claimant !== undefined && claimant !== self && isWrong(claimant)) return answerClaim();
     if (planned().length === 0 || clock.now() - startedAt < GATHERING_TIME) return false;
-    if (map.version > 0 && !isInTouch() && !isClaimed()) return claim();
+    if (map.version > 0 && !hasMajorityContact() && !isClaimed()) return claim();
     // Members of lower rank write first. Later ones read the written map and find nothing left to
     // do.
     await waitForRank(rankOf(self, { map, members: members.alive() }));
@@ -139,7 +139,7 @@
    * Whether most owners are live, and a recent message from a peer confirms that this instance is
    * not cut off.
    */
-  const isInTouch = (): boolean => {
+  const hasMajorityContact = (): boolean => {
     const lastMessageAt = members.heardAt();
     const hasContact = lastMessageAt !== undefined && clock.now() - lastMessageAt < CLAIM_TIMEOUT;
     return hasContact && seesMajorityOfOwners(map, members);
@@ -152,7 +152,7 @@
    * be reassigned.
    */
   const isWrong = (claimant: string): boolean => {
-    if (isInTouch()) return true;
+    if (hasMajorityContact()) return true;
     const agrees = members.stateOf(claimant) === MemberState.Alive && planned().length > 0;
     return ownersOf(map).has(self) && !agrees;
   };
--- a/src/process/testing/news_fleet.ts
+++ b/src/process/testing/news_fleet.ts
@@ -88,7 +88,7 @@
   readonly seed?: number;
 }
 
-/** Starts instances in four availability zones. Each knows the addresses of two others at first. */
+/** Starts instances in four availability zones. Each knows the addresses of the first two at first. */
 export async function startNewsFleet(size: SyncFleetSize): Promise<NewsFleet> {
   const clock = createVirtualClock();
   const random = createSeededRandom(size.seed ?? 1);
