--- a/src/process/change_log.ts
+++ b/src/process/change_log.ts
@@ -1,37 +1,44 @@
-/** Values by key, with the round in which each changed last. */
+/** Records, for each key, the current value and the round in which it last changed. */
 export interface ChangeLog<K, V> {
-  /** Takes in all values as they are in this round; a key that isn't among them any more has the value `gone`. */
-  note(values: ReadonlyMap<K, V>, round: number): void;
-  /** The values that changed after a round, in no order. */
+  /**
+   * Records the complete set of values in a round. A key that is missing from `values` gets the
+   * tombstone value.
+   */
+  record(values: ReadonlyMap<K, V>, round: number): void;
+  /** Returns the values that changed after the given round, in no particular order. */
   since(round: number): Map<K, V>;
-  /** Forgets keys that were gone in this round already: whoever hasn't heard of it by then is told everything. */
-  forgetGone(round: number): void;
+  /**
+   * Drops keys that were already removed in the given round. A receiver that has not acknowledged
+   * that round must be sent a full snapshot instead.
+   */
+  prune(round: number): void;
 }
 
-/** What a log of changes is made with. */
+/** Options for {@linkcode createChangeLog}. */
 export interface ChangeLogOptions<V> {
-  readonly gone: V;
+  readonly tombstone: V;
   readonly equals: (a: V, b: V) => boolean;
 }
 
 interface Change<V> {
   readonly value: V;
   readonly round: number;
-  readonly isGone: boolean;
+  readonly isRemoved: boolean;
 }
 
-/** Makes an empty log. */
-export function createChangeLog<K, V>({ gone, equals }: ChangeLogOptions<V>): ChangeLog<K, V> {
+/** Creates an empty change log. */
+export function createChangeLog<K, V>({ tombstone, equals }: ChangeLogOptions<V>): ChangeLog<K, V> {
   const changes = new Map<K, Change<V>>();
   return {
-    note: (values, round) => {
+    record: (values, round) => {
       for (const [key, value] of values) {
         const known = changes.get(key);
-        if (known !== undefined && !known.isGone && equals(known.value, value)) continue;
-        changes.set(key, { value, round, isGone: false });
+        if (known !== undefined && !known.isRemoved && equals(known.value, value)) continue;
+        changes.set(key, { value, round, isRemoved: false });
       }
-      for (const [key, { isGone }] of changes) {
-        if (!isGone && !values.has(key)) changes.set(key, { value: gone, round, isGone: true });
+      for (const [key, { isRemoved }] of changes) {
+        if (!isRemoved && !values.has(key))
+          changes.set(key, { value: tombstone, round, isRemoved: true });
       }
     },
     since: (round) => {
@@ -39,9 +46,9 @@
       for (const [key, change] of changes) if (change.round > round) found.set(key, change.value);
       return found;
     },
-    forgetGone: (round) => {
+    prune: (round) => {
       for (const [key, change] of changes) {
-        if (change.isGone && change.round <= round) changes.delete(key);
+        if (change.isRemoved && change.round <= round) changes.delete(key);
       }
     },
   };
--- a/src/process/configuration.ts
+++ b/src/process/configuration.ts
@@ -11,142 +11,166 @@
 } from "../version/index.ts";
 import type { Revision, SlotMap } from "../version/index.ts";
 import { createObjectFollower } from "./object_follower.ts";
-import type { ObjectFollower, Version } from "./object_follower.ts";
+import type { ObjectFollower, VersionedValue } from "./object_follower.ts";
 import { createStorePace } from "./store_pace.ts";
-import type { StorePace } from "./store_pace.ts";
+import type { StoreThrottle } from "./store_pace.ts";
 import { subscribe } from "./subscription.ts";
 
-/** Instances of each availability zone that hold a watch on an object; the others hear from peers. */
+/**
+ * Number of instances per availability zone that watch an object in the store. The others receive
+ * changes from peers.
+ */
 const WATCHERS_PER_ZONE = 2;
-/** Silence of the store and of all peers after which an instance can't know what is in force. */
-const CUT_OFF_AFTER = 3_000;
-/** Silence of all peers after which an instance looks for the store, and how often it does. */
-const LONELY_AFTER = 2_000;
-const LONELY_READ = 1_000;
-/** Pause between tries of a starting instance, and how long it listens to peers where the store is down. */
-const START_PAUSE = 200;
-const START_LISTENING = 1_500;
+/**
+ * Milliseconds without an answer from the store or any peer after which this instance considers
+ * itself cut off: it can no longer know which configuration is in force.
+ */
+const CUT_OFF_TIMEOUT = 3_000;
+/**
+ * Milliseconds without contact to any peer after which an instance reads the store directly, and
+ * the interval between these reads.
+ */
+const ISOLATION_TIMEOUT = 2_000;
+const ISOLATED_READ_INTERVAL = 1_000;
+/**
+ * Milliseconds between read attempts during startup, and how long a starting instance collects
+ * versions from peers when the store is down.
+ */
+const START_RETRY_DELAY = 200;
+const START_COLLECTION_TIME = 1_500;
 
-/** The task that follows the configuration in force. */
+/** Follows the configuration that is in force: the revision and the slot map. */
 export interface Configuration extends ConfigurationView {
-  /** Resolves once a revision is known; the configuration is followed from then on. */
+  /** Resolves once a revision is known and starts following the configuration. */
   start(): Promise<void>;
-  /** Takes in an object that this instance has read or written itself. */
-  hear(key: string, object: Version): void;
-  /** Takes in the versions that a peer has applied, and fetches higher ones from it. */
+  /** Applies an object that this instance has read or written itself. */
+  hear(key: string, object: VersionedValue): void;
+  /**
+   * Compares the versions that a peer has applied with the local ones and pulls newer objects from
+   * it.
+   */
   hearVersions(from: Member, marks: readonly VersionMark[]): void;
-  /** The versions that this instance has applied. */
+  /** Returns the versions that this instance has applied. */
   versions(): readonly VersionMark[];
-  /** Answers a peer that pulls. */
-  pull(key: string): Version | undefined;
-  /** The pace of this instance's control calls on the store. */
-  readonly pace: StorePace;
+  /** Returns the local version of an object for a peer that pulls it. */
+  pull(key: string): VersionedValue | undefined;
+  /** Limits the rate of this instance's control calls to the store. */
+  readonly pace: StoreThrottle;
   close(): void;
 }
 
-/** What the configuration task is made with. */
+/** Dependencies and settings of {@linkcode createConfiguration}. */
 export interface ConfigurationParts {
   readonly clock: Clock;
   readonly random: Random;
   readonly store: ObjectStore;
   readonly peers: Peers;
-  /** Members that are alive, this instance included. */
+  /** Returns the live members, including this instance. */
   readonly alive: () => readonly Member[];
   readonly self: Member;
-  /** When a peer was last heard, in the clock's milliseconds. */
+  /**
+   * Returns when a message last arrived from a peer, in milliseconds of `clock`; undefined if none
+   * has arrived.
+   */
   readonly peerHeardAt: () => number | undefined;
   readonly count: (name: string) => void;
-  /** Milliseconds between slow rereads. */
+  /** Average interval between periodic rereads of each object, in milliseconds. */
   readonly reread?: number;
 }
 
-const DEFAULT_REREAD = 30_000;
+const DEFAULT_REREAD_INTERVAL = 30_000;
 
-/** Makes the task; it does nothing before it is started. */
+/** Creates the task. It does nothing until it is started. */
 export function createConfiguration(parts: ConfigurationParts): Configuration {
   const { clock, random, store, self } = parts;
   const listeners = new Set<() => void>();
-  const pace = createStorePace({ clock, random, members: () => parts.alive().length });
+  const throttle = createStorePace({ clock, random, members: () => parts.alive().length });
   let revision: Revision | undefined;
   let slotMap: SlotMap = EMPTY_SLOT_MAP;
-  let storeHeardAt: number | undefined;
+  let storeAnsweredAt: number | undefined;
   let closed = false;
   const isClosed = (): boolean => closed;
 
   const changed = (): void => {
     for (const listener of listeners) listener();
   };
-  const followerOf = (key: string, apply: (object: Version) => void): ObjectFollower =>
+  const addFollower = (key: string, apply: (object: VersionedValue) => void): ObjectFollower =>
     createObjectFollower({
       ...parts,
       key,
-      pace,
+      throttle,
       store,
-      rereadPeriod: parts.reread ?? DEFAULT_REREAD,
+      rereadInterval: parts.reread ?? DEFAULT_REREAD_INTERVAL,
       isWatcher: () => isWatcher(key, { self, alive: parts.alive() }),
       apply: (object) => {
         apply(object);
         changed();
       },
-      storeAnswered: () => {
-        storeHeardAt = clock.now();
+      onStoreAnswer: () => {
+        storeAnsweredAt = clock.now();
       },
     });
   const followers = [
-    followerOf(REVISION_KEY, ({ version, value }) => {
+    addFollower(REVISION_KEY, ({ version, value }) => {
       revision = parseRevision(version, value);
     }),
-    followerOf(SLOT_MAP_KEY, ({ version, value }) => {
+    addFollower(SLOT_MAP_KEY, ({ version, value }) => {
       slotMap = parseSlotMap(version, value);
     }),
   ];
   const find = (key: string): ObjectFollower | undefined =>
     followers.find((follower) => follower.key === key);
-  const silentFor = (heardAt: number | undefined): number =>
-    heardAt === undefined ? Number.POSITIVE_INFINITY : clock.now() - heardAt;
-  /** An instance alone has only the store to tell it that it is not cut off. */
-  const watchLoneliness = async (): Promise<void> => {
+  const timeSince = (time: number | undefined): number =>
+    time === undefined ? Number.POSITIVE_INFINITY : clock.now() - time;
+  /**
+   * Reads the store while no peer is in contact. An isolated instance has no other evidence that it
+   * is not cut off.
+   */
+  const readWhileIsolated = async (): Promise<void> => {
     while (!isClosed()) {
-      const lonely = silentFor(parts.peerHeardAt()) > LONELY_AFTER;
-      if (lonely && silentFor(storeHeardAt) > LONELY_READ) await find(REVISION_KEY)?.reread();
-      await sleep(clock, LONELY_READ);
+      const isIsolated = timeSince(parts.peerHeardAt()) > ISOLATION_TIMEOUT;
+      if (isIsolated && timeSince(storeAnsweredAt) > ISOLATED_READ_INTERVAL)
+        await find(REVISION_KEY)?.reread();
+      await sleep(clock, ISOLATED_READ_INTERVAL);
     }
   };
   const readAll = async (): Promise<boolean> => {
     const outcomes = await Promise.all(followers.map((follower) => follower.reread()));
     return outcomes.every((outcome) => outcome.kind !== "unavailable");
   };
-  const begin = async (): Promise<void> => {
+  const initialize = async (): Promise<void> => {
     let deadline = Number.POSITIVE_INFINITY;
     while (!isClosed()) {
       const read = await readAll();
       if (read && revision !== undefined) return;
-      // One peer may be behind: it listens to several before it takes the highest for what is in force.
-      if (revision !== undefined) deadline = Math.min(deadline, clock.now() + START_LISTENING);
+      // A single peer may be out of date. Versions are collected from several peers before the
+      // highest one is taken as the configuration in force.
+      if (revision !== undefined)
+        deadline = Math.min(deadline, clock.now() + START_COLLECTION_TIME);
       if (clock.now() >= deadline) return;
-      await sleep(clock, START_PAUSE);
+      await sleep(clock, START_RETRY_DELAY);
     }
   };
   return {
-    pace,
+    pace: throttle,
     revision: () => revision,
     slotMap: () => slotMap,
     onChange: (listener) => subscribe(listeners, listener),
     isCutOff: () =>
-      Math.min(silentFor(storeHeardAt), silentFor(parts.peerHeardAt())) > CUT_OFF_AFTER,
+      Math.min(timeSince(storeAnsweredAt), timeSince(parts.peerHeardAt())) > CUT_OFF_TIMEOUT,
     refresh: async () => {
       await find(SLOT_MAP_KEY)?.reread();
     },
-    hear: (key, object) => find(key)?.hear(object),
+    hear: (key, object) => find(key)?.receive(object),
     hearVersions: (from, marks) => {
-      for (const { key, version } of marks) void find(key)?.hearMark(from, version);
+      for (const { key, version } of marks) void find(key)?.receiveMark(from, version);
     },
     versions: () => followers.flatMap(markOf),
     pull: (key) => find(key)?.latest(),
     start: async () => {
-      await begin();
+      await initialize();
       for (const follower of followers) follower.start();
-      void watchLoneliness();
+      void readWhileIsolated();
     },
     close: () => {
       closed = true;
@@ -161,7 +185,10 @@
   return version === undefined ? [] : [{ key: follower.key, version }];
 }
 
-/** Two of each availability zone, by rendezvous over the live members. */
+/**
+ * Reports whether this instance is one of the two watchers of its zone, selected by rendezvous
+ * hashing over the live members.
+ */
 function isWatcher(
   key: string,
   { self, alive }: { self: Member; alive: readonly Member[] },
--- a/src/process/peer.ts
+++ b/src/process/peer.ts
@@ -1,74 +1,77 @@
-import { NewsScope } from "./digest.ts";
+import { UpdateScope } from "./digest.ts";
 import type { InstanceState, RosterEntry } from "./digest.ts";
 
-/** Another instance, as it was last heard without another between. */
+/** Another instance, as described by its last digest. */
 export interface PeerInstance extends RosterEntry, InstanceState {
-  /** Tells the process from the one before it at the same place. */
+  /** Identifies the process among all that have run under the same name. */
   readonly incarnation: string;
-  /** In the clock's milliseconds. */
+  /** When its last digest arrived, in milliseconds of the local clock. */
   readonly heardAt: number;
 }
 
-/** What is known of the process at an address, and of what it knows. */
+/** State of the exchange with the process at an address. */
 export interface Peer {
   readonly address: string;
-  heardAt: number;
+  receivedAt: number;
   isLive: boolean;
-  /** When it fell silent last. */
+  /** When it was last marked as lost, in milliseconds of the local clock. */
   lostAt: number;
   instance: PeerInstance | undefined;
   session: number;
   lastSequence: number;
-  /** The last digest with news or instances that came of it and was taken in. */
-  newsSequence: number;
-  /** Whose news it told last. */
-  scope: NewsScope;
-  /** Whether it expects to be told something. */
-  asks: boolean;
-  /** Whether it goes by this instance's news. */
-  wantsNews: boolean;
-  /** Whether its digests name this session. */
-  knowsThis: boolean;
-  /** The last round of this instance's news that it has. */
-  has: number;
-  /** What it is told now, and from which round on. */
-  told: string;
-  toldSince: number;
+  /** Sequence number of the last digest from it whose update or roster was applied. */
+  updateSequence: number;
+  /** Scope of the last update from it. */
+  scope: UpdateScope;
+  /** Whether it expects a digest in return. */
+  expectsDigest: boolean;
+  /** Whether it applies this instance's updates. */
+  wantsUpdate: boolean;
+  /** Whether its digests name this instance's current session. */
+  hasOurSession: boolean;
+  /** The last round of this instance that it acknowledged. */
+  acknowledgedRound: number;
+  /** Kind of update that it is sent, and the round since when. */
+  updateKind: string;
+  updateKindSince: number;
 }
 
-/** A moment before all others. */
+/** A time before all others, for events that have not happened. */
 export const NEVER = -Infinity;
 
-/** An instance that wasn't heard for so many milliseconds is taken to be gone: lost packets alone don't make four gaps. */
-const LIVE_TIME = 1_100;
+/**
+ * Milliseconds without a digest after which an instance counts as lost. Four digests in a row are
+ * almost never lost by packet loss alone.
+ */
+const LIVENESS_TIMEOUT = 1_100;
 
-/** Whether the peer was heard lately. */
-export function isHeard({ heardAt }: Peer, now: number): boolean {
-  return heardAt >= now - LIVE_TIME;
+/** Whether a digest from the peer has arrived recently enough. */
+export function isResponding({ receivedAt }: Peer, now: number): boolean {
+  return receivedAt >= now - LIVENESS_TIMEOUT;
 }
 
-/** Names a process among all that run under the instance's name. */
+/** Returns the id of a process: the instance's name and the session in hexadecimal. */
 export function incarnationOf(name: string, session: number): string {
   return `${name}/${session.toString(16).padStart(8, "0")}`;
 }
 
-/** An address at which nobody was heard yet. */
-export function unheard(address: string): Peer {
+/** Creates the state for an address from which no digest has arrived. */
+export function createPeer(address: string): Peer {
   return {
     address,
-    heardAt: NEVER,
+    receivedAt: NEVER,
     isLive: false,
     lostAt: NEVER,
     instance: undefined,
     session: 0,
     lastSequence: 0,
-    newsSequence: 0,
-    scope: NewsScope.None,
-    asks: false,
-    wantsNews: true,
-    knowsThis: false,
-    has: 0,
-    told: "",
-    toldSince: 0,
+    updateSequence: 0,
+    scope: UpdateScope.None,
+    expectsDigest: false,
+    wantsUpdate: true,
+    hasOurSession: false,
+    acknowledgedRound: 0,
+    updateKind: "",
+    updateKindSince: 0,
   };
 }
--- a/src/process/store_view.ts
+++ b/src/process/store_view.ts
@@ -11,8 +11,8 @@
 import type { Routing, RouteTable } from "../version/index.ts";
 import type { InstanceState } from "./digest.ts";
 import { createFeedFollower } from "./feed_follower.ts";
-import type { ChangeArrival, ChangeWay, FeedFollower } from "./feed_follower.ts";
-import type { FleetNews } from "./fleet_news.ts";
+import type { ChangeArrival, ChangeSource, FeedFollower } from "./feed_follower.ts";
+import type { FleetSync } from "./fleet_news.ts";
 import { FleetRole } from "./fleet_tree.ts";
 import { createPeerCatchUp } from "./peer_catch_up.ts";
 import { fetchObjects } from "./peer_fetch.ts";
@@ -22,94 +22,114 @@
 import { createStoreOutage } from "./store_outage.ts";
 import { createWorkerRoster } from "./worker_roster.ts";
 
-/** The configuration and the workers as the store has them, from the store itself or from other instances. */
+/**
+ * The configuration and the workers as stored, received from the store itself or from other
+ * instances.
+ */
 export interface StoreView {
-  /** By kind of object. */
+  /** Followers by kind of object. */
   readonly feeds: ReadonlyMap<string, FeedFollower>;
-  /** The configuration in force; undefined before the first. */
+  /** Returns the routing configuration in force; undefined before the first. */
   table(): RouteTable | undefined;
-  /** Whether any worker was ever there. */
+  /** Whether any worker has ever been present. */
   readonly hasWorkers: boolean;
-  /** What the others are told of the store. */
-  state(): Pick<InstanceState, "reachesStore" | "storeReturned">;
-  /** Another instance was heard; called before and after what it tells of the store is taken in. */
+  /** Returns what this instance reports about the store in its digests. */
+  state(): Pick<InstanceState, "reachesStore" | "hasStoreReturned">;
+  /**
+   * Must be called with each digest's sender, before and after the store changes in the digest are
+   * applied.
+   */
   heard(peer: PeerInstance): void;
   told(peer: PeerInstance): void;
   start(): void;
   close(): void;
 }
 
-/** What the view is made with. */
+/** Dependencies and settings of {@linkcode createStoreView}. */
 export interface StoreViewParts {
   readonly clock: Clock;
   readonly random: Random;
   readonly feed: ObjectFeed;
   readonly kinds: StoredKinds;
-  /** Whether orders to move services to other versions of their workers are followed. */
+  /** Whether orders that move services to other versions are followed. */
   readonly followsRollouts: boolean;
   readonly log: RoutedLog;
-  /** How long others say after the store's last answer that it answers them, in milliseconds. */
+  /**
+   * Milliseconds for which other instances keep reporting that the store answers them after its
+   * last answer.
+   */
   readonly staleAfter: number;
-  readonly fleet: () => Pick<FleetNews, "role" | "isFed" | "changed">;
-  /** A configuration has come into force. */
+  readonly fleet: () => Pick<FleetSync, "role" | "isFed" | "reportStoreChange">;
+  /** Called when a routing configuration comes into force. */
   readonly onRouting: (routing: Routing) => void;
   /**
-   * The orders to move services to other versions have changed, so many milliseconds ago; undefined for those that are
-   * found at the start.
+   * Called when orders that move services to other versions have changed, with the age of the
+   * change in milliseconds; undefined for orders found at the start.
    */
   readonly onRollouts: (entries: readonly RolloutEntry[], age: number | undefined) => void;
-  /** The objects of requests that no worker gets have changed. */
+  /** Called when the objects of quarantined requests have changed. */
   readonly onQuarantine: (objects: Iterable<FeedObject>) => void;
-  /** Whether this instance follows these in the store itself; the others are told of them. */
+  /**
+   * Whether this instance follows quarantined requests in the store itself. Other instances receive
+   * them in digests.
+   */
   readonly followsQuarantine: () => boolean;
-  /** Changes of the store have come to be known, so many milliseconds after the first instance knew them. */
-  readonly onArrival: (way: ChangeWay, late: number) => void;
-  /** The workers have changed. */
+  /**
+   * Called when store changes arrive, with the milliseconds since the first instance received them.
+   */
+  readonly onArrival: (way: ChangeSource, late: number) => void;
+  /** Called when the workers have changed. */
   readonly onWorkers: (workers: readonly RoutedWorker[]) => void;
 }
 
-/** Makes a view that knows nothing yet. */
+/** Creates a view without any objects. */
 export function createStoreView(parts: StoreViewParts): StoreView {
   const { clock, random, kinds, log, fleet } = parts;
   let table: RouteTable | undefined;
   let workers: readonly RoutedWorker[] = [];
   let hasWorkers = false;
 
-  const changed = (
+  const reportChanges = (
     { kind, changedAt }: Pick<FeedFollower, "kind" | "changedAt">,
     changes: readonly FeedChange[],
-    { way, age, isFirst }: ChangeArrival,
+    { source, age, isFirst }: ChangeArrival,
   ): void => {
-    fleet().changed();
-    // What an instance finds at its start may have stood there for long.
+    fleet().reportStoreChange();
+    // Objects found at the start may be arbitrarily old.
     const late = isFirst ? undefined : Math.round(age);
-    log.changed("store-changed", { kind, way, late, changes: changes.length, store: changedAt });
-    if (late !== undefined) parts.onArrival(way, late);
+    log.changed("store-changed", {
+      kind,
+      way: source,
+      late,
+      changes: changes.length,
+      store: changedAt,
+    });
+    if (late !== undefined) parts.onArrival(source, late);
   };
-  /** Follows a kind of objects; `name` is the kind's in the log. */
+  /** Follows a kind of objects. `name` is the kind's name in the log. */
   const follow = (
     { kind, name }: { kind: string; name: string },
-    how: {
+    options: {
       readonly apply: (changes: readonly FeedChange[], arrival: ChangeArrival) => void;
       readonly isNeeded?: () => boolean;
       readonly feedsOthers?: () => boolean;
       readonly onReach?: (reached: boolean) => void;
     },
   ): FeedFollower => {
-    const { apply, feedsOthers = () => false, onReach = () => undefined } = how;
-    const isAsked = how.isNeeded ?? (() => !fleet().isFed());
+    const { apply, feedsOthers = () => false, onReach = () => undefined } = options;
+    const isQueryNeeded = options.isNeeded ?? (() => !fleet().isFed());
     const follower: FeedFollower = createFeedFollower({
       kind,
       clock,
       random,
       feed: parts.feed,
-      isNeeded: () => isAsked() || catchUp.isBehind(kind),
+      isNeeded: () => isQueryNeeded() || catchUp.isBehind(kind),
       feedsOthers,
       onChange: (changes, arrival) => {
         apply(changes, arrival);
-        changed(follower, changes, arrival);
+        reportChanges(follower, changes, arrival);
       },
-      onReach: (reached, detail) => {
+      onReachabilityChange: (reached, detail) => {
         onReach(reached);
         log.changed("store-reached", { kind: name, reached, detail });
       },
@@ -123,14 +143,14 @@
   const workerFeed: FeedFollower = follow(
     { kind: kinds.workers, name: "workers" },
     {
-      feedsOthers: () => fleet().role !== FleetRole.Equal,
+      feedsOthers: () => fleet().role !== FleetRole.Mesh,
       apply: (changes) => {
         roster.changed(changes);
         applyWorkers();
       },
       onReach: (reached) => {
-        if (!reached) outage.began();
-        else if (outage.ended() && workerFeed.answeredAt !== undefined) roster.storeReturned();
+        if (!reached) outage.start();
+        else if (outage.end() && workerFeed.answeredAt !== undefined) roster.storeReturned();
       },
     },
   );
@@ -171,7 +191,7 @@
     if (object === undefined) return;
     try {
       const routing = kinds.readRouting(object.value);
-      // Versions only rise: one that an instance has acted on is never taken back.
+      // Versions only increase: a routing that an instance has applied is never reverted.
       if (routing.version <= (table?.routing.version ?? -1)) return;
       table = createRouteTable(routing);
       parts.onRouting(routing);
@@ -197,19 +217,22 @@
     logWorkers(before, workers);
   };
   const logWorkers = (before: readonly RoutedWorker[], now: readonly RoutedWorker[]): void => {
-    const gone = new Map(before.map((worker) => [worker.id, worker]));
+    const removed = new Map(before.map((worker) => [worker.id, worker]));
     for (const worker of now) {
-      const known = gone.get(worker.id);
-      gone.delete(worker.id);
+      const known = removed.get(worker.id);
+      removed.delete(worker.id);
       if (known?.born === worker.born && known.isLeaving === worker.isLeaving) continue;
       const { id, service, zone, purchase, isLeaving, leavesIn } = worker;
       log.changed("worker", { worker: id, service, zone, purchase, isLeaving, leavesIn });
     }
-    for (const worker of gone.keys()) log.changed("worker-gone", { worker });
+    for (const worker of removed.keys()) log.changed("worker-gone", { worker });
   };
-  /** Among equals a watch that waits says nothing of the way to the store; watchers have to know sooner. */
+  /**
+   * Whether the store answers this instance. In a small fleet, a pending watch gives no information
+   * about the connection; watchers of a large fleet must detect a loss sooner.
+   */
   const reachesStore = (): boolean =>
-    (fleet().role === FleetRole.Equal || workerFeed.isAnswered) &&
+    (fleet().role === FleetRole.Mesh || workerFeed.isStoreAnswering) &&
     clock.now() - (workerFeed.answeredAt ?? -Infinity) < parts.staleAfter;
   return {
     feeds,
@@ -217,13 +240,13 @@
     get hasWorkers() {
       return hasWorkers;
     },
-    state: () => ({ reachesStore: reachesStore(), storeReturned: roster.isReturning() }),
+    state: () => ({ reachesStore: reachesStore(), hasStoreReturned: roster.isReturning() }),
     heard: (peer) => {
-      if (peer.reachesStore) outage.heardAnswering();
-      // What it tells of entries that are missing now would be taken at its word.
-      if (peer.storeReturned && fleet().isFed() && !roster.isReturning()) roster.storeReturned();
+      if (peer.reachesStore) outage.reportAnswer();
+      // Otherwise the peer's changes would remove workers whose entries have only expired.
+      if (peer.hasStoreReturned && fleet().isFed() && !roster.isReturning()) roster.storeReturned();
     },
-    told: (peer) => catchUp.heard(peer),
+    told: (peer) => catchUp.receive(peer),
     start: () => {
       for (const feed of feeds.values()) feed.start();
     },
