--- a/bench/board_cost.ts
+++ b/bench/board_cost.ts
@@ -1,7 +1,7 @@
 import { createWorkerHealth, createWorkerLimits, rankWorkers } from "../src/decision/index.ts";
 import { Purchase } from "../src/interface/index.ts";
 import type { RoutedWorker } from "../src/interface/index.ts";
-import { createRoutedBoard } from "../src/process/routed_board.ts";
+import { createRoutedWorkerTable } from "../src/process/routed_worker_table.ts";
 import { systemClock } from "../src/process/system_clock.ts";
 import { systemRandom } from "../src/process/system_random.ts";
 import { hashText } from "../src/version/index.ts";
@@ -49,7 +49,7 @@
 /** Prints what the choice of a worker costs a request, by the number of workers, beside 62 other instances. */
 function main(): void {
   for (const count of SIZES) {
-    const board = createRoutedBoard({
+    const board = createRoutedWorkerTable({
       time: () => systemClock.now(),
       limits: createWorkerLimits({ time: () => systemClock.now(), self: 1, instances: () => [1] }),
       clock: systemClock,
@@ -69,9 +69,9 @@
       ]),
     );
     for (let other = 1; other < INSTANCES; other++)
-      board.heard(`e${other}`, { use, isWhole: true });
+      board.updateOccupancy(`e${other}`, { workerCounts: use, isSnapshot: true });
     const choose = (): void => {
-      const { workers: few, homes } = board.compared(SERVICE, PARTS);
+      const { workers: few, homes } = board.sample(SERVICE, PARTS);
       rankWorkers(few, {
         request: { parts: PARTS },
         speed: board.speed(SERVICE),
--- a/bench/decision_cost.ts
+++ b/bench/decision_cost.ts
@@ -2,7 +2,7 @@
 import { build } from "hdr-histogram-js";
 import type { Histogram } from "hdr-histogram-js";
 import { createFairQueueClass, createScheduler, Lane, RunEnd } from "../src/decision/index.ts";
-import type { Arrival, FairRun, Job, Policy, Scheduler } from "../src/decision/index.ts";
+import type { Arrival, FairQueueTask, Job, Policy, Scheduler } from "../src/decision/index.ts";
 import { createSeededRandom, Purchase, WorkerState } from "../src/interface/index.ts";
 import type { Random, Worker } from "../src/interface/index.ts";
 
@@ -63,11 +63,11 @@
     0,
   );
   const queue = new (createFairQueueClass(scheduler.queueOptions(SERVICE)))();
-  const jobs = new Map<FairRun, Job>();
+  const jobs = new Map<FairQueueTask, Job>();
   let now = 0;
   let number = 0;
   const enqueue = (job: Job): void => {
-    const run: FairRun = () => Promise.resolve();
+    const run: FairQueueTask = () => Promise.resolve();
     jobs.set(run, job);
     queue.enqueue(run, { id: job.id, job });
   };
@@ -112,9 +112,9 @@
 }
 
 function finish(scheduler: Scheduler, job: Job, now: number): void {
-  scheduler.firstToken(job.id, now);
+  scheduler.recordFirstToken(job.id, now);
   scheduler.runEnded(job.id, RunEnd.Complete, { now, answerTokens: 40 });
-  scheduler.settled(job, now);
+  scheduler.jobEnded(job, now);
 }
 
 function workerOf(index: number): Worker {
--- a/bench/digest_cost.ts
+++ b/bench/digest_cost.ts
@@ -1,10 +1,10 @@
 import { sum } from "../src/decision/index.ts";
 import { createSeededRandom } from "../src/interface/index.ts";
 import type { Random } from "../src/interface/index.ts";
-import { FleetRole } from "../src/process/fleet_tree.ts";
+import { FleetRole } from "../src/process/fleet_topology.ts";
 import { RunResult } from "../src/request/index.ts";
-import { startNewsFleet } from "../src/process/testing/news_fleet.ts";
-import type { NewsFleet, NewsMember } from "../src/process/testing/news_fleet.ts";
+import { startSyncFleet } from "../src/process/testing/sync_fleet.ts";
+import type { SyncFleet, SyncMember } from "../src/process/testing/sync_fleet.ts";
 
 /** A deployment, with the requests that one instance of it carries a second. */
 interface Size {
@@ -30,8 +30,8 @@
 const RUN_TIME = 1_000;
 
 function beginAnywhere(
-  fleet: NewsFleet,
-  member: NewsMember,
+  fleet: SyncFleet,
+  member: SyncMember,
   { accounts, random }: { accounts: number; random: Random },
 ): void {
   const worker = Math.floor(random.next() * fleet.workers.length);
@@ -47,7 +47,7 @@
 /** What one instance sends a second and what that costs it, in a fleet of the size under load. */
 async function measure(size: Size): Promise<Record<string, number>> {
   const names = Array.from({ length: size.accounts }, (_, index) => accountOf(index));
-  const fleet = await startNewsFleet({ ...size, accounts: names });
+  const fleet = await startSyncFleet({ ...size, accounts: names });
   const random = createSeededRandom(1);
   const play = async (seconds: number): Promise<void> => {
     const step = MILLISECONDS / size.requests;
@@ -59,11 +59,11 @@
     }
   };
   await play(SETTLE_SECONDS);
-  const before = fleet.members.map(({ news }) => news.bytesSent);
+  const before = fleet.members.map(({ sync: news }) => news.bytesSent);
   const startedAt = process.cpuUsage();
   await play(MEASURED_SECONDS);
   const { user, system } = process.cpuUsage(startedAt);
-  const rates = fleet.members.map(({ news }, place) => ({
+  const rates = fleet.members.map(({ sync: news }, place) => ({
     role: news.role,
     bytes: (news.bytesSent - (before[place] ?? 0)) / MEASURED_SECONDS,
   }));
--- a/bench/faults/faults_test.ts
+++ b/bench/faults/faults_test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from "vitest";
 import { RequestState } from "../../src/interface/index.ts";
-import { keyedId } from "../../src/request/request_key.ts";
+import { requestIdForKey } from "../../src/request/request_key.ts";
 import { ACCOUNT, emptyNotes } from "./caller.ts";
 import { play } from "./play.ts";
 import { brokenPromises } from "./promises.ts";
@@ -37,7 +37,7 @@
 test("each broken promise is seen", () => {
   const scenario = { ...drawScenario(1), faults: [] };
   const demand = { at: 0, instance: 0, repeatable: false, detached: false, tokens: 2, key: "k" };
-  const { id } = keyedId(ACCOUNT, "k");
+  const { id } = requestIdForKey(ACCOUNT, "k");
   const run = { id, worker: "w0", attempt: 1, startedAt: 1, resumedFrom: 0 };
   const broken = brokenPromises({
     scenario,
--- a/bench/faults/fleet.ts
+++ b/bench/faults/fleet.ts
@@ -2,7 +2,7 @@
 import { createSeededRandom } from "../../src/interface/index.ts";
 import { createEntryCore } from "../../src/process/index.ts";
 import type { EntryCore } from "../../src/process/index.ts";
-import { deskWorker, NO_CLOUD } from "../../src/process/testing/outside.ts";
+import { deskWorker, NO_CLOUD } from "../../src/process/testing/core_fakes.ts";
 import {
   createFreezer,
   createMemoryEngines,
--- a/bench/faults/promises.ts
+++ b/bench/faults/promises.ts
@@ -1,6 +1,6 @@
 import { RequestState } from "../../src/interface/index.ts";
 import type { EngineRun } from "../../src/standin/memory/index.ts";
-import { keyedId } from "../../src/request/request_key.ts";
+import { requestIdForKey } from "../../src/request/request_key.ts";
 import { ACCOUNT } from "./caller.ts";
 import type { Notes } from "./caller.ts";
 import type { Scenario } from "./scenario.ts";
@@ -74,7 +74,7 @@
   const keyed = notes.filter(({ demand }) => demand.key !== undefined);
   return keyed.flatMap(({ demand, ends, endedAt, id }) => {
     const key = demand.key ?? "";
-    const expected = keyedId(ACCOUNT, key).id;
+    const expected = requestIdForKey(ACCOUNT, key).id;
     const broken = id !== "" && id !== expected ? [`${key}: it was given another id, ${id}.`] : [];
     // A key that was certainly not run may be brought again, and then runs.
     const hadRun = runs.some((run) => run.id === expected && run.startedAt < endedAt);
--- a/bench/rollouts/play.ts
+++ b/bench/rollouts/play.ts
@@ -1,4 +1,4 @@
-import { rolloutCourse, RolloutPhase, sumCounts } from "../../src/decision/index.ts";
+import { planRollout, RolloutPhase, sumCounts } from "../../src/decision/index.ts";
 import type { RolloutJudge, RunCounts, RunTally } from "../../src/decision/index.ts";
 import { createSeededRandom, Purchase, RolloutState } from "../../src/interface/index.ts";
 import type {
@@ -8,7 +8,7 @@
   RolloutStatus,
   RoutedWorker,
 } from "../../src/interface/index.ts";
-import { GREATEST_MESH } from "../../src/process/fleet_tree.ts";
+import { MAX_MESH_SIZE } from "../../src/process/fleet_topology.ts";
 import { createRolloutTask } from "../../src/process/rollout_task.ts";
 import type { RolloutTask } from "../../src/process/rollout_task.ts";
 import { createRolloutView } from "../../src/process/rollout_view.ts";
@@ -100,8 +100,8 @@
       random,
       bounds: BOUNDS,
       time: () => clock.now(),
-      members: () => count,
-      sumOf: (key) => history.at(-1)?.sums.get(key),
+      instanceCount: () => count,
+      fleetCountsOf: (key) => history.at(-1)?.sums.get(key),
       onBegin: () => undefined,
       log: { changed: () => undefined },
     });
@@ -112,7 +112,7 @@
     view: createView(),
     zone: place % 4,
   }));
-  const hops = count > GREATEST_MESH ? HOPS.large : HOPS.small;
+  const hops = count > MAX_MESH_SIZE ? HOPS.large : HOPS.small;
 
   const isStruck = (trouble: Trouble): boolean => {
     const at = clock.now() - WARM_UP;
@@ -177,7 +177,7 @@
       if (instance === fleet[holder] || isCut(instance)) continue;
       const delay = DIGEST * hops * random.next();
       clock.after(delay, () =>
-        instance.view.heard(plans.map((plan) => ({ ...plan, age: plan.age + delay }))),
+        instance.view.updatePlans(plans.map((plan) => ({ ...plan, age: plan.age + delay }))),
       );
     }
   };
@@ -197,11 +197,11 @@
       store,
       time: () => clock.now(),
       routes: () => ROUTES.map(({ name }) => name),
-      sums: () => {
+      fleetCounts: () => {
         const from = clock.now() - DIGEST * (hops - 0.5);
         return history.findLast(({ at }) => at <= from)?.sums ?? new Map();
       },
-      running: () => workers.reduce((sum, { running }) => sum + running, 0),
+      runningRequests: () => workers.reduce((sum, { running }) => sum + running, 0),
       fence: () => (own === fence && clock.now() >= holdsFrom ? own : undefined),
       judge: ways.judge,
       log: () => undefined,
@@ -271,7 +271,7 @@
       lastTriedAt = startedAt;
     }
     at(startedAt + first, () => {
-      if (!fails) tally.answered(clock.now());
+      if (!fails) tally.recordAnswer(clock.now());
       if (worker.isNew && (fails || (isBad && scenario.sort === Sort.Slow))) {
         if (endedAt === undefined) badAnswers++;
         if (++allBad === 50) fiftiethAt = clock.now();
@@ -280,7 +280,7 @@
     // A failure is the whole answer.
     at(startedAt + first + (fails ? 0 : route.whole - route.first), () => {
       worker.running--;
-      tally.ended(fails ? "failed" : "well");
+      tally.recordEnd(fails ? "failed" : "well");
     });
   };
   const choose = ({ view }: Instance): Worker | undefined => {
@@ -297,7 +297,7 @@
   /** The other way: for a share of the requests that is drawn, all new workers at any time. */
   const drawEvenly = (view: RolloutView): Worker[] | undefined => {
     if (view.find(SERVICE)?.phase !== RolloutPhase.Trial) return undefined;
-    const { parts } = rolloutCourse(duration, BOUNDS);
+    const { maxShares: parts } = planRollout(duration, BOUNDS);
     const isDrawn = random.next() < parts[RolloutPhase.Trial];
     return isDrawn ? workers.filter(({ isNew }) => isNew) : undefined;
   };
--- a/bench/slopes/main.ts
+++ b/bench/slopes/main.ts
@@ -7,7 +7,7 @@
  * @module
  */
 import { parseArgs } from "node:util";
-import { resolve } from "../../src/decision/index.ts";
+import { resolveAddresses } from "../../src/decision/index.ts";
 import { createSeededRandom } from "../../src/interface/index.ts";
 import { measureControl } from "./control_cost.ts";
 import type { ControlCost } from "./control_cost.ts";
@@ -38,7 +38,7 @@
   const random = createSeededRandom(1);
   const view = { alive, owner: undefined, load: new Map<string, number>(), account: "club" };
   const began = performance.now();
-  for (let count = 0; count < RESOLVES; count++) resolve(view, random);
+  for (let count = 0; count < RESOLVES; count++) resolveAddresses(view, random);
   return ((performance.now() - began) * 1_000) / RESOLVES;
 }
 
--- a/model/slot_actions.ts
+++ b/model/slot_actions.ts
@@ -6,27 +6,27 @@
 import { hasEnded, RequestState, SlotOutcome } from "../src/interface/index.ts";
 import type { RequestRecord } from "../src/interface/index.ts";
 import {
-  cedeSlot,
-  completionOf,
-  hearAcknowledgement,
-  hearAssignment,
-  Inheritance,
-  inheritanceOf,
+  createSlotHandover,
+  createCompletionMessage,
+  applyAcknowledgement,
+  applyAssignment,
+  TakeoverAction,
+  takeoverActionFor,
   isAcknowledged,
-  isKeeper,
-  mayAcceptUnknownKey,
-  mayEndNotRun,
-  mayTellEnd,
+  hasRecordsToForward,
+  canAcceptUnknownKey,
+  canEndNotRun,
+  canReportEnd,
   ownsSlot,
   Permission,
   permissionToSend,
-  receiveCession,
+  receiveHandover,
   receiveRecord,
-  replicationOf,
+  createReplicateMessage,
   Stance,
   writeRecord,
 } from "../src/request/slot_replica.ts";
-import type { Held, SlotReplica } from "../src/request/slot_replica.ts";
+import type { HeldRecord, SlotReplica } from "../src/request/slot_replica.ts";
 import type { Assignment } from "../src/version/index.ts";
 import type { Step } from "./checker.ts";
 import { TOLD_ACCEPTED } from "./slot_invariants.ts";
@@ -69,7 +69,7 @@
 }
 
 function isHeard(
-  { assignment, held }: SlotReplica,
+  { assignment, records: held }: SlotReplica,
   { id, sequence, epoch }: { id: string; sequence: number; epoch: number },
 ): boolean {
   if (epoch !== assignment.epoch) return epoch < assignment.epoch;
@@ -80,11 +80,11 @@
 function isKept({ replica }: Node, message: Message & { kind: "cession" }): boolean {
   const { epoch, custody, complete, records } = message.message;
   if (!custody && (replica.assignment.epoch <= epoch || complete === true)) return false;
-  if (complete === true && replica.completeTo < epoch) return false;
+  if (complete === true && replica.completeThroughEpoch < epoch) return false;
   return records.every((record) => covers(replica, record, epoch));
 }
 
-function covers({ held }: SlotReplica, record: RequestRecord, epoch: number): boolean {
+function covers({ records: held }: SlotReplica, record: RequestRecord, epoch: number): boolean {
   const kept = held.get(record.id);
   if (kept === undefined || epoch > kept.epoch) return false;
   return epoch < kept.epoch || kept.record.sequence >= record.sequence;
@@ -143,9 +143,9 @@
   let next = state;
   for (const { up, replica } of state.nodes) {
     if (!up || !ownsSlot(replica)) continue;
-    for (const [id, { record }] of replica.held) {
+    for (const [id, { record }] of replica.records) {
       if (isAcknowledged(replica, id)) next = tell(next, id, TOLD_ACCEPTED);
-      if (mayTellEnd(replica, id, bounds.rules)) next = tell(next, id, record.state);
+      if (canReportEnd(replica, id, bounds.rules)) next = tell(next, id, record.state);
     }
   }
   return next;
@@ -154,7 +154,7 @@
 /** A caller brings a request, or a key again. */
 function callerSteps(state: State, { node, bounds }: At): Step<State>[] {
   if (!ownsSlot(node.replica)) return [];
-  const unknown = bounds.demands.filter(({ id }) => !node.replica.held.has(id));
+  const unknown = bounds.demands.filter(({ id }) => !node.replica.records.has(id));
   return unknown.flatMap((demand) => submit(state, { node, bounds, demand }));
 }
 
@@ -162,7 +162,7 @@
   const { replica } = node;
   const isBrought = state.told[demand.id] !== undefined;
   if (node.leaving || (isBrought && !demand.keyed)) return [];
-  if (!mayAcceptUnknownKey(replica, demand.repeatable, bounds.rules)) return [];
+  if (!canAcceptUnknownKey(replica, demand.repeatable, bounds.rules)) return [];
   const brought = isBrought ? state : { ...state, told: { ...state.told, [demand.id]: [] } };
   const next = withReplica(brought, node, writeRecord(replica, acceptedRecord(demand)));
   return [step(`${idOf(node)} takes ${demand.id}`, next)];
@@ -173,8 +173,10 @@
   const steps: Step<State>[] = [];
   for (const id of node.permitted) steps.push(send(state, { node, id }));
   if (!ownsSlot(node.replica)) return steps;
-  for (const [id, held] of node.replica.held) {
-    const message = isAcknowledged(node.replica, id) ? undefined : replicationOf(node.replica, id);
+  for (const [id, held] of node.replica.records) {
+    const message = isAcknowledged(node.replica, id)
+      ? undefined
+      : createReplicateMessage(node.replica, id);
     if (message !== undefined) {
       const to = node.replica.assignment.backup;
       const next = withMessage(state, { kind: "record", to, message });
@@ -197,7 +199,7 @@
   return step(name, { ...next, runs });
 }
 
-function advance(state: State, { node, bounds, held }: At & { held: Held }): Step<State>[] {
+function advance(state: State, { node, bounds, held }: At & { held: HeldRecord }): Step<State>[] {
   const { replica } = node;
   const { record } = held;
   const { id } = record;
@@ -212,8 +214,8 @@
   if (isSent) return answered(state, { node, bounds, held });
   const steps: Step<State>[] = [];
   const permission = permissionToSend(replica, id, bounds.rules);
-  const inheritance = held.own ? Inheritance.Run : inheritanceOf(record, bounds.rules);
-  if (inheritance === Inheritance.Inquire) return [inquire(state, { node, bounds, held })];
+  const inheritance = held.own ? TakeoverAction.Run : takeoverActionFor(record, bounds.rules);
+  if (inheritance === TakeoverAction.Inquire) return [inquire(state, { node, bounds, held })];
   if (permission === Permission.NeedsIntent) {
     steps.push(write("intends to send", { state: RequestState.DispatchIntent, worker: WORKER }));
   }
@@ -221,14 +223,14 @@
     const next = withNode(state, node, { permitted: [...node.permitted, id].sort() });
     steps.push(step(`${at} finds that it may send ${id}`, next));
   }
-  if (mayEndNotRun(replica, id, isPermitted)) {
+  if (canEndNotRun(replica, id, isPermitted)) {
     steps.push(write("gives up, never sent,", { state: RequestState.NotRun }));
   }
   return steps;
 }
 
 /** After the write to the server: its answer, or its loss. */
-function answered(state: State, { node, held }: At & { held: Held }): Step<State>[] {
+function answered(state: State, { node, held }: At & { held: HeldRecord }): Step<State>[] {
   const { record } = held;
   const at = idOf(node);
   const end = (to: RequestState): State =>
@@ -247,7 +249,7 @@
 }
 
 /** Asks the server that the intent names, which from then on refuses the id. */
-function inquire(state: State, { node, held }: At & { held: Held }): Step<State> {
+function inquire(state: State, { node, held }: At & { held: HeldRecord }): Step<State> {
   const { record } = held;
   const hasRun = (state.runs[record.id] ?? 0) > 0;
   const end = hasRun ? RequestState.Complete : RequestState.NotRun;
@@ -265,7 +267,7 @@
   const node = state.nodes.find((one) => one.up && idOf(one) === message.to);
   if (node === undefined) return [];
   if (message.kind === "acknowledgement") {
-    const replica = hearAcknowledgement(node.replica, message);
+    const replica = applyAcknowledgement(node.replica, message);
     return [step(`${message.to} hears of the copy ${key}`, withReplica(state, node, replica))];
   }
   if (message.kind === "record") {
@@ -283,7 +285,7 @@
     const next = isTaken ? withMessage(taken, acknowledgement) : taken;
     return [step(`${message.to} answers ${reply.outcome} to ${key}`, next)];
   }
-  const { replica, reply } = receiveCession(node.replica, message.message, bounds.rules);
+  const { replica, reply } = receiveHandover(node.replica, message.message, bounds.rules);
   const name = `${message.to} answers ${reply.outcome} to ${key}`;
   return [step(name, withReplica(state, node, replica))];
 }
@@ -293,7 +295,7 @@
   const peers = state.nodes.filter((one) => one.up).map((one) => one.replica.assignment);
   const known = new Map([state.stored, ...peers].map((one) => [one.epoch, one]));
   return [...known.values()].map((assignment) => {
-    const replica = hearAssignment(node.replica, assignment, bounds.rules);
+    const replica = applyAssignment(node.replica, assignment, bounds.rules);
     const { epoch, primary, backup } = assignment;
     const name = `${idOf(node)} learns epoch ${epoch}: ${primary}, ${backup}`;
     return step(name, withReplica(state, node, replica));
@@ -331,7 +333,7 @@
   // Whoever is left of the two has the records, and is the primary.
   if (isNew && (backup === stored.primary || backup === stored.backup)) return [];
   // Only the writer can know that it was left everything in custody; for others the history is lost.
-  const inCustody = primary === idOf(node) && node.replica.completeTo >= stored.epoch;
+  const inCustody = primary === idOf(node) && node.replica.completeThroughEpoch >= stored.epoch;
   const historyLostAt = isNew && !inCustody ? stored.epoch + 1 : stored.historyLostAt;
   const assignment = { epoch: stored.epoch + 1, primary, backup, historyLostAt };
   const faults = { ...state.faults, suspicion: state.faults.suspicion - suspected };
@@ -379,7 +381,7 @@
   }
   steps.push(...handOver(state, { node, bounds, others }));
   // It is known that the hand-over arrived, by its acknowledgement or by that of another copy.
-  const isSafe = [...node.replica.held.values()].every(({ record, epoch }) =>
+  const isSafe = [...node.replica.records.values()].every(({ record, epoch }) =>
     others.some((other) => covers(other.replica, record, epoch)),
   );
   if (node.leaving && isSafe && !ownsSlot(node.replica)) {
@@ -396,20 +398,20 @@
   const { primary, backup } = replica.assignment;
   const steps: Step<State>[] = [];
   const cede = (to: string): void => {
-    const cession = cedeSlot(replica, to, bounds.rules);
+    const cession = createSlotHandover(replica, to, bounds.rules);
     if (isUnderWay(state, { from: replica.self, to, epoch: cession.message.epoch })) return;
     const next = withReplica(state, node, cession.replica);
     const sent = withMessage(next, { kind: "cession", to, message: cession.message });
     steps.push(step(`${idOf(node)} cedes to ${to}`, sent));
   };
-  const keeps = isKeeper(replica);
+  const keeps = hasRecordsToForward(replica);
   const named = others.filter((other) => idOf(other) === backup);
   const targets = named.length > 0 && !bounds.cedesToAll ? named : others;
   const hands = ownsSlot(replica) || keeps;
   if (node.leaving && hands) targets.forEach((other) => cede(idOf(other)));
   else if (keeps && hands && primary !== replica.self) cede(primary);
   // The first backup knows from the start that there is no history.
-  const message = replica.assignment.epoch > 1 ? completionOf(replica) : undefined;
+  const message = replica.assignment.epoch > 1 ? createCompletionMessage(replica) : undefined;
   if (message !== undefined) {
     const next = withMessage(state, { kind: "cession", to: backup, message });
     steps.push(step(`${idOf(node)} tells ${backup} that it has all`, next));
--- a/model/slot_invariants.ts
+++ b/model/slot_invariants.ts
@@ -62,7 +62,7 @@
 }
 
 function isHeld(state: State, id: string): boolean {
-  return state.nodes.some(({ up, replica }) => up && replica.held.has(id));
+  return state.nodes.some(({ up, replica }) => up && replica.records.has(id));
 }
 
 /**
--- a/model/slot_state.ts
+++ b/model/slot_state.ts
@@ -1,6 +1,6 @@
 import { RequestState, Refusal } from "../src/interface/index.ts";
 import type { CedeMessage, ReplicateMessage, RequestRecord } from "../src/interface/index.ts";
-import { emptyReplica, hearAssignment } from "../src/request/slot_replica.ts";
+import { emptyReplica, applyAssignment } from "../src/request/slot_replica.ts";
 import type { Rules, SlotReplica } from "../src/request/slot_replica.ts";
 import type { Assignment } from "../src/version/index.ts";
 
@@ -91,7 +91,7 @@
   const stored = { epoch: 1, primary: "a#1", backup: "b#1", historyLostAt: 0 };
   const nodes = ["a", "b", "c"].slice(0, instances).map((name) => {
     const node = freshNode(name, 1);
-    return { ...node, replica: hearAssignment(node.replica, stored) };
+    return { ...node, replica: applyAssignment(node.replica, stored) };
   });
   return {
     nodes,
@@ -175,11 +175,11 @@
 function encodeNode(node: Node): string {
   const { replica, up, leaving, permitted, sent } = node;
   if (!up) return `${idOf(node)}-`;
-  const held = [...replica.held.entries()]
+  const held = [...replica.records.entries()]
     .map(([id, one]) => `${id}${JSON.stringify({ ...one, record: encodeRecord(one.record) })}`)
     .sort()
     .join();
-  const own = `${encodeAssignment(replica.assignment)}${replica.stance}${replica.completeTo}`;
+  const own = `${encodeAssignment(replica.assignment)}${replica.stance}${replica.completeThroughEpoch}`;
   return `${idOf(node)}${Number(leaving)}${own}[${held}]${permitted.join()};${sent.join()}`;
 }
 
--- a/src/connection/caller_routes.ts
+++ b/src/connection/caller_routes.ts
@@ -1,9 +1,9 @@
 import type { IncomingMessage, ServerResponse } from "node:http";
 import type { Polka } from "polka";
-import { resolve } from "../decision/index.ts";
+import { resolveAddresses } from "../decision/index.ts";
 import { Refusal } from "../interface/index.ts";
 import type { Member } from "../interface/index.ts";
-import { chatRequestSchema, keyedId, splitModel } from "../request/index.ts";
+import { chatRequestSchema, requestIdForKey, splitModel } from "../request/index.ts";
 import type { ChatRequest, Rejection, Submission } from "../request/index.ts";
 import { assignmentOf } from "../version/index.ts";
 import { callerOf, isRejection, serviceRefusal } from "./caller_account.ts";
@@ -67,7 +67,7 @@
   const load = new Map([[members.self.id, requests.inProgress()]]);
   const zone = query.get("zone");
   const view = { alive: members.alive(), owner, load, account };
-  sendJson(response, resolve(zone === null ? view : { ...view, zone }, random));
+  sendJson(response, resolveAddresses(zone === null ? view : { ...view, zone }, random));
 }
 
 function ownerOfKey(
@@ -75,7 +75,7 @@
   account: string,
   key: string,
 ): Member | undefined {
-  const { slot } = keyedId(account, key);
+  const { slot } = requestIdForKey(account, key);
   return members.find(assignmentOf(configuration.slotMap(), slot).primary);
 }
 
--- a/src/decision/patience.ts
+++ b/src/decision/attempt_silence.ts
@@ -19,19 +19,19 @@
  */
 
 /** The progress of an attempt; times are in milliseconds. */
-export interface Wait {
+export interface AttemptProgress {
   /** Whether the answer is streamed. */
   readonly isStream: boolean;
   /** Whether any event has been received. */
-  readonly hasBegun: boolean;
+  readonly hasFirstEvent: boolean;
   /** Time since data of this attempt was received. */
-  readonly quietFor: number;
+  readonly silentFor: number;
   /** Time since the worker sent anything to this instance. */
-  readonly workerQuietFor: number;
+  readonly workerSilentFor: number;
   /** The latency target of the route. */
   readonly target: number;
   /** The expected time to the first token. */
-  readonly expected: number;
+  readonly expectedFirstToken: number;
 }
 
 /** Factor on the target of a complete answer. */
@@ -46,8 +46,15 @@
 const STREAM_SILENCE = 900;
 
 /** Returns whether the worker counts as silent. */
-export function isSilent(wait: Wait): boolean {
-  const { isStream, hasBegun, quietFor, workerQuietFor, target, expected } = wait;
+export function isWorkerSilent(wait: AttemptProgress): boolean {
+  const {
+    isStream,
+    hasFirstEvent: hasBegun,
+    silentFor: quietFor,
+    workerSilentFor: workerQuietFor,
+    target,
+    expectedFirstToken: expected,
+  } = wait;
   if (hasBegun) return quietFor > STREAM_SILENCE && workerQuietFor > STREAM_SILENCE;
   const targetFactor = isStream ? STREAM_FACTOR : WHOLE_ANSWER_FACTOR;
   return quietFor > Math.max(MIN_SILENCE, targetFactor * target, EXPECTED_FACTOR * expected);
--- a/src/decision/candidate_workers.ts
+++ b/src/decision/candidate_workers.ts
@@ -28,7 +28,7 @@
 const SAMPLE_SIZE_AT_ONE_UNSEEN = 3;
 
 /** The candidate workers for one request. */
-export interface Compared<W> {
+export interface CandidateWorkers<W> {
   readonly workers: readonly W[];
   /** Workers that probably cache the shared parts of the prompt, selected from all workers. */
   readonly homes: PromptHomes<W>;
@@ -43,10 +43,10 @@
  * @returns A random sample of `workers` and the prompt's home workers, or all workers if there are
  * no more than that.
  */
-export function comparedWorkers<W extends { readonly hash: number }>(
+export function sampleWorkers<W extends { readonly hash: number }>(
   workers: readonly W[],
   options: { unseen: number; parts: readonly PromptPart[]; random: Random },
-): Compared<W> {
+): CandidateWorkers<W> {
   const { unseen, parts, random } = options;
   const homes = findHomes(workers, parts);
   const sampleSize = Math.max(
--- a/src/decision/candidate_workers_test.ts
+++ b/src/decision/candidate_workers_test.ts
@@ -1,11 +1,11 @@
 import { expect, test } from "vitest";
 import { createSeededRandom } from "../interface/index.ts";
 import { hashText } from "../version/index.ts";
-import { comparedWorkers } from "./candidate_workers.ts";
+import { sampleWorkers } from "./candidate_workers.ts";
 import { rankWorkers } from "./worker_ranking.ts";
 import type { RankedWorker } from "./worker_ranking.ts";
 
-const TIMING = { readRate: 100, runTime: 800 };
+const TIMING = { prefillRate: 100, runTime: 800 };
 /** Milliseconds between two digests, and milliseconds that a run takes. */
 const DIGEST_INTERVAL = 400;
 const RUN_TIME = 800;
@@ -57,12 +57,12 @@
         running: (reportedRuns.get(id) ?? 0) + (ownRuns.get(id) ?? 0),
         unreadTokens: 0,
         slots: SLOTS,
-        failing: 0,
-        sameZone: true,
-        coldFor: 0,
+        excessFailureRate: 0,
+        isSameZone: true,
+        warmupLeft: 0,
       }));
       const unseen = (perSecond * DIGEST_INTERVAL) / 1_000 / workers;
-      const candidates = comparedWorkers(views, { unseen, parts: [], random });
+      const candidates = sampleWorkers(views, { unseen, parts: [], random });
       const request = { parts: [] };
       const ranked = rankWorkers(candidates.workers, {
         request,
@@ -106,13 +106,13 @@
     running,
     unreadTokens: 0,
     slots: 12,
-    failing: 0,
-    sameZone: true,
-    coldFor: 0,
+    excessFailureRate: 0,
+    isSameZone: true,
+    warmupLeft: 0,
   });
   const workers = [worker(1, 6), worker(2, 0), worker(3, 4), worker(4, 6)];
   for (let step = 0; step < 50; step++) {
-    const candidates = comparedWorkers(workers, { unseen: 0, parts: [], random });
+    const candidates = sampleWorkers(workers, { unseen: 0, parts: [], random });
     expect(candidates.workers).toEqual(workers);
   }
 });
@@ -126,9 +126,9 @@
     { id: "shared", tokens: 5_000 },
     { id: "own", tokens: 600 },
   ];
-  const first = comparedWorkers(workers, { unseen: 3, parts, random });
+  const first = sampleWorkers(workers, { unseen: 3, parts, random });
   for (let step = 0; step < 50; step++) {
-    const { workers: candidates, homes } = comparedWorkers(workers, { unseen: 3, parts, random });
+    const { workers: candidates, homes } = sampleWorkers(workers, { unseen: 3, parts, random });
     expect(homes).toEqual(first.homes);
     expect(candidates.length).toBeLessThanOrEqual(4);
     for (const home of homes.keys()) expect(candidates).toContain(home);
--- a/src/decision/crash_evidence.ts
+++ b/src/decision/crash_evidence.ts
@@ -20,7 +20,7 @@
 import type { RunCounts } from "./worker_health.ts";
 
 /** A request identified by its content, independent of its ID. */
-export interface Suspect {
+export interface SuspectRequest {
   /** Unique name of the request. */
   readonly name: string;
   /** Key under which instances exchange their counts for the request. */
@@ -29,7 +29,7 @@
 
 /** A request during whose runs several workers have crashed. */
 export interface CrashFinding {
-  readonly suspect: Suspect;
+  readonly suspect: SuspectRequest;
   /** Number of workers that crashed while running the request, over all instances. */
   readonly crashes: number;
   /** Whether a worker crashed during a run that this instance started. */
@@ -43,27 +43,27 @@
  */
 export interface CrashEvidence {
   /** Records that a worker crashed while running the request. */
-  crashed(suspect: Suspect, now: number): void;
+  recordCrash(suspect: SuspectRequest, now: number): void;
   /** Records that a worker answered the request completely. */
-  answered(suspect: Suspect, now: number): void;
+  recordAnswer(suspect: SuspectRequest, now: number): void;
   /** Whether the request is proven to crash workers. */
-  isProven(suspect: Suspect, now: number): boolean;
+  isProven(suspect: SuspectRequest, now: number): boolean;
   /** Whether any instance has received an answer to the request since it lost workers. */
-  isAnswered(suspect: Suspect): boolean;
+  hasAnswer(suspect: SuspectRequest): boolean;
   /**
    * Restores a number of crashes that was stored earlier, even if the instances that counted them
    * have ended.
    */
-  recall(suspect: Suspect, crashes: number): void;
+  restore(suspect: SuspectRequest, crashes: number): void;
   /** Deletes everything that was counted here or restored for a request. */
   forget(name: string): void;
   /** Returns all requests that are proven to crash workers. */
-  proven(now: number): CrashFinding[];
+  listProven(now: number): CrashFinding[];
   /**
    * Returns the requests that were running at a worker lost here and need only one more crash to be
    * proven.
    */
-  suspected(now: number): CrashFinding[];
+  listSuspected(now: number): CrashFinding[];
   /**
    * Returns this instance's counts by key, for the other instances: `runs` is the number of crashes
    * and answers, `failures` the number of crashes.
@@ -75,11 +75,11 @@
  * Crashes that prove a request without answers; each answer raises the threshold by the same
  * number.
  */
-export const PROVING_CRASHES = 3;
+export const MIN_PROVING_CRASHES = 3;
 /** Milliseconds for which an answer counts in favor of a request that loses workers later. */
 const ANSWER_TTL = 10_000;
 /** Milliseconds for which crashes are kept after the latest one. */
-export const CRASH_LIFE = 600_000;
+export const CRASH_TTL = 600_000;
 /**
  * Milliseconds for which a request stays proven after the instances that counted its crashes have
  * ended.
@@ -94,7 +94,7 @@
 const NO_COUNTS: RunCounts = { runs: 0, failures: 0 };
 
 interface SuspectCounts {
-  readonly suspect: Suspect;
+  readonly suspect: SuspectRequest;
   crashes: number;
   answers: number;
   at: number;
@@ -138,7 +138,7 @@
   /** When a request that is not yet proven was first one crash short of it, by request name. */
   const suspectedSince = new Map<string, number>();
 
-  const touchCounts = (suspect: Suspect, now: number): SuspectCounts => {
+  const touchCounts = (suspect: SuspectRequest, now: number): SuspectCounts => {
     const found = ownCounts.get(suspect.name) ?? {
       suspect,
       crashes: 0,
@@ -155,13 +155,13 @@
     const found = recentAnswers.get(name);
     return found === undefined || now - found.at > ANSWER_TTL ? 0 : found.answers;
   };
-  const rememberAnswer = ({ name }: Suspect, now: number): void => {
+  const rememberAnswer = ({ name }: SuspectRequest, now: number): void => {
     const answers = answersOf(name, now) + 1;
     recentAnswers.delete(name);
     recentAnswers.set(name, { answers, at: now });
     dropOldest(recentAnswers, { maxSize: MAX_ANSWERED_REQUESTS, cutoff: now - ANSWER_TTL });
   };
-  const countTotals = ({ name, key }: Suspect): SuspectTotals => {
+  const countTotals = ({ name, key }: SuspectRequest): SuspectTotals => {
     const own = ownCounts.get(name) ?? { crashes: 0, answers: 0 };
     const others = othersOf(key) ?? NO_COUNTS;
     return {
@@ -170,7 +170,7 @@
       isOwn: own.crashes > 0,
     };
   };
-  const totalsOf = (suspect: Suspect): SuspectTotals => {
+  const totalsOf = (suspect: SuspectRequest): SuspectTotals => {
     const counted = countTotals(suspect);
     const restoredCrashes = restored.get(suspect.name);
     if (restoredCrashes === undefined) return counted;
@@ -179,8 +179,8 @@
     return { ...counted, crashes: Math.max(crashes, counted.crashes) };
   };
   const isProof = ({ crashes, answers }: SuspectTotals): boolean =>
-    crashes >= PROVING_CRASHES * (1 + answers);
-  const isProven = (suspect: Suspect, now: number): boolean => {
+    crashes >= MIN_PROVING_CRASHES * (1 + answers);
+  const isProven = (suspect: SuspectRequest, now: number): boolean => {
     const { name } = suspect;
     const total = totalsOf(suspect);
     const previous = provenFindings.get(name);
@@ -197,11 +197,11 @@
     return false;
   };
   return {
-    crashed: (suspect, now) => {
+    recordCrash: (suspect, now) => {
       touchCounts(suspect, now).crashes++;
-      dropOldest(ownCounts, { maxSize: MAX_SUSPECTS, cutoff: now - CRASH_LIFE });
+      dropOldest(ownCounts, { maxSize: MAX_SUSPECTS, cutoff: now - CRASH_TTL });
     },
-    answered: (suspect, now) => {
+    recordAnswer: (suspect, now) => {
       const isSuspected =
         ownCounts.has(suspect.name) ||
         restored.has(suspect.name) ||
@@ -216,8 +216,8 @@
       if (isNew && (othersOf(suspect.key)?.failures ?? 0) > 0) touchCounts(suspect, now);
       return isProven(suspect, now);
     },
-    isAnswered: (suspect) => countTotals(suspect).answers > 0,
-    recall: (suspect, crashes) => {
+    hasAnswer: (suspect) => countTotals(suspect).answers > 0,
+    restore: (suspect, crashes) => {
       restored.set(suspect.name, {
         crashes: Math.max(crashes, totalsOf(suspect).crashes),
         includedCrashes: countTotals(suspect).crashes,
@@ -228,17 +228,17 @@
       provenFindings.delete(name);
       restored.delete(name);
     },
-    proven: (now) => {
+    listProven: (now) => {
       const suspects = [...ownCounts.values(), ...provenFindings.values()].map(
         ({ suspect }) => suspect,
       );
       for (const suspect of suspects) isProven(suspect, now);
       return [...provenFindings.values()];
     },
-    suspected: (now) => {
+    listSuspected: (now) => {
       const found = [...ownCounts.values()].flatMap(({ suspect }) => {
         const { crashes, answers, isOwn } = totalsOf(suspect);
-        if (!isOwn || answers > 0 || crashes !== PROVING_CRASHES - 1) return [];
+        if (!isOwn || answers > 0 || crashes !== MIN_PROVING_CRASHES - 1) return [];
         return [{ suspect, crashes, isOwn, since: suspectedSince.get(suspect.name) ?? now }];
       });
       suspectedSince.clear();
@@ -246,7 +246,7 @@
       return found;
     },
     counts: (now) => {
-      dropOldest(ownCounts, { maxSize: MAX_SUSPECTS, cutoff: now - CRASH_LIFE });
+      dropOldest(ownCounts, { maxSize: MAX_SUSPECTS, cutoff: now - CRASH_TTL });
       return new Map(
         [...ownCounts.values()].map(({ suspect, crashes, answers }) => [
           suspect.key,
--- a/src/decision/ejection.ts
+++ b/src/decision/ejection.ts
@@ -23,14 +23,14 @@
  */
 
 /** Measurements of one worker, compared with those of its peers in the same service. */
-export interface PeerReading {
+export interface PeerStats {
   readonly worker: string;
   /** Median milliseconds between two tokens; undefined if there are too few samples. */
-  readonly gap: number | undefined;
+  readonly tokenGap: number | undefined;
   /** Number of finished runs, with older runs weighted less, and how many of them failed. */
   readonly runs: number;
   readonly failures: number;
-  readonly isOut: boolean;
+  readonly isEjected: boolean;
 }
 
 /**
@@ -61,13 +61,13 @@
  * @returns The IDs of the workers to eject, the worst first.
  */
 export function chooseEjections(
-  peers: readonly PeerReading[],
+  peers: readonly PeerStats[],
   { gapTarget }: { gapTarget: number },
 ): string[] {
-  const ejectedCount = peers.filter(({ isOut }) => isOut).length;
+  const ejectedCount = peers.filter(({ isEjected: isOut }) => isOut).length;
   const maxEjections = Math.floor(peers.length * MAX_EJECTED_FRACTION) - ejectedCount;
   if (maxEjections <= 0 || peers.length <= MIN_PEERS) return [];
-  const candidates = peers.filter(({ isOut }) => !isOut);
+  const candidates = peers.filter(({ isEjected: isOut }) => !isOut);
   const scored = candidates.map((peer) => ({
     worker: peer.worker,
     severity: severityOf(peer, candidates),
@@ -78,21 +78,21 @@
 }
 
 /** Returns how far a worker exceeds its peers; a value above 1 justifies an ejection. */
-function severityOf(peer: PeerReading, all: readonly PeerReading[]): (gapTarget: number) => number {
+function severityOf(peer: PeerStats, all: readonly PeerStats[]): (gapTarget: number) => number {
   const otherPeers = all.filter(({ worker }) => worker !== peer.worker);
-  const gaps = otherPeers.map(({ gap }) => gap).filter((gap) => gap !== undefined);
+  const gaps = otherPeers.map(({ tokenGap: gap }) => gap).filter((gap) => gap !== undefined);
   const rates = otherPeers.map(failureRate).filter((rate) => rate !== undefined);
   const rate = failureRate(peer);
   const failureSeverity =
     rate !== undefined && rate > 2 * median(rates) ? rate / MAX_FAILURE_RATE : 0;
   return (gapTarget) => {
-    if (peer.gap === undefined || gaps.length < MIN_PEERS || peer.gap <= gapTarget)
+    if (peer.tokenGap === undefined || gaps.length < MIN_PEERS || peer.tokenGap <= gapTarget)
       return failureSeverity;
-    return Math.max(failureSeverity, peer.gap / (SLOW_FACTOR * median(gaps)));
+    return Math.max(failureSeverity, peer.tokenGap / (SLOW_FACTOR * median(gaps)));
   };
 }
 
-function failureRate({ runs, failures }: PeerReading): number | undefined {
+function failureRate({ runs, failures }: PeerStats): number | undefined {
   return runs < MIN_RUNS ? undefined : failures / runs;
 }
 
@@ -102,7 +102,7 @@
 }
 
 /** Returns the state after another ejection at the time `now`. */
-export function ejectedAgain(before: EjectionState | undefined, now: number): EjectionState {
+export function nextEjection(before: EjectionState | undefined, now: number): EjectionState {
   const isRecent = before !== undefined && now - before.until < BACKOFF_RESET_TIME;
   const count = isRecent ? before.count + 1 : 1;
   const duration = Math.min(MAX_EJECTION_TIME, BASE_EJECTION_TIME * 2 ** (count - 1));
@@ -110,7 +110,7 @@
 }
 
 /** Returns the fraction of its limit, from 0 to 1, that a worker may use: 0 while it is ejected. */
-export function usablePart(state: EjectionState | undefined, now: number): number {
+export function activeFraction(state: EjectionState | undefined, now: number): number {
   if (state === undefined) return 1;
   if (now < state.until) return 0;
   return Math.min(
--- a/src/decision/entry_overload.ts
+++ b/src/decision/entry_overload.ts
@@ -34,7 +34,7 @@
 }
 
 /** Which requests an entry instance accepts. */
-export enum EntryStance {
+export enum EntryMode {
   /** All requests. */
   Open = "open",
   /** Lookups and work that was already accepted; new scripts are refused. */
@@ -58,14 +58,13 @@
 const EXIT_MEMORY_STEP = 0.1;
 
 /** Chooses the mode from the current readings and the previous mode. */
-export function entryStance(load: EntryLoad, before: EntryStance): EntryStance {
-  if (exceeds(load, CONTROL_ONLY)) return EntryStance.ControlOnly;
-  if (before === EntryStance.ControlOnly && exceeds(load, exitThreshold(CONTROL_ONLY)))
-    return before;
-  if (before === EntryStance.ControlOnly) return EntryStance.LookupsOnly;
-  if (exceeds(load, LOOKUPS_ONLY)) return EntryStance.LookupsOnly;
-  const stays = before === EntryStance.LookupsOnly && exceeds(load, exitThreshold(LOOKUPS_ONLY));
-  return stays ? before : EntryStance.Open;
+export function chooseEntryMode(load: EntryLoad, before: EntryMode): EntryMode {
+  if (exceeds(load, CONTROL_ONLY)) return EntryMode.ControlOnly;
+  if (before === EntryMode.ControlOnly && exceeds(load, exitThreshold(CONTROL_ONLY))) return before;
+  if (before === EntryMode.ControlOnly) return EntryMode.LookupsOnly;
+  if (exceeds(load, LOOKUPS_ONLY)) return EntryMode.LookupsOnly;
+  const stays = before === EntryMode.LookupsOnly && exceeds(load, exitThreshold(LOOKUPS_ONLY));
+  return stays ? before : EntryMode.Open;
 }
 
 function exceeds(load: EntryLoad, { loopDelay, memory }: Threshold): boolean {
--- a/src/decision/entry_overload_test.ts
+++ b/src/decision/entry_overload_test.ts
@@ -1,10 +1,10 @@
 import { expect, test } from "vitest";
-import { entryStance, EntryStance } from "./entry_overload.ts";
+import { chooseEntryMode, EntryMode } from "./entry_overload.ts";
 
-function stances(readings: readonly { loopDelay: number; memory?: number }[]): EntryStance[] {
-  let stance = EntryStance.Open;
+function stances(readings: readonly { loopDelay: number; memory?: number }[]): EntryMode[] {
+  let stance = EntryMode.Open;
   return readings.map(({ loopDelay, memory = 100 }) => {
-    stance = entryStance({ loopDelay, memory, memoryLimit: 1_000, inProgress: 1 }, stance);
+    stance = chooseEntryMode({ loopDelay, memory, memoryLimit: 1_000, inProgress: 1 }, stance);
     return stance;
   });
 }
@@ -15,14 +15,14 @@
   // is alive.
   const delays = [10, 60, 250, 150, 90, 90, 40, 20].map((loopDelay) => ({ loopDelay }));
   expect(stances(delays)).toEqual([
-    EntryStance.Open,
-    EntryStance.LookupsOnly,
-    EntryStance.ControlOnly,
-    EntryStance.ControlOnly,
-    EntryStance.LookupsOnly,
-    EntryStance.LookupsOnly,
-    EntryStance.LookupsOnly,
-    EntryStance.Open,
+    EntryMode.Open,
+    EntryMode.LookupsOnly,
+    EntryMode.ControlOnly,
+    EntryMode.ControlOnly,
+    EntryMode.LookupsOnly,
+    EntryMode.LookupsOnly,
+    EntryMode.LookupsOnly,
+    EntryMode.Open,
   ]);
 });
 
@@ -31,10 +31,10 @@
   // with all requests that it has accepted.
   const readings = [850, 950, 820, 750, 650].map((memory) => ({ loopDelay: 1, memory }));
   expect(stances(readings)).toEqual([
-    EntryStance.LookupsOnly,
-    EntryStance.ControlOnly,
-    EntryStance.ControlOnly,
-    EntryStance.LookupsOnly,
-    EntryStance.Open,
+    EntryMode.LookupsOnly,
+    EntryMode.ControlOnly,
+    EntryMode.ControlOnly,
+    EntryMode.LookupsOnly,
+    EntryMode.Open,
   ]);
 });
--- a/src/decision/estimate_test.ts
+++ b/src/decision/estimate_test.ts
@@ -3,7 +3,7 @@
 import type { Estimator } from "./estimate.ts";
 import type { Job } from "./job.ts";
 import { createPrefixCacheIndex } from "./prefix_cache_index.ts";
-import { someArrival, TEST_POLICY } from "./testing/load_play.ts";
+import { someArrival, TEST_POLICY } from "./testing/load_simulation.ts";
 
 function learn(estimator: Estimator, changes: Partial<Job>, lengths: readonly number[]): void {
   for (const length of lengths) {
--- a/src/decision/fair_queue.ts
+++ b/src/decision/fair_queue.ts
@@ -72,7 +72,7 @@
 }
 
 /** The element type of p-queue. */
-export type FairRun = () => Promise<unknown>;
+export type FairQueueTask = () => Promise<unknown>;
 
 /** The weights of the lanes; lookups get up to four fifths of the tokens. */
 const LANE_WEIGHT: Readonly<Record<Lane, number>> = { [Lane.Lookup]: 4, [Lane.Script]: 1 };
@@ -121,7 +121,7 @@
  * await queue.add(run, { id: job.id, job });
  * ```
  */
-export function createFairQueueClass<Element = FairRun>(
+export function createFairQueueClass<Element = FairQueueTask>(
   options: FairQueueOptions,
 ): new () => FairQueue<Element> {
   return class extends LaneFairQueue<Element> {
--- a/src/decision/fair_queue_test.ts
+++ b/src/decision/fair_queue_test.ts
@@ -1,10 +1,10 @@
 import PQueue from "p-queue";
 import { describe, expect, test } from "vitest";
 import { createFairQueueClass } from "./fair_queue.ts";
-import type { FairQueue, FairQueueEntry, FairQueueOptions, FairRun } from "./fair_queue.ts";
+import type { FairQueue, FairQueueEntry, FairQueueOptions, FairQueueTask } from "./fair_queue.ts";
 import { Lane } from "./job.ts";
 import type { Job } from "./job.ts";
-import { someArrival } from "./testing/load_play.ts";
+import { someArrival } from "./testing/load_simulation.ts";
 
 function someJob(changes: Partial<Job> & { work?: number }): Job {
   const work = changes.work ?? 100;
@@ -135,7 +135,7 @@
   test("works as the queue class of p-queue", async () => {
     const queueClass = createFairQueueClass({ weightOf: () => 1 });
     const options = { queueClass, concurrency: 1, autoStart: false };
-    const queue = new PQueue<FairQueue<FairRun>, FairQueueEntry>(options);
+    const queue = new PQueue<FairQueue<FairQueueTask>, FairQueueEntry>(options);
     const order: string[] = [];
     const add = (job: Job): Promise<void> =>
       queue.add(
--- a/src/decision/fleet.ts
+++ b/src/decision/fleet.ts
@@ -35,7 +35,7 @@
   return {
     launches: plans.flatMap(({ service, launches }) => launches.map((pool) => ({ service, pool }))),
     retire: plans.flatMap(({ retire }) => retire),
-    memory: {
+    plannerState: {
       surplusSince: Object.fromEntries(since),
       smoothedDemand: Object.fromEntries(plans.map(({ service, smoothed }) => [service, smoothed])),
     },
@@ -53,14 +53,14 @@
 function planService(demand: ServiceDemand, view: FleetView): ServicePlan {
   const { service } = demand;
   const capacity = countCapacity(demand, view);
-  const before = view.memory?.smoothedDemand?.[service];
+  const before = view.plannerState?.smoothedDemand?.[service];
   const smoothed = smoothDemand(demand, { before, now: view.now });
   const required = requiredCapacity(demand, { smoothed, startUp: capacity.startUp });
   const launches = chooseLaunches(demand, { view, required, capacity });
   if (launches.length > 0 || !hasSurplus(demand, { required, capacity })) {
     return { service, launches, retire: [], surplusSince: undefined, smoothed };
   }
-  const surplusSince = view.memory?.surplusSince[service] ?? view.now;
+  const surplusSince = view.plannerState?.surplusSince[service] ?? view.now;
   const isHeldLongEnough = view.now - surplusSince >= minHoldTime(capacity);
   const retire = isHeldLongEnough ? chooseRetirements(demand, { required, capacity }) : [];
   return { service, launches: [], retire, surplusSince, smoothed };
--- a/src/decision/fleet_need.ts
+++ b/src/decision/fleet_need.ts
@@ -51,7 +51,7 @@
 
 /** Updates the smoothed demand to the present. */
 export function smoothDemand(
-  { arriving }: ServiceDemand,
+  { arrivalRate: arriving }: ServiceDemand,
   { before, now }: { before: SmoothedDemand | undefined; now: number },
 ): SmoothedDemand {
   if (before === undefined) {
@@ -67,7 +67,11 @@
 
 /** Computes the capacity that a service requires. */
 export function requiredCapacity(
-  { arriving, arrivedBefore, waiting }: ServiceDemand,
+  {
+    arrivalRate: arriving,
+    previousArrivalRate: arrivedBefore,
+    waitingWork: waiting,
+  }: ServiceDemand,
   { smoothed, startUp }: { smoothed: SmoothedDemand; startUp: number },
 ): RequiredCapacity {
   const change = arriving - Math.max(arrivedBefore, smoothed.mean - smoothed.deviation);
--- a/src/decision/fleet_pools.ts
+++ b/src/decision/fleet_pools.ts
@@ -85,7 +85,7 @@
   const workers = [...capacity.workers];
   const launches: Pool[] = [];
   const maxLaunches = Math.min(
-    demand.most - workers.length,
+    demand.maxWorkers - workers.length,
     launchLimit(demand, { view, capacity }),
   );
   while (launches.length < maxLaunches && isUnderProvisioned(workers, { demand, required })) {
@@ -103,7 +103,7 @@
   { demand, required }: { demand: ServiceDemand; required: RequiredCapacity },
 ): boolean {
   return (
-    workers.length < demand.least ||
+    workers.length < demand.minWorkers ||
     missingSpeed(workers, required) > required.usual * SHORTFALL_TOLERANCE
   );
 }
@@ -183,7 +183,7 @@
 ): boolean {
   if (pool.purchase === Purchase.OnDemand) return true;
   const reclaimable = workers.filter(({ purchase }) => purchase === Purchase.Reclaimable).length;
-  return reclaimable + 1 <= Math.round(demand.reclaimable * (workers.length + 1));
+  return reclaimable + 1 <= Math.round(demand.maxReclaimableShare * (workers.length + 1));
 }
 
 function launchLimit(
@@ -191,7 +191,7 @@
   { view, capacity }: { view: FleetView; capacity: ServiceCapacity },
 ): number {
   const { weightStoreRate } = view;
-  const weights = demand.weights ?? 0;
+  const weights = demand.weightBytes ?? 0;
   if (weightStoreRate === undefined || weights === 0) return Number.POSITIVE_INFINITY;
   const concurrentLoads = Math.floor((weightStoreRate * capacity.startUp) / 1_000 / weights);
   return Math.max(1, concurrentLoads) - capacity.launching;
--- a/src/decision/fleet_surplus.ts
+++ b/src/decision/fleet_surplus.ts
@@ -70,7 +70,7 @@
  * speed, then those with the least work in progress.
  */
 function retirementRank(worker: PlannedWorker, demand: ServiceDemand): number {
-  const work = demand.inProgress[worker.id ?? ""] ?? 0;
+  const work = demand.workInProgress[worker.id ?? ""] ?? 0;
   const price = worker.price / Math.max(1, worker.tokensPerSecond);
   return work / 1e9 - price;
 }
@@ -81,9 +81,9 @@
 ): boolean {
   const speed = rest.reduce((sum, worker) => sum + worker.tokensPerSecond, 0);
   const ids = demand.workers.map(({ id }) => id);
-  const inProgress = ids.reduce((sum, id) => sum + (demand.inProgress[id] ?? 0), 0);
-  if (speed * DRAIN_TIME < inProgress + demand.waiting) return false;
-  if (rest.length >= demand.most) return true;
+  const inProgress = ids.reduce((sum, id) => sum + (demand.workInProgress[id] ?? 0), 0);
+  if (speed * DRAIN_TIME < inProgress + demand.waitingWork) return false;
+  if (rest.length >= demand.maxWorkers) return true;
   if (!keepsReclaimableShare(rest, demand)) return false;
   const withSpare = {
     usual: required.usual * SPARE_FACTOR,
@@ -98,5 +98,5 @@
  */
 function keepsReclaimableShare(rest: readonly PlannedWorker[], demand: ServiceDemand): boolean {
   const reclaimable = rest.filter(({ purchase }) => purchase === Purchase.Reclaimable).length;
-  return reclaimable <= Math.round(demand.reclaimable * rest.length);
+  return reclaimable <= Math.round(demand.maxReclaimableShare * rest.length);
 }
--- a/src/decision/fleet_test.ts
+++ b/src/decision/fleet_test.ts
@@ -27,22 +27,22 @@
 function someDemand(arriving: number, changes: Partial<ServiceDemand> = {}): ServiceDemand {
   return {
     service: "desk",
-    arriving,
-    arrivedBefore: arriving,
-    waiting: 0,
-    inProgress: {},
+    arrivalRate: arriving,
+    previousArrivalRate: arriving,
+    waitingWork: 0,
+    workInProgress: {},
     workers: [],
-    least: 2,
-    most: 20,
-    reclaimable: 1,
-    firstToken: 1_600,
+    minWorkers: 2,
+    maxWorkers: 20,
+    maxReclaimableShare: 1,
+    firstTokenTarget: 1_600,
     ...changes,
   };
 }
 
 function someView(demand: ServiceDemand, changes: Partial<FleetView> = {}): FleetView {
   const base = { now: 0, services: [demand], pools: somePools(), zones: ZONES, launching: [] };
-  return { ...base, memory: undefined, ...changes };
+  return { ...base, plannerState: undefined, ...changes };
 }
 
 function launched(plan: FleetPlan): Worker[] {
@@ -66,11 +66,11 @@
   demand: ServiceDemand,
   until: number,
 ): { at: number; plan: FleetPlan } | undefined {
-  let { memory } = planFleet(someView(demand));
+  let { plannerState: memory } = planFleet(someView(demand));
   for (let now = 5_000; now <= until; now += 5_000) {
-    const plan = planFleet(someView(demand, { now, memory }));
+    const plan = planFleet(someView(demand, { now, plannerState: memory }));
     if (plan.retire.length > 0) return { at: now, plan };
-    memory = plan.memory;
+    memory = plan.plannerState;
   }
   return undefined;
 }
@@ -108,7 +108,7 @@
   });
 
   test("keeps to the preset's share of reclaimable workers", () => {
-    const workers = launched(planFleet(someView(someDemand(1_500, { reclaimable: 0.5 }))));
+    const workers = launched(planFleet(someView(someDemand(1_500, { maxReclaimableShare: 0.5 }))));
     const reclaimable = workers.filter(({ purchase }) => purchase === Purchase.Reclaimable).length;
     expect(reclaimable / workers.length).toBeLessThanOrEqual(0.55);
   });
@@ -116,7 +116,7 @@
   test("starts no more loads than the weight store can serve", () => {
     // If ten workers load 16 GB each from a store of 2 GB/s at once, all are ready after 80 s
     // instead of the first after 8 s.
-    const demand = someDemand(2_000, { weights: 16_000_000_000 });
+    const demand = someDemand(2_000, { weightBytes: 16_000_000_000 });
     const plan = planFleet(someView(demand, { weightStoreRate: 1_000_000_000 }));
     expect(plan.launches).toHaveLength(2);
   });
@@ -139,12 +139,15 @@
     // scripts would be cut off.
     const workers = launched(planFleet(someView(someDemand(1_800))));
     const inProgress = Object.fromEntries(workers.map(({ id }) => [id, 5_000]));
-    const smaller = { workers, least: 0, most: 4, inProgress };
+    const smaller = { workers, minWorkers: 0, maxWorkers: 4, workInProgress: inProgress };
     const found = firstRetirement(someDemand(0, smaller), 600_000);
     expect(found?.plan.retire).toHaveLength(1);
     const crowded = workers.slice(0, 4);
     expect(
-      firstRetirement(someDemand(0, { ...smaller, workers: crowded, waiting: 60_000 }), 600_000),
+      firstRetirement(
+        someDemand(0, { ...smaller, workers: crowded, waitingWork: 60_000 }),
+        600_000,
+      ),
     ).toBe(undefined);
   });
 
@@ -152,15 +155,17 @@
     // The demand of a minute is off by 17 in 100 by chance. A fleet that follows it pays for a
     // start-up at each change.
     const workers = launched(planFleet(someView(someDemand(1_000))));
-    let { memory } = planFleet(someView(someDemand(1_000, { workers })));
+    let { plannerState: memory } = planFleet(someView(someDemand(1_000, { workers })));
     for (let now = 5_000; now < 600_000; now += 5_000) {
       const arriving = 1_000 * (1 + 0.15 * Math.sin(now / 10_000));
-      const plan = planFleet(someView(someDemand(arriving, { workers }), { now, memory }));
+      const plan = planFleet(
+        someView(someDemand(arriving, { workers }), { now, plannerState: memory }),
+      );
       expect([...plan.launches, ...plan.retire]).toEqual([]);
-      memory = plan.memory;
+      memory = plan.plannerState;
     }
-    const rise = someDemand(1_800, { arrivedBefore: 1_000, workers });
-    const plan = planFleet(someView(rise, { now: 605_000, memory }));
+    const rise = someDemand(1_800, { previousArrivalRate: 1_000, workers });
+    const plan = planFleet(someView(rise, { now: 605_000, plannerState: memory }));
     expect(plan.launches.length).toBeGreaterThanOrEqual(4);
   });
 });
--- a/src/decision/fleet_time.ts
+++ b/src/decision/fleet_time.ts
@@ -18,11 +18,11 @@
  * A time of day that does not jump. All times are in milliseconds; `steady` is the time of the
  * monotonic clock.
  */
-export interface TrueTime {
+export interface FleetTime {
   /** Returns the milliseconds since 1970. */
   now(steady: number): number;
   /** Adds the time that another instance had when it sent a message, received at `steady`. */
-  heard(instance: string, sample: { time: number; steady: number }): void;
+  addSample(instance: string, sample: { time: number; steady: number }): void;
 }
 
 /** Milliseconds for which another instance's time is used. */
@@ -35,12 +35,12 @@
  *
  * @param start The time of day and the monotonic clock at the same moment, in milliseconds.
  */
-export function createTrueTime(start: { date: number; steady: number }): TrueTime {
+export function createFleetTime(start: { date: number; steady: number }): FleetTime {
   let offset = start.date - start.steady;
   const samples = new Map<string, { difference: number; at: number }>();
   return {
     now: (steady) => steady + offset,
-    heard: (instance, { time, steady }) => {
+    addSample: (instance, { time, steady }) => {
       samples.set(instance, { difference: time - steady, at: steady });
       const offsets = [offset];
       for (const [name, { difference, at }] of samples) {
--- a/src/decision/fleet_view.ts
+++ b/src/decision/fleet_view.ts
@@ -26,24 +26,24 @@
 export interface ServiceDemand {
   readonly service: string;
   /** Tokens of work that arrived per second over the last minute. */
-  readonly arriving: number;
+  readonly arrivalRate: number;
   /** The same over the minute before, to detect a rise. */
-  readonly arrivedBefore: number;
+  readonly previousArrivalRate: number;
   /** Tokens of work that wait. */
-  readonly waiting: number;
+  readonly waitingWork: number;
   /** Tokens of work in progress, by worker id. */
-  readonly inProgress: Readonly<Record<string, number>>;
+  readonly workInProgress: Readonly<Record<string, number>>;
   readonly workers: readonly Worker[];
   /** Minimum number of workers of the preset. */
-  readonly least: number;
+  readonly minWorkers: number;
   /** Maximum number of workers of the preset. */
-  readonly most: number;
+  readonly maxWorkers: number;
   /** Maximum fraction of the workers that may be reclaimable. */
-  readonly reclaimable: number;
+  readonly maxReclaimableShare: number;
   /** The service's target for the first token, in milliseconds. */
-  readonly firstToken: number;
+  readonly firstTokenTarget: number;
   /** Bytes that a new worker loads from the weight store; 0 by default. */
-  readonly weights?: number;
+  readonly weightBytes?: number;
   /** Clock time of the switch to the current preset, in milliseconds. */
   readonly presetSince?: number;
 }
@@ -57,7 +57,7 @@
   /** Launches in progress that the platform's list doesn't contain yet. */
   readonly launching: readonly { readonly service: string; readonly pool: Pool }[];
   /** The state that the last plan returned; undefined at first. */
-  readonly memory: FleetMemory | undefined;
+  readonly plannerState: PlannerState | undefined;
   /**
    * Bytes per second that the weight store serves to all loads together; unlimited if not given.
    */
@@ -65,7 +65,7 @@
 }
 
 /** State kept from plan to plan, for hysteresis. */
-export interface FleetMemory {
+export interface PlannerState {
   /** Start time of the current surplus of workers, by service. */
   readonly surplusSince: Readonly<Record<string, number>>;
   /** The smoothed demand, by service. */
@@ -78,7 +78,7 @@
   /** Ids of workers that accept no new work from now on and stop when they are empty. */
   readonly retire: readonly string[];
   /** The state to pass to the next plan. */
-  readonly memory: FleetMemory;
+  readonly plannerState: PlannerState;
 }
 
 /** A service's smoothed demand, in tokens of work per second. */
--- a/src/decision/loads_test.ts
+++ b/src/decision/model_loads_test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from "vitest";
-import { planModelLoads } from "./loads.ts";
-import type { ModelLoadsView, ModelDemand } from "./loads.ts";
-import { someWorkers } from "./testing/load_play.ts";
+import { planModelLoads } from "./model_loads.ts";
+import type { ModelLoadsView, ModelDemand } from "./model_loads.ts";
+import { someWorkers } from "./testing/load_simulation.ts";
 
 function demandFor(model: string, arriving: number): ModelDemand {
   return { model, arriving, waiting: 0, weights: 1_000 };
--- a/src/decision/placement_test.ts
+++ b/src/decision/placement_test.ts
@@ -4,7 +4,7 @@
 import { placementCost, sample, sampleSize } from "./placement.ts";
 import type { Candidate } from "./placement.ts";
 import { createReclaimRisk } from "./reclaim_risk.ts";
-import { someArrival, someWorkers } from "./testing/load_play.ts";
+import { someArrival, someWorkers } from "./testing/load_simulation.ts";
 
 const TARGET = { firstToken: 1_600, betweenTokens: 44, deadline: 300_000 };
 
--- a/src/decision/prefill_rate.ts
+++ b/src/decision/prefill_rate.ts
@@ -16,7 +16,7 @@
  */
 
 /** Estimated prompt processing rate of one service's engines. */
-export interface ReadRate {
+export interface PrefillRate {
   /** Tokens per millisecond. */
   readonly value: number;
   /**
@@ -40,7 +40,7 @@
 const STEP_FACTOR = 1.05;
 
 /** Creates an estimate without samples. */
-export function createReadRate(): ReadRate {
+export function createPrefillRate(): PrefillRate {
   let value = INITIAL_RATE;
   return {
     get value() {
--- a/src/decision/prefix_cache_index.ts
+++ b/src/decision/prefix_cache_index.ts
@@ -16,7 +16,7 @@
  *
  * @module
  */
-import { removeFirst } from "./remove_first.ts";
+import { removeFirstEntry } from "./remove_first.ts";
 
 /** An estimate of the prefix caches of all workers. */
 export interface PrefixCacheIndex {
@@ -72,12 +72,12 @@
     holders.set(block, blockHolders);
     blockHolders.delete(worker);
     blockHolders.set(worker, now);
-    if (blockHolders.size > MAX_HOLDERS) removeFirst(blockHolders);
+    if (blockHolders.size > MAX_HOLDERS) removeFirstEntry(blockHolders);
   };
   return {
     recordStored: (worker, blocks, now) => {
       for (const block of blocks) renew(block, worker, now);
-      while (holders.size > MAX_BLOCKS) removeFirst(holders);
+      while (holders.size > MAX_BLOCKS) removeFirstEntry(holders);
     },
     recordEvicted: (worker, blocks) => {
       missedFraction = MISSED_EVENT_FRACTION;
--- a/src/decision/repeat_budget.ts
+++ b/src/decision/repeat_budget.ts
@@ -25,13 +25,13 @@
 }
 
 /** Repeat budget of one instance. Times are in milliseconds of the clock. */
-export interface RepeatAllowance {
+export interface RepeatBudget {
   /** Records that a caller sent a request for the service. */
-  requested(service: string, now: number): void;
+  recordRequest(service: string, now: number): void;
   /** Takes one repeat. Returns false and takes nothing if the budget is exhausted. */
   take(service: string, now: number): boolean;
   /** Sets the number of instances that share the fixed number of repeats. */
-  setMembers(members: number): void;
+  setMemberCount(members: number): void;
 }
 
 /**
@@ -46,7 +46,7 @@
 }
 
 /** Creates an unused budget. */
-export function createRepeatAllowance({ ratio, slack, window }: RepeatLimits): RepeatAllowance {
+export function createRepeatBudget({ ratio, slack, window }: RepeatLimits): RepeatBudget {
   const services = new Map<string, Timestamps>();
   let members = 1;
   const timestampsOf = (service: string, now: number): Timestamps => {
@@ -57,7 +57,7 @@
     return timestamps;
   };
   return {
-    requested: (service, now) => void timestampsOf(service, now).requests.push(now),
+    recordRequest: (service, now) => void timestampsOf(service, now).requests.push(now),
     take: (service, now) => {
       const { requests, repeats } = timestampsOf(service, now);
       const allowed = (requests.length * ratio + slack / members) * BUDGET_FRACTION;
@@ -65,7 +65,7 @@
       repeats.push(now);
       return true;
     },
-    setMembers: (count) => {
+    setMemberCount: (count) => {
       members = Math.max(1, count);
     },
   };
--- a/src/decision/resolve_addresses.ts
+++ b/src/decision/resolve_addresses.ts
@@ -54,7 +54,7 @@
 const ZONE_TOLERANCE = 1.25;
 
 /** Selects the addresses returned to a caller and how long the caller may cache them. */
-export function resolve(context: ResolveContext, random: Random): ResolveResponse {
+export function resolveAddresses(context: ResolveContext, random: Random): ResolveResponse {
   const candidates = shuffled(context.alive, random);
   const preferred = candidates.filter((member) => isPreferred(member, context));
   const first = lessLoaded(preferred.length > 0 ? preferred : candidates, context);
--- a/src/decision/resolve_addresses_test.ts
+++ b/src/decision/resolve_addresses_test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from "vitest";
 import { createSeededRandom } from "../interface/index.ts";
 import type { Member } from "../interface/index.ts";
-import { resolve } from "./resolve_addresses.ts";
+import { resolveAddresses } from "./resolve_addresses.ts";
 import type { ResolveContext } from "./resolve_addresses.ts";
 
 const MEMBERS: readonly Member[] = Array.from({ length: 8 }, (_, index) => ({
@@ -16,7 +16,7 @@
   const counts = new Map<string, number>();
   const context = { alive: MEMBERS, owner: undefined, load: new Map(), account: "club", ...view };
   for (let index = 0; index < count; index++) {
-    const [first = ""] = resolve(context, random).addresses;
+    const [first = ""] = resolveAddresses(context, random).addresses;
     counts.set(first, (counts.get(first) ?? 0) + 1);
   }
   return counts;
@@ -45,9 +45,9 @@
   // One club sends four fifths of all requests. With a long cache time all of them would stay on
   // one instance, however loaded it is.
   const view = { alive: MEMBERS, owner: MEMBERS[3], load: new Map(), account: "club" };
-  const heavy = resolve({ ...view, accountShare: 0.8 }, createSeededRandom(1));
-  const light = resolve({ ...view, accountShare: 0.05 }, createSeededRandom(1));
+  const heavy = resolveAddresses({ ...view, accountShare: 0.8 }, createSeededRandom(1));
+  const light = resolveAddresses({ ...view, accountShare: 0.05 }, createSeededRandom(1));
   expect([heavy.keepFor, light.keepFor]).toEqual([2, 10]);
   expect(heavy.owner).toBe("10.0.0.3:2");
-  expect(resolve({ ...view, alive: [] }, createSeededRandom(1)).addresses).toEqual([]);
+  expect(resolveAddresses({ ...view, alive: [] }, createSeededRandom(1)).addresses).toEqual([]);
 });
--- a/src/decision/retry_budget.ts
+++ b/src/decision/retry_budget.ts
@@ -24,12 +24,13 @@
 import type { Job } from "./job.ts";
 
 /** Whether a failed job is sent again, and after how many milliseconds. */
-export type Retry = { readonly kind: "retry"; readonly delay: number } | { readonly kind: "stop" };
+export type RetryDecision =
+  { readonly kind: "retry"; readonly delay: number } | { readonly kind: "stop" };
 
 /** Retry budgets by account and by service. */
 export interface RetryBudget {
   /** Records that a job succeeded. */
-  succeeded(job: Job): void;
+  recordSuccess(job: Job): void;
   /**
    * Takes one retry from both of the job's budgets. Returns false and takes nothing if either is
    * exhausted.
@@ -50,7 +51,7 @@
     `account ${job.account} ${job.service}`,
   ];
   return {
-    succeeded: (job) => {
+    recordSuccess: (job) => {
       for (const key of keysOf(job))
         budgets.set(key, Math.min(MAX_BUDGET, budgetOf(key) + BUDGET_PER_SUCCESS));
     },
@@ -97,7 +98,7 @@
  * Delays are random between zero and a limit that doubles with each failure (full jitter), so that
  * jobs that failed together are not retried together.
  */
-export function decideRetry(job: Job, context: RetryContext): Retry {
+export function decideRetry(job: Job, context: RetryContext): RetryDecision {
   const { cause, failures, budget, now, random } = context;
   const timeLeft = job.deadlineAt - now;
   if (timeLeft <= 0) return { kind: "stop" };
--- a/src/decision/retry_budget_test.ts
+++ b/src/decision/retry_budget_test.ts
@@ -2,8 +2,8 @@
 import { createSeededRandom, RetryCause } from "../interface/index.ts";
 import type { Job } from "./job.ts";
 import { createRetryBudget, decideRetry } from "./retry_budget.ts";
-import type { Retry, RetryBudget } from "./retry_budget.ts";
-import { someArrival } from "./testing/load_play.ts";
+import type { RetryDecision, RetryBudget } from "./retry_budget.ts";
+import { someArrival } from "./testing/load_simulation.ts";
 
 const random = createSeededRandom(1);
 
@@ -15,7 +15,7 @@
 function decide(
   job: Job,
   { budget = createRetryBudget(), cause = RetryCause.BackendError, failures = 1, now = 0 } = {},
-): Retry {
+): RetryDecision {
   return decideRetry(job, { cause, failures, budget, now, random });
 }
 
@@ -29,13 +29,13 @@
     // All servers of a service fail for a while. Three attempts per request would triple the load
     // on servers that are already overloaded.
     const budget = createRetryBudget();
-    for (let index = 0; index < 500; index++) budget.succeeded(createJob());
+    for (let index = 0; index < 500; index++) budget.recordSuccess(createJob());
     expect(countRetries(budget, createJob(), 1_000)).toBeLessThanOrEqual(60);
   });
 
   test("keeps one account's failing requests from using up the retries of others", () => {
     const budget = createRetryBudget();
-    for (let index = 0; index < 500; index++) budget.succeeded(createJob({ account: "tent" }));
+    for (let index = 0; index < 500; index++) budget.recordSuccess(createJob({ account: "tent" }));
     expect(countRetries(budget, createJob({ account: "club" }), 1_000)).toBe(10);
     expect(countRetries(budget, createJob({ account: "tent" }), 20)).toBe(20);
   });
--- a/src/decision/rollout_budget.ts
+++ b/src/decision/rollout_budget.ts
@@ -23,7 +23,7 @@
  * Limits for the requests of a service that a version on trial may receive between a rollout order
  * and its deadline.
  */
-export interface RolloutBounds {
+export interface RolloutLimits {
   /** The version's maximum share of the requests, over all instances. */
   readonly share: number;
   /** Additional requests, over all instances. */
@@ -75,7 +75,7 @@
   /** When the rollout is completed, in milliseconds after the order. */
   readonly completeAt: number;
   /** The new version's maximum share of all requests so far, by phase. */
-  readonly parts: Readonly<Record<RolloutPhase, number>>;
+  readonly maxShares: Readonly<Record<RolloutPhase, number>>;
 }
 
 /**
@@ -83,7 +83,7 @@
  * a version may turn bad at any moment, and what the new version receives after the end has to stay
  * within the limit too.
  */
-export function rolloutCourse(duration: number, { share }: RolloutBounds): RolloutSchedule {
+export function planRollout(duration: number, { share }: RolloutLimits): RolloutSchedule {
   const margin = clamp(duration * END_MARGIN.fraction, END_MARGIN);
   const switchTime = clamp(duration * SWITCH_TIME.fraction, SWITCH_TIME);
   const maxShare = share * PLANNED_SHARE_FRACTION - margin / duration;
@@ -92,7 +92,7 @@
   return {
     switchAt: completeAt - switchTime,
     completeAt,
-    parts: {
+    maxShares: {
       [RolloutPhase.Trial]: trialShare,
       [RolloutPhase.Switch]: Math.max(maxShare, trialShare),
     },
@@ -104,26 +104,26 @@
 }
 
 /** Counts the requests of one service that one instance sends during a rollout. */
-export interface RolloutShare {
+export interface RolloutBudget {
   /** Records a request that was sent, to the version on trial or to the base version. */
-  sent(isTried: boolean): void;
+  recordSent(isTried: boolean): void;
   /** Whether another request may be sent to the version on trial. */
-  mayTry(phase: RolloutPhase): boolean;
+  canSendToTrial(phase: RolloutPhase): boolean;
   /**
    * Delay of this instance's start in a trial round, as a fraction from 0 to 1 of the time over
    * which instances start.
    */
-  readonly delay: number;
+  readonly startDelay: number;
   /** Requests sent so far. */
   readonly counts: { readonly all: number; readonly tried: number };
 }
 
 /** Options of `createRolloutBudget`. */
 export interface RolloutBudgetOptions {
-  readonly bounds: RolloutBounds;
-  readonly course: RolloutSchedule;
+  readonly limits: RolloutLimits;
+  readonly schedule: RolloutSchedule;
   /** Returns the number of instances that share the additional requests. */
-  readonly members: () => number;
+  readonly memberCount: () => number;
   readonly random: Random;
 }
 
@@ -134,24 +134,24 @@
  * instance draws a random fraction of its first request as already used; over all instances the
  * share is correct.
  */
-export function createRolloutShare({
-  bounds,
-  course,
-  members,
+export function createRolloutBudget({
+  limits: bounds,
+  schedule: course,
+  memberCount: members,
   random,
-}: RolloutBudgetOptions): RolloutShare {
+}: RolloutBudgetOptions): RolloutBudget {
   const initialUsage = random.next();
   const counts = { all: 0, tried: 0 };
   return {
-    sent: (isTried) => {
+    recordSent: (isTried) => {
       counts.all++;
       if (isTried) counts.tried++;
     },
-    mayTry: (phase) => {
+    canSendToTrial: (phase) => {
       const additional = (bounds.slack * PLANNED_SLACK_FRACTION) / Math.max(1, members());
-      return counts.tried + initialUsage < counts.all * course.parts[phase] + additional;
+      return counts.tried + initialUsage < counts.all * course.maxShares[phase] + additional;
     },
-    delay: initialUsage,
+    startDelay: initialUsage,
     counts,
   };
 }
@@ -174,18 +174,18 @@
 /** Input for `activeTrialWorkers`. */
 export interface TrialContext {
   /** Milliseconds since the rollout was ordered, the same at all instances. */
-  readonly since: number;
+  readonly elapsed: number;
   /** Duration of the rollout in milliseconds. */
   readonly duration: number;
   /** The maximum share of the version on trial. */
-  readonly part: number;
+  readonly maxShare: number;
   /** Number of workers of the base version. */
-  readonly base: number;
+  readonly baseWorkers: number;
   /**
    * This instance's delay at the start of a round, from 0 to 1. Without it, all instances would
    * send their allowed requests at once.
    */
-  readonly delay: number;
+  readonly startDelay: number;
 }
 
 /**
@@ -199,9 +199,9 @@
  * @param workers All workers of the version, in an order that is the same at all instances.
  * @returns The IDs of the workers to use; empty outside the active part of a round.
  */
-export function workersOnTrial(
+export function activeTrialWorkers(
   workers: readonly string[],
-  { since, duration, part, base, delay }: TrialContext,
+  { elapsed: since, duration, maxShare: part, baseWorkers: base, startDelay: delay }: TrialContext,
 ): string[] {
   const trialWorkers = workers.slice(0, Math.max(TRIAL_WORKERS, Math.ceil(base * part)));
   const activeCount = Math.min(trialWorkers.length, Math.max(1, Math.round(base * part)));
--- a/src/decision/rollout_budget_test.ts
+++ b/src/decision/rollout_budget_test.ts
@@ -1,10 +1,10 @@
 import { expect, test } from "vitest";
 import { createSeededRandom } from "../interface/index.ts";
 import {
-  createRolloutShare,
-  rolloutCourse,
+  createRolloutBudget,
+  planRollout,
   RolloutPhase,
-  workersOnTrial,
+  activeTrialWorkers,
 } from "./rollout_budget.ts";
 
 const LIMITS = { share: 0.1, slack: 50 };
@@ -22,9 +22,14 @@
 }): { tried: number; all: number } {
   const { instances, rate, duration, restarts = 0 } = options;
   const random = createSeededRandom(5);
-  const schedule = rolloutCourse(duration, LIMITS);
-  const createBudget = (): ReturnType<typeof createRolloutShare> =>
-    createRolloutShare({ bounds: LIMITS, course: schedule, members: () => instances, random });
+  const schedule = planRollout(duration, LIMITS);
+  const createBudget = (): ReturnType<typeof createRolloutBudget> =>
+    createRolloutBudget({
+      limits: LIMITS,
+      schedule: schedule,
+      memberCount: () => instances,
+      random,
+    });
   let budgets = Array.from({ length: instances }, createBudget);
   let tried = 0;
   let all = 0;
@@ -37,8 +42,8 @@
     const budget = budgets[Math.floor(random.next() * instances)];
     const phase = at < schedule.switchAt ? RolloutPhase.Trial : RolloutPhase.Switch;
     // After the end of the rollout all requests go to the new version.
-    const isTried = at >= schedule.completeAt || budget?.mayTry(phase) === true;
-    budget?.sent(isTried);
+    const isTried = at >= schedule.completeAt || budget?.canSendToTrial(phase) === true;
+    budget?.recordSent(isTried);
     all++;
     if (isTried) tried++;
   }
@@ -79,7 +84,7 @@
 
 test("ends a rollout shortly before its deadline, after a short switch phase", () => {
   for (const duration of [8_000, 12_000, 60_000, 600_000]) {
-    const { switchAt, completeAt, parts } = rolloutCourse(duration, LIMITS);
+    const { switchAt, completeAt, maxShares: parts } = planRollout(duration, LIMITS);
     expect(completeAt).toBeLessThanOrEqual(duration - 350);
     expect(completeAt).toBeGreaterThanOrEqual(duration - 700);
     expect(switchAt).toBeLessThan(completeAt);
@@ -93,19 +98,19 @@
 test.each([4, 13, 63, 200])("loads workers on trial as much as the %i base workers", (base) => {
   const workers = Array.from({ length: base }, (_, index) => `n-${index}`);
   const duration = 40_000;
-  const { parts } = rolloutCourse(duration, LIMITS);
+  const { maxShares: parts } = planRollout(duration, LIMITS);
   const used = new Set<string>();
   let shares = 0;
   const samples = 4_000;
   for (let sample = 0; sample < samples; sample++) {
     const context = {
-      since: (sample * duration) / samples,
+      elapsed: (sample * duration) / samples,
       duration,
-      part: parts.trial,
-      base,
-      delay: 0,
+      maxShare: parts.trial,
+      baseWorkers: base,
+      startDelay: 0,
     };
-    const now = workersOnTrial(workers, context);
+    const now = activeTrialWorkers(workers, context);
     for (const worker of now) used.add(worker);
     shares += now.length / (base + now.length);
   }
@@ -117,6 +122,6 @@
 });
 
 test("returns no workers on trial if the version has none", () => {
-  const context = { since: 100, duration: 9_000, part: 0.03, base: 5, delay: 0 };
-  expect(workersOnTrial([], context)).toEqual([]);
+  const context = { elapsed: 100, duration: 9_000, maxShare: 0.03, baseWorkers: 5, startDelay: 0 };
+  expect(activeTrialWorkers([], context)).toEqual([]);
 });
--- a/src/decision/rollout_judge.ts
+++ b/src/decision/rollout_judge.ts
@@ -28,12 +28,12 @@
  */
 export interface RouteEvidence {
   readonly route: string;
-  readonly answers: ComparedCounts;
-  readonly times: ComparedCounts;
+  readonly answers: VersionCounts;
+  readonly times: VersionCounts;
 }
 
 /** The same counts for both versions. */
-export interface ComparedCounts {
+export interface VersionCounts {
   readonly base: RunCounts;
   /** Counts of the version on trial, by worker. */
   readonly tried: ReadonlyMap<string, RunCounts>;
@@ -117,7 +117,7 @@
 }
 
 /** Returns the number of finished runs of the version on trial. */
-export function triedRuns(routes: readonly RouteEvidence[]): number {
+export function countTrialRuns(routes: readonly RouteEvidence[]): number {
   return sumCounts(poolCounts(routes, "answers").tried.values()).runs;
 }
 
@@ -133,7 +133,7 @@
  * limited, so that one that fails by itself counts no more against its version than the others;
  * healthy workers count in its favor.
  */
-function evidenceOf({ base, tried }: ComparedCounts, tolerance: Tolerance): number {
+function evidenceOf({ base, tried }: VersionCounts, tolerance: Tolerance): number {
   const counts = withoutWorst(tried);
   const { runs, failures } = sumCounts(counts);
   if (failures < tolerance.minBad) return 0;
@@ -172,7 +172,7 @@
   return all.filter((one) => one !== worst);
 }
 
-function poolCounts(routes: readonly RouteEvidence[], metric: "answers" | "times"): ComparedCounts {
+function poolCounts(routes: readonly RouteEvidence[], metric: "answers" | "times"): VersionCounts {
   const tried = new Map<string, RunCounts>();
   for (const route of routes) {
     for (const [worker, counts] of route[metric].tried) {
--- a/src/decision/rollout_judge_test.ts
+++ b/src/decision/rollout_judge_test.ts
@@ -1,6 +1,6 @@
 import fc from "fast-check";
 import { expect, test } from "vitest";
-import { judgeRollout, RolloutFault, triedRuns } from "./rollout_judge.ts";
+import { judgeRollout, RolloutFault, countTrialRuns } from "./rollout_judge.ts";
 import type { RouteEvidence } from "./rollout_judge.ts";
 import type { RunCounts } from "./worker_health.ts";
 
@@ -112,7 +112,7 @@
     tried: [createCounts(3, 1), createCounts(2, 0)],
   });
   expect(judgeRollout([evidence], { isLast: true }).kind).toBe("open");
-  expect(triedRuns([evidence])).toBe(5);
+  expect(countTrialRuns([evidence])).toBe(5);
 });
 
 test("returns finite evidence for any counts", () => {
--- a/src/decision/rollout_tally.ts
+++ b/src/decision/rollout_tally.ts
@@ -23,28 +23,28 @@
   readonly service: string;
   readonly route: string;
   /** Prompt tokens to process before the first token. */
-  readonly reads: number;
+  readonly prefillTokens: number;
   /** The ID of the worker if it is on trial; undefined if it runs the base version. */
-  readonly tried: string | undefined;
+  readonly trialWorker: string | undefined;
   /**
    * Whether the run is part of the comparison. A run of the base version is if the new version is
    * being tried at the same time.
    */
   readonly isCompared: boolean;
   /** Whether the worker was still warming up. The duration of such a run is not compared. */
-  readonly isCold: boolean;
-  readonly now: number;
+  readonly isWarmingUp: boolean;
+  readonly startedAt: number;
 }
 
 /** A run in progress. */
 export interface RunTally {
   /** Records that the first event arrived, or the whole answer if it is not a stream. */
-  answered(now: number): void;
+  recordAnswer(now: number): void;
   /**
    * Records the end of the run: success, failure of its worker, or unknown if the end does not
    * depend on the worker.
    */
-  ended(result: "well" | "failed" | "unknown"): void;
+  recordEnd(result: "well" | "failed" | "unknown"): void;
 }
 
 /** Counts for all versions. Times are in milliseconds of the clock. */
@@ -54,7 +54,7 @@
    * Sets the version on trial for a service; undefined ends the trial. The counts restart with each
    * new version.
    */
-  expect(service: string, trialVersion: string | undefined): void;
+  setTrialVersion(service: string, trialVersion: string | undefined): void;
   /**
    * Returns all counts by the hashes of {@linkcode tallyKeys}. Pending runs that already exceed the
    * time limit count as slow.
@@ -160,7 +160,7 @@
    * Baselines for a run: runs with a similar number of prompt tokens, then all runs of the route if
    * the former are too few.
    */
-  const baselineKeys = ({ service, route, reads }: CountedRun): string[] => [
+  const baselineKeys = ({ service, route, prefillTokens: reads }: CountedRun): string[] => [
     `${service} ${route} ${Math.round(Math.log2(Math.max(1, reads)))}`,
     `${service} ${route}`,
   ];
@@ -207,11 +207,11 @@
     increment(entry.run.service, entry.keys.times, isSlow);
   };
   const track = (run: CountedRun, trialVersion: string): PendingRun => {
-    const { service, route, tried: worker } = run;
+    const { service, route, trialWorker: worker } = run;
     const entry = {
       run,
       keys: tallyKeys({ service, tried: trialVersion, route, worker }),
-      isTimeCounted: run.isCold,
+      isTimeCounted: run.isWarmingUp,
     };
     pending.add(entry);
     return entry;
@@ -222,28 +222,28 @@
       const entry = trialVersion === undefined ? undefined : track(run, trialVersion);
       let isAnswered = false;
       return {
-        answered: (now) => {
+        recordAnswer: (now) => {
           if (isAnswered) return;
           isAnswered = true;
-          const duration = now - run.now;
+          const duration = now - run.startedAt;
           if (entry !== undefined) {
             const threshold = slowThreshold(run);
             if (threshold !== undefined) recordTime(entry, duration > threshold);
             entry.isTimeCounted = true;
           }
-          if (run.tried === undefined && !run.isCold) {
+          if (run.trialWorker === undefined && !run.isWarmingUp) {
             updateBaseline(run, duration);
             shareBaseline(run, duration);
           }
         },
-        ended: (result) => {
+        recordEnd: (result) => {
           if (entry === undefined || !pending.delete(entry) || result === "unknown") return;
           if (trialVersions.get(run.service) !== trialVersion) return;
           increment(run.service, entry.keys.answers, result === "failed");
         },
       };
     },
-    expect: (service, trialVersion) => {
+    setTrialVersion: (service, trialVersion) => {
       if (trialVersions.get(service) === trialVersion) return;
       if (trialVersion === undefined) trialVersions.delete(service);
       else trialVersions.set(service, trialVersion);
@@ -254,7 +254,8 @@
     counts: (now) => {
       for (const entry of pending) {
         const threshold = entry.isTimeCounted ? undefined : slowThreshold(entry.run);
-        if (threshold !== undefined && now - entry.run.now > threshold) recordTime(entry, true);
+        if (threshold !== undefined && now - entry.run.startedAt > threshold)
+          recordTime(entry, true);
       }
       return counts;
     },
--- a/src/decision/rollout_tally_test.ts
+++ b/src/decision/rollout_tally_test.ts
@@ -16,11 +16,11 @@
   return tallies.begin({
     service: SERVICE,
     route: "draft",
-    reads,
-    tried,
-    isCold,
+    prefillTokens: reads,
+    trialWorker: tried,
+    isWarmingUp: isCold,
     isCompared: true,
-    now,
+    startedAt: now,
   });
 }
 
@@ -29,27 +29,27 @@
   const tallies = createVersionTallies();
   for (let run = 0; run < 20; run++) {
     const tally = begin(tallies, 0);
-    tally.answered(100);
-    tally.ended("well");
+    tally.recordAnswer(100);
+    tally.recordEnd("well");
   }
-  tallies.expect(SERVICE, "v2");
+  tallies.setTrialVersion(SERVICE, "v2");
   return tallies;
 }
 
 test("counts the runs of both versions separately after the rollout is ordered", () => {
   const tallies = createWithBaseline();
   expect(tallies.counts(0).size).toBe(0);
-  begin(tallies, 0).ended("well");
-  begin(tallies, 0, { tried: "n-0" }).ended("failed");
-  begin(tallies, 0, { tried: "n-0" }).ended("unknown");
+  begin(tallies, 0).recordEnd("well");
+  begin(tallies, 0, { tried: "n-0" }).recordEnd("failed");
+  begin(tallies, 0, { tried: "n-0" }).recordEnd("unknown");
   expect(tallies.counts(1).get(BASE_KEYS.answers)).toEqual({ runs: 1, failures: 0 });
   expect(tallies.counts(1).get(TRIAL_KEYS.answers)).toEqual({ runs: 1, failures: 1 });
 });
 
 test("compares a run with base version runs that had a similar number of prompt tokens", () => {
   const tallies = createWithBaseline();
-  begin(tallies, 0, { tried: "n-0" }).answered(120);
-  begin(tallies, 0, { tried: "n-0" }).answered(250);
+  begin(tallies, 0, { tried: "n-0" }).recordAnswer(120);
+  begin(tallies, 0, { tried: "n-0" }).recordAnswer(250);
   expect(tallies.counts(300).get(TRIAL_KEYS.times)).toEqual({ runs: 2, failures: 1 });
 });
 
@@ -59,8 +59,8 @@
   const hanging = begin(tallies, 0, { tried: "n-0" });
   expect(tallies.counts(100).get(TRIAL_KEYS.times)).toBeUndefined();
   expect(tallies.counts(400).get(TRIAL_KEYS.times)).toEqual({ runs: 1, failures: 1 });
-  hanging.answered(900);
-  hanging.ended("well");
+  hanging.recordAnswer(900);
+  hanging.recordEnd("well");
   expect(tallies.counts(900).get(TRIAL_KEYS.times)).toEqual({ runs: 1, failures: 1 });
 });
 
@@ -68,35 +68,35 @@
 test("uses the baseline of the other instances if there are few runs", () => {
   const received = new Map([[BASE_KEYS.baseline, { runs: 40, failures: 40 * 461 }]]);
   const tallies = createVersionTallies((key) => received.get(key));
-  tallies.expect(SERVICE, "v2");
-  begin(tallies, 0, { tried: "n-0" }).answered(120);
-  begin(tallies, 0, { tried: "n-0" }).answered(400);
+  tallies.setTrialVersion(SERVICE, "v2");
+  begin(tallies, 0, { tried: "n-0" }).recordAnswer(120);
+  begin(tallies, 0, { tried: "n-0" }).recordAnswer(400);
   expect(tallies.counts(400).get(TRIAL_KEYS.times)).toEqual({ runs: 2, failures: 1 });
-  begin(tallies, 0).answered(100);
+  begin(tallies, 0).recordAnswer(100);
   expect(tallies.counts(400).get(BASE_KEYS.baseline)).toEqual({ runs: 1, failures: 461 });
 });
 
 // A worker that has just started is slow for a while, whatever its version.
 test("ignores the duration of runs at workers that are warming up", () => {
   const tallies = createWithBaseline();
-  begin(tallies, 0, { tried: "n-0", isCold: true }).answered(900);
+  begin(tallies, 0, { tried: "n-0", isCold: true }).recordAnswer(900);
   expect(tallies.counts(1_000).get(TRIAL_KEYS.times)).toBeUndefined();
 });
 
 // A slow version must not raise its own baseline.
 test("does not change the baseline with runs of the new version", () => {
   const tallies = createWithBaseline();
-  for (let run = 0; run < 50; run++) begin(tallies, 0, { tried: "n-0" }).answered(500);
+  for (let run = 0; run < 50; run++) begin(tallies, 0, { tried: "n-0" }).recordAnswer(500);
   expect(tallies.counts(600).get(TRIAL_KEYS.times)).toEqual({ runs: 50, failures: 50 });
 });
 
 test("restarts the counts when another version is on trial", () => {
   const tallies = createWithBaseline();
   const before = begin(tallies, 0, { tried: "n-0" });
-  tallies.expect(SERVICE, "v3");
-  before.ended("failed");
+  tallies.setTrialVersion(SERVICE, "v3");
+  before.recordEnd("failed");
   expect(tallies.counts(1).size).toBe(0);
-  tallies.expect(SERVICE, undefined);
-  begin(tallies, 0).ended("failed");
+  tallies.setTrialVersion(SERVICE, undefined);
+  begin(tallies, 0).recordEnd("failed");
   expect(tallies.counts(1).size).toBe(0);
 });
--- a/src/decision/sample_addresses.ts
+++ b/src/decision/sample_addresses.ts
@@ -26,7 +26,7 @@
  * Draws up to `most` instances and returns their addresses; all of them, in their order, if there
  * are no more.
  */
-export function spreadAddresses(
+export function sampleAddresses(
   instances: readonly AddressCandidate[],
   { most, random }: { most: number; random: Random },
 ): string[] {
--- a/src/decision/sample_addresses_test.ts
+++ b/src/decision/sample_addresses_test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from "vitest";
 import { createSeededRandom } from "../interface/index.ts";
-import { spreadAddresses } from "./sample_addresses.ts";
+import { sampleAddresses } from "./sample_addresses.ts";
 
 const LARGE = 1_350;
 const SMALL = 324;
@@ -15,7 +15,7 @@
   const random = createSeededRandom(1);
   const named = new Map<string, number>();
   for (let answer = 0; answer < 2_000; answer++) {
-    const addresses = spreadAddresses(FLEET, { most: 64, random });
+    const addresses = sampleAddresses(FLEET, { most: 64, random });
     expect(new Set(addresses).size).toBe(64);
     for (const address of addresses) named.set(address, (named.get(address) ?? 0) + 1);
   }
@@ -29,6 +29,6 @@
 
 test("returns a small fleet completely and in its order", () => {
   const few = FLEET.slice(0, 9);
-  const addresses = spreadAddresses(few, { most: 64, random: createSeededRandom(1) });
+  const addresses = sampleAddresses(few, { most: 64, random: createSeededRandom(1) });
   expect(addresses).toEqual(few.map(({ callers }) => callers));
 });
--- a/src/decision/scheduler.ts
+++ b/src/decision/scheduler.ts
@@ -25,7 +25,7 @@
 import { createPrefixCacheIndex } from "./prefix_cache_index.ts";
 import { createReclaimRisk } from "./reclaim_risk.ts";
 import { createRetryBudget, decideRetry } from "./retry_budget.ts";
-import type { Retry } from "./retry_budget.ts";
+import type { RetryDecision } from "./retry_budget.ts";
 import { createRunTable } from "./run_table.ts";
 import type { Run } from "./run_table.ts";
 import { createServiceState, reservedSlots } from "./service_state.ts";
@@ -149,21 +149,21 @@
    */
   capacity(service: string, now: number): number;
   /** Records the first token of a run; `worker` as in {@linkcode RunEndDetails}. */
-  firstToken(id: string, now: number, worker?: string): void;
+  recordFirstToken(id: string, now: number, worker?: string): void;
   /** Records a further token of a run. */
-  token(id: string, now: number, worker?: string): void;
+  recordToken(id: string, now: number, worker?: string): void;
   /** Ends the job's run on its worker. */
   runEnded(id: string, end: RunEnd, details: RunEndDetails): void;
   /** Ends the job and any run that it still has. */
-  settled(job: Job, now: number): void;
+  jobEnded(job: Job, now: number): void;
   /** Decides whether a failed job is sent again, and when. */
-  retry(job: Job, cause: RetryCause, details: { now: number; random: Random }): Retry;
+  retry(job: Job, cause: RetryCause, details: { now: number; random: Random }): RetryDecision;
   /** Replaces the list of workers. */
   setWorkers(workers: readonly Worker[], now: number): void;
   /** Records a worker's load report. */
-  report(report: LoadReport, now: number): void;
+  recordLoadReport(report: LoadReport, now: number): void;
   /** Records a cache event. */
-  cacheEvent(event: CacheEvent, now: number): void;
+  recordCacheEvent(event: CacheEvent, now: number): void;
   /** Returns the present state. */
   snapshot(now: number): SchedulerSnapshot;
 }
@@ -403,7 +403,7 @@
       const { ownRuns, freeSlots } = pool.service(service);
       return Math.max(1, ownRuns + Math.max(freeSlots[Lane.Lookup], freeSlots[Lane.Script]));
     },
-    firstToken: (id, now, worker) => {
+    recordFirstToken: (id, now, worker) => {
       const run = runs.find(id, worker);
       if (run === undefined) return;
       if (run.lastTokenAt !== undefined) return;
@@ -421,7 +421,7 @@
       if (usual <= firstToken * SHORT_PROMPT_FRACTION) run.worker.limit.recordFirstToken(waited);
       recordPrefill(pool.service(job.service), waited, prefill);
     },
-    token: (id, now, worker) => {
+    recordToken: (id, now, worker) => {
       const run = runs.find(id, worker);
       if (run === undefined) return;
       const gap = now - (run.lastTokenAt ?? now);
@@ -443,10 +443,10 @@
       if (!isOver && runs.runsOf(id).length === 0) {
         stateOf(run.job.service).recordReturn(run.job, weightOf(run.job.account));
       }
-      if (end === RunEnd.Complete) budget.succeeded(run.job);
+      if (end === RunEnd.Complete) budget.recordSuccess(run.job);
       if (end === RunEnd.Complete) learnAnswer(run.job, details.answerTokens);
     },
-    settled: (job, now) => {
+    jobEnded: (job, now) => {
       for (const run of runs.runsOf(job.id)) {
         runs.end(run, false);
         run.worker.load.recordEnd(job.id, now);
@@ -465,8 +465,8 @@
       reclaimRisk.observe(workers, now);
       pool.setWorkers(workers, now);
     },
-    report: (report, now) => pool.report(report, now),
-    cacheEvent: ({ worker, kind, blocks }, now) => {
+    recordLoadReport: (report, now) => pool.report(report, now),
+    recordCacheEvent: ({ worker, kind, blocks }, now) => {
       if (kind === "stored") prefixCache.recordStored(worker, blocks, now);
       else prefixCache.recordEvicted(worker, blocks);
     },
--- a/src/decision/scheduler_test.ts
+++ b/src/decision/scheduler_test.ts
@@ -10,8 +10,8 @@
   someWorkers,
   generateArrivals,
   TEST_POLICY,
-} from "./testing/load_play.ts";
-import type { SimulatedRequest, SimulatedArrival } from "./testing/load_play.ts";
+} from "./testing/load_simulation.ts";
+import type { SimulatedRequest, SimulatedArrival } from "./testing/load_simulation.ts";
 
 const MINUTE = 60_000;
 const HOURS = 8 * 3_600_000;
@@ -200,7 +200,7 @@
     expect(second).toMatchObject({ kind: "refused", reason: Refusal.AccountLimit });
     placed(scheduler, job, 0);
     scheduler.runEnded(job.id, RunEnd.Complete, { now: 10, answerTokens: 1 });
-    scheduler.settled(job, 10);
+    scheduler.jobEnded(job, 10);
     expect(scheduler.admit(someArrival({ id: "third" }), 20).kind).toBe("admitted");
     expect(scheduler.snapshot(20).services[0]).toMatchObject({ waitingJobs: 1, runningJobs: 0 });
   });
@@ -211,9 +211,9 @@
     for (let index = 0; index < 50; index++) {
       const job = jobOf(scheduler.admit(someArrival({ id: `r${index}` }), index));
       placed(scheduler, job, index);
-      scheduler.firstToken(job.id, index + 50);
+      scheduler.recordFirstToken(job.id, index + 50);
       scheduler.runEnded(job.id, RunEnd.Complete, { now: index + 60, answerTokens: 2 });
-      scheduler.settled(job, index + 60);
+      scheduler.jobEnded(job, index + 60);
     }
     const late = jobOf(scheduler.admit(someArrival({ id: "late" }), 1_000));
     const first = placed(scheduler, late, 1_000);
--- a/src/decision/service_snapshot.ts
+++ b/src/decision/service_snapshot.ts
@@ -14,9 +14,9 @@
    * Tokens of work that arrived per second over the last minute, admitted or refused because of
    * load.
    */
-  readonly arriving: number;
+  readonly arrivalRate: number;
   /** The same over the minute before. */
-  readonly arrivedBefore: number;
+  readonly previousArrivalRate: number;
   /** Tokens of work per second that were completed over the last minute. */
-  readonly draining: number;
+  readonly completionRate: number;
 }
--- a/src/decision/service_state.ts
+++ b/src/decision/service_state.ts
@@ -227,9 +227,9 @@
         waitingJobs: all.reduce((sum, lane) => sum + lane.waitingJobs, 0),
         waitingWork: all.reduce((sum, lane) => sum + lane.waitingWork, 0),
         runningJobs: all.reduce((sum, lane) => sum + lane.running, 0),
-        arriving: arrived.rate(now, { span: MINUTE }),
-        arrivedBefore: arrived.rate(now, { span: MINUTE, ago: MINUTE }),
-        draining: completedWork.rate(now, { span: MINUTE }),
+        arrivalRate: arrived.rate(now, { span: MINUTE }),
+        previousArrivalRate: arrived.rate(now, { span: MINUTE, ago: MINUTE }),
+        completionRate: completedWork.rate(now, { span: MINUTE }),
       };
     },
   };
--- a/src/decision/shared_quota.ts
+++ b/src/decision/shared_quota.ts
@@ -28,7 +28,7 @@
  * @module
  */
 import type { Quota } from "../version/index.ts";
-import { removeFirst } from "./remove_first.ts";
+import { removeFirstEntry } from "./remove_first.ts";
 
 /** Admitted amounts by account name, since the instance started. */
 export type AdmittedCounts = ReadonlyMap<string, number>;
@@ -45,12 +45,12 @@
    */
   take(request: { account: string; quota: Quota; size: number; now: number }): number;
   /** Refunds the size of an admitted request that did not run. */
-  giveBack(account: string, size: number): void;
+  refund(account: string, size: number): void;
   /**
    * Adds accounts that may send requests, so that what others admit for them is deducted from now
    * on.
    */
-  expect(accounts: readonly { name: string; quota: Quota | undefined }[], now: number): void;
+  addAccounts(accounts: readonly { name: string; quota: Quota | undefined }[], now: number): void;
   /**
    * Receives the admitted amounts of another instance. Accounts that are not listed keep their
    * previous amounts.
@@ -58,14 +58,14 @@
    * @param incarnation Identifies the process of the instance, as opposed to an earlier one.
    * @param report `age` is the number of milliseconds since that process started.
    */
-  heard(incarnation: string, report: { admitted: AdmittedCounts; age: number }): void;
+  receiveReport(incarnation: string, report: { admitted: AdmittedCounts; age: number }): void;
   /**
    * Sets the number of instances that this one receives reports from (itself included), and the
    * number of all instances.
    */
-  setReach(reach: { heard: number; members: number }): void;
+  setReachability(reach: { heard: number; members: number }): void;
   /** Returns the amounts that this instance has admitted, for the report that is sent now. */
-  tell(now: number): AdmittedCounts;
+  createReport(now: number): AdmittedCounts;
 }
 
 interface Bucket {
@@ -184,20 +184,20 @@
       ownAdmitted.set(account, (ownAdmitted.get(account) ?? 0) + size);
       return 0;
     },
-    giveBack: (account, size) => {
+    refund: (account, size) => {
       const bucket = buckets.get(account);
       if (bucket !== undefined) bucket.level += size;
       ownAdmitted.set(account, (ownAdmitted.get(account) ?? 0) - size);
     },
-    expect: (accounts, now) => {
+    addAccounts: (accounts, now) => {
       for (const { name, quota } of accounts) if (quota !== undefined) bucketOf(name, quota, now);
     },
-    heard: (incarnation, { admitted, age }) => {
+    receiveReport: (incarnation, { admitted, age }) => {
       const isFirstReport = !peers.has(incarnation);
       const previousCounts = peers.get(incarnation) ?? new Map<string, number>();
       peers.delete(incarnation);
       peers.set(incarnation, previousCounts);
-      if (peers.size > MAX_PEERS) removeFirst(peers);
+      if (peers.size > MAX_PEERS) removeFirstEntry(peers);
       for (const [account, total] of admitted) {
         const bucket = buckets.get(account);
         const delta = total - (previousCounts.get(account) ?? 0);
@@ -211,11 +211,11 @@
         bucket.recentOthers = Math.max(0, bucket.recentOthers + delta);
       }
     },
-    setReach: ({ heard, members: memberCount }) => {
+    setReachability: ({ heard, members: memberCount }) => {
       totalMembers = Math.max(1, memberCount);
       reachableFraction = Math.min(1, heard / totalMembers);
     },
-    tell: (now) => {
+    createReport: (now) => {
       const decay = 2 ** (-(now - lastReportAt) / RECENT_HALF_LIFE);
       lastReportAt = now;
       for (const [account, bucket] of buckets) {
--- a/src/decision/shared_quota_test.ts
+++ b/src/decision/shared_quota_test.ts
@@ -35,10 +35,10 @@
     quotas.forEach((quota, index) => {
       const others = quotas.filter((_, other) => other !== index);
       const members = options.instances;
-      quota.setReach({ heard: options.arePartitioned === true ? 1 : members, members });
+      quota.setReachability({ heard: options.arePartitioned === true ? 1 : members, members });
       if (options.arePartitioned === true) return;
-      const report = new Map(quota.tell(now));
-      others.forEach((other) => other.heard(String(index), { admitted: report, age: now }));
+      const report = new Map(quota.createReport(now));
+      others.forEach((other) => other.receiveReport(String(index), { admitted: report, age: now }));
     });
   }
   return admitted;
@@ -84,10 +84,10 @@
     if (quota?.take({ account: "a", quota: QUOTA, size, now }) === 0) admitted += size;
     if (now % 700 !== 0) continue;
     for (const [index, from] of quotas.entries()) {
-      from.setReach({ heard: 6, members: 6 });
-      const report = new Map(from.tell(now));
+      from.setReachability({ heard: 6, members: 6 });
+      const report = new Map(from.createReport(now));
       for (const to of quotas)
-        if (to !== from) to.heard(String(index), { admitted: report, age: now });
+        if (to !== from) to.receiveReport(String(index), { admitted: report, age: now });
     }
   }
   expect(admitted / requested).toBeGreaterThan(0.98);
@@ -101,8 +101,8 @@
   const quotas = Array.from({ length: instances }, () => createSharedQuota(0));
   const account = { name: "a", quota: QUOTA };
   for (const quota of quotas) {
-    quota.setReach({ heard: 1, members: 4 });
-    quota.expect([account], 0);
+    quota.setReachability({ heard: 1, members: 4 });
+    quota.addAccounts([account], 0);
   }
   let admitted = 0;
   const length = 4_000;
@@ -112,9 +112,9 @@
     }
     if (now % 500 !== 400) continue;
     for (const [index, from] of quotas.entries()) {
-      from.setReach({ heard: instances, members: instances });
-      const report = { admitted: new Map(from.tell(now)), age: now };
-      for (const to of quotas) if (to !== from) to.heard(String(index), report);
+      from.setReachability({ heard: instances, members: instances });
+      const report = { admitted: new Map(from.createReport(now)), age: now };
+      for (const to of quotas) if (to !== from) to.receiveReport(String(index), report);
     }
   }
   expect(admitted).toBeLessThan((QUOTA.perSecond * length) / 1_000 + QUOTA.burst + 6 * 500);
@@ -135,11 +135,11 @@
 
 test("admits the whole quota of an account at a single instance", () => {
   const quota = createSharedQuota(0);
-  quota.setReach({ heard: 6, members: 6 });
+  quota.setReachability({ heard: 6, members: 6 });
   let admitted = 0;
   for (let now = 60_000; now < 68_000; now += 20) {
     if (quota.take({ account: "a", quota: QUOTA, size: 500, now }) === 0) admitted += 500;
-    if (now % 240 === 0) quota.tell(now);
+    if (now % 240 === 0) quota.createReport(now);
   }
   expect(admitted).toBeGreaterThanOrEqual(QUOTA.perSecond * 7.9 + QUOTA.burst * 0.9);
 });
@@ -156,24 +156,24 @@
     requested[kind]++;
     const size = kind === "large" ? 5_000 : 200;
     if (quota.take({ account: "a", quota: QUOTA, size, now }) === 0) admitted[kind]++;
-    if (now % 240 === 0) quota.tell(now);
+    if (now % 240 === 0) quota.createReport(now);
   }
   expect(admitted.large / requested.large).toBeGreaterThan(admitted.small / requested.small / 2);
 });
 
 test("returns the time after which a refused request is admitted", () => {
   const quota = createSharedQuota(0);
-  quota.setReach({ heard: 1, members: 1 });
+  quota.setReachability({ heard: 1, members: 1 });
   const request = (now: number): number =>
     quota.take({ account: "a", quota: QUOTA, size: 6_000, now });
   expect(request(60_000)).toBe(0);
-  quota.tell(60_010);
+  quota.createReport(60_010);
   expect(request(60_010)).toBe(0);
-  quota.tell(60_020);
+  quota.createReport(60_020);
   const wait = request(60_020);
   expect(wait).toBeGreaterThan(0);
   // A report to the others, in between or at that time, as there is one every quarter of a second.
-  quota.tell(60_020 + wait);
+  quota.createReport(60_020 + wait);
   expect(request(60_020 + wait)).toBe(0);
 });
 
@@ -192,13 +192,13 @@
   const [one, two] = [createSharedQuota(0), createSharedQuota(0)];
   const request = { account: "a", quota: QUOTA, size: 10_000, now: 60_000 };
   two.take({ ...request, size: 1 });
-  two.heard("one", { admitted: new Map(one.tell(60_000)), age: 60_000 });
+  two.receiveReport("one", { admitted: new Map(one.createReport(60_000)), age: 60_000 });
   expect(one.take(request)).toBe(0);
-  two.heard("one", { admitted: new Map(one.tell(60_000)), age: 60_000 });
+  two.receiveReport("one", { admitted: new Map(one.createReport(60_000)), age: 60_000 });
   expect(two.take(request)).toBeGreaterThan(0);
-  one.giveBack("a", 10_000);
-  two.heard("one", { admitted: new Map(one.tell(60_000)), age: 60_000 });
-  two.tell(60_000);
+  one.refund("a", 10_000);
+  two.receiveReport("one", { admitted: new Map(one.createReport(60_000)), age: 60_000 });
+  two.createReport(60_000);
   expect(two.take(request)).toBe(0);
 });
 
@@ -233,19 +233,19 @@
   let sums: { at: number; total: number; own: number[] }[] = [];
   let requested = 0;
   for (const quota of quotas) {
-    quota.setReach({ heard: instances, members: instances });
-    quota.expect([{ name: "a", quota: LARGE_QUOTA }], start);
+    quota.setReachability({ heard: instances, members: instances });
+    quota.addAccounts([{ name: "a", quota: LARGE_QUOTA }], start);
   }
   for (let now = start; now < start + seconds * 1_000; now += step) {
     if (now - lastReportAt >= period) {
       lastReportAt = now;
-      for (const quota of quotas) quota.tell(now);
+      for (const quota of quotas) quota.createReport(now);
       sums.push({ at: now, total: own.reduce((sum, one) => sum + one, 0), own: [...own] });
     }
     for (const sum of sums.filter(({ at }) => now - at >= delay)) {
       quotas.forEach((quota, index) => {
         const others = sum.total - (sum.own[index] ?? 0);
-        quota.heard("others", { admitted: new Map([["a", others]]), age: now });
+        quota.receiveReport("others", { admitted: new Map([["a", others]]), age: now });
       });
     }
     sums = sums.filter(({ at }) => now - at < delay);
--- a/src/decision/testing/load_play.ts
+++ b/src/decision/testing/load_simulation.ts
@@ -135,8 +135,8 @@
     while (sequence.deliveredTokens < Math.floor(sequence.producedTokens)) {
       if (sequence.deliveredTokens === 0) {
         request.firstTokenAt = now;
-        instance.scheduler.firstToken(job.id, now);
-      } else instance.scheduler.token(job.id, now);
+        instance.scheduler.recordFirstToken(job.id, now);
+      } else instance.scheduler.recordToken(job.id, now);
       sequence.deliveredTokens++;
     }
   };
@@ -146,7 +146,7 @@
     instance.running--;
     const answerTokens = request.arrival.answerTokens;
     instance.scheduler.runEnded(job.id, RunEnd.Complete, { now, answerTokens });
-    instance.scheduler.settled(job, now);
+    instance.scheduler.jobEnded(job, now);
   };
   const runWorker = (worker: Worker, now: number): void => {
     const batch = batches.get(worker.id) ?? [];
@@ -194,7 +194,7 @@
       const { at, worker, running } = due;
       const report = { worker, takenAt: at, running, waiting: 0, cacheTokens: 0, loaded: [] };
       const full = { ...report, cacheCapacity: 1_000_000 };
-      for (const { scheduler } of instances) scheduler.report(full, now);
+      for (const { scheduler } of instances) scheduler.recordLoadReport(full, now);
     }
   };
   for (let now = 0; now < settings.duration; now += STEP_MS) {
--- a/src/decision/triage.ts
+++ b/src/decision/triage.ts
@@ -49,7 +49,7 @@
 }
 
 /** A request in progress on a worker with a reclaim notice. Times are in milliseconds. */
-export interface Endangered {
+export interface TriageRequest {
   readonly id: string;
   readonly repeatable: boolean;
   readonly promptTokens: number;
@@ -69,7 +69,7 @@
   /** Time of the reclaim, in the clock's milliseconds. */
   readonly reclaimAt: number;
   /** Bytes of KV cache per second that the instance can send. */
-  readonly transferRate: number;
+  readonly transferBytesPerSecond: number;
   /** Bytes of KV cache per token. */
   readonly bytesPerToken: number;
   /** Workers to which requests could move. */
@@ -80,15 +80,15 @@
    * All workers of the service that have a notice or are leaving, to detect a wave; only this
    * worker by default.
    */
-  readonly underNotice?: readonly Worker[];
+  readonly workersWithNotice?: readonly Worker[];
   /** Free KV cache tokens of each target, by worker id; unlimited by default. */
-  readonly room?: ReadonlyMap<string, number>;
+  readonly freeCacheTokens?: ReadonlyMap<string, number>;
   /** Number of exports by other workers that share the transfer rate; 0 by default. */
-  readonly otherExports?: number;
+  readonly concurrentExports?: number;
 }
 
 /** The choice for one request. */
-export interface Triage {
+export interface TriageDecision {
   readonly id: string;
   readonly choice: TriageChoice;
   /**
@@ -120,8 +120,8 @@
  * Chooses for each request in progress on a worker with a reclaim notice; the result has the order
  * of the requests.
  */
-export function triage(requests: readonly Endangered[], view: TriageView): Triage[] {
-  const chosen = new Map<string, Triage>();
+export function triage(requests: readonly TriageRequest[], view: TriageView): TriageDecision[] {
+  const chosen = new Map<string, TriageDecision>();
   const targets = createTargets(view);
   const remaining = scheduleExports(requests, { view, targets, chosen });
   for (const request of remaining)
@@ -129,22 +129,22 @@
   return requests.map(({ id }) => chosen.get(id) ?? { id, choice: TriageChoice.Stay });
 }
 
-function canFinish(request: Endangered, view: TriageView): boolean {
+function canFinish(request: TriageRequest, view: TriageView): boolean {
   const left = view.reclaimAt - view.now - END_MARGIN;
   return expectedRemaining(request) * request.tokenTime < left * FINISH_TIME_FRACTION;
 }
 
-function expectedRemaining({ remainingTokens, producedTokens }: Endangered): number {
+function expectedRemaining({ remainingTokens, producedTokens }: TriageRequest): number {
   return remainingTokens > OVERRUN_FRACTION * producedTokens ? remainingTokens : producedTokens;
 }
 
 /** Schedules the exports one after another; returns the requests without an export. */
 function scheduleExports(
-  requests: readonly Endangered[],
-  options: { view: TriageView; targets: Targets; chosen: Map<string, Triage> },
-): Endangered[] {
+  requests: readonly TriageRequest[],
+  options: { view: TriageView; targets: Targets; chosen: Map<string, TriageDecision> },
+): TriageRequest[] {
   const { view, targets, chosen } = options;
-  const remaining: Endangered[] = [];
+  const remaining: TriageRequest[] = [];
   const scheduled: { readonly id: string; readonly target: string; readonly time: number }[] = [];
   let timeLeft = view.reclaimAt - END_MARGIN - view.now;
   for (const request of [...requests].sort((a, b) => compareExports(a, b, view))) {
@@ -166,7 +166,7 @@
   return remaining;
 }
 
-function compareExports(a: Endangered, b: Endangered, view: TriageView): number {
+function compareExports(a: TriageRequest, b: TriageRequest, view: TriageView): number {
   const difference = exportPriority(b, view) - exportPriority(a, view);
   if (difference !== 0) return difference;
   // Of those that may not be repeated the small ones go first, to save as many as possible.
@@ -174,24 +174,24 @@
   return a.repeatable ? bySize : -bySize;
 }
 
-function exportPriority(request: Endangered, view: TriageView): number {
+function exportPriority(request: TriageRequest, view: TriageView): number {
   if (!request.repeatable) return 3;
   if (canFinish(request, view)) return 0;
   return hasTimeToRecompute(request, view) ? 1 : 2;
 }
 
-function hasTimeToRecompute(request: Endangered, view: TriageView): boolean {
+function hasTimeToRecompute(request: TriageRequest, view: TriageView): boolean {
   const recomputeTime = (contextTokens(request) * 1_000) / view.prefillPerSecond;
   return (
     view.now + recomputeTime + request.remainingTokens * request.tokenTime < request.deadlineAt
   );
 }
 
-function contextTokens({ promptTokens, producedTokens }: Endangered): number {
+function contextTokens({ promptTokens, producedTokens }: TriageRequest): number {
   return promptTokens + producedTokens;
 }
 
-function cachedTokens(request: Endangered): number {
+function cachedTokens(request: TriageRequest): number {
   return request.cacheTokens ?? contextTokens(request);
 }
 
@@ -199,14 +199,18 @@
  * Returns the milliseconds for the export of a request's KV cache, including the tokens that it
  * grows by until then.
  */
-function exportTime(request: Endangered, view: TriageView): number {
-  const rate = view.transferRate / (1 + (view.otherExports ?? 0));
+function exportTime(request: TriageRequest, view: TriageView): number {
+  const rate = view.transferBytesPerSecond / (1 + (view.concurrentExports ?? 0));
   const longest = (view.reclaimAt - view.now) / Math.max(1, request.tokenTime);
   const tokens = cachedTokens(request) + Math.min(expectedRemaining(request), longest);
   return EXPORT_OVERHEAD + (tokens * view.bytesPerToken * 1_000) / rate;
 }
 
-function chooseWithoutExport(request: Endangered, view: TriageView, targets: Targets): Triage {
+function chooseWithoutExport(
+  request: TriageRequest,
+  view: TriageView,
+  targets: Targets,
+): TriageDecision {
   const { id } = request;
   if (canFinish(request, view)) return { id, choice: TriageChoice.Finish };
   if (!request.repeatable) return { id, choice: TriageChoice.Stay };
@@ -226,7 +230,7 @@
 
 function createTargets(view: TriageView): Targets {
   const room = new Map(
-    safeTargets(view).map(({ id }) => [id, view.room?.get(id) ?? Number.MAX_VALUE]),
+    safeTargets(view).map(({ id }) => [id, view.freeCacheTokens?.get(id) ?? Number.MAX_VALUE]),
   );
   const moved = new Map<string, number>();
   const withMoreRoom = (a: string, b: string): string => {
@@ -248,7 +252,10 @@
   };
 }
 
-function safeTargets({ targets, underNotice = [] }: TriageView): readonly Worker[] {
+function safeTargets({
+  targets,
+  workersWithNotice: underNotice = [],
+}: TriageView): readonly Worker[] {
   const available = targets.filter(
     ({ state, reclaimAt }) => state === WorkerState.Live && reclaimAt === undefined,
   );
--- a/src/decision/triage_test.ts
+++ b/src/decision/triage_test.ts
@@ -1,10 +1,10 @@
 import { describe, expect, test } from "vitest";
 import { Purchase, WorkerState } from "../interface/index.ts";
-import { someWorkers } from "./testing/load_play.ts";
+import { someWorkers } from "./testing/load_simulation.ts";
 import { triage, TriageChoice } from "./triage.ts";
-import type { Endangered, TriageView } from "./triage.ts";
+import type { TriageRequest, TriageView } from "./triage.ts";
 
-function someRequest(changes: Partial<Endangered> = {}): Endangered {
+function someRequest(changes: Partial<TriageRequest> = {}): TriageRequest {
   return {
     id: "script",
     repeatable: true,
@@ -21,7 +21,7 @@
   return {
     now: 0,
     reclaimAt: 5_000,
-    transferRate: 1_000_000_000,
+    transferBytesPerSecond: 1_000_000_000,
     bytesPerToken: 100_000,
     targets: someWorkers(4),
     prefillPerSecond: 4_000,
@@ -29,7 +29,10 @@
   };
 }
 
-function choices(requests: readonly Endangered[], view: Partial<TriageView> = {}): TriageChoice[] {
+function choices(
+  requests: readonly TriageRequest[],
+  view: Partial<TriageView> = {},
+): TriageChoice[] {
   return triage(requests, someView(view)).map(({ choice }) => choice);
 }
 
@@ -52,7 +55,7 @@
       someRequest({ id: "large", promptTokens: 4_000 }),
       someRequest({ id: "billed", repeatable: false }),
     ];
-    expect(choices(requests, { transferRate: 60_000_000 })).toEqual([
+    expect(choices(requests, { transferBytesPerSecond: 60_000_000 })).toEqual([
       TriageChoice.ResumeNow,
       TriageChoice.ExportCache,
     ]);
@@ -73,7 +76,7 @@
     // request stayed, it would be cut off with the instance and computed again.
     const beyond = someRequest({ producedTokens: 1_500, remainingTokens: 1 });
     const nearly = someRequest({ id: "nearly", producedTokens: 50, remainingTokens: 20 });
-    expect(choices([beyond, nearly], { transferRate: 1 })).toEqual([
+    expect(choices([beyond, nearly], { transferBytesPerSecond: 1 })).toEqual([
       TriageChoice.ResumeNow,
       TriageChoice.Finish,
     ]);
@@ -87,10 +90,10 @@
     );
     const underNotice = workers.filter(({ reclaimAt }) => reclaimAt !== undefined);
     const requests = Array.from({ length: 12 }, (_, index) => someRequest({ id: `r${index}` }));
-    const chosen = triage(requests, someView({ targets: workers, underNotice }));
+    const chosen = triage(requests, someView({ targets: workers, workersWithNotice: underNotice }));
     expect(chosen.some(({ target }) => target === "w0" || target === "w4")).toBe(false);
     const onDemand = workers.map((worker) => ({ ...worker, purchase: Purchase.OnDemand }));
-    const kept = triage(requests, someView({ targets: onDemand, underNotice }));
+    const kept = triage(requests, someView({ targets: onDemand, workersWithNotice: underNotice }));
     expect(kept.some(({ target }) => target === "w4")).toBe(true);
   });
 
@@ -98,7 +101,7 @@
     // Every other worker is full. If the scripts moved at once, they would wait in a queue while
     // this worker is idle.
     const room = new Map(someWorkers(4).map(({ id }) => [id, 0]));
-    const [chosen] = triage([someRequest()], someView({ room }));
+    const [chosen] = triage([someRequest()], someView({ freeCacheTokens: room }));
     expect(chosen).toMatchObject({ choice: TriageChoice.ResumeLate, at: 4_500 });
   });
 });
--- a/src/decision/usage_ledger.ts
+++ b/src/decision/usage_ledger.ts
@@ -52,18 +52,18 @@
 /** The counts of all instances, as far as they are known here. */
 export interface UsageLedger {
   /** Counts a run of the account that started in the window. */
-  began(account: string, window: number): void;
+  recordRun(account: string, window: number): void;
   /** Returns this instance's counts for the windows that may still change or be requested. */
-  own(): readonly WindowCounts[];
+  ownCounts(): readonly WindowCounts[];
   /** Merges the counts received from another instance. */
-  heard(incarnation: string, counts: readonly WindowCounts[]): void;
+  mergeInstance(incarnation: string, counts: readonly WindowCounts[]): void;
   /**
    * Merges the total of a group of instances whose single counts are not received. Several relays
    * may send the total, each as far as it is known there: the largest one is the latest.
    */
-  heardGroup(group: string, counts: readonly WindowCounts[]): void;
+  mergeGroup(group: string, counts: readonly WindowCounts[]): void;
   /** Returns the totals of this instance and of the instances whose single counts are received. */
-  group(): readonly WindowCounts[];
+  groupTotals(): readonly WindowCounts[];
   /** Deletes the counts of other instances, before they are received again in different groups. */
   forgetOthers(): void;
   /** Returns the totals over all instances. */
@@ -87,7 +87,7 @@
   };
   let oldest = -Infinity;
   const groups = new Set<string>();
-  const mergeCounts: UsageLedger["heard"] = (incarnation, counts) => {
+  const mergeCounts: UsageLedger["mergeInstance"] = (incarnation, counts) => {
     for (const { window, counts: received } of counts) {
       if (window < oldest) continue;
       const known = countsOf(window, incarnation);
@@ -110,21 +110,21 @@
     return total;
   };
   return {
-    began: (account, window) => {
+    recordRun: (account, window) => {
       const counts = countsOf(window, OWN_KEY);
       counts[account] = (counts[account] ?? 0) + 1;
     },
-    own: () =>
+    ownCounts: () =>
       [...windows].flatMap(([window, instances]) => {
         const counts = instances.get(OWN_KEY);
         return counts === undefined ? [] : [{ window, counts }];
       }),
-    heard: mergeCounts,
-    heardGroup: (group, counts) => {
+    mergeInstance: mergeCounts,
+    mergeGroup: (group, counts) => {
       groups.add(group);
       mergeCounts(group, counts);
     },
-    group: () =>
+    groupTotals: () =>
       [...windows.keys()].map((window) => ({
         window,
         counts: sumOf(window, (incarnation) => !groups.has(incarnation)),
--- a/src/decision/usage_ledger_test.ts
+++ b/src/decision/usage_ledger_test.ts
@@ -10,14 +10,16 @@
       const ledgers = [createUsageLedger(), createUsageLedger(), createUsageLedger()];
       const said: [number, readonly WindowCounts[]][] = [];
       for (const [at, account] of begun) {
-        ledgers[at]?.began(`a${account}`, 7);
-        said.push([at, structuredClone(ledgers[at]?.own() ?? [])]);
+        ledgers[at]?.recordRun(`a${account}`, 7);
+        said.push([at, structuredClone(ledgers[at]?.ownCounts() ?? [])]);
       }
       for (const pick of order) {
         const [from, counts] = said[pick % Math.max(1, said.length)] ?? [0, []];
-        if (from !== 0) ledgers[0]?.heard(`e${from}`, counts);
+        if (from !== 0) ledgers[0]?.mergeInstance(`e${from}`, counts);
       }
-      ledgers.slice(1).forEach((ledger, index) => ledgers[0]?.heard(`e${index + 1}`, ledger.own()));
+      ledgers
+        .slice(1)
+        .forEach((ledger, index) => ledgers[0]?.mergeInstance(`e${index + 1}`, ledger.ownCounts()));
       const total = ledgers[0]?.total(7) ?? {};
       const sum = Object.values(total).reduce((all, count) => all + count, 0);
       expect(sum).toBe(begun.length);
@@ -27,10 +29,10 @@
 
 test("deletes old windows and does not accept them again", () => {
   const ledger = createUsageLedger();
-  ledger.began("a", 1);
+  ledger.recordRun("a", 1);
   ledger.forgetBefore(5);
-  ledger.heard("e2", [{ window: 2, counts: { a: 4 } }]);
-  expect(ledger.own()).toEqual([]);
+  ledger.mergeInstance("e2", [{ window: 2, counts: { a: 4 } }]);
+  expect(ledger.ownCounts()).toEqual([]);
   expect(ledger.total(2)).toEqual({});
 });
 
@@ -39,8 +41,8 @@
 test("accepts any account name", () => {
   const ledger = createUsageLedger();
   for (const name of ["constructor", "toString", "__proto__"]) {
-    ledger.began(name, 1);
-    ledger.began(name, 1);
+    ledger.recordRun(name, 1);
+    ledger.recordRun(name, 1);
     expect(Object.entries(ledger.total(1))).toContainEqual([name, 2]);
   }
 });
@@ -48,12 +50,12 @@
 // Two relays of a zone send the zone's total. Adding both would bill each run twice.
 test("counts a group's total once although several relays send it", () => {
   const ledger = createUsageLedger();
-  ledger.began("a", 7);
-  ledger.heard("e1", [{ window: 7, counts: { a: 2 } }]);
-  ledger.heardGroup("zone-b", [{ window: 7, counts: { a: 10 } }]);
-  ledger.heardGroup("zone-b", [{ window: 7, counts: { a: 9 } }]);
+  ledger.recordRun("a", 7);
+  ledger.mergeInstance("e1", [{ window: 7, counts: { a: 2 } }]);
+  ledger.mergeGroup("zone-b", [{ window: 7, counts: { a: 10 } }]);
+  ledger.mergeGroup("zone-b", [{ window: 7, counts: { a: 9 } }]);
   expect(ledger.total(7)).toEqual({ a: 13 });
-  expect(ledger.group()).toEqual([{ window: 7, counts: { a: 3 } }]);
+  expect(ledger.groupTotals()).toEqual([{ window: 7, counts: { a: 3 } }]);
   ledger.forgetOthers();
   expect(ledger.total(7)).toEqual({ a: 1 });
 });
--- a/src/decision/worker_demand.ts
+++ b/src/decision/worker_demand.ts
@@ -26,7 +26,7 @@
 import { sum } from "./sum.ts";
 
 /** Estimates the demand of one service. */
-export interface WorkerDemand {
+export interface DemandEstimator {
   /**
    * Updates the estimate with the load of each worker.
    *
@@ -46,16 +46,16 @@
 /** Number of workers that a load keeps busy. */
 export interface DemandLevel {
   /** Number of workers needed now. */
-  readonly now: number;
+  readonly current: number;
   /** The same, with falls counted slowly. */
-  readonly lately: number;
+  readonly smoothed: number;
   /**
    * Number of workers that process prompts just in time, with falls counted slowly; other runs may
    * become slower.
    */
-  readonly reading: number;
+  readonly smoothedPrefill: number;
   /** Whether there has been any load. */
-  readonly hasBegun: boolean;
+  readonly hasLoad: boolean;
 }
 
 /**
@@ -100,7 +100,7 @@
 }
 
 /** Creates an estimator that has not observed any load. */
-export function createWorkerDemand(): WorkerDemand {
+export function createDemandEstimator(): DemandEstimator {
   let smoothedWorkers: TimedLevel | undefined;
   let smoothedPrefill: TimedLevel | undefined;
   /** Demand when the workers were last not overloaded. */
@@ -126,7 +126,7 @@
       const workers = Math.min(runs / RUNS_PER_WORKER, maxWorkers);
       if (!isOverloaded) lastNormal = { level: Math.max(1, workers), at: now };
       if (smoothedWorkers === undefined && workers === 0) {
-        return { now: 0, lately: first, reading: 0, hasBegun: false };
+        return { current: 0, smoothed: first, smoothedPrefill: 0, hasLoad: false };
       }
       smoothedWorkers = smoothLevel(smoothedWorkers ?? { level: first, at: now }, {
         level: workers,
@@ -137,10 +137,10 @@
         at: now,
       });
       return {
-        now: Math.ceil(workers),
-        lately: Math.ceil(smoothedWorkers.level),
-        reading: Math.ceil(smoothedPrefill.level),
-        hasBegun: true,
+        current: Math.ceil(workers),
+        smoothed: Math.ceil(smoothedWorkers.level),
+        smoothedPrefill: Math.ceil(smoothedPrefill.level),
+        hasLoad: true,
       };
     },
   };
--- a/src/decision/worker_health.ts
+++ b/src/decision/worker_health.ts
@@ -26,24 +26,24 @@
 /** Failure estimates for the workers of all services. Times are in milliseconds of the clock. */
 export interface WorkerHealth {
   /** Records that a run at the worker ended. */
-  ended(run: { worker: WorkerHash; service: string; failed: boolean; now: number }): void;
+  recordRun(run: { worker: WorkerHash; service: string; failed: boolean; now: number }): void;
   /**
    * Receives another instance's counts by worker since its start. Counts only grow, so a lost or
    * repeated message does no harm. The counts of the first message may be old and are only the base
    * for later ones.
    */
-  heard(instance: string, counts: ReadonlyMap<WorkerHash, RunCounts>, now: number): void;
+  receiveCounts(instance: string, counts: ReadonlyMap<WorkerHash, RunCounts>, now: number): void;
   /**
    * Returns the probability, from 0 to 1, that a run at the worker fails, beyond the usual rate of
    * its service.
    */
-  excess(worker: WorkerHash, service: string, now: number): number;
+  excessFailureRate(worker: WorkerHash, service: string, now: number): number;
   /** Returns this instance's counts for the worker since the start, to be sent to the others. */
   ownCounts(worker: WorkerHash): RunCounts;
   /** Keeps only the counts of the given workers. */
-  keepOnly(workers: ReadonlySet<WorkerHash>): void;
+  retainWorkers(workers: ReadonlySet<WorkerHash>): void;
   /** Keeps only the counts of the given instances. The others' recent observations decay anyway. */
-  keepInstances(instances: ReadonlySet<string>): void;
+  retainInstances(instances: ReadonlySet<string>): void;
 }
 
 const HALF_LIFE = 3_000;
@@ -69,7 +69,7 @@
   /** The counts of each other instance, by worker. */
   const countsByInstance = new Map<string, Map<WorkerHash, RunCounts>>();
 
-  const receiveCounts: WorkerHealth["heard"] = (instance, counts, now) => {
+  const receiveCounts: WorkerHealth["receiveCounts"] = (instance, counts, now) => {
     const previous = countsByInstance.get(instance);
     const known = previous ?? new Map<WorkerHash, RunCounts>();
     countsByInstance.set(instance, known);
@@ -83,15 +83,15 @@
     }
   };
   return {
-    ended: ({ worker, service, failed, now }) => {
+    recordRun: ({ worker, service, failed, now }) => {
       const run = { runs: 1, failures: failed ? 1 : 0 };
       const { runs, failures } = ownTotals.get(worker) ?? NO_COUNTS;
       ownTotals.set(worker, { runs: runs + run.runs, failures: failures + run.failures });
       addDecayed(recentCounts, worker, { ...run, now });
       addDecayed(recentByService, service, { ...run, now });
     },
-    heard: receiveCounts,
-    excess: (worker, service, now) => {
+    receiveCounts: receiveCounts,
+    excessFailureRate: (worker, service, now) => {
       const counts = recentCounts.get(worker);
       // Fast path for nearly all workers, since each request looks up every one of them.
       if (counts === undefined || counts.failures === 0) return 0;
@@ -101,12 +101,12 @@
       return Math.max(0, failures / (runs + PRIOR_RUNS) - serviceRate);
     },
     ownCounts: (worker) => ownTotals.get(worker) ?? NO_COUNTS,
-    keepOnly: (workers) => {
+    retainWorkers: (workers) => {
       for (const counted of [ownTotals, recentCounts]) {
         for (const worker of counted.keys()) if (!workers.has(worker)) counted.delete(worker);
       }
     },
-    keepInstances: (instances) => {
+    retainInstances: (instances) => {
       for (const instance of countsByInstance.keys())
         if (!instances.has(instance)) countsByInstance.delete(instance);
     },
--- a/src/decision/worker_limits.ts
+++ b/src/decision/worker_limits.ts
@@ -19,7 +19,7 @@
 import type { WorkerHash } from "./worker_health.ts";
 
 /** A worker's limit, as instances exchange it. */
-export interface LimitStatement {
+export interface LimitReport {
   readonly worker: WorkerHash;
   /**
    * Requests per second from all instances together; undefined if the worker no longer has a limit.
@@ -37,26 +37,26 @@
    * @param answer `perSecond` is the limit in the answer; `sentAt` is when the request was sent, in
    * milliseconds since 1970.
    */
-  answered(worker: WorkerHash, answer: { perSecond: number | undefined; sentAt: number }): void;
+  recordAnswer(worker: WorkerHash, answer: { perSecond: number | undefined; sentAt: number }): void;
   /** Receives a limit from another instance. */
-  heard(statement: LimitStatement): void;
+  receiveReport(statement: LimitReport): void;
   /** Returns the recent changes to send to other instances. */
-  statements(): LimitStatement[];
+  recentReports(): LimitReport[];
   /** Returns the worker's limit in requests per second; undefined if it has none. */
   limitOf(worker: WorkerHash): number | undefined;
   /** Whether this instance may send a request to the worker now. */
-  mayTake(worker: WorkerHash): boolean;
+  canSend(worker: WorkerHash): boolean;
   /** Records that a request is sent to the worker. */
-  took(worker: WorkerHash): void;
+  recordSent(worker: WorkerHash): void;
   /**
    * Returns the milliseconds until any instance may send to one of the workers; undefined if none
    * of them has a limit.
    */
-  opensIn(workers: Iterable<WorkerHash>): number | undefined;
+  timeToNextSlot(workers: Iterable<WorkerHash>): number | undefined;
   /** Deletes a worker's limit because another worker has replaced it. */
   forget(worker: WorkerHash): void;
   /** Keeps only the limits of the given workers. */
-  keepOnly(workers: ReadonlySet<WorkerHash>): void;
+  retainWorkers(workers: ReadonlySet<WorkerHash>): void;
 }
 
 /** Dependencies of {@linkcode createWorkerLimits}. */
@@ -121,7 +121,7 @@
   const limits = new Map<WorkerHash, KnownLimit>();
   let instances: readonly number[] = [];
 
-  const setLimit = ({ worker, perSecond, at }: LimitStatement): void => {
+  const setLimit = ({ worker, perSecond, at }: LimitReport): void => {
     const previous = limits.get(worker);
     if (previous !== undefined && previous.perSecond === perSecond) {
       previous.receivedAt = at;
@@ -180,7 +180,7 @@
     return undefined;
   };
   return {
-    answered: (worker, { perSecond, sentAt }) => {
+    recordAnswer: (worker, { perSecond, sentAt }) => {
       const previous = limits.get(worker);
       const at = Math.max(time(), previous?.receivedAt ?? 0);
       if (perSecond !== undefined) {
@@ -191,32 +191,32 @@
       if (previous?.perSecond !== undefined && sentAt > previous.receivedAt)
         setLimit({ worker, perSecond, at });
     },
-    heard: ({ worker, perSecond, at }) => {
+    receiveReport: ({ worker, perSecond, at }) => {
       const previous = limits.get(worker);
       if (previous === undefined && perSecond === undefined) return;
       if (at <= (previous?.receivedAt ?? 0)) return;
       setLimit({ worker, perSecond, at: Math.min(at, time() + CLOCK_TOLERANCE) });
     },
-    statements: () => {
+    recentReports: () => {
       const cutoff = time() - REPORT_DURATION;
       return [...limits]
         .filter(([, { changedAt }]) => changedAt >= cutoff)
         .map(([worker, { perSecond, receivedAt: at }]) => ({ worker, perSecond, at }));
     },
     limitOf: (worker) => limits.get(worker)?.perSecond,
-    mayTake: (worker) => {
+    canSend: (worker) => {
       const state = limits.get(worker);
       if (state?.perSecond === undefined) return true;
       return freeSlot(worker, state, state.perSecond) !== undefined;
     },
-    took: (worker) => {
+    recordSent: (worker) => {
       const state = limits.get(worker);
       if (state?.perSecond === undefined) return;
       const slot = freeSlot(worker, state, state.perSecond);
       if (slot !== undefined)
         state.requestsBySlot.set(slot, (state.requestsBySlot.get(slot) ?? 0) + 1);
     },
-    opensIn: (workers) => {
+    timeToNextSlot: (workers) => {
       let shortest: number | undefined;
       for (const worker of workers) {
         const state = limits.get(worker);
@@ -227,7 +227,7 @@
       return shortest;
     },
     forget: (worker) => void limits.delete(worker),
-    keepOnly: (workers) => {
+    retainWorkers: (workers) => {
       for (const worker of limits.keys()) if (!workers.has(worker)) limits.delete(worker);
     },
   };
--- a/src/decision/worker_limits_test.ts
+++ b/src/decision/worker_limits_test.ts
@@ -36,7 +36,7 @@
     return member;
   });
   for (const { limits } of members) {
-    limits.answered(WORKER, { perSecond: limit, sentAt: clock.now });
+    limits.recordAnswer(WORKER, { perSecond: limit, sentAt: clock.now });
   }
   const sent: number[] = [];
   /**
@@ -46,8 +46,8 @@
   const advance = (milliseconds: number, chance = 1): void => {
     for (let end = clock.now + milliseconds; clock.now < end; clock.now += 20) {
       for (const { limits } of members) {
-        if (random.next() >= chance || !limits.mayTake(WORKER)) continue;
-        limits.took(WORKER);
+        if (random.next() >= chance || !limits.canSend(WORKER)) continue;
+        limits.recordSent(WORKER);
         sent.push(clock.now);
       }
     }
@@ -114,7 +114,7 @@
   const { clock, members, sent, advance } = createMembers(6, 3);
   for (let round = 0; round < 150; round++) {
     for (const { limits } of members) {
-      limits.answered(WORKER, { perSecond: 3 - (round % 5) / 100, sentAt: clock.now });
+      limits.recordAnswer(WORKER, { perSecond: 3 - (round % 5) / 100, sentAt: clock.now });
     }
     advance(200);
   }
@@ -131,38 +131,38 @@
 test("removes a limit after an answer without one, unless the request was sent before the limit", () => {
   const { clock, members } = createMembers(1, 1);
   const limits = members[0]?.limits;
-  limits?.answered(WORKER, { perSecond: undefined, sentAt: clock.now - 10 });
+  limits?.recordAnswer(WORKER, { perSecond: undefined, sentAt: clock.now - 10 });
   expect(limits?.limitOf(WORKER)).toBe(1);
   clock.now += 100;
-  limits?.answered(WORKER, { perSecond: undefined, sentAt: clock.now - 10 });
+  limits?.recordAnswer(WORKER, { perSecond: undefined, sentAt: clock.now - 10 });
   expect(limits?.limitOf(WORKER)).toBeUndefined();
-  expect(limits?.mayTake(WORKER)).toBe(true);
+  expect(limits?.canSend(WORKER)).toBe(true);
 });
 
 test("uses the latest report, and does not make a report newer by forwarding it", () => {
   const { clock, members } = createMembers(2, 1);
   const [first, second] = members;
   if (first === undefined || second === undefined) throw new Error("The test has two members.");
-  const early = first.limits.statements();
+  const early = first.limits.recentReports();
   clock.now += 500;
-  first.limits.answered(WORKER, { perSecond: undefined, sentAt: clock.now - 1 });
-  for (const statement of first.limits.statements()) second.limits.heard(statement);
+  first.limits.recordAnswer(WORKER, { perSecond: undefined, sentAt: clock.now - 1 });
+  for (const statement of first.limits.recentReports()) second.limits.receiveReport(statement);
   expect(second.limits.limitOf(WORKER)).toBeUndefined();
   for (const statement of early) {
-    first.limits.heard(statement);
-    second.limits.heard(statement);
+    first.limits.receiveReport(statement);
+    second.limits.receiveReport(statement);
   }
   expect(first.limits.limitOf(WORKER)).toBeUndefined();
   expect(second.limits.limitOf(WORKER)).toBeUndefined();
   clock.now += 4_000;
-  expect(first.limits.statements()).toEqual([]);
+  expect(first.limits.recentReports()).toEqual([]);
 });
 
 test("returns the time until a worker accepts the next request from any instance", () => {
   const { clock, members } = createMembers(6, 0.5);
-  const opensIn = members[0]?.limits.opensIn([WORKER, 1]);
+  const opensIn = members[0]?.limits.timeToNextSlot([WORKER, 1]);
   expect(opensIn).toBeCloseTo(2_000 - (clock.now % 2_000));
-  expect(members[0]?.limits.opensIn([1])).toBeUndefined();
+  expect(members[0]?.limits.timeToNextSlot([1])).toBeUndefined();
 });
 
 test("removes the limit of a worker that was replaced", () => {
--- a/src/decision/worker_mix.ts
+++ b/src/decision/worker_mix.ts
@@ -43,17 +43,17 @@
   /** Workers that accept requests, by zone. */
   readonly stock: readonly ZoneStock[];
   /** Number of workers that the load keeps busy if it is spread evenly. */
-  readonly inUse: DemandLevel;
+  readonly demand: DemandLevel;
   /**
    * Highest number of on-demand workers wanted within the last seconds; they are kept until the
    * market has workers again.
    */
-  readonly held: number;
+  readonly heldOnDemand: number;
   /**
    * Milliseconds between the last two losses of all of a zone's reclaimable workers; infinite
    * before the second loss.
    */
-  readonly lossGap: number;
+  readonly lossInterval: number;
 }
 
 /** The workers to order, and the need for on-demand workers. */
@@ -61,7 +61,7 @@
   /** One order for each zone and type of purchase. */
   readonly orders: readonly MixOrder[];
   /** Number of on-demand workers wanted now. */
-  readonly onDemand: number;
+  readonly wantedOnDemand: number;
 }
 
 /** The number of workers of one purchase type that a zone should have. */
@@ -106,7 +106,7 @@
  *
  * @param there Number of existing workers by purchase type.
  */
-export function firstInUse(
+export function estimateInitialDemand(
   { zonePrices }: ServiceScaling,
   there: { reclaimable: number; onDemand: number },
 ): number {
@@ -116,8 +116,14 @@
 }
 
 /** Plans a service's orders: one for each zone and type of purchase. */
-export function planMix({ scaling, stock, inUse, held, lossGap }: MixContext): MixPlan {
-  const target = reclaimableTarget(scaling, { zones: stock.length, inUse: inUse.lately });
+export function planMix({
+  scaling,
+  stock,
+  demand: inUse,
+  heldOnDemand: held,
+  lossInterval: lossGap,
+}: MixContext): MixPlan {
+  const target = reclaimableTarget(scaling, { zones: stock.length, inUse: inUse.smoothed });
   // If the market is empty, only the existing workers are available; otherwise the rest will start
   // soon.
   const available = stock.map(({ reclaimable, isDry }) =>
@@ -128,14 +134,14 @@
   const expectedLosses = isFastWave ? EXPECTED_ZONE_LOSSES.fast : EXPECTED_ZONE_LOSSES.slow;
   const missing = Math.max(
     0,
-    Math.ceil(inUse.now * ON_DEMAND_HEADROOM) - sum(available),
-    isMarketEmpty ? inUse.reading - remainingAfterLosses(available, expectedLosses) : 0,
+    Math.ceil(inUse.current * ON_DEMAND_HEADROOM) - sum(available),
+    isMarketEmpty ? inUse.smoothedPrefill - remainingAfterLosses(available, expectedLosses) : 0,
   );
   const isRecovered = stock.every(({ reclaimable, isDry }) => !isDry && reclaimable >= target);
   // Once the market has workers again, each reclaimable worker that accepts requests replaces an
   // on-demand one.
   const ready = sum(stock.map(({ reclaimable }) => reclaimable));
-  const keptOnDemand = isMarketEmpty ? held : Math.min(held, Math.max(0, inUse.lately - ready));
+  const keptOnDemand = isMarketEmpty ? held : Math.min(held, Math.max(0, inUse.smoothed - ready));
   const wanted = isRecovered ? 0 : Math.max(missing, keptOnDemand);
   // One place stays free for a reclaimable worker while the market is empty: only an order shows
   // when it has workers again.
@@ -151,7 +157,7 @@
       { zone, purchase: Purchase.OnDemand, count: bought },
     ];
   });
-  return { orders, onDemand: missing };
+  return { orders, wantedOnDemand: missing };
 }
 
 /**
--- a/src/decision/worker_mix_test.ts
+++ b/src/decision/worker_mix_test.ts
@@ -1,7 +1,7 @@
 import fc from "fast-check";
 import { expect, test } from "vitest";
 import { Purchase } from "../interface/index.ts";
-import { firstInUse, planMix } from "./worker_mix.ts";
+import { estimateInitialDemand, planMix } from "./worker_mix.ts";
 import type { MixOrder, ZoneStock } from "./worker_mix.ts";
 
 const SCALING = {
@@ -39,10 +39,15 @@
   options: { inUse: number; held?: number; lossGap?: number },
 ): MixOrder[] {
   const { inUse, held = 0, lossGap = Infinity } = options;
-  const level = { now: inUse, lately: inUse, reading: inUse, hasBegun: true };
+  const level = { current: inUse, smoothed: inUse, smoothedPrefill: inUse, hasLoad: true };
   return [
-    ...planMix({ scaling: SCALING, stock: createStock(existing), inUse: level, held, lossGap })
-      .orders,
+    ...planMix({
+      scaling: SCALING,
+      stock: createStock(existing),
+      demand: level,
+      heldOnDemand: held,
+      lossInterval: lossGap,
+    }).orders,
   ];
 }
 
@@ -53,16 +58,16 @@
 }
 
 test("before any load, orders reclaimable workers by the existing ones and none on demand", () => {
-  const lately = firstInUse(SCALING, { reclaimable: 0, onDemand: 13 });
-  const inUse = { now: 0, lately, reading: 0, hasBegun: false };
+  const smoothed = estimateInitialDemand(SCALING, { reclaimable: 0, onDemand: 13 });
+  const inUse = { current: 0, smoothed, smoothedPrefill: 0, hasLoad: false };
   const existing = createStock({ ordered: [4, 3, 3, 3] });
   const orders = [
     ...planMix({
       scaling: SCALING,
       stock: existing,
-      inUse,
-      held: 0,
-      lossGap: Infinity,
+      demand: inUse,
+      heldOnDemand: 0,
+      lossInterval: Infinity,
     }).orders,
   ];
   expect(countWorkers(orders, Purchase.Reclaimable)).toBe(12);
--- a/src/decision/offer.ts
+++ b/src/decision/worker_offer.ts
@@ -18,17 +18,17 @@
  */
 
 /** The input of the decision; times are in milliseconds. */
-export interface Offer {
+export interface WorkerOffer {
   /** Expected time to the first token at the best worker. */
-  readonly wait: number;
+  readonly expectedFirstToken: number;
   /** Maximum time to the first token of an answer in time. */
-  readonly target: number;
+  readonly firstTokenTarget: number;
   /** Time until the request's deadline. */
-  readonly left: number;
+  readonly timeLeft: number;
   /** Priority rank; 0 is the most urgent. */
-  readonly rank: number;
+  readonly priorityRank: number;
   /** Whether the caller was refused before, or a worker failed the request. */
-  readonly isReturn: boolean;
+  readonly isRetry: boolean;
 }
 
 /**
@@ -45,7 +45,13 @@
 const RETRY_FRACTION = 0.4;
 
 /** Returns whether the request is offered to a worker. */
-export function isWorthOffering({ wait, target, left, rank, isReturn }: Offer): boolean {
+export function shouldOffer({
+  expectedFirstToken: wait,
+  firstTokenTarget: target,
+  timeLeft: left,
+  priorityRank: rank,
+  isRetry: isReturn,
+}: WorkerOffer): boolean {
   if (isReturn) return wait <= left * RETRY_FRACTION;
   return wait <= Math.min(left, target * TARGET_FACTOR * RANK_FACTOR ** rank);
 }
@@ -56,7 +62,11 @@
  *
  * @returns Milliseconds.
  */
-export function returnAfter({ wait, target, rank }: Offer): number {
+export function offerRetryDelay({
+  expectedFirstToken: wait,
+  firstTokenTarget: target,
+  priorityRank: rank,
+}: WorkerOffer): number {
   return Math.max(MIN_RETRY_DELAY, wait - target * TARGET_FACTOR * RANK_FACTOR ** rank);
 }
 
--- a/src/decision/worker_pool.ts
+++ b/src/decision/worker_pool.ts
@@ -9,8 +9,8 @@
 import type { LoadReport, Worker } from "../interface/index.ts";
 import { createConcurrencyLimit, LOOKUP_OVERCOMMIT_FACTOR } from "./concurrency_limit.ts";
 import type { ConcurrencyLimit } from "./concurrency_limit.ts";
-import { chooseEjections, ejectedAgain, usablePart } from "./ejection.ts";
-import type { EjectionState, PeerReading } from "./ejection.ts";
+import { chooseEjections, nextEjection, activeFraction } from "./ejection.ts";
+import type { EjectionState, PeerStats } from "./ejection.ts";
 import { Lane } from "./job.ts";
 import type { Job } from "./job.ts";
 import { machineOf, targetOf } from "./policy.ts";
@@ -378,7 +378,7 @@
  */
 export function effectiveLimit(entry: PoolWorker, now: number): number {
   if (!isLive(entry) || now < entry.unreachableUntil) return 0;
-  const part = usablePart(entry.ejection, now);
+  const part = activeFraction(entry.ejection, now);
   return part === 0 ? 0 : Math.max(1, Math.floor(entry.limit.value() * part));
 }
 
@@ -472,13 +472,13 @@
   entry.openIndex = -1;
 }
 
-function peerReading(entry: PoolWorker, now: number): PeerReading {
+function peerReading(entry: PoolWorker, now: number): PeerStats {
   return {
     worker: entry.worker.id,
-    gap: entry.gaps.count < MIN_GAPS ? undefined : entry.gaps.quantile(0.5),
+    tokenGap: entry.gaps.count < MIN_GAPS ? undefined : entry.gaps.quantile(0.5),
     runs: entry.runs,
     failures: entry.failures,
-    isOut: usablePart(entry.ejection, now) === 0,
+    isEjected: activeFraction(entry.ejection, now) === 0,
   };
 }
 
@@ -487,7 +487,7 @@
  * returns.
  */
 function eject(entry: PoolWorker, now: number): void {
-  entry.ejection = ejectedAgain(entry.ejection, now);
+  entry.ejection = nextEjection(entry.ejection, now);
   entry.gaps.clear();
   entry.runs = 0;
   entry.failures = 0;
--- a/src/decision/worker_ranking.ts
+++ b/src/decision/worker_ranking.ts
@@ -46,10 +46,10 @@
   readonly unreadTokens: number;
   readonly slots: number;
   /** Probability, from 0 to 1, that the worker fails a run, beyond the usual rate. */
-  readonly failing: number;
-  readonly sameZone: boolean;
+  readonly excessFailureRate: number;
+  readonly isSameZone: boolean;
   /** Milliseconds for which the worker is still slow after its start. */
-  readonly coldFor: number;
+  readonly warmupLeft: number;
 }
 
 /** The data about a request that the ranking uses. */
@@ -59,9 +59,9 @@
 }
 
 /** Typical speeds of a service's workers. */
-export interface ServiceSpeed {
+export interface ServiceTiming {
   /** Prompt tokens processed per millisecond; undefined for services without engines. */
-  readonly readRate: number | undefined;
+  readonly prefillRate: number | undefined;
   /** Milliseconds for which a run occupies a slot. */
   readonly runTime: number;
 }
@@ -95,13 +95,13 @@
 const HASH_RANGE = 2 ** 32;
 
 /** A worker and the cost of the request there, in milliseconds. */
-export interface Ranking<W extends RankedWorker> {
+export interface RankedChoice<W extends RankedWorker> {
   readonly worker: W;
   readonly cost: number;
   /** Expected milliseconds until the first token. */
   readonly wait: number;
   /** Prompt tokens that the worker would have to process. */
-  readonly reads: number;
+  readonly prefillTokens: number;
 }
 
 /** The workers that may have the shared parts of a prompt cached, with the probability of it. */
@@ -118,28 +118,28 @@
   workers: readonly W[],
   options: {
     request: RankedRequest;
-    speed: ServiceSpeed;
+    speed: ServiceTiming;
     random: Random;
     homes?: PromptHomes<W>;
   },
-): Ranking<W>[] {
+): RankedChoice<W>[] {
   const { request, speed, random, homes = findHomes(workers, request.parts) } = options;
   const totalTokens = sumTokens(request.parts);
   const sharedTokens = totalTokens - (request.parts.at(-1)?.tokens ?? 0);
   // Draws one random number; each worker's jitter is a hash of it and the worker.
   const seed = Math.floor(random.next() * HASH_RANGE);
-  const rankings: Ranking<W>[] = [];
+  const rankings: RankedChoice<W>[] = [];
   for (const worker of workers) {
     const reads = totalTokens - sharedTokens * (homes.get(worker) ?? 0);
     const wait = expectedWait(worker, { unread: reads, speed });
     const cost =
       wait +
       worker.running * CONCURRENT_RUN_COST +
-      worker.failing * FAILED_ATTEMPT_COST +
-      worker.coldFor * WARMUP_COST_FACTOR +
+      worker.excessFailureRate * FAILED_ATTEMPT_COST +
+      worker.warmupLeft * WARMUP_COST_FACTOR +
       (mixHashes(worker.hash, seed) / HASH_RANGE) * MAX_JITTER +
-      (worker.sameZone ? 0 : CROSS_ZONE_COST);
-    rankings.push({ worker, cost, wait, reads });
+      (worker.isSameZone ? 0 : CROSS_ZONE_COST);
+    rankings.push({ worker, cost, wait, prefillTokens: reads });
   }
   return rankings.sort((a, b) => a.cost - b.cost);
 }
@@ -182,9 +182,10 @@
 
 function expectedWait(
   { running, slots, unreadTokens }: RankedWorker,
-  { unread, speed }: { unread: number; speed: ServiceSpeed },
+  { unread, speed }: { unread: number; speed: ServiceTiming },
 ): number {
-  const prefillWait = speed.readRate === undefined ? 0 : (unreadTokens + unread) / speed.readRate;
+  const prefillWait =
+    speed.prefillRate === undefined ? 0 : (unreadTokens + unread) / speed.prefillRate;
   const excessRuns = running + 1 - slots;
   const slotWait = excessRuns > 0 ? (excessRuns * speed.runTime) / slots : 0;
   return prefillWait + slotWait;
--- a/src/decision/worker_ranking_test.ts
+++ b/src/decision/worker_ranking_test.ts
@@ -5,7 +5,7 @@
 import type { RankedWorker } from "./worker_ranking.ts";
 
 const RANDOM = createSeededRandom(1);
-const TIMING = { readRate: 100, runTime: 2_000 };
+const TIMING = { prefillRate: 100, runTime: 2_000 };
 
 function worker(index: number, changes: Partial<RankedWorker> = {}): RankedWorker {
   const id = `w${index}`;
@@ -15,9 +15,9 @@
     running: 0,
     unreadTokens: 0,
     slots: 48,
-    failing: 0,
-    sameZone: true,
-    coldFor: 0,
+    excessFailureRate: 0,
+    isSameZone: true,
+    warmupLeft: 0,
     ...changes,
   };
 }
@@ -70,14 +70,14 @@
 });
 
 test("avoids a failing worker until all others are busy", () => {
-  const workers = [worker(0, { failing: 0.4 }), worker(1, { running: 20 })];
+  const workers = [worker(0, { excessFailureRate: 0.4 }), worker(1, { running: 20 })];
   const request = { parts: [] };
   expect(rankWorkers(workers, { request, speed: TIMING, random: RANDOM })[0]?.worker.id).toBe("w1");
 });
 
 test("ranks a worker without free slots last", () => {
   const workers = [worker(0, { running: 6, slots: 6 }), worker(1, { running: 5, slots: 6 })];
-  const speed = { readRate: undefined, runTime: 50 };
+  const speed = { prefillRate: undefined, runTime: 50 };
   const ranked = rankWorkers(workers, { request: { parts: [] }, speed, random: RANDOM });
   expect(ranked.map((one) => one.worker.id)).toEqual(["w1", "w0"]);
   expect(ranked[1]?.wait).toBeGreaterThan(0);
@@ -87,7 +87,7 @@
 // the same one.
 test("spreads requests over equal workers", () => {
   const workers = [worker(0), worker(1), worker(2), worker(3)];
-  const speed = { readRate: undefined, runTime: 20 };
+  const speed = { prefillRate: undefined, runTime: 20 };
   const chosen = new Map<string, number>();
   for (let step = 0; step < 400; step++) {
     const [best] = rankWorkers(workers, { request: { parts: [] }, speed, random: RANDOM });
--- a/src/process/change_propagation_large_test.ts
+++ b/src/process/change_propagation_large_test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from "vitest";
-import { measurePropagation, startChangeFleet } from "./testing/news_fleet.ts";
+import { measurePropagation, startChangeFleet } from "./testing/sync_fleet.ts";
 
 /**
  * Maximum time in milliseconds from the store's acknowledgement until every instance has the
--- a/src/process/change_propagation_test.ts
+++ b/src/process/change_propagation_test.ts
@@ -1,7 +1,7 @@
 import { afterEach, expect, test } from "vitest";
-import { FleetRole } from "./fleet_tree.ts";
-import { measurePropagation, startChangeFleet } from "./testing/news_fleet.ts";
-import type { NewsFleet, NewsMember } from "./testing/news_fleet.ts";
+import { FleetRole } from "./fleet_topology.ts";
+import { measurePropagation, startChangeFleet } from "./testing/sync_fleet.ts";
+import type { SyncFleet, SyncMember } from "./testing/sync_fleet.ts";
 
 /**
  * Maximum time in milliseconds from the store's acknowledgement until every instance has the
@@ -14,18 +14,18 @@
   for (const close of closers.splice(0)) close();
 });
 
-async function startFleet(instances: number, seed = 1): Promise<NewsFleet> {
+async function startFleet(instances: number, seed = 1): Promise<SyncFleet> {
   const fleet = await startChangeFleet(instances, seed);
   closers.push(() => fleet.close());
   return fleet;
 }
 
-function relaysOf({ members }: NewsFleet): NewsMember[] {
-  return members.filter(({ news }) => news.role === FleetRole.Relay);
+function relaysOf({ members }: SyncFleet): SyncMember[] {
+  return members.filter(({ sync: news }) => news.role === FleetRole.Relay);
 }
 
 /** Drops all datagrams from one instance to the others. */
-function dropDatagramsFrom(fleet: NewsFleet, member: NewsMember): void {
+function dropDatagramsFrom(fleet: SyncFleet, member: SyncMember): void {
   for (const other of fleet.members) {
     fleet.network.cut.add(`${member.address}>${other.address}`);
   }
@@ -65,7 +65,7 @@
   "a change arrives within a second although digests are lost (seed %i)",
   async (seed) => {
     const fleet = await startFleet(67, seed);
-    fleet.network.trouble = { lost: 0.3, twice: 0.1 };
+    fleet.network.faults = { lost: 0.3, twice: 0.1 };
     for (let change = 0; change < 5; change++) {
       expect(await measurePropagation(fleet, [`w-${change}`])).toBeLessThanOrEqual(BOUND);
       expect(
@@ -129,7 +129,7 @@
 // the watchers to send it store changes.
 test("an instance that wrongly takes itself for a relay still receives changes", async () => {
   const fleet = await startFleet(67);
-  const isolated = fleet.members.filter(({ news }) => news.role === FleetRole.Member).at(-1);
+  const isolated = fleet.members.filter(({ sync: news }) => news.role === FleetRole.Member).at(-1);
   if (isolated === undefined) throw new Error("A fleet of 67 instances must have members.");
   // No digests pass between this instance and the rest of its zone.
   for (const other of fleet.members.filter(
--- a/src/process/configuration.ts
+++ b/src/process/configuration.ts
@@ -12,8 +12,8 @@
 import type { Revision, SlotMap } from "../version/index.ts";
 import { createObjectFollower } from "./object_follower.ts";
 import type { ObjectFollower, VersionedValue } from "./object_follower.ts";
-import { createStorePace } from "./store_pace.ts";
-import type { StoreThrottle } from "./store_pace.ts";
+import { createStoreThrottle } from "./store_throttle.ts";
+import type { StoreThrottle } from "./store_throttle.ts";
 import { subscribe } from "./subscription.ts";
 
 /**
@@ -44,18 +44,18 @@
   /** Resolves once a revision is known and starts following the configuration. */
   start(): Promise<void>;
   /** Applies an object that this instance has read or written itself. */
-  hear(key: string, object: VersionedValue): void;
+  receive(key: string, object: VersionedValue): void;
   /**
    * Compares the versions that a peer has applied with the local ones and pulls newer objects from
    * it.
    */
-  hearVersions(from: Member, marks: readonly VersionMark[]): void;
+  receiveVersions(from: Member, marks: readonly VersionMark[]): void;
   /** Returns the versions that this instance has applied. */
   versions(): readonly VersionMark[];
   /** Returns the local version of an object for a peer that pulls it. */
   pull(key: string): VersionedValue | undefined;
   /** Limits the rate of this instance's control calls to the store. */
-  readonly pace: StoreThrottle;
+  readonly throttle: StoreThrottle;
   close(): void;
 }
 
@@ -72,7 +72,7 @@
    * Returns when a message last arrived from a peer, in milliseconds of `clock`; undefined if none
    * has arrived.
    */
-  readonly peerHeardAt: () => number | undefined;
+  readonly lastPeerMessageAt: () => number | undefined;
   readonly count: (name: string) => void;
   /** Average interval between periodic rereads of each object, in milliseconds. */
   readonly reread?: number;
@@ -84,7 +84,7 @@
 export function createConfiguration(parts: ConfigurationParts): Configuration {
   const { clock, random, store, self } = parts;
   const listeners = new Set<() => void>();
-  const throttle = createStorePace({ clock, random, members: () => parts.alive().length });
+  const throttle = createStoreThrottle({ clock, random, members: () => parts.alive().length });
   let revision: Revision | undefined;
   let slotMap: SlotMap = EMPTY_SLOT_MAP;
   let storeAnsweredAt: number | undefined;
@@ -128,7 +128,7 @@
    */
   const readWhileIsolated = async (): Promise<void> => {
     while (!isClosed()) {
-      const isIsolated = timeSince(parts.peerHeardAt()) > ISOLATION_TIMEOUT;
+      const isIsolated = timeSince(parts.lastPeerMessageAt()) > ISOLATION_TIMEOUT;
       if (isIsolated && timeSince(storeAnsweredAt) > ISOLATED_READ_INTERVAL)
         await find(REVISION_KEY)?.reread();
       await sleep(clock, ISOLATED_READ_INTERVAL);
@@ -152,17 +152,17 @@
     }
   };
   return {
-    pace: throttle,
+    throttle,
     revision: () => revision,
     slotMap: () => slotMap,
     onChange: (listener) => subscribe(listeners, listener),
     isCutOff: () =>
-      Math.min(timeSince(storeAnsweredAt), timeSince(parts.peerHeardAt())) > CUT_OFF_TIMEOUT,
+      Math.min(timeSince(storeAnsweredAt), timeSince(parts.lastPeerMessageAt())) > CUT_OFF_TIMEOUT,
     refresh: async () => {
       await find(SLOT_MAP_KEY)?.reread();
     },
-    hear: (key, object) => find(key)?.receive(object),
-    hearVersions: (from, marks) => {
+    receive: (key, object) => find(key)?.receive(object),
+    receiveVersions: (from, marks) => {
       for (const { key, version } of marks) void find(key)?.receiveMark(from, version);
     },
     versions: () => followers.flatMap(markOf),
--- a/src/process/configuration_test.ts
+++ b/src/process/configuration_test.ts
@@ -105,7 +105,7 @@
   await fleet.clock.advance(12_000);
   expect(await applying).toMatchObject({ kind: "unknown", change: "c1" });
   fleet.store.setDown(false);
-  const asking = changes.ask("c1");
+  const asking = changes.getOutcome("c1");
   await fleet.clock.advance(20);
   expect(await asking).toMatchObject({ kind: "accepted", revision: 2 });
   fleet.close();
@@ -206,7 +206,7 @@
   await writeObject(fleet, { key: REVISION_KEY, value: revisionWith("peak") });
   await fleet.clock.advance(IN_FORCE_WITHIN);
   const [node] = fleet.nodes;
-  node?.configuration.hear(REVISION_KEY, { version: 1, value: MINIMAL_REVISION });
+  node?.configuration.receive(REVISION_KEY, { version: 1, value: MINIMAL_REVISION });
   expect(fleet.nodes.map(presetOf)).toEqual(["peak", "peak"]);
   fleet.close();
 });
--- a/src/process/control.ts
+++ b/src/process/control.ts
@@ -49,12 +49,12 @@
   const members: Membership = createMembership({
     ...parts,
     versions: () => configuration.versions(),
-    hearVersions: (from, marks) => configuration.hearVersions(from, marks),
+    receiveVersions: (from, marks) => configuration.receiveVersions(from, marks),
   });
   const configuration: Configuration = createConfiguration({
     ...parts,
     alive: () => members.alive(),
-    peerHeardAt: () => members.heardAt(),
+    lastPeerMessageAt: () => members.lastMessageAt(),
   });
   const slots = createSlotTask({
     clock,
@@ -66,7 +66,7 @@
     count,
   });
   // Sends a newly active version to peers immediately instead of with the next probe.
-  const subscription = configuration.onChange(() => members.spreadVersions());
+  const subscription = configuration.onChange(() => members.sendVersions());
   return {
     members,
     configuration,
--- a/src/process/count_history.ts
+++ b/src/process/count_history.ts
@@ -8,7 +8,7 @@
    * Records the counts at a time in milliseconds, which must not decrease. A snapshot is skipped if
    * the previous one is too recent.
    */
-  note(at: number, sums: CountsByKey): void;
+  record(at: number, sums: CountsByKey): void;
   /**
    * Returns the latest snapshot taken at or before `moment`, or the oldest one if all are later;
    * undefined if there is none.
@@ -27,7 +27,7 @@
 export function createCountHistory(): CountHistory {
   const snapshots: { readonly at: number; readonly sums: CountsByKey }[] = [];
   return {
-    note: (at, sums) => {
+    record: (at, sums) => {
       const last = snapshots.at(-1);
       if (last !== undefined && at - last.at < MIN_INTERVAL) return;
       snapshots.push({ at, sums: new Map([...sums].map(([key, counts]) => [key, { ...counts }])) });
--- a/src/process/count_history_test.ts
+++ b/src/process/count_history_test.ts
@@ -7,9 +7,9 @@
 test("earlier snapshots are kept", () => {
   const history = createCountHistory();
   expect(history.at(100)).toBeUndefined();
-  history.note(1_000, sums(10));
-  history.note(1_100, sums(11));
-  history.note(2_000, sums(20));
+  history.record(1_000, sums(10));
+  history.record(1_100, sums(11));
+  history.record(2_000, sums(20));
   expect(history.at(1_500)).toEqual(sums(10));
   expect(history.at(9_000)).toEqual(sums(20));
 });
@@ -17,7 +17,7 @@
 // An instance that has just taken over the lease has no snapshot from before that time.
 test("the oldest snapshot is returned for any earlier time", () => {
   const history = createCountHistory();
-  history.note(5_000, sums(10));
+  history.record(5_000, sums(10));
   expect(history.at(1_000)).toEqual(sums(10));
 });
 
--- a/src/process/count_log.ts
+++ b/src/process/count_log.ts
@@ -1,11 +1,11 @@
 import { countsByWindow } from "../decision/index.ts";
 import type { AccountCount, WindowCounts } from "../decision/index.ts";
 import { createChangeLog } from "./change_log.ts";
-import { NO_USE } from "./digest.ts";
-import type { InstanceNews, WorkerUse } from "./digest.ts";
+import { NO_WORKER_COUNTS } from "./digest.ts";
+import type { InstanceUpdate, WorkerCounts } from "./digest.ts";
 
 /** Complete counts that an instance can send at one moment. */
-export type InstanceCounts = Omit<InstanceNews, "isWhole" | "uptime" | "time">;
+export type InstanceCounts = Omit<InstanceUpdate, "isSnapshot" | "uptime" | "time">;
 
 /** Records counts by round, so that each receiver can be sent what it has not acknowledged. */
 export interface CountLog {
@@ -16,7 +16,7 @@
    *
    * @param since The last round that the receiver acknowledged; 0 if there is none.
    */
-  since(since: number): Omit<InstanceNews, "uptime" | "time"> | undefined;
+  since(since: number): Omit<InstanceUpdate, "uptime" | "time"> | undefined;
 }
 
 /**
@@ -30,7 +30,10 @@
 export function createCountLog(): CountLog {
   const isEqual = (a: number, b: number): boolean => a === b;
   const admitted = createChangeLog<string, number>({ tombstone: 0, equals: isEqual });
-  const use = createChangeLog<number, WorkerUse>({ tombstone: NO_USE, equals: isSameWorkerCounts });
+  const use = createChangeLog<number, WorkerCounts>({
+    tombstone: NO_WORKER_COUNTS,
+    equals: isSameWorkerCounts,
+  });
   /** Count of an account in a window, keyed by window number and account name. */
   const usage = createChangeLog<string, AccountCount>({ tombstone: NO_COUNT, equals: isSameCount });
   let latest: InstanceCounts | undefined;
@@ -40,19 +43,19 @@
       latest = state;
       lastRound = round;
       admitted.record(state.admitted, round);
-      use.record(state.use, round);
+      use.record(state.workerCounts, round);
       usage.record(usageByKey(state.usage), round);
       for (const log of [admitted, use, usage]) log.prune(round - RETAINED_ROUNDS);
     },
     since: (since) => {
       if (latest === undefined) return undefined;
-      const isWhole = since <= lastRound - RETAINED_ROUNDS || since === 0;
-      const from = isWhole ? 0 : since;
+      const isSnapshot = since <= lastRound - RETAINED_ROUNDS || since === 0;
+      const from = isSnapshot ? 0 : since;
       return {
-        isWhole,
+        isSnapshot: isSnapshot,
         admitted: admitted.since(from),
         usage: countsByWindow(withoutTombstones(usage.since(from))),
-        use: use.since(from),
+        workerCounts: use.since(from),
         leavingWorkers: latest.leavingWorkers,
       };
     },
@@ -65,7 +68,7 @@
   return a.window === b.window && a.account === b.account && a.count === b.count;
 }
 
-function isSameWorkerCounts(a: WorkerUse, b: WorkerUse): boolean {
+function isSameWorkerCounts(a: WorkerCounts, b: WorkerCounts): boolean {
   return (
     a.running === b.running &&
     a.unreadTokens === b.unreadTokens &&
--- a/src/process/crash_evidence_fleet_test.ts
+++ b/src/process/crash_evidence_fleet_test.ts
@@ -1,45 +1,45 @@
 import { afterEach, expect, test } from "vitest";
-import type { Suspect } from "../decision/index.ts";
-import { FleetRole } from "./fleet_tree.ts";
-import { startChangeFleet } from "./testing/news_fleet.ts";
-import type { NewsFleet, NewsMember } from "./testing/news_fleet.ts";
+import type { SuspectRequest } from "../decision/index.ts";
+import { FleetRole } from "./fleet_topology.ts";
+import { startChangeFleet } from "./testing/sync_fleet.ts";
+import type { SyncFleet, SyncMember } from "./testing/sync_fleet.ts";
 
-const CRASHING: Suspect = { name: "reason", key: 77 };
-const HARMLESS: Suspect = { name: "chance", key: 78 };
+const CRASHING: SuspectRequest = { name: "reason", key: 77 };
+const HARMLESS: SuspectRequest = { name: "chance", key: 78 };
 /** Maximum time after the third crash until every instance refuses the request, in milliseconds. */
 const PROPAGATION_TIME = 3_000;
 /** Test timeout in real milliseconds: hundreds of instances in one process take half a minute on a busy machine. */
 const TEST_TIMEOUT = 240_000;
 
-const fleets: NewsFleet[] = [];
+const fleets: SyncFleet[] = [];
 afterEach(() => {
   for (const fleet of fleets.splice(0)) fleet.close();
 });
 
-async function start(instances: number): Promise<NewsFleet> {
+async function start(instances: number): Promise<SyncFleet> {
   const fleet = await startChangeFleet(instances);
   fleets.push(fleet);
   return fleet;
 }
 
-function stop(member: NewsMember): void {
+function stop(member: SyncMember): void {
   member.isLive = false;
-  member.news.close();
+  member.sync.close();
   member.feed.close();
 }
 
 /** Sends the request unless the instance knows that it crashes workers. Every request sent crashes its worker. */
-function sendRequest({ clock }: NewsFleet, { evidence }: NewsMember): boolean {
+function sendRequest({ clock }: SyncFleet, { evidence }: SyncMember): boolean {
   const isSent = !evidence.isProven(CRASHING, clock.now());
-  if (isSent) evidence.crashed(CRASHING, clock.now());
+  if (isSent) evidence.recordCrash(CRASHING, clock.now());
   return isSent;
 }
 
-function liveMembers({ members }: NewsFleet): NewsMember[] {
+function liveMembers({ members }: SyncFleet): SyncMember[] {
   return members.filter(({ isLive }) => isLive);
 }
 
-function memberAt(fleet: NewsFleet, place: number): NewsMember {
+function memberAt(fleet: SyncFleet, place: number): SyncMember {
   const members = liveMembers(fleet);
   const found = members[(place * 7) % members.length];
   if (found === undefined) throw new Error("No live instance is left in the fleet.");
@@ -82,11 +82,11 @@
   "a fleet of %i instances refuses the request despite lost digests and stopped relays",
   async (size) => {
     const fleet = await start(size);
-    fleet.network.trouble.lost = 0.3;
+    fleet.network.faults.lost = 0.3;
     let sent = 0;
     for (let round = 0; round < 60; round++) {
       if (round === 2) {
-        const relays = liveMembers(fleet).filter(({ news }) => news.role === FleetRole.Relay);
+        const relays = liveMembers(fleet).filter(({ sync: news }) => news.role === FleetRole.Relay);
         for (const relay of relays.slice(0, 2)) stop(relay);
       }
       const isCounted = round * 200 > PROPAGATION_TIME;
@@ -104,9 +104,9 @@
     const fleet = await start(size);
     const { clock } = fleet;
     const answering = liveMembers(fleet).slice(0, size / 2);
-    for (const { evidence } of answering) evidence.answered(HARMLESS, clock.now());
+    for (const { evidence } of answering) evidence.recordAnswer(HARMLESS, clock.now());
     for (let crash = 0; crash < 4; crash++) {
-      memberAt(fleet, crash).evidence.crashed(HARMLESS, clock.now());
+      memberAt(fleet, crash).evidence.recordCrash(HARMLESS, clock.now());
     }
     await clock.advance(1_000);
     for (const { evidence } of answering) evidence.isProven(HARMLESS, clock.now());
--- a/src/process/crash_record.ts
+++ b/src/process/crash_record.ts
@@ -1,13 +1,13 @@
 import { z } from "zod";
-import { PROVING_CRASHES } from "../decision/index.ts";
+import { MIN_PROVING_CRASHES } from "../decision/index.ts";
 import type { FeedObject } from "../interface/index.ts";
-import { printNamed } from "../request/index.ts";
-import type { RequestPrint } from "../request/index.ts";
+import { fingerprintFromName } from "../request/index.ts";
+import type { RequestFingerprint } from "../request/index.ts";
 
 /** A request during which workers crashed, as recorded in the store. */
 export interface CrashRecord {
   /** Fingerprint of the request. */
-  readonly fingerprint: RequestPrint;
+  readonly fingerprint: RequestFingerprint;
   /** Number of workers that had crashed while running it when the record was written. */
   readonly crashes: number;
   /** Time of the write, in milliseconds since the Unix epoch. */
@@ -24,7 +24,7 @@
  * fewer crashes is only suspected.
  */
 export function isQuarantined(crashes: number): boolean {
-  return crashes >= PROVING_CRASHES;
+  return crashes >= MIN_PROVING_CRASHES;
 }
 
 /** Parses a record. Returns undefined if the object is invalid, because any client may write to the store. */
@@ -35,7 +35,7 @@
 }: FeedObject): CrashRecord | undefined {
   const value = valueSchema.safeParse(parseText(text));
   if (!NAME.test(name) || !value.success) return undefined;
-  return { fingerprint: printNamed(name), version, ...value.data };
+  return { fingerprint: fingerprintFromName(name), version, ...value.data };
 }
 
 /** Formats the value of a record for the store. */
--- a/src/process/digest.ts
+++ b/src/process/digest.ts
@@ -1,9 +1,9 @@
-import type { LimitStatement, WindowCounts } from "../decision/index.ts";
+import type { LimitReport, WindowCounts } from "../decision/index.ts";
 import type { FeedDelta } from "../interface/index.ts";
 import type { RolloutPlan } from "./rollout_plan.ts";
 
 /** Counts of one instance, or of several added up, at one worker. */
-export interface WorkerUse {
+export interface WorkerCounts {
   /** Runs in progress at the worker. */
   readonly running: number;
   /** Prompt tokens of runs at the worker that have not produced their first token yet. */
@@ -14,7 +14,7 @@
 }
 
 /** Zero counts. */
-export const NO_USE: WorkerUse = { running: 0, unreadTokens: 0, runs: 0, failures: 0 };
+export const NO_WORKER_COUNTS: WorkerCounts = { running: 0, unreadTokens: 0, runs: 0, failures: 0 };
 
 /** Properties of an instance that don't change while it runs. Addresses have the form `IP:PORT`. */
 export interface Introduction {
@@ -57,7 +57,7 @@
   /** How versions on trial are used, as last received from the lease holder. */
   readonly plans: readonly RolloutPlan[];
   /** Recent changes of the request rate limits that workers state, including limits withdrawn. */
-  readonly limits: readonly LimitStatement[];
+  readonly limits: readonly LimitReport[];
 }
 
 /** An instance as listed in another instance's digest. */
@@ -92,12 +92,12 @@
  * Counts of an instance or a group that changed since the last update that the receiver
  * acknowledged.
  */
-export interface InstanceNews {
+export interface InstanceUpdate {
   /**
    * Whether the update is a full snapshot, which replaces everything that the receiver has from
    * this sender.
    */
-  readonly isWhole: boolean;
+  readonly isSnapshot: boolean;
   /** Milliseconds since the sender started. */
   readonly uptime: number;
   /** The sender's estimate of the current time, in milliseconds since 1970. */
@@ -110,7 +110,7 @@
    * Worker counts by hash: of the worker's id, of the keys that count a version on trial, or of a
    * request's key.
    */
-  readonly use: ReadonlyMap<number, WorkerUse>;
+  readonly workerCounts: ReadonlyMap<number, WorkerCounts>;
   /**
    * Workers known to be leaving, each identified by id and start time. Listed for as long as they
    * exist.
@@ -136,7 +136,7 @@
   readonly introduction: Introduction | undefined;
   readonly scope: UpdateScope;
   /** Counts for the receiver; undefined if the scope is `None` or the receiver wants none. */
-  readonly update: InstanceNews | undefined;
+  readonly update: InstanceUpdate | undefined;
   /** Whether the sender uses the receiver's updates. */
   readonly wantsUpdate: boolean;
   /** Whether the counts include those of the receiver, up to the acknowledged digest. */
--- a/src/process/digest_codec.ts
+++ b/src/process/digest_codec.ts
@@ -12,10 +12,10 @@
 } from "../gen/digest_pb.ts";
 import type * as wire from "../gen/digest_pb.ts";
 import { countsByWindow, RolloutPhase } from "../decision/index.ts";
-import type { LimitStatement, WindowCounts } from "../decision/index.ts";
+import type { LimitReport, WindowCounts } from "../decision/index.ts";
 import type { FeedDelta, FeedObject } from "../interface/index.ts";
 import { UpdateScope } from "./digest.ts";
-import type { Digest, InstanceNews, Introduction, Roster, WorkerUse } from "./digest.ts";
+import type { Digest, InstanceUpdate, Introduction, Roster, WorkerCounts } from "./digest.ts";
 import type { RolloutPlan } from "./rollout_plan.ts";
 
 /**
@@ -101,7 +101,7 @@
   return { service, to, fence: Number(fence), phase, age, startedAt: Number(startedAt) };
 }
 
-function encodeLimit({ worker, perSecond, at }: LimitStatement): wire.WorkerLimit {
+function encodeLimit({ worker, perSecond, at }: LimitReport): wire.WorkerLimit {
   return create(WorkerLimitSchema, {
     worker,
     ...(perSecond === undefined ? {} : { perSecond }),
@@ -109,7 +109,7 @@
   });
 }
 
-function decodeLimit({ worker, perSecond, at }: wire.WorkerLimit): LimitStatement {
+function decodeLimit({ worker, perSecond, at }: wire.WorkerLimit): LimitReport {
   return { worker, perSecond, at: Number(at) };
 }
 
@@ -137,15 +137,15 @@
   return JSON.stringify(value ?? null);
 }
 
-function encodeUpdate(update: InstanceNews): wire.News {
-  const counts = [...update.use.values()];
+function encodeUpdate(update: InstanceUpdate): wire.News {
+  const counts = [...update.workerCounts.values()];
   return create(NewsSchema, {
-    whole: update.isWhole,
+    whole: update.isSnapshot,
     age: Math.min(MAX_UPTIME, Math.round(update.uptime)),
     time: BigInt(Math.round(update.time)),
     accounts: accountsOf(update),
     window: BigInt(lastWindow(update)),
-    workers: [...update.use.keys()],
+    workers: [...update.workerCounts.keys()],
     running: counts.map(({ running }) => running),
     unread: counts.map(({ unreadTokens }) => Math.ceil(unreadTokens / UNREAD_TOKENS_PER_UNIT)),
     runs: counts.map(({ runs }) => runs),
@@ -155,7 +155,7 @@
 }
 
 /** Groups all counts by account, because the account names take most of the space. */
-function accountsOf({ admitted, usage }: InstanceNews): wire.AccountNews[] {
+function accountsOf({ admitted, usage }: InstanceUpdate): wire.AccountNews[] {
   const last = lastWindow({ usage });
   const names = new Set([
     ...admitted.keys(),
@@ -175,7 +175,7 @@
   });
 }
 
-function lastWindow({ usage }: Pick<InstanceNews, "usage">): number {
+function lastWindow({ usage }: Pick<InstanceUpdate, "usage">): number {
   return Math.max(0, ...usage.map(({ window }) => window));
 }
 
@@ -263,15 +263,15 @@
   return [running, unread, runs, failures].every(({ length }) => length === workers.length);
 }
 
-function decodeUpdate(news: wire.News): InstanceNews {
-  const countsAt = (index: number): WorkerUse => ({
+function decodeUpdate(news: wire.News): InstanceUpdate {
+  const countsAt = (index: number): WorkerCounts => ({
     running: news.running[index] ?? 0,
     unreadTokens: (news.unread[index] ?? 0) * UNREAD_TOKENS_PER_UNIT,
     runs: news.runs[index] ?? 0,
     failures: news.failures[index] ?? 0,
   });
   return {
-    isWhole: news.whole,
+    isSnapshot: news.whole,
     uptime: news.age,
     time: Number(news.time),
     admitted: new Map(
@@ -280,7 +280,7 @@
         .map(({ account, admitted }) => [account, Number(admitted)]),
     ),
     usage: decodeUsage(news),
-    use: new Map(news.workers.map((worker, index) => [worker, countsAt(index)])),
+    workerCounts: new Map(news.workers.map((worker, index) => [worker, countsAt(index)])),
     leavingWorkers: news.leaving,
   };
 }
--- a/src/process/digest_codec_test.ts
+++ b/src/process/digest_codec_test.ts
@@ -3,14 +3,14 @@
 import { RolloutPhase } from "../decision/index.ts";
 import { decodeDigest, encodeDigest } from "./digest_codec.ts";
 import { UpdateScope } from "./digest.ts";
-import type { Digest, InstanceNews } from "./digest.ts";
+import type { Digest, InstanceUpdate } from "./digest.ts";
 
 const COUNT = fc.integer({ min: 1, max: 2 ** 31 });
 const NAME = fc.string({ minLength: 1, maxLength: 20 });
 const SESSION = fc.integer({ min: 1, max: 2 ** 32 - 1 });
 
-const UPDATE: fc.Arbitrary<InstanceNews> = fc.record({
-  isWhole: fc.boolean(),
+const UPDATE: fc.Arbitrary<InstanceUpdate> = fc.record({
+  isSnapshot: fc.boolean(),
   uptime: fc.nat(3_600_000),
   time: fc.nat({ max: 2 ** 50 }),
   admitted: fc.array(fc.tuple(NAME, COUNT)).map((entries) => new Map(entries)),
@@ -18,7 +18,7 @@
   usage: fc
     .array(fc.dictionary(NAME, COUNT, { minKeys: 1, noNullPrototype: true }), { maxLength: 4 })
     .map((windows) => windows.map((counts, index) => ({ window: 1_000 + index, counts }))),
-  use: fc
+  workerCounts: fc
     .array(
       fc.tuple(
         SESSION,
@@ -134,7 +134,7 @@
       const read = decodeDigest(bytes);
       if (read === undefined) return;
       expect(read.session).toBeGreaterThan(0);
-      for (const { running } of read.update?.use.values() ?? []) {
+      for (const { running } of read.update?.workerCounts.values() ?? []) {
         expect(Number.isInteger(running)).toBe(true);
       }
     }),
--- a/src/process/digest_rounds.ts
+++ b/src/process/digest_rounds.ts
@@ -1,9 +1,9 @@
 import { sample } from "../decision/index.ts";
 import type { FeedDelta, Random } from "../interface/index.ts";
 import { UpdateScope } from "./digest.ts";
-import type { Digest, InstanceNews, InstanceState, Introduction, Roster } from "./digest.ts";
+import type { Digest, InstanceUpdate, InstanceState, Introduction, Roster } from "./digest.ts";
 import type { FleetTable } from "./fleet_table.ts";
-import { FleetRole } from "./fleet_tree.ts";
+import { FleetRole } from "./fleet_topology.ts";
 import type { UpdateSources } from "./update_sources.ts";
 import { createCountLog, RETAINED_ROUNDS } from "./count_log.ts";
 import type { CountLog, InstanceCounts } from "./count_log.ts";
@@ -38,7 +38,7 @@
   readonly sources: () => Pick<UpdateSources, "accepts" | "includes">;
   readonly state: () => InstanceState;
   readonly counts: (scope: UpdateScope) => InstanceCounts;
-  readonly timestamps: () => Pick<InstanceNews, "time" | "uptime">;
+  readonly timestamps: () => Pick<InstanceUpdate, "time" | "uptime">;
   readonly deltasSince: (versions: ReadonlyMap<string, number>) => readonly FeedDelta[];
 }
 
--- a/src/process/entry_core.ts
+++ b/src/process/entry_core.ts
@@ -1,6 +1,6 @@
 import type { OperatorService } from "../connection/index.ts";
 import { createScheduler } from "../decision/index.ts";
-import type { EntryLoad, EntryStance, Scheduler } from "../decision/index.ts";
+import type { EntryLoad, EntryMode, Scheduler } from "../decision/index.ts";
 import type {
   Clock,
   Cloud,
@@ -108,21 +108,21 @@
   const stopAccepting = (): void => {
     members.leave();
     void leases.release();
-    requests.stopTaking();
+    requests.stopAccepting();
   };
   const handOver = async (): Promise<void> => {
     stopAccepting();
-    await requests.cedeAll();
+    await requests.handOverAll();
   };
   // A second stop signal or a reclaim notice during the drain joins the drain in progress.
   let draining: Promise<void> | undefined;
   const drain = async (): Promise<void> => {
     stopAccepting();
     await requests.whenIdle();
-    await requests.cedeAll();
+    await requests.handOverAll();
   };
   const { readLoad } = settings;
-  const onStanceChange = (stance: EntryStance): void => requests.setStance(stance);
+  const onStanceChange = (stance: EntryMode): void => requests.setStance(stance);
   const overload =
     readLoad === undefined
       ? undefined
@@ -130,9 +130,9 @@
   const tasks = { ...dependencies, configuration, members, workers, count };
   const leases = createLeaseTask({
     ...tasks,
-    pace: configuration.pace,
+    throttle: configuration.throttle,
     duties: () => Object.keys(configuration.revision()?.deployment.services ?? {}),
-    longestOrder: ORDER_TIMEOUT,
+    maxOrderTime: ORDER_TIMEOUT,
   });
   const orders = createOrderTask({ ...tasks, leases });
   const notices = createNoticeTask(tasks);
--- a/src/process/fleet_news.ts
+++ b/src/process/fleet_sync.ts
@@ -1,18 +1,18 @@
 import { randomInt } from "node:crypto";
 import type { DatagramParts, Datagrams } from "../connection/datagrams.ts";
 import type {
-  RepeatAllowance,
+  RepeatBudget,
   SharedQuota,
-  TrueTime,
+  FleetTime,
   UsageLedger,
   WorkerHealth,
 } from "../decision/index.ts";
 import type { Clock, FeedChange, FeedDelta, FeedObject, Random } from "../interface/index.ts";
 import { objectText } from "./digest_codec.ts";
 import { UpdateScope } from "./digest.ts";
-import type { Digest, InstanceNews, InstanceState, WorkerUse } from "./digest.ts";
+import type { Digest, InstanceUpdate, InstanceState, WorkerCounts } from "./digest.ts";
 import type { FeedFollower } from "./feed_follower.ts";
-import { FleetRole } from "./fleet_tree.ts";
+import { FleetRole } from "./fleet_topology.ts";
 import { createGroupTotals } from "./group_totals.ts";
 import type { UpdateSource } from "./update_sources.ts";
 import type { InstanceCounts } from "./count_log.ts";
@@ -20,7 +20,7 @@
 import type { PeerInstance } from "./peer.ts";
 import { createPeerExchange } from "./peer_exchange.ts";
 import type { PeerExchange } from "./peer_exchange.ts";
-import type { RoutedBoard } from "./routed_board.ts";
+import type { RoutedWorkerTable } from "./routed_worker_table.ts";
 import type { RoutedLog } from "./routed_log.ts";
 import { capacityOf } from "./routed_settings.ts";
 import type { RoutedSettings } from "./routed_settings.ts";
@@ -35,12 +35,12 @@
    * Returns the worker counts summed over all instances. On a member of a large fleet it returns
    * only this instance's own.
    */
-  sums(): ReadonlyMap<number, WorkerUse>;
+  sums(): ReadonlyMap<number, WorkerCounts>;
   /**
    * Returns the counts of all other instances for one hash, if a relay sends them or the sums
    * contain them.
    */
-  sumOf(key: number): WorkerUse | undefined;
+  sumOf(key: number): WorkerCounts | undefined;
 }
 
 /** Dependencies of the synchronization. */
@@ -51,16 +51,16 @@
   readonly log: RoutedLog;
   readonly feeds: ReadonlyMap<string, FeedFollower>;
   readonly state: () => Omit<InstanceState, "isCurrent" | "versions">;
-  readonly time: TrueTime;
+  readonly time: FleetTime;
   readonly quota: SharedQuota;
-  readonly repeats: RepeatAllowance;
+  readonly repeats: RepeatBudget;
   readonly ledger: UsageLedger;
   readonly health: WorkerHealth;
-  readonly board: RoutedBoard;
+  readonly board: RoutedWorkerTable;
   /** Called with every digest before its update is applied. */
-  readonly onHeard: (peer: PeerInstance) => void;
+  readonly onDigest: (peer: PeerInstance) => void;
   /** Called with every digest after the store changes in it have been applied. */
-  readonly onTold: (peer: PeerInstance) => void;
+  readonly onDigestApplied: (peer: PeerInstance) => void;
   readonly open: (parts: DatagramParts) => Promise<Datagrams>;
 }
 
@@ -86,7 +86,7 @@
 const MAX_LOGGED_NAMES = 16;
 
 /** Creates the synchronization. Nothing is sent before it is started. */
-export function createFleetNews(parts: FleetSyncParts): FleetSync {
+export function createFleetSync(parts: FleetSyncParts): FleetSync {
   const { settings, clock, random, log, feeds, time, quota, ledger, health, board } = parts;
   const session = randomInt(1, SESSION_RANGE);
   const startedAt = clock.now();
@@ -94,31 +94,31 @@
   const totals = { group: createGroupTotals(), fleet: createGroupTotals() };
 
   const collectOwnCounts = (): InstanceCounts => ({
-    admitted: quota.tell(clock.now()),
-    usage: ledger.own().slice(-SENT_WINDOWS),
-    use: board.use(),
+    admitted: quota.createReport(clock.now()),
+    usage: ledger.ownCounts().slice(-SENT_WINDOWS),
+    workerCounts: board.use(),
     leavingWorkers: board.leaving(),
   });
   /** Counts of all other instances as last received from a relay, if this instance is a member. */
-  let relayedCounts: ReadonlyMap<number, WorkerUse> = new Map();
+  let relayedCounts: ReadonlyMap<number, WorkerCounts> = new Map();
   let lastLogged = "";
   let own: InstanceCounts | undefined;
   const countsOf = (scope: UpdateScope): InstanceCounts => {
     // A round starts with this instance's own counts, so that the sums describe the same moment.
     if (scope === UpdateScope.Own || own === undefined) return (own = collectOwnCounts());
     if (scope === UpdateScope.Fleet) return { ...own, ...totals.fleet.plus(own), usage: [] };
-    const usage = ledger.group().slice(-SENT_WINDOWS);
+    const usage = ledger.groupTotals().slice(-SENT_WINDOWS);
     return { ...own, ...totals.group.plus(own), usage };
   };
-  const onUpdate = ({ id, subject, scope }: UpdateSource, update: InstanceNews): void => {
+  const onUpdate = ({ id, subject, scope }: UpdateSource, update: InstanceUpdate): void => {
     const now = clock.now();
-    quota.heard(id, { admitted: update.admitted, age: update.uptime });
-    board.heard(id, update);
-    health.heard(id, update.use, now);
-    board.heardLeaving(update.leavingWorkers);
-    if (scope === UpdateScope.Group) ledger.heardGroup(subject, update.usage);
-    else ledger.heard(subject, update.usage);
-    if (scope === UpdateScope.Fleet) relayedCounts = update.use;
+    quota.receiveReport(id, { admitted: update.admitted, age: update.uptime });
+    board.updateOccupancy(id, update);
+    health.receiveCounts(id, update.workerCounts, now);
+    board.markLeaving(update.leavingWorkers);
+    if (scope === UpdateScope.Group) ledger.mergeGroup(subject, update.usage);
+    else ledger.mergeInstance(subject, update.usage);
+    if (scope === UpdateScope.Fleet) relayedCounts = update.workerCounts;
     if (exchange.role === FleetRole.Member) return;
     const isNew = update.uptime < MAX_NEW_UPTIME;
     totals.fleet.receive(id, update, isNew);
@@ -127,11 +127,11 @@
   };
   const onDigest = (peer: PeerInstance, digest: Digest): void => {
     if (digest.update !== undefined) {
-      time.heard(peer.incarnation, { time: digest.update.time, steady: clock.now() });
+      time.addSample(peer.incarnation, { time: digest.update.time, steady: clock.now() });
     }
-    parts.onHeard(peer);
+    parts.onDigest(peer);
     for (const delta of digest.feedDeltas) feeds.get(delta.kind)?.applyDelta(delta);
-    parts.onTold(peer);
+    parts.onDigestApplied(peer);
   };
   const deltasSince = (versions: ReadonlyMap<string, number>): FeedDelta[] =>
     [...feeds].flatMap(([kind, feed]) => {
@@ -143,11 +143,11 @@
   const updateMembers = (): void => {
     const live = exchange.live();
     const count = exchange.members;
-    parts.repeats.setMembers(count);
-    quota.setReach({ heard: live.length + 1, members: count });
+    parts.repeats.setMemberCount(count);
+    quota.setReachability({ heard: live.length + 1, members: count });
     const sources = exchange.sources();
-    board.keepInstances(sources);
-    health.keepInstances(sources);
+    board.retainInstances(sources);
+    health.retainInstances(sources);
     for (const sums of [totals.group, totals.fleet]) sums.retainSources(sources);
     const names = live.map(({ name, ready }) => `${name}${ready ? "" : "-"}`).sort();
     const heard = names.length > MAX_LOGGED_NAMES ? names.length : names.join(" ");
@@ -187,12 +187,12 @@
   });
   const isFed = (): boolean => {
     const from = clock.now() - FEEDER_TIMEOUT;
-    return exchange.feeders().some(({ heardAt }) => heardAt >= from);
+    return exchange.feeders().some(({ receivedAt: heardAt }) => heardAt >= from);
   };
   return Object.assign(exchange, {
     incarnation: incarnationOf(settings.name, session),
     isFed,
-    sums: () => totals.fleet.plus({ admitted: new Map(), use: board.use() }).use,
+    sums: () => totals.fleet.plus({ admitted: new Map(), workerCounts: board.use() }).workerCounts,
     sumOf: (key: number) =>
       exchange.role === FleetRole.Member ? relayedCounts.get(key) : totals.fleet.countsOf(key),
   });
