--- a/src/process/fleet_sync_test.ts
+++ b/src/process/fleet_sync_test.ts
@@ -1,68 +1,68 @@
 import { afterEach, expect, test, vi } from "vitest";
 import { createSeededRandom } from "../interface/index.ts";
-import { FleetRole } from "./fleet_tree.ts";
-import { NEWS_SERVICE, FLEET_WINDOW, startNewsFleet } from "./testing/news_fleet.ts";
-import type { NewsFleet, NewsMember } from "./testing/news_fleet.ts";
+import { FleetRole } from "./fleet_topology.ts";
+import { FLEET_SERVICE, FLEET_WINDOW, startSyncFleet } from "./testing/sync_fleet.ts";
+import type { SyncFleet, SyncMember } from "./testing/sync_fleet.ts";
 
 const ACCOUNT = "club";
 const WORKERS = 8;
 
 /** Number of runs that each instance has started at every worker. */
-const startedRuns = new Map<NewsMember, number>();
+const startedRuns = new Map<SyncMember, number>();
 const closers: (() => void)[] = [];
 afterEach(() => {
   startedRuns.clear();
   for (const close of closers.splice(0)) close();
 });
 
-async function startFleet(instances: number, seed = 1): Promise<NewsFleet> {
-  const fleet = await startNewsFleet({ instances, workers: WORKERS, accounts: [ACCOUNT], seed });
+async function startFleet(instances: number, seed = 1): Promise<SyncFleet> {
+  const fleet = await startSyncFleet({ instances, workers: WORKERS, accounts: [ACCOUNT], seed });
   closers.push(() => fleet.close());
   await fleet.clock.advance(4_000);
   return fleet;
 }
 
 /** Starts one run at each worker. */
-function startRuns(fleet: NewsFleet, member: NewsMember): void {
+function startRuns(fleet: SyncFleet, member: SyncMember): void {
   for (let worker = 0; worker < WORKERS; worker++)
     fleet.begin(member, { worker, account: ACCOUNT });
   startedRuns.set(member, (startedRuns.get(member) ?? 0) + 1);
 }
 
-function runningCounts({ board }: NewsMember): number[] {
-  return board.loads(NEWS_SERVICE).map((load) => load.running);
+function runningCounts({ board }: SyncMember): number[] {
+  return board.loads(FLEET_SERVICE).map((load) => load.running);
 }
 
-function expected(members: readonly NewsMember[]): number[] {
+function expected(members: readonly SyncMember[]): number[] {
   const all = members.reduce((sum, one) => sum + (one.isLive ? (startedRuns.get(one) ?? 0) : 0), 0);
   return Array.from({ length: WORKERS }, () => all);
 }
 
 /** Returns the total number of runs ever started. */
-function totalRuns(members: readonly NewsMember[]): number {
+function totalRuns(members: readonly SyncMember[]): number {
   return WORKERS * members.reduce((sum, one) => sum + (startedRuns.get(one) ?? 0), 0);
 }
 
-function relaysOf(members: readonly NewsMember[]): NewsMember[] {
-  return members.filter(({ news, isLive }) => isLive && news.role === FleetRole.Relay);
+function relaysOf(members: readonly SyncMember[]): SyncMember[] {
+  return members.filter(({ sync: news, isLive }) => isLive && news.role === FleetRole.Relay);
 }
 
-function stop(member: NewsMember): void {
+function stop(member: SyncMember): void {
   member.isLive = false;
-  member.news.close();
+  member.sync.close();
   member.feed.close();
 }
 
 /** Returns the instances that query the store on behalf of all others. */
-function watchersOf({ members, store }: NewsFleet): NewsMember[] {
+function watchersOf({ members, store }: SyncFleet): SyncMember[] {
   const before = new Map(store.calls);
   return members.filter(
-    ({ news, isLive }, index) => isLive && !news.isFed() && before.has(`e${index}`),
+    ({ sync: news, isLive }, index) => isLive && !news.isFed() && before.has(`e${index}`),
   );
 }
 
 /** Returns how many instances have each value of a store object. */
-function countByValue({ members }: NewsFleet, name: string): Map<unknown, number> {
+function countByValue({ members }: SyncFleet, name: string): Map<unknown, number> {
   const counts = new Map<unknown, number>();
   for (const { feed, isLive } of members) {
     const value = feed.objects.get(name)?.value;
@@ -85,8 +85,8 @@
     }
     await clock.advance(1_500);
     for (const member of members) {
-      expect(member.news.members).toBe(size);
-      expect(member.news.live().length).toBe(size - 1);
+      expect(member.sync.members).toBe(size);
+      expect(member.sync.live().length).toBe(size - 1);
       expect(runningCounts(member)).toEqual(expected(members));
     }
     const relays = relaysOf(members);
@@ -104,13 +104,13 @@
   async (seed) => {
     const fleet = await startFleet(24, seed);
     const { clock, network, members } = fleet;
-    network.trouble = { lost: 0.2, twice: 0.2 };
+    network.faults = { lost: 0.2, twice: 0.2 };
     const random = createSeededRandom(100 + seed);
     for (let step = 0; step < 100; step++) {
       for (const member of members) if (random.next() < 0.1) startRuns(fleet, member);
       await clock.advance(50);
     }
-    network.trouble = { lost: 0, twice: 0 };
+    network.faults = { lost: 0, twice: 0 };
     await clock.advance(4_000);
     for (const member of members) expect(runningCounts(member)).toEqual(expected(members));
   },
@@ -130,7 +130,7 @@
   await clock.advance(3_500);
   for (const member of survivors) {
     expect(runningCounts(member)).toEqual(expected(members));
-    expect(member.news.live().length).toBe(37);
+    expect(member.sync.live().length).toBe(37);
   }
   for (const member of survivors) startRuns(fleet, member);
   await clock.advance(1_500);
@@ -181,15 +181,15 @@
 test("a member of a large fleet sends a few messages per period", async () => {
   const fleet = await startFleet(120);
   const { clock, members } = fleet;
-  const before = members.map(({ news }) => news.bytesSent);
+  const before = members.map(({ sync: news }) => news.bytesSent);
   const random = createSeededRandom(3);
   for (let step = 0; step < 40; step++) {
     for (const member of members) if (random.next() < 0.15) startRuns(fleet, member);
     await clock.advance(50);
   }
-  const rates = members.map(({ news }, index) => (news.bytesSent - (before[index] ?? 0)) / 2);
+  const rates = members.map(({ sync: news }, index) => (news.bytesSent - (before[index] ?? 0)) / 2);
   for (const [index, member] of members.entries()) {
-    if (member.news.role === FleetRole.Member) expect(rates[index]).toBeLessThan(2_048);
+    if (member.sync.role === FleetRole.Member) expect(rates[index]).toBeLessThan(2_048);
   }
   expect(relaysOf(members).length).toBe(8);
 });
@@ -239,8 +239,8 @@
 // second would admit a share of the quota each time without the others' knowledge.
 test("reading the sums does not count as a report", async () => {
   const { members } = await startFleet(14);
-  for (const { news, quota } of members) {
-    const tell = vi.spyOn(quota, "tell");
+  for (const { sync: news, quota } of members) {
+    const tell = vi.spyOn(quota, "createReport");
     news.sums();
     expect(tell).not.toHaveBeenCalled();
   }
--- a/src/process/fleet_table.ts
+++ b/src/process/fleet_table.ts
@@ -2,8 +2,8 @@
 import type { Digest, Introduction, RosterEntry } from "./digest.ts";
 import { createFleetRoster } from "./fleet_roster.ts";
 import type { FleetRoster } from "./fleet_roster.ts";
-import { FleetRole, planTopology } from "./fleet_tree.ts";
-import type { FleetTopology } from "./fleet_tree.ts";
+import { FleetRole, planTopology } from "./fleet_topology.ts";
+import type { FleetTopology } from "./fleet_topology.ts";
 import { isResponding, NEVER, createPeer } from "./peer.ts";
 import type { Peer, PeerInstance } from "./peer.ts";
 
--- a/src/process/fleet_tree.ts
+++ b/src/process/fleet_topology.ts
@@ -55,7 +55,7 @@
  * Maximum number of instances that send updates to each other directly: about a dozen messages per
  * period each.
  */
-export const GREATEST_MESH = 13;
+export const MAX_MESH_SIZE = 13;
 /**
  * Relays per zone. With a single relay, a zone would receive nothing until its failure is detected.
  */
@@ -81,7 +81,7 @@
   others: readonly TopologyInstance[],
 ): FleetTopology {
   const all = [self, ...others];
-  if (all.length <= GREATEST_MESH) {
+  if (all.length <= MAX_MESH_SIZE) {
     return { role: FleetRole.Mesh, relays: new Map(), watchers: new Set() };
   }
   const zones = new Map<string, TopologyInstance[]>();
--- a/src/process/fleet_topology_test.ts
+++ b/src/process/fleet_topology_test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from "vitest";
-import { FleetRole, GREATEST_MESH, planTopology } from "./fleet_tree.ts";
-import type { TopologyInstance } from "./fleet_tree.ts";
+import { FleetRole, MAX_MESH_SIZE, planTopology } from "./fleet_topology.ts";
+import type { TopologyInstance } from "./fleet_topology.ts";
 
 function fleet(size: number): TopologyInstance[] {
   return Array.from({ length: size }, (_, index) => ({
@@ -55,7 +55,7 @@
 });
 
 test("a small fleet has no relays", () => {
-  const plan = planOf(fleet(GREATEST_MESH), 0);
+  const plan = planOf(fleet(MAX_MESH_SIZE), 0);
   expect(plan.role).toBe(FleetRole.Mesh);
   expect(plan.relays.size + plan.watchers.size).toBe(0);
 });
--- a/src/process/group_totals.ts
+++ b/src/process/group_totals.ts
@@ -1,8 +1,8 @@
-import type { InstanceNews, WorkerUse } from "./digest.ts";
-import { NO_USE } from "./digest.ts";
+import type { InstanceUpdate, WorkerCounts } from "./digest.ts";
+import { NO_WORKER_COUNTS } from "./digest.ts";
 
 /** Counts that are summed over instances. */
-export type GroupCounts = Pick<InstanceNews, "admitted" | "use">;
+export type GroupCounts = Pick<InstanceUpdate, "admitted" | "workerCounts">;
 
 /** Running sums of the counts received from several sources (instances or groups of instances). */
 export interface GroupTotals {
@@ -14,7 +14,7 @@
    */
   receive(
     source: string,
-    update: GroupCounts & { readonly isWhole: boolean },
+    update: GroupCounts & { readonly isSnapshot: boolean },
     isNew: boolean,
   ): void;
   /**
@@ -23,14 +23,14 @@
    */
   retainSources(sources: ReadonlySet<string>): void;
   /** Returns the sum for one worker, excluding this instance's own counts. */
-  countsOf(worker: number): WorkerUse | undefined;
+  countsOf(worker: number): WorkerCounts | undefined;
   /** Returns the sums including this instance's own counts. */
   plus(own: GroupCounts): GroupCounts;
 }
 
 interface SourceCounts {
   readonly admitted: Map<string, number>;
-  readonly workerCounts: Map<number, WorkerUse>;
+  readonly workerCounts: Map<number, WorkerCounts>;
 }
 
 /**
@@ -44,12 +44,12 @@
 export function createGroupTotals(): GroupTotals {
   const sources = new Map<string, SourceCounts>();
   const admitted = new Map<string, number>();
-  const workerSums = new Map<number, WorkerUse>();
+  const workerSums = new Map<number, WorkerCounts>();
   /** Number of sources that list each worker. */
   const sourcesPerWorker = new Map<number, number>();
 
-  const add = (worker: number, delta: WorkerUse): void => {
-    workerSums.set(worker, addWorkerCounts(workerSums.get(worker) ?? NO_USE, delta));
+  const add = (worker: number, delta: WorkerCounts): void => {
+    workerSums.set(worker, addWorkerCounts(workerSums.get(worker) ?? NO_WORKER_COUNTS, delta));
   };
   const adjustSourceCount = (worker: number, delta: number): void => {
     const count = (sourcesPerWorker.get(worker) ?? 0) + delta;
@@ -62,7 +62,7 @@
   };
   const removeSource = (source: string): void => {
     for (const [worker, { running, unreadTokens }] of sources.get(source)?.workerCounts ?? []) {
-      add(worker, { ...NO_USE, running: -running, unreadTokens: -unreadTokens });
+      add(worker, { ...NO_WORKER_COUNTS, running: -running, unreadTokens: -unreadTokens });
       adjustSourceCount(worker, -1);
     }
     sources.delete(source);
@@ -70,13 +70,13 @@
   const applyWorkerCounts = (
     sourceCounts: SourceCounts,
     worker: number,
-    latest: WorkerUse,
+    latest: WorkerCounts,
     isCounted: boolean,
   ): void => {
     const before = sourceCounts.workerCounts.get(worker);
     const isEmpty = latest.running === 0 && latest.unreadTokens === 0 && latest.runs === 0;
     if (isEmpty && before === undefined) return;
-    const { running, unreadTokens, runs, failures } = before ?? NO_USE;
+    const { running, unreadTokens, runs, failures } = before ?? NO_WORKER_COUNTS;
     add(worker, {
       running: latest.running - running,
       unreadTokens: latest.unreadTokens - unreadTokens,
@@ -94,12 +94,13 @@
       const sourceCounts: SourceCounts = before ?? { admitted: new Map(), workerCounts: new Map() };
       sources.set(source, sourceCounts);
       const isCounted = before !== undefined || isNew;
-      if (update.isWhole) {
+      if (update.isSnapshot) {
         for (const worker of sourceCounts.workerCounts.keys()) {
-          if (!update.use.has(worker)) applyWorkerCounts(sourceCounts, worker, NO_USE, isCounted);
+          if (!update.workerCounts.has(worker))
+            applyWorkerCounts(sourceCounts, worker, NO_WORKER_COUNTS, isCounted);
         }
       }
-      for (const [worker, latest] of update.use)
+      for (const [worker, latest] of update.workerCounts)
         applyWorkerCounts(sourceCounts, worker, latest, isCounted);
       for (const [account, count] of update.admitted) {
         const increase = count - (sourceCounts.admitted.get(account) ?? 0);
@@ -113,22 +114,23 @@
     countsOf: (worker) => workerSums.get(worker),
     plus: (own) => ({
       admitted: addAccountCounts(admitted, own.admitted),
-      use: addAllWorkerCounts(workerSums, own.use),
+      workerCounts: addAllWorkerCounts(workerSums, own.workerCounts),
     }),
   };
 }
 
 /** Adds two sets of worker counts. */
 function addAllWorkerCounts(
-  a: ReadonlyMap<number, WorkerUse>,
-  b: ReadonlyMap<number, WorkerUse>,
-): Map<number, WorkerUse> {
+  a: ReadonlyMap<number, WorkerCounts>,
+  b: ReadonlyMap<number, WorkerCounts>,
+): Map<number, WorkerCounts> {
   const sums = new Map(a);
-  for (const [worker, use] of b) sums.set(worker, addWorkerCounts(sums.get(worker) ?? NO_USE, use));
+  for (const [worker, use] of b)
+    sums.set(worker, addWorkerCounts(sums.get(worker) ?? NO_WORKER_COUNTS, use));
   return sums;
 }
 
-function addWorkerCounts(a: WorkerUse, b: WorkerUse): WorkerUse {
+function addWorkerCounts(a: WorkerCounts, b: WorkerCounts): WorkerCounts {
   return {
     running: a.running + b.running,
     unreadTokens: a.unreadTokens + b.unreadTokens,
--- a/src/process/group_totals_test.ts
+++ b/src/process/group_totals_test.ts
@@ -1,25 +1,25 @@
 import fc from "fast-check";
 import { expect, test } from "vitest";
-import { NO_USE } from "./digest.ts";
-import type { WorkerUse } from "./digest.ts";
+import { NO_WORKER_COUNTS } from "./digest.ts";
+import type { WorkerCounts } from "./digest.ts";
 import { createGroupTotals } from "./group_totals.ts";
 import type { GroupCounts } from "./group_totals.ts";
 
-const NOTHING: GroupCounts = { admitted: new Map(), use: new Map() };
+const NOTHING: GroupCounts = { admitted: new Map(), workerCounts: new Map() };
 
-function countsOf(running: number, runs = running): WorkerUse {
-  return { ...NO_USE, running, runs };
+function countsOf(running: number, runs = running): WorkerCounts {
+  return { ...NO_WORKER_COUNTS, running, runs };
 }
 
 function updateOf(
-  counts: Record<number, WorkerUse>,
-  more: { admitted?: number; isWhole?: boolean } = {},
-): GroupCounts & { isWhole: boolean } {
-  const { admitted = 0, isWhole = false } = more;
+  counts: Record<number, WorkerCounts>,
+  more: { admitted?: number; isSnapshot?: boolean } = {},
+): GroupCounts & { isSnapshot: boolean } {
+  const { admitted = 0, isSnapshot = false } = more;
   return {
-    isWhole,
+    isSnapshot,
     admitted: new Map([["club", admitted]]),
-    use: new Map(Object.entries(counts).map(([worker, one]) => [Number(worker), one])),
+    workerCounts: new Map(Object.entries(counts).map(([worker, one]) => [Number(worker), one])),
   };
 }
 
@@ -28,7 +28,7 @@
   totals.receive("a", updateOf({ 1: countsOf(2) }, { admitted: 10 }), true);
   totals.receive("b", updateOf({ 1: countsOf(1), 2: countsOf(4) }, { admitted: 5 }), true);
   const own = updateOf({ 2: countsOf(1) }, { admitted: 1 });
-  const { admitted, use: sums } = totals.plus(own);
+  const { admitted, workerCounts: sums } = totals.plus(own);
   expect(admitted.get("club")).toBe(16);
   expect(sums.get(1)?.running).toBe(3);
   expect(sums.get(2)?.running).toBe(5);
@@ -42,7 +42,7 @@
   totals.receive("a", updateOf({ 1: countsOf(2) }, { admitted: 10 }), true);
   totals.receive("b", updateOf({ 1: countsOf(1) }, { admitted: 5 }), true);
   totals.retainSources(new Set(["b"]));
-  const { admitted, use: sums } = totals.plus(NOTHING);
+  const { admitted, workerCounts: sums } = totals.plus(NOTHING);
   expect(admitted.get("club")).toBe(15);
   expect(sums.get(1)?.running).toBe(1);
 });
@@ -53,20 +53,20 @@
   const totals = createGroupTotals();
   totals.receive(
     "a",
-    updateOf({ 1: countsOf(2, 900) }, { admitted: 1_000_000, isWhole: true }),
+    updateOf({ 1: countsOf(2, 900) }, { admitted: 1_000_000, isSnapshot: true }),
     false,
   );
   totals.receive("a", updateOf({ 1: countsOf(3, 902) }, { admitted: 1_000_100 }), false);
-  const { admitted, use: sums } = totals.plus(NOTHING);
+  const { admitted, workerCounts: sums } = totals.plus(NOTHING);
   expect(admitted.get("club")).toBe(100);
-  expect(sums.get(1)).toEqual({ ...NO_USE, running: 3, runs: 2 });
+  expect(sums.get(1)).toEqual({ ...NO_WORKER_COUNTS, running: 3, runs: 2 });
 });
 
 test("a worker that no source lists is removed", () => {
   const totals = createGroupTotals();
-  totals.receive("a", updateOf({ 1: countsOf(2), 2: countsOf(1) }, { isWhole: true }), true);
-  totals.receive("a", updateOf({ 2: countsOf(1) }, { isWhole: true }), true);
-  expect([...totals.plus(NOTHING).use.keys()]).toEqual([2]);
+  totals.receive("a", updateOf({ 1: countsOf(2), 2: countsOf(1) }, { isSnapshot: true }), true);
+  totals.receive("a", updateOf({ 2: countsOf(1) }, { isSnapshot: true }), true);
+  expect([...totals.plus(NOTHING).workerCounts.keys()]).toEqual([2]);
 });
 
 test("sums equal the latest counts of all sources, in any order of updates", () => {
@@ -74,18 +74,18 @@
     source: fc.constantFrom("a", "b", "c"),
     worker: fc.integer({ min: 1, max: 3 }),
     running: fc.nat(5),
-    isWhole: fc.boolean(),
+    isSnapshot: fc.boolean(),
   });
   fc.assert(
     fc.property(fc.array(step), (steps) => {
       const totals = createGroupTotals();
       const last = new Map<string, Map<number, number>>();
-      for (const { source, worker, running, isWhole } of steps) {
-        const known = isWhole ? new Map<number, number>() : (last.get(source) ?? new Map());
+      for (const { source, worker, running, isSnapshot } of steps) {
+        const known = isSnapshot ? new Map<number, number>() : (last.get(source) ?? new Map());
         last.set(source, known.set(worker, running) as Map<number, number>);
-        totals.receive(source, updateOf({ [worker]: countsOf(running, 1) }, { isWhole }), true);
+        totals.receive(source, updateOf({ [worker]: countsOf(running, 1) }, { isSnapshot }), true);
       }
-      const { use: sums } = totals.plus(NOTHING);
+      const { workerCounts: sums } = totals.plus(NOTHING);
       for (const worker of [1, 2, 3]) {
         const expected = [...last.values()].reduce((sum, one) => sum + (one.get(worker) ?? 0), 0);
         expect(sums.get(worker)?.running ?? 0).toBe(expected);
--- a/src/process/lease_task.ts
+++ b/src/process/lease_task.ts
@@ -12,7 +12,7 @@
   rendezvousOrder,
 } from "../version/index.ts";
 import type { HeldLease, Lease, LeaseMoment } from "../version/index.ts";
-import type { StoreThrottle } from "./store_pace.ts";
+import type { StoreThrottle } from "./store_throttle.ts";
 
 /** Number of renewals per lease term. */
 const RENEWALS_PER_TERM = 3;
@@ -50,7 +50,7 @@
    * than the holder's own. Without the report, a successor would start counting only when it first
    * reads the lease after the holder's failure, which leaves up to two terms without a holder.
    */
-  heard(service: string, version: number): void;
+  observe(service: string, version: number): void;
   start(): void;
   /** Returns all leases, so that other instances don't have to wait for them to expire. */
   release(): Promise<void>;
@@ -62,7 +62,7 @@
   readonly clock: Clock;
   readonly random: Random;
   readonly store: Pick<ObjectStore, "get" | "put">;
-  readonly pace: StoreThrottle;
+  readonly throttle: StoreThrottle;
   /** Names of the leases: services, or duties of the whole deployment. */
   readonly duties: () => readonly string[];
   readonly members: {
@@ -71,11 +71,11 @@
     alive(): readonly { readonly id: string }[];
   };
   /** Maximum timeout of an order in milliseconds. */
-  readonly longestOrder: number;
+  readonly maxOrderTime: number;
   /** Milliseconds for which a lease is valid after each write. */
   readonly term?: number;
   /** Milliseconds between checks of the preferred instance whether it can acquire the lease. */
-  readonly lookPeriod?: number;
+  readonly pollInterval?: number;
   /**
    * Whether a live instance reports that it holds the lease, so that there is no need to read it.
    */
@@ -84,7 +84,7 @@
    * Whether this instance has the data that the duties require. If not, it returns the lease at
    * once.
    */
-  readonly mayHold?: () => boolean;
+  readonly canHold?: () => boolean;
   readonly count: (name: string) => void;
 }
 
@@ -108,13 +108,9 @@
  * later.
  */
 export function createLeaseTask(parts: LeaseTaskParts): LeaseTask {
-  const { clock, random, store, pace: throttle, duties, members, count } = parts;
-  const {
-    term = LEASE_TERM,
-    lookPeriod: pollInterval = POLL_INTERVAL,
-    isHeldElsewhere = () => false,
-  } = parts;
-  const { mayHold: canHold = () => true } = parts;
+  const { clock, random, store, throttle, duties, members, count } = parts;
+  const { term = LEASE_TERM, pollInterval = POLL_INTERVAL, isHeldElsewhere = () => false } = parts;
+  const { canHold = () => true } = parts;
   const self = members.self.id;
   const held = new Map<string, HeldLease>();
   const seenVersions = new Map<string, SeenVersion>();
@@ -172,7 +168,7 @@
     if (outcome.kind !== "written") return;
     // A holder that returned its lease had no order in progress. One that did not may have sent its
     // last order at the very end of its term.
-    const ordersFrom = isReturned ? clock.now() : clock.now() + parts.longestOrder;
+    const ordersFrom = isReturned ? clock.now() : clock.now() + parts.maxOrderTime;
     const { version } = outcome;
     held.set(service, {
       version,
@@ -256,7 +252,7 @@
       return lease.fence;
     },
     versionOf: (service) => (isHeld(service) ? (held.get(service)?.version ?? 0) : 0),
-    heard: (service, version) => {
+    observe: (service, version) => {
       if (version <= (seenVersions.get(service)?.version ?? 0)) return;
       seenVersions.set(service, { version, firstSeenAt: clock.now() });
     },
--- a/src/process/lease_task_test.ts
+++ b/src/process/lease_task_test.ts
@@ -12,7 +12,7 @@
 import { createLeaseTask } from "./lease_task.ts";
 import type { LeaseTask } from "./lease_task.ts";
 import { createOrderTask, ORDER_TIMEOUT } from "./order_task.ts";
-import { createStorePace } from "./store_pace.ts";
+import { createStoreThrottle } from "./store_throttle.ts";
 import { createMemoryStore, createVirtualClock } from "../standin/memory/index.ts";
 import { startControlFleet, writeObject } from "./testing/control_fleet.ts";
 import type { ControlFleet, ControlNode } from "./testing/control_fleet.ts";
@@ -111,12 +111,12 @@
   const made = fleet.nodes.map((node, index) => {
     const parts = {
       ...node,
-      pace: node.configuration.pace,
+      throttle: node.configuration.throttle,
       duties: () => SERVICES,
       clock: node.freezer.clock,
       random: createSeededRandom(index + 50),
       store: fleet.store.connect(() => node.freezer.gate()),
-      longestOrder: ORDER_TIMEOUT,
+      maxOrderTime: ORDER_TIMEOUT,
       count: () => undefined,
     };
     const leases = createLeaseTask(parts);
@@ -334,13 +334,13 @@
   const tasks: LeaseTask[] = nodes.map((node, index) =>
     createLeaseTask({
       ...node,
-      pace: node.configuration.pace,
+      throttle: node.configuration.throttle,
       duties: () => ["duty"],
       clock: node.freezer.clock,
       random: createSeededRandom(index + 50),
       store: store.connect(() => node.freezer.gate()),
-      longestOrder: 300,
-      lookPeriod: 500,
+      maxOrderTime: 300,
+      pollInterval: 500,
       isHeldElsewhere: () =>
         tasks.some((task, other) => ![index, dead].includes(other) && task.versionOf("duty") > 0),
       count: () => undefined,
@@ -353,7 +353,7 @@
     await clock.advance(100);
     const version = tasks[holder()]?.versionOf("duty") ?? 0;
     for (const [index, task] of tasks.entries())
-      if (index !== holder()) task.heard("duty", version);
+      if (index !== holder()) task.observe("duty", version);
   };
   while (clock.now() < 30_000) await pass();
   dead = holder();
@@ -378,13 +378,13 @@
     clock,
     random,
     store,
-    pace: createStorePace({ clock, random, members: () => 1 }),
+    throttle: createStoreThrottle({ clock, random, members: () => 1 }),
     duties: () => ["duty"],
     members: { self: { id: "a" }, alive: () => (mayHold ? [{ id: "a" }] : [{ id: "b" }]) },
-    longestOrder: 300,
+    maxOrderTime: 300,
     term: 3_000,
-    lookPeriod: 500,
-    mayHold: () => mayHold,
+    pollInterval: 500,
+    canHold: () => mayHold,
     count: () => undefined,
   });
   task.start();
--- a/src/process/load_reports.ts
+++ b/src/process/load_reports.ts
@@ -37,7 +37,7 @@
       const report = await engine.report(worker);
       // The report is dated by the local send time, because the worker's clock differs: requests sent after the poll
       // may be missing from the report.
-      scheduler.report({ ...report, worker: worker.id, takenAt: sentAt }, clock.now());
+      scheduler.recordLoadReport({ ...report, worker: worker.id, takenAt: sentAt }, clock.now());
     } catch {
       counters.count("load-report.failed");
     } finally {
--- a/src/process/member_table.ts
+++ b/src/process/member_table.ts
@@ -115,6 +115,6 @@
 }
 
 /** Returns the part of a member id before the incarnation. */
-export function nameOf(member: Member): string {
+export function instanceNameOf(member: Member): string {
   return member.id.slice(0, member.id.lastIndexOf("#"));
 }
--- a/src/process/membership.ts
+++ b/src/process/membership.ts
@@ -11,10 +11,10 @@
   VersionMark,
 } from "../interface/index.ts";
 import type { MembershipView } from "../request/index.ts";
-import { createMemberTable, nameOf } from "./member_table.ts";
+import { createMemberTable, instanceNameOf } from "./member_table.ts";
 import type { MemberTable } from "./member_table.ts";
 import { subscribe } from "./subscription.ts";
-import { withinTime } from "./time_limit.ts";
+import { withTimeout } from "./timeout.ts";
 
 /** Milliseconds between probes. */
 const PROBE_PERIOD = 1_000;
@@ -60,9 +60,9 @@
    * Returns when a message last arrived from a peer, in milliseconds of `clock`; undefined if none
    * has arrived.
    */
-  heardAt(): number | undefined;
+  lastMessageAt(): number | undefined;
   /** Sends the versions that this instance has applied to a few peers at once. */
-  spreadVersions(): void;
+  sendVersions(): void;
   /** Adds a listener that is called when a peer reports that this instance must leave. */
   onOwnNotice(listener: () => void): ReturnType<MembershipView["onChange"]>;
   close(): void;
@@ -79,7 +79,7 @@
   /** Returns the versions that this instance has applied. */
   readonly versions: () => readonly VersionMark[];
   /** Called with the versions that a peer reports as applied. */
-  readonly hearVersions: (from: Member, marks: readonly VersionMark[]) => void;
+  readonly receiveVersions: (from: Member, marks: readonly VersionMark[]) => void;
 }
 
 /**
@@ -155,7 +155,7 @@
     const sender = table.find(from)?.member;
     if (sender !== undefined) {
       declareEarlierDead(sender);
-      parts.hearVersions(sender, marks);
+      parts.receiveVersions(sender, marks);
     }
     if (newDeltas.length === 0) return;
     changed();
@@ -166,7 +166,7 @@
    */
   const declareEarlierDead = (sender: Member): void => {
     for (const { member, state, rise } of table.members()) {
-      if (member.id === sender.id || nameOf(member) !== nameOf(sender)) continue;
+      if (member.id === sender.id || instanceNameOf(member) !== instanceNameOf(sender)) continue;
       if (state !== MemberState.Dead) {
         announce({ member, state: MemberState.Dead, rise, backend: false });
       }
@@ -179,7 +179,7 @@
   });
   const ask = (to: Member, message: ProbeMessage): Promise<ProbeReply> => {
     const limit = message.target === undefined ? PROBE_TIMEOUT : 2 * PROBE_TIMEOUT;
-    return withinTime(clock, peers.probe(to, message), { limit, step: `probe ${to.id}` });
+    return withTimeout(clock, peers.probe(to, message), { limit, step: `probe ${to.id}` });
   };
   const probe = async (to: Member): Promise<boolean> => {
     try {
@@ -288,12 +288,12 @@
     present: () => membersIn(MemberState.Alive, MemberState.Suspect, MemberState.Leaving),
     onChange: (listener) => subscribe(listeners, listener),
     onOwnNotice: (listener) => subscribe(noticeListeners, listener),
-    heardAt: () => lastMessageAt,
+    lastMessageAt: () => lastMessageAt,
     survey,
     leavingWorkers: () => table.leavingWorkers(),
     handlers: { probe: answerProbe },
     start: () => void run(),
-    spreadVersions: sendDeltas,
+    sendVersions: sendDeltas,
     leave: () => {
       if (own.state === MemberState.Leaving) return;
       own = { ...own, state: MemberState.Leaving, rise: own.rise + 1 };
@@ -305,9 +305,9 @@
       announce({ member, state: MemberState.Leaving, rise: 1, backend: true });
     },
     markMemberLeaving: (name) => {
-      if (nameOf(self) === name) announce({ ...own, state: MemberState.Leaving });
+      if (instanceNameOf(self) === name) announce({ ...own, state: MemberState.Leaving });
       for (const { member, state, rise, backend } of table.members()) {
-        const named = nameOf(member) === name && state !== MemberState.Dead;
+        const named = instanceNameOf(member) === name && state !== MemberState.Dead;
         if (named) announce({ member, state: MemberState.Leaving, rise, backend });
       }
     },
--- a/src/process/mix_task.ts
+++ b/src/process/mix_task.ts
@@ -1,4 +1,4 @@
-import { createZoneLosses, firstInUse, planMix, sum } from "../decision/index.ts";
+import { createZoneLosses, estimateInitialDemand, planMix, sum } from "../decision/index.ts";
 import type { DemandLevel, MixOrder } from "../decision/index.ts";
 import { DUTY_CALL_TIME, Purchase } from "../interface/index.ts";
 import type { CallOutcome, Clock, Platform, RoutedWorker } from "../interface/index.ts";
@@ -155,7 +155,7 @@
     const held = Math.max(0, ...recent.map(({ onDemand }) => onDemand));
     const counts = (purchase: Purchase): number =>
       sum([...scaling.zonePrices.keys()].map((zone) => readyCount(zone, purchase)));
-    const first = firstInUse(scaling, {
+    const first = estimateInitialDemand(scaling, {
       reclaimable: counts(Purchase.Reclaimable),
       onDemand: counts(Purchase.OnDemand),
     });
@@ -166,23 +166,29 @@
       const previous = observedDemand.get(name);
       const seen = previous?.first === first ? previous : { first, since: now };
       observedDemand.set(name, seen);
-      if (!inUse.hasBegun && now - seen.since < SETTLE_TIME) return false;
+      if (!inUse.hasLoad && now - seen.since < SETTLE_TIME) return false;
       initialDemand.set(name, first);
     }
     const since = (leaseHeldSince ??= now);
-    const { orders, onDemand } = planMix({ scaling, stock, inUse, held, lossGap });
+    const { orders, wantedOnDemand: onDemand } = planMix({
+      scaling,
+      stock,
+      demand: inUse,
+      heldOnDemand: held,
+      lossInterval: lossGap,
+    });
     recentOnDemand.set(name, [...recent, { onDemand, at: now }]);
     const inputs = {
-      inUse: inUse.now,
-      inUseLately: inUse.lately,
-      readingLately: inUse.reading,
+      inUse: inUse.current,
+      inUseLately: inUse.smoothed,
+      readingLately: inUse.smoothedPrefill,
       held,
       ready: counts(Purchase.Reclaimable) + counts(Purchase.OnDemand),
       dry: stock.filter(({ isDry }) => isDry).length,
     };
     // Workers ordered by the previous lease holder that haven't started yet are not visible. Until they must have
     // started, no on-demand worker is released.
-    const isNew = inUse.hasBegun && now - since < scaling.startUp + TAKEOVER_MARGIN;
+    const isNew = inUse.hasLoad && now - since < scaling.startUp + TAKEOVER_MARGIN;
     let isNewlyExhausted = false;
     for (const wanted of orders) {
       const isLess = wanted.count <= readyCount(wanted.zone, wanted.purchase);
--- a/src/process/mix_task_test.ts
+++ b/src/process/mix_task_test.ts
@@ -94,8 +94,13 @@
     workers: () => market.workers,
     inUse: (_service, first) =>
       market.inUse === 0
-        ? { now: 0, lately: first, reading: 0, hasBegun: false }
-        : { now: market.inUse, lately: market.inUse, reading: market.inUse, hasBegun: true },
+        ? { current: 0, smoothed: first, smoothedPrefill: 0, hasLoad: false }
+        : {
+            current: market.inUse,
+            smoothed: market.inUse,
+            smoothedPrefill: market.inUse,
+            hasLoad: true,
+          },
     fence: () => (market.holdsLease ? 7 : undefined),
     holder: "e1",
     log: () => undefined,
--- a/src/process/notice_task.ts
+++ b/src/process/notice_task.ts
@@ -2,9 +2,9 @@
 import type { Clock, Cloud, Random } from "../interface/index.ts";
 import type { WorkerView } from "../request/index.ts";
 import { rendezvousOrder } from "../version/index.ts";
-import { nameOf } from "./member_table.ts";
+import { instanceNameOf } from "./member_table.ts";
 import type { Membership } from "./membership.ts";
-import { withinTime } from "./time_limit.ts";
+import { withTimeout } from "./timeout.ts";
 
 /** Interval at which the cloud is polled for reclaim notices, in milliseconds, and the timeout of one poll. */
 const POLL_INTERVAL = 500;
@@ -51,14 +51,14 @@
     if (handled.has(instance)) return;
     handled.add(instance);
     count("notice.heard");
-    const isMember = members.present().some((member) => nameOf(member) === instance);
+    const isMember = members.present().some((member) => instanceNameOf(member) === instance);
     if (isMember) members.markMemberLeaving(instance);
     else members.markWorkerLeaving(instance, workers.find(instance)?.zone ?? "");
   };
   const read = async (): Promise<void> => {
     try {
       const limit = POLL_TIMEOUT;
-      const notices = await withinTime(clock, cloud.notices(), { limit, step: "read notices" });
+      const notices = await withTimeout(clock, cloud.notices(), { limit, step: "read notices" });
       const current = new Set(notices.map(({ instance }) => instance));
       // A name without a current notice may receive another one later, under a new incarnation.
       for (const name of handled) if (!current.has(name)) handled.delete(name);
--- a/src/process/object_follower.ts
+++ b/src/process/object_follower.ts
@@ -1,7 +1,7 @@
 import { sleep } from "../interface/index.ts";
 import type { Clock, GetOutcome, Member, ObjectStore, Peers, Random } from "../interface/index.ts";
-import type { StoreThrottle } from "./store_pace.ts";
-import { withinTime } from "./time_limit.ts";
+import type { StoreThrottle } from "./store_throttle.ts";
+import { withTimeout } from "./timeout.ts";
 
 /**
  * Milliseconds after which a watch is renewed. An open connection can go silent permanently; a new
@@ -84,7 +84,7 @@
     pulledVersion = version;
     try {
       const answer = peers.pull(from, key);
-      const object = await withinTime(clock, answer, { limit: PULL_TIMEOUT, step: `pull ${key}` });
+      const object = await withTimeout(clock, answer, { limit: PULL_TIMEOUT, step: `pull ${key}` });
       if (object !== undefined) receive(object);
     } catch {
       parts.count("configuration.pull-failed");
--- a/src/process/operator_changes.ts
+++ b/src/process/operator_changes.ts
@@ -22,7 +22,7 @@
    */
   apply(change: Change, base?: number): Promise<ChangeOutcome>;
   /** Reads the outcome of a change from the store, for an operator whose response was lost. */
-  ask(id: string): Promise<ChangeOutcome>;
+  getOutcome(id: string): Promise<ChangeOutcome>;
   /** Stops following the configuration. */
   close(): void;
 }
@@ -62,13 +62,13 @@
       }
       return write(parts, { change, base: from, current });
     },
-    ask: async (id) => {
+    getOutcome: async (id) => {
       const read = await store.get(REVISION_KEY);
       if (read.kind !== "found") {
         const detail = `The store could not be read: ${read.kind}.`;
         return { kind: "unknown", change: id, detail };
       }
-      configuration.hear(REVISION_KEY, read.object);
+      configuration.receive(REVISION_KEY, read.object);
       const { changes, version } = parseRevision(read.object.version, read.object.value);
       if (changes.includes(id)) return { kind: "accepted", change: id, revision: version };
       // A write still in flight could be applied later, so the outcome is unknown and not refused.
@@ -124,7 +124,7 @@
     const expect = current.version;
     const outcome = await store.put(REVISION_KEY, planned.value, { expect });
     if (outcome.kind === "written") {
-      configuration.hear(REVISION_KEY, { version: outcome.version, value: planned.value });
+      configuration.receive(REVISION_KEY, { version: outcome.version, value: planned.value });
       return { kind: "accepted", change: change.id, revision: outcome.version };
     }
     // After a lost response the same conditional write is sent again. If the first write was applied, the second one
@@ -132,7 +132,7 @@
     if (outcome.kind === "unknown") mayBeWritten = true;
     if (outcome.kind === "conflict" && outcome.current !== undefined) {
       const { version, value } = outcome.current;
-      configuration.hear(REVISION_KEY, outcome.current);
+      configuration.receive(REVISION_KEY, outcome.current);
       current = parseRevision(version, value);
       // The version has moved on, so an earlier write with the old version can no longer be applied.
       mayBeWritten = false;
--- a/src/process/operator_service.ts
+++ b/src/process/operator_service.ts
@@ -33,7 +33,7 @@
   const { changes, counters } = parts;
   return {
     apply: (change, base) => changes.apply(change, base),
-    ask: (id) => changes.ask(id),
+    ask: (id) => changes.getOutcome(id),
     everywhere: (revision) => waitEverywhere(parts, revision),
     status: () => statusOf(parts),
     services: () => servicesOf(parts),
--- a/src/process/order_task.ts
+++ b/src/process/order_task.ts
@@ -5,7 +5,7 @@
 import type { Service } from "../version/index.ts";
 import type { Configuration } from "./configuration.ts";
 import type { LeaseTask } from "./lease_task.ts";
-import { withinTime } from "./time_limit.ts";
+import { withTimeout } from "./timeout.ts";
 
 /** Timeout of one order, in milliseconds. */
 export const ORDER_TIMEOUT = 2_000;
@@ -45,7 +45,7 @@
 
   const reconcile = async (worker: Worker, models: readonly string[]): Promise<void> => {
     const reading = engine.report(worker);
-    const report = await withinTime(clock, reading, { limit: ORDER_TIMEOUT, step: "read" });
+    const report = await withTimeout(clock, reading, { limit: ORDER_TIMEOUT, step: "read" });
     if (models.every((model) => report.loaded.includes(model))) return;
     // The fencing token is taken immediately before the order is sent. A holder that was suspended while it read or
     // waited in the queue finds that the rest of its lease is too short and sends nothing.
@@ -53,7 +53,7 @@
     if (fence === undefined) return;
     count("order.sent");
     const order = engine.order(worker, { fence, models, role: ROLE });
-    await withinTime(clock, order, { limit: ORDER_TIMEOUT, step: "order" });
+    await withTimeout(clock, order, { limit: ORDER_TIMEOUT, step: "order" });
   };
   const tryReconcile = async (worker: Worker, models: readonly string[]): Promise<void> => {
     try {
--- a/src/process/overload_task.ts
+++ b/src/process/overload_task.ts
@@ -1,4 +1,4 @@
-import { entryStance, EntryStance } from "../decision/index.ts";
+import { chooseEntryMode, EntryMode } from "../decision/index.ts";
 import type { EntryLoad } from "../decision/index.ts";
 import type { Clock, Timer } from "../interface/index.ts";
 
@@ -8,7 +8,7 @@
   /** Reads the instance's own load since the previous call. */
   readonly readLoad: () => EntryLoad;
   /** Called with each new stance, that is, with the kinds of requests that are still accepted. */
-  readonly onStanceChange: (stance: EntryStance) => void;
+  readonly onStanceChange: (stance: EntryMode) => void;
   readonly count: (name: string) => void;
 }
 
@@ -24,10 +24,10 @@
 /** Creates the task. It does nothing until `start` is called. */
 export function createOverloadTask(parts: OverloadTaskParts): OverloadTask {
   const { clock, readLoad, onStanceChange, count } = parts;
-  let stance = EntryStance.Open;
+  let stance = EntryMode.Open;
   let timer: Timer | undefined;
   const sample = (): void => {
-    const next = entryStance(readLoad(), stance);
+    const next = chooseEntryMode(readLoad(), stance);
     if (next !== stance) {
       stance = next;
       count(`overload.${stance}`);
--- a/src/process/overload_task_test.ts
+++ b/src/process/overload_task_test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from "vitest";
-import { EntryStance } from "../decision/index.ts";
+import { EntryMode } from "../decision/index.ts";
 import { createVirtualClock } from "../standin/memory/index.ts";
 import { createOverloadTask } from "./overload_task.ts";
 
@@ -7,7 +7,7 @@
   // Without protection, an overloaded instance sends its heartbeats late and its peers take over its slots. That
   // overloads the next instance in turn.
   const clock = createVirtualClock();
-  const stances: EntryStance[] = [];
+  const stances: EntryMode[] = [];
   let loopDelay = 0;
   const task = createOverloadTask({
     clock,
@@ -20,10 +20,10 @@
   expect(stances).toEqual([]);
   loopDelay = 300;
   await clock.advance(500);
-  expect(stances).toEqual([EntryStance.ControlOnly]);
+  expect(stances).toEqual([EntryMode.ControlOnly]);
   loopDelay = 5;
   await clock.advance(1_000);
-  expect(stances.slice(1)).toEqual([EntryStance.LookupsOnly, EntryStance.Open]);
+  expect(stances.slice(1)).toEqual([EntryMode.LookupsOnly, EntryMode.Open]);
   task.close();
   loopDelay = 300;
   await clock.advance(2_000);
--- a/src/process/peer.ts
+++ b/src/process/peer.ts
@@ -6,7 +6,7 @@
   /** Identifies the process among all that have run under the same name. */
   readonly incarnation: string;
   /** When its last digest arrived, in milliseconds of the local clock. */
-  readonly heardAt: number;
+  readonly receivedAt: number;
 }
 
 /** State of the exchange with the process at an address. */
--- a/src/process/peer_catch_up.ts
+++ b/src/process/peer_catch_up.ts
@@ -1,7 +1,7 @@
 import { sleep } from "../interface/index.ts";
 import type { Clock, Random } from "../interface/index.ts";
 import type { FeedFollower } from "./feed_follower.ts";
-import { FleetRole } from "./fleet_tree.ts";
+import { FleetRole } from "./fleet_topology.ts";
 import type { PeerInstance } from "./peer.ts";
 import type { FetchedObjects } from "./peer_fetch.ts";
 import type { RoutedLog } from "./routed_log.ts";
--- a/src/process/peer_exchange.ts
+++ b/src/process/peer_exchange.ts
@@ -19,11 +19,11 @@
 import type { Clock, FeedDelta, Random, Timer } from "../interface/index.ts";
 import { decodeDigest, encodeDigest } from "./digest_codec.ts";
 import { UpdateScope } from "./digest.ts";
-import type { Digest, InstanceNews, InstanceState, Introduction, RosterEntry } from "./digest.ts";
+import type { Digest, InstanceUpdate, InstanceState, Introduction, RosterEntry } from "./digest.ts";
 import { createDigestRounds } from "./digest_rounds.ts";
 import type { DigestRounds } from "./digest_rounds.ts";
 import { createFleetTable } from "./fleet_table.ts";
-import { FleetRole } from "./fleet_tree.ts";
+import { FleetRole } from "./fleet_topology.ts";
 import { createUpdateSources } from "./update_sources.ts";
 import type { UpdateSource } from "./update_sources.ts";
 import type { InstanceCounts } from "./count_log.ts";
@@ -37,7 +37,7 @@
    */
   live(): readonly RosterEntry[];
   /** Returns the live instances that send digests to this one. */
-  heard(): readonly PeerInstance[];
+  directPeers(): readonly PeerInstance[];
   /** Returns the ids of the sources whose updates are applied at the moment. */
   sources(): ReadonlySet<string>;
   readonly role: FleetRole;
@@ -45,7 +45,7 @@
    * Average age in milliseconds of other instances' counts if they pass through relays; 0 in a
    * small fleet.
    */
-  readonly newsAge: number;
+  readonly updateAge: number;
   /**
    * Returns the instances that forward store changes to this one; empty if it must query the store
    * itself.
@@ -55,7 +55,7 @@
    * Returns the instances that can hold a lease: all in a small fleet, otherwise the relays that
    * send digests to this instance.
    */
-  dutyCandidates(): readonly PeerInstance[];
+  leaseCandidates(): readonly PeerInstance[];
   /**
    * Number of instances expected to be present, including this one: those that were live within the
    * last half minute.
@@ -64,16 +64,16 @@
   /** Bytes of digests sent since the start. */
   readonly bytesSent: number;
   /** Adds addresses of possible peers. */
-  introduce(addresses: readonly string[]): void;
+  addAddresses(addresses: readonly string[]): void;
   /** Starts a round at once, for a change that can't wait. */
-  announce(): void;
+  sendNow(): void;
   /** Reports a change of the store, which is then sent early if this instance is a relay. */
   reportStoreChange(): void;
   /**
    * Reports that a run has started at a worker. After several of these calls a digest is sent
    * early.
    */
-  begun(): void;
+  reportRunStart(): void;
   start(): Promise<void>;
   close(): void;
 }
@@ -89,12 +89,12 @@
   /** Returns all counts of a scope; called before each round. */
   readonly counts: (scope: UpdateScope) => InstanceCounts;
   /** Returns the estimated current time and the milliseconds since the start. */
-  readonly timestamps: () => Pick<InstanceNews, "time" | "uptime">;
+  readonly timestamps: () => Pick<InstanceUpdate, "time" | "uptime">;
   /** Returns the store changes that an instance with the given versions (by kind) doesn't have. */
   readonly deltasSince: (versions: ReadonlyMap<string, number>) => readonly FeedDelta[];
   /** Called with every digest, before its update is applied. */
   readonly onDigest: (peer: PeerInstance, digest: Digest) => void;
-  readonly onUpdate: (source: UpdateSource, update: InstanceNews) => void;
+  readonly onUpdate: (source: UpdateSource, update: InstanceUpdate) => void;
   /**
    * Called when the role has changed. Other instances' counts will be sent again, under other
    * source ids.
@@ -215,7 +215,7 @@
   const applyUpdate = (peer: Peer, digest: Digest): boolean => {
     const { roster, update: counts } = digest;
     if (roster === undefined && counts === undefined) return false;
-    const isSnapshot = counts?.isWhole ?? roster?.isSnapshot ?? false;
+    const isSnapshot = counts?.isSnapshot ?? roster?.isSnapshot ?? false;
     if (!isSnapshot && peer.updateSequence === 0) return false;
     if (roster !== undefined) {
       const isAuthoritative = digest.scope !== UpdateScope.None;
@@ -261,7 +261,7 @@
       },
       session: digest.session,
       incarnation: incarnationOf(name, digest.session),
-      heardAt: peer.receivedAt,
+      receivedAt: peer.receivedAt,
     };
   };
   /** Batches changes, since many instances can come and go at the same time. */
@@ -291,12 +291,12 @@
   const currentRelay = (): PeerInstance | undefined => table.findBySession(sources.relaySession());
   return {
     live: () => table.live(),
-    heard: () => table.directPeers(),
+    directPeers: () => table.directPeers(),
     sources: () => sources.ids(),
     get role() {
       return table.topology.role;
     },
-    get newsAge() {
+    get updateAge() {
       return table.topology.role === FleetRole.Mesh ? 0 : RELAYED_UPDATE_AGE;
     },
     feeders: () => {
@@ -308,7 +308,7 @@
       const feeder = currentRelay();
       return feeder?.isCurrent === true ? [feeder] : [];
     },
-    dutyCandidates: () =>
+    leaseCandidates: () =>
       table
         .directPeers()
         .filter(({ peers }) => table.topology.role === FleetRole.Mesh || table.isRelay(peers)),
@@ -318,15 +318,15 @@
     get bytesSent() {
       return bytesSent;
     },
-    introduce: (addresses) => table.addAddresses(addresses),
-    begun: () => {
+    addAddresses: (addresses) => table.addAddresses(addresses),
+    reportRunStart: () => {
       startedRuns++;
       // In a large fleet, a digest reaches the others only through relays, so sending it early
       // gains little.
       const isUseful = startedRuns >= EARLY_DIGEST_RUNS && table.topology.role === FleetRole.Mesh;
       if (isUseful && canSend()) sendAll();
     },
-    announce: sendAll,
+    sendNow: sendAll,
     reportStoreChange: () => {
       if (table.topology.role !== FleetRole.Relay || isClosed()) return;
       const remaining = sentAt + MIN_CHANGE_INTERVAL - clock.now();
--- a/src/process/peer_exchange_test.ts
+++ b/src/process/peer_exchange_test.ts
@@ -1,7 +1,7 @@
 import { afterEach, expect, test } from "vitest";
 import { createSeededRandom } from "../interface/index.ts";
 import { createVirtualClock } from "../standin/memory/index.ts";
-import type { InstanceNews, WorkerUse } from "./digest.ts";
+import type { InstanceUpdate, WorkerCounts } from "./digest.ts";
 import type { InstanceCounts } from "./count_log.ts";
 import { createPeerExchange } from "./peer_exchange.ts";
 import type { PeerExchange } from "./peer_exchange.ts";
@@ -106,7 +106,7 @@
         open: network.open,
       }),
     };
-    member.exchange.introduce(["10.0.0.0:9", "10.0.0.1:9"]);
+    member.exchange.addAddresses(["10.0.0.0:9", "10.0.0.1:9"]);
     await member.exchange.start();
     closers.push(() => member.exchange.close());
     members[index] = member;
@@ -120,19 +120,24 @@
   return {
     admitted: new Map(Object.entries(admitted)),
     usage: [{ window: WINDOW, counts: { ...usage } }],
-    use: new Map(Object.entries(use).map(([worker, running]) => [Number(worker), used(running)])),
+    workerCounts: new Map(
+      Object.entries(use).map(([worker, running]) => [Number(worker), used(running)]),
+    ),
     leavingWorkers: [],
   };
 }
 
-function used(running: number): WorkerUse {
+function used(running: number): WorkerCounts {
   return { running, unreadTokens: 0, runs: 0, failures: 0 };
 }
 
-function merged(before: ReceivedCounts | undefined, update: InstanceNews): ReceivedCounts {
-  const known = update.isWhole ? undefined : before;
+function merged(before: ReceivedCounts | undefined, update: InstanceUpdate): ReceivedCounts {
+  const known = update.isSnapshot ? undefined : before;
   const use = Object.fromEntries(
-    [...update.use].map(([worker, { running }]): [string, number] => [String(worker), running]),
+    [...update.workerCounts].map(([worker, { running }]): [string, number] => [
+      String(worker),
+      running,
+    ]),
   );
   return {
     admitted: { ...before?.admitted, ...Object.fromEntries(update.admitted) },
@@ -167,13 +172,13 @@
   async (seed) => {
     const { clock, network, members } = await startFleet(6, seed);
     const random = createSeededRandom(100 + seed);
-    network.trouble = { lost: 0.3, twice: 0.2 };
+    network.faults = { lost: 0.3, twice: 0.2 };
     for (let step = 0; step < 200; step++) {
       const member = members[Math.floor(random.next() * members.length)];
       if (member !== undefined) change(member, random);
       await clock.advance(50);
     }
-    network.trouble = { lost: 0, twice: 0 };
+    network.faults = { lost: 0, twice: 0 };
     await clock.advance(3_000);
     for (const [index, { state }] of members.entries()) {
       const others = members.filter((_, other) => other !== index);
@@ -220,13 +225,15 @@
   first.state.use = { 1: 3 };
   second.state.use = { 5: 2 };
   await clock.advance(2_000);
-  const before = second.exchange.heard().find(({ name }) => name === "e0")?.incarnation;
+  const before = second.exchange.directPeers().find(({ name }) => name === "e0")?.incarnation;
   first.exchange.close();
   const again = await start(0);
   again.state.use = { 2: 1 };
   await clock.advance(2_000);
   expect(second.received.get("e0")?.use).toEqual({ 2: 1 });
-  expect(second.exchange.heard().find(({ name }) => name === "e0")?.incarnation).not.toBe(before);
+  expect(second.exchange.directPeers().find(({ name }) => name === "e0")?.incarnation).not.toBe(
+    before,
+  );
   expect(again.received.get("e1")?.use).toEqual({ 5: 2 });
   expect(again.exchange.members).toBe(4);
 });
@@ -240,7 +247,7 @@
   if (first === undefined || second === undefined)
     throw new Error("The fleet must have three members.");
   first.isReady = false;
-  first.exchange.announce();
+  first.exchange.sendNow();
   await clock.advance(50);
   expect(second.exchange.live().find(({ name }) => name === "e0")?.ready).toBe(false);
   first.exchange.close();
@@ -299,7 +306,7 @@
   let receivedAfter = 0;
   for (let run = 1; run <= 20; run++) {
     first.state.use = { 1: run };
-    first.exchange.begun();
+    first.exchange.reportRunStart();
     await clock.advance(10);
     if (receivedAfter === 0 && (second.received.get("e0")?.use["1"] ?? 0) > 0)
       receivedAfter = run * 10;
--- a/src/process/peer_occupancy.ts
+++ b/src/process/peer_occupancy.ts
@@ -1,13 +1,13 @@
-import { NO_USE } from "./digest.ts";
-import type { InstanceNews, WorkerUse } from "./digest.ts";
+import { NO_WORKER_COUNTS } from "./digest.ts";
+import type { InstanceUpdate, WorkerCounts } from "./digest.ts";
 
 /** Number of running requests and of unprocessed prompt tokens at a worker. */
-export type Occupancy = Pick<WorkerUse, "running" | "unreadTokens">;
+export type Occupancy = Pick<WorkerCounts, "running" | "unreadTokens">;
 
 /** The occupancy of workers by other instances. Workers are identified by the hashes of their ids. */
 export interface PeerOccupancy {
   /** Applies an instance's occupancy: a complete snapshot if `isWhole`, otherwise only the workers that changed. */
-  update(instance: string, news: Pick<InstanceNews, "use" | "isWhole">): void;
+  update(instance: string, news: Pick<InstanceUpdate, "workerCounts" | "isSnapshot">): void;
   /** Removes all instances except these, because the requests of a stopped instance have ended. */
   retainInstances(instances: ReadonlySet<string>): void;
   /** Returns the total occupancy of a worker by all other instances. */
@@ -22,7 +22,7 @@
   const totals = new Map<number, Occupancy>();
 
   const add = (worker: number, { running, unreadTokens }: Occupancy): void => {
-    const before = totals.get(worker) ?? NO_USE;
+    const before = totals.get(worker) ?? NO_WORKER_COUNTS;
     const total = {
       running: before.running + running,
       unreadTokens: before.unreadTokens + unreadTokens,
@@ -37,12 +37,12 @@
     byInstance.delete(instance);
   };
   return {
-    update: (instance, { use, isWhole }) => {
+    update: (instance, { workerCounts: use, isSnapshot: isWhole }) => {
       if (isWhole) remove(instance);
       const occupancy = byInstance.get(instance) ?? new Map<number, Occupancy>();
       byInstance.set(instance, occupancy);
       for (const [worker, { running, unreadTokens }] of use) {
-        const before = occupancy.get(worker) ?? NO_USE;
+        const before = occupancy.get(worker) ?? NO_WORKER_COUNTS;
         add(worker, {
           running: running - before.running,
           unreadTokens: unreadTokens - before.unreadTokens,
@@ -54,6 +54,6 @@
     retainInstances: (instances) => {
       for (const instance of byInstance.keys()) if (!instances.has(instance)) remove(instance);
     },
-    at: (worker) => totals.get(worker) ?? NO_USE,
+    at: (worker) => totals.get(worker) ?? NO_WORKER_COUNTS,
   };
 }
--- a/src/process/others_view.ts
+++ b/src/process/peer_totals.ts
@@ -1,29 +1,29 @@
-import { NO_USE } from "./digest.ts";
-import type { WorkerUse } from "./digest.ts";
+import { NO_WORKER_COUNTS } from "./digest.ts";
+import type { WorkerCounts } from "./digest.ts";
 import type { GroupCounts } from "./group_totals.ts";
 
 /** Derives the totals of all other instances from fleet totals that include this instance's own counts. */
-export interface OthersView {
+export interface PeerTotals {
   /**
    * Applies an update of the totals.
    *
    * @param own Counts of this instance that the totals include; undefined if they include none.
    * @returns The totals without this instance's own counts.
    */
-  heard(
-    news: GroupCounts & { readonly isWhole: boolean },
+  update(
+    news: GroupCounts & { readonly isSnapshot: boolean },
     own: GroupCounts | undefined,
   ): GroupCounts;
 }
 
 /** Creates an instance with empty totals. */
-export function createOthersView(): OthersView {
-  const use = new Map<number, WorkerUse>();
+export function createPeerTotals(): PeerTotals {
+  const use = new Map<number, WorkerCounts>();
   const admitted = new Map<string, number>();
   return {
-    heard: (news, own) => {
-      if (news.isWhole) use.clear();
-      for (const [worker, workerUse] of news.use) {
+    update: (news, own) => {
+      if (news.isSnapshot) use.clear();
+      for (const [worker, workerUse] of news.workerCounts) {
         if (workerUse.running === 0 && workerUse.unreadTokens === 0 && workerUse.runs === 0)
           use.delete(worker);
         else use.set(worker, workerUse);
@@ -36,10 +36,10 @@
             count - (own?.admitted.get(account) ?? 0),
           ]),
         ),
-        use: new Map(
+        workerCounts: new Map(
           [...use].map(([worker, total]) => [
             worker,
-            subtract(total, own?.use.get(worker) ?? NO_USE),
+            subtract(total, own?.workerCounts.get(worker) ?? NO_WORKER_COUNTS),
           ]),
         ),
       };
@@ -48,7 +48,7 @@
 }
 
 /** Subtracts a part from a total. Both are sent at different times, so negative occupancy is clamped to 0. */
-function subtract(total: WorkerUse, part: WorkerUse): WorkerUse {
+function subtract(total: WorkerCounts, part: WorkerCounts): WorkerCounts {
   return {
     running: Math.max(0, total.running - part.running),
     unreadTokens: Math.max(0, total.unreadTokens - part.unreadTokens),
--- a/src/process/recorder.ts
+++ b/src/process/recorder.ts
@@ -93,8 +93,8 @@
       if (known !== undefined)
         known.answerTokens = Math.max(known.answerTokens, details.answerTokens);
     },
-    settled: (job, now) => {
-      scheduler.settled(job, now);
+    jobEnded: (job, now) => {
+      scheduler.jobEnded(job, now);
       const known = pending.get(job.id);
       if (known === undefined) return;
       pending.delete(job.id);
--- a/src/process/recorder_test.ts
+++ b/src/process/recorder_test.ts
@@ -44,7 +44,7 @@
   if (admission.kind === "refused") return;
   const now = arrival.arrivedAt + 1_000;
   scheduler.runEnded(arrival.id, RunEnd.Complete, { now, answerTokens });
-  scheduler.settled(admission.job, now);
+  scheduler.jobEnded(admission.job, now);
 }
 
 function record(use: (scheduler: Scheduler) => void, scheduler = createScheduler()): Trace {
--- a/src/process/request_quarantine.ts
+++ b/src/process/request_quarantine.ts
@@ -1,4 +1,4 @@
-import { CRASH_LIFE, createCrashEvidence } from "../decision/index.ts";
+import { CRASH_TTL, createCrashEvidence } from "../decision/index.ts";
 import type { CrashEvidence, CrashFinding, RunCounts } from "../decision/index.ts";
 import { sleep } from "../interface/index.ts";
 import type {
@@ -8,7 +8,7 @@
   ObjectStore,
   PutOutcome,
 } from "../interface/index.ts";
-import type { Quarantine, RequestPrint } from "../request/index.ts";
+import type { Quarantine, RequestFingerprint } from "../request/index.ts";
 import { crashRecordText, isQuarantined, readCrashRecord } from "./crash_record.ts";
 import type { CrashRecord } from "./crash_record.ts";
 import type { RoutedLog } from "./routed_log.ts";
@@ -16,7 +16,7 @@
 /** Quarantines requests that crash workers, so that no worker receives them. */
 export interface RequestQuarantine extends Quarantine {
   /** Records that a worker crashed while it ran these requests. */
-  recordCrash(fingerprints: readonly RequestPrint[]): void;
+  recordCrash(fingerprints: readonly RequestFingerprint[]): void;
   /** Replaces the local view of the store's quarantine objects. */
   setObjects(objects: Iterable<FeedObject>): void;
   /** Returns this instance's crash and answer counts, to be sent to the other instances. */
@@ -112,7 +112,7 @@
     loggedNames.add(name);
     log.changed("request-quarantined", { print: name, ...fields });
   };
-  const waitFor: Quarantine["waitFor"] = (fingerprint) => {
+  const waitFor: Quarantine["remainingTime"] = (fingerprint) => {
     const entry = storedRecords.get(fingerprint.name);
     const left = entry === undefined ? 0 : remainingTime(entry);
     if (left > 0) return left;
@@ -178,13 +178,13 @@
   const recallSuspects = (): void => {
     for (const { fingerprint, crashes, since } of storedRecords.values()) {
       if (isQuarantined(crashes) || time() - since < PROPAGATION_TIME) continue;
-      evidence.recall(fingerprint, crashes);
+      evidence.restore(fingerprint, crashes);
     }
   };
   const isExpired = (record: CrashRecord): boolean =>
     isQuarantined(record.crashes)
       ? remainingTime(record) <= 0
-      : time() - record.since > CRASH_LIFE || evidence.isAnswered(record.fingerprint);
+      : time() - record.since > CRASH_TTL || evidence.hasAnswer(record.fingerprint);
   const erase = async ({ fingerprint: { name }, crashes }: CrashRecord): Promise<void> => {
     const isGone = await store.erase(`${QUARANTINE_KEY}/${name}`);
     const step = isQuarantined(crashes) ? "quarantine-ended" : "suspect-ended";
@@ -201,8 +201,8 @@
     const now = clock.now();
     for (const [name, at] of releaseTimes) if (now - at > RELEASE_TIME) releaseTimes.delete(name);
     recallSuspects();
-    const proven = evidence.proven(now);
-    const suspected = evidence.suspected(now);
+    const proven = evidence.listProven(now);
+    const suspected = evidence.listSuspected(now);
     for (const { suspect, crashes } of proven) logOnce(suspect.name, { crashes, way: "counted" });
     const found = [...proven, ...suspected].map(({ suspect }) => suspect.name);
     const names = new Set([...found, ...storedRecords.keys()]);
@@ -223,10 +223,10 @@
     }
   };
   return {
-    waitFor,
-    answered: (fingerprint) => evidence.answered(fingerprint, clock.now()),
+    remainingTime: waitFor,
+    recordAnswer: (fingerprint) => evidence.recordAnswer(fingerprint, clock.now()),
     recordCrash: (fingerprints) => {
-      for (const fingerprint of fingerprints) evidence.crashed(fingerprint, clock.now());
+      for (const fingerprint of fingerprints) evidence.recordCrash(fingerprint, clock.now());
     },
     setObjects: (objects) => {
       const before = storedRecords;
--- a/src/process/request_quarantine_test.ts
+++ b/src/process/request_quarantine_test.ts
@@ -1,10 +1,10 @@
 import { expect, test } from "vitest";
 import type { FeedObject, PutOutcome } from "../interface/index.ts";
-import { printNamed } from "../request/index.ts";
+import { fingerprintFromName } from "../request/index.ts";
 import { createVirtualClock } from "../standin/memory/index.ts";
 import { createRequestQuarantine, QUARANTINE_KEY } from "./request_quarantine.ts";
 
-const FINGERPRINT = printNamed("00000007aaaaaaaa");
+const FINGERPRINT = fingerprintFromName("00000007aaaaaaaa");
 const DURATION = 60_000;
 
 /** Creates a quarantine with a fake store that returns the given outcomes. */
@@ -67,9 +67,9 @@
   const { clock, quarantine, crash, written } = setUp();
   quarantine.start();
   crash(2);
-  expect(quarantine.waitFor(FINGERPRINT)).toBe(0);
+  expect(quarantine.remainingTime(FINGERPRINT)).toBe(0);
   crash(1);
-  expect(quarantine.waitFor(FINGERPRINT)).toBe(DURATION);
+  expect(quarantine.remainingTime(FINGERPRINT)).toBe(DURATION);
   await clock.advance(900);
   expect(written).toEqual([]);
   await clock.advance(1_000);
@@ -97,10 +97,10 @@
   const { clock, quarantine, crash, written } = setUp();
   quarantine.start();
   crash(3);
-  expect(quarantine.waitFor(FINGERPRINT)).toBeGreaterThan(0);
+  expect(quarantine.remainingTime(FINGERPRINT)).toBeGreaterThan(0);
   await clock.advance(300);
-  quarantine.answered(FINGERPRINT);
-  expect(quarantine.waitFor(FINGERPRINT)).toBe(0);
+  quarantine.recordAnswer(FINGERPRINT);
+  expect(quarantine.remainingTime(FINGERPRINT)).toBe(0);
   await clock.advance(3_000);
   expect(written).toEqual([]);
   quarantine.close();
@@ -109,11 +109,11 @@
 test("applies a quarantine known only from the store, with its correct remaining time", () => {
   const { clock, quarantine } = setUp();
   quarantine.setObjects([object(clock.now() - 20_000)]);
-  expect(quarantine.waitFor(FINGERPRINT)).toBe(DURATION - 20_000);
+  expect(quarantine.remainingTime(FINGERPRINT)).toBe(DURATION - 20_000);
   expect(quarantine.list()).toEqual([
     { fingerprint: FINGERPRINT, crashes: 3, since: clock.now() - 20_000, version: 9 },
   ]);
-  expect(quarantine.waitFor(printNamed("00000008aaaaaaaa"))).toBe(0);
+  expect(quarantine.remainingTime(fingerprintFromName("00000008aaaaaaaa"))).toBe(0);
 });
 
 test("sends a request to workers again after its record is removed from the store", async () => {
@@ -123,12 +123,12 @@
   await clock.advance(2_000);
   quarantine.setObjects([object(clock.now())]);
   quarantine.setObjects([]);
-  expect(quarantine.waitFor(FINGERPRINT)).toBe(0);
+  expect(quarantine.remainingTime(FINGERPRINT)).toBe(0);
   await clock.advance(5_000);
-  expect(quarantine.waitFor(FINGERPRINT)).toBe(0);
+  expect(quarantine.remainingTime(FINGERPRINT)).toBe(0);
   expect(written.length).toBe(1);
   crash(3);
-  expect(quarantine.waitFor(FINGERPRINT)).toBe(DURATION);
+  expect(quarantine.remainingTime(FINGERPRINT)).toBe(DURATION);
   quarantine.close();
 });
 
@@ -139,7 +139,7 @@
     quarantine.start();
     quarantine.setObjects([object(clock.now())]);
     await clock.advance(DURATION + 300);
-    expect(quarantine.waitFor(FINGERPRINT)).toBe(0);
+    expect(quarantine.remainingTime(FINGERPRINT)).toBe(0);
     expect(erased.includes(`${QUARANTINE_KEY}/${FINGERPRINT.name}`)).toBe(canErase);
     quarantine.close();
   },
@@ -148,7 +148,7 @@
 test("limits the reported wait to the quarantine's duration if the writer's clock is ahead", () => {
   const { clock, quarantine } = setUp();
   quarantine.setObjects([object(clock.now() + 1e9)]);
-  expect(quarantine.waitFor(FINGERPRINT)).toBe(DURATION);
+  expect(quarantine.remainingTime(FINGERPRINT)).toBe(DURATION);
 });
 
 test("ignores an object whose name is not a fingerprint", () => {
@@ -164,7 +164,7 @@
   (value) => {
     const { quarantine, steps } = setUp();
     quarantine.setObjects([{ name: FINGERPRINT.name, version: 9, value }]);
-    expect(quarantine.waitFor(FINGERPRINT)).toBe(0);
+    expect(quarantine.remainingTime(FINGERPRINT)).toBe(0);
     expect(steps).toContain("quarantine-unreadable");
   },
 );
@@ -181,10 +181,10 @@
   const later = setUp();
   later.quarantine.start();
   later.quarantine.setObjects([object(later.clock.now() - 5_000, 2)]);
-  expect(later.quarantine.waitFor(FINGERPRINT)).toBe(0);
+  expect(later.quarantine.remainingTime(FINGERPRINT)).toBe(0);
   expect(later.quarantine.list()).toEqual([]);
   later.crash(1);
-  expect(later.quarantine.waitFor(FINGERPRINT)).toBe(DURATION);
+  expect(later.quarantine.remainingTime(FINGERPRINT)).toBe(DURATION);
   await later.clock.advance(2_000);
   expect(later.written).toEqual([writeMatching(3, 9)]);
   later.quarantine.close();
@@ -197,16 +197,16 @@
   quarantine.start();
   crash(1);
   quarantine.setObjects([object(clock.now(), 2)]);
-  expect(quarantine.waitFor(FINGERPRINT)).toBe(0);
+  expect(quarantine.remainingTime(FINGERPRINT)).toBe(0);
   // The other instance's digest arrives after its write to the store.
   peerCounts = { runs: 1, failures: 1 };
   await clock.advance(3_000);
-  expect(quarantine.waitFor(FINGERPRINT)).toBe(0);
+  expect(quarantine.remainingTime(FINGERPRINT)).toBe(0);
   // That instance stops, and the next crash is the third.
   peerCounts = { runs: 0, failures: 0 };
-  expect(quarantine.waitFor(FINGERPRINT)).toBe(0);
+  expect(quarantine.remainingTime(FINGERPRINT)).toBe(0);
   crash(1);
-  expect(quarantine.waitFor(FINGERPRINT)).toBe(DURATION);
+  expect(quarantine.remainingTime(FINGERPRINT)).toBe(DURATION);
   quarantine.close();
 });
 
@@ -215,7 +215,7 @@
   quarantine.start();
   crash(2);
   await clock.advance(200);
-  quarantine.answered(FINGERPRINT);
+  quarantine.recordAnswer(FINGERPRINT);
   await clock.advance(2_000);
   expect(written).toEqual([]);
   quarantine.setObjects([object(clock.now(), 2)]);
@@ -233,7 +233,7 @@
   await clock.advance(1_500);
   expect(erased.length).toBeGreaterThan(0);
   quarantine.setObjects([]);
-  expect(quarantine.waitFor(FINGERPRINT)).toBe(0);
+  expect(quarantine.remainingTime(FINGERPRINT)).toBe(0);
   quarantine.close();
 });
 
@@ -262,7 +262,7 @@
   const { clock, quarantine, written } = setUp();
   quarantine.start();
   const prints = Array.from({ length: 200 }, (_, index) =>
-    printNamed(index.toString(16).padStart(16, "0")),
+    fingerprintFromName(index.toString(16).padStart(16, "0")),
   );
   for (let worker = 0; worker < 2; worker++) quarantine.recordCrash(prints);
   await clock.advance(2_000);
--- a/src/process/rollout_task.ts
+++ b/src/process/rollout_task.ts
@@ -1,7 +1,7 @@
 import { z } from "zod";
-import { judgeRollout, rolloutCourse, RolloutPhase, sum, triedRuns } from "../decision/index.ts";
+import { judgeRollout, planRollout, RolloutPhase, sum, countTrialRuns } from "../decision/index.ts";
 import type {
-  RolloutBounds,
+  RolloutLimits,
   RolloutJudge,
   RolloutVerdict,
   RouteEvidence,
@@ -25,7 +25,7 @@
 /** Dependencies of {@linkcode createRolloutTask}. */
 export interface RolloutTaskParts {
   readonly clock: Clock;
-  readonly bounds: RolloutBounds;
+  readonly bounds: RolloutLimits;
   readonly view: RolloutView;
   readonly rollouts: RolloutStore;
   /** Stores the start time of each order, which would otherwise be lost if all instances restart. */
@@ -35,9 +35,9 @@
   /** Returns the names of the routes that lead to a service. */
   readonly routes: (service: string) => readonly string[];
   /** Returns the fleet-wide run counts of versions, by hashes from `tallyKeys`. */
-  readonly sums: () => ReadonlyMap<number, RunCounts>;
+  readonly fleetCounts: () => ReadonlyMap<number, RunCounts>;
   /** Returns the number of requests of all instances that run at the service's workers. */
-  readonly running: (service: string) => number;
+  readonly runningRequests: (service: string) => number;
   /**
    * Returns the fencing token for a call that may take this many milliseconds. Undefined if this instance doesn't hold
    * the lease for that long.
@@ -114,7 +114,9 @@
     const { base, tried } = view.stock(service);
     const capacity = sum(tried.map(({ slots }) => slots)) * MAX_OCCUPANCY;
     const minCapacity = sum(base.map(({ slots }) => slots)) * MAX_OCCUPANCY ** 2;
-    return tried.length > 0 && (parts.running(service) <= capacity || capacity >= minCapacity);
+    return (
+      tried.length > 0 && (parts.runningRequests(service) <= capacity || capacity >= minCapacity)
+    );
   };
   /**
    * Judges all counts since the order, and also only the recent ones, because a version may become bad at any time.
@@ -124,7 +126,7 @@
     { elapsed, isLast }: { elapsed: number; isLast: boolean },
   ): { verdict: RolloutVerdict; runs: number } => {
     const routes = parts.routes(service);
-    const sums = parts.sums();
+    const sums = parts.fleetCounts();
     const evidenceOf = (counts: ReadonlyMap<number, RunCounts>): RouteEvidence[] =>
       view.evidence(service, { routes, sums: counts });
     const all = evidenceOf(sums);
@@ -136,9 +138,9 @@
       const recent = judgeEvidence(evidenceOf(countsSince(sums, before)), { isLast });
       if (isWorse(recent, verdict)) verdict = recent;
     }
-    history.note(elapsed, sums);
+    history.record(elapsed, sums);
     verdicts.set(service, verdict);
-    return { verdict, runs: triedRuns(all) };
+    return { verdict, runs: countTrialRuns(all) };
   };
   const historyFor = (service: string): CountHistory => {
     const existing = histories.get(service) ?? createCountHistory();
@@ -191,7 +193,7 @@
     const startedAt = await loadStartTime(service, order);
     const fence = parts.fence(DUTY_CALL_TIME);
     if (startedAt === undefined || fence === undefined) return;
-    const { switchAt, completeAt } = rolloutCourse(duration, bounds);
+    const { switchAt, completeAt } = planRollout(duration, bounds);
     const elapsed = time() - startedAt;
     const isLast = elapsed >= switchAt;
     const { verdict, runs } = evaluate(service, { elapsed, isLast });
@@ -222,7 +224,7 @@
       }
     }
     const phase = isLast && canServe ? RolloutPhase.Switch : RolloutPhase.Trial;
-    view.heard([{ service, to, fence, phase, age: 0, startedAt }]);
+    view.updatePlans([{ service, to, fence, phase, age: 0, startedAt }]);
     await updateStatus(service, order, { state: RolloutState.Running, reason: "begun" });
   };
   const run = async (): Promise<void> => {
--- a/src/process/rollout_view.ts
+++ b/src/process/rollout_view.ts
@@ -1,14 +1,14 @@
 import {
-  createRolloutShare,
+  createRolloutBudget,
   createVersionTallies,
-  rolloutCourse,
+  planRollout,
   RolloutPhase,
   tallyKeys,
-  workersOnTrial,
+  activeTrialWorkers,
 } from "../decision/index.ts";
 import type {
-  RolloutBounds,
-  RolloutShare,
+  RolloutLimits,
+  RolloutBudget,
   RouteEvidence,
   RunCounts,
   RunTally,
@@ -33,7 +33,7 @@
   /** Phase of the current plan; undefined without a valid plan. */
   readonly phase: RolloutPhase | undefined;
   /** Requests sent by this instance since it learned of the order. */
-  readonly sent: RolloutShare["counts"];
+  readonly sent: RolloutBudget["counts"];
 }
 
 /** The workers of a service that may receive a request. */
@@ -55,7 +55,7 @@
   /** Replaces the workers. */
   setWorkers(workers: readonly RoutedWorker[]): void;
   /** Applies plans received from another instance or made by this one. */
-  heard(plans: readonly RolloutPlan[]): void;
+  updatePlans(plans: readonly RolloutPlan[]): void;
   /** Lists the plans to send to other instances. */
   plans(): RolloutPlan[];
   /** Returns the workers of a service that may receive a request now; undefined if all of them may. */
@@ -87,13 +87,13 @@
 export interface RolloutViewParts {
   readonly clock: Clock;
   readonly random: Random;
-  readonly bounds: RolloutBounds;
+  readonly bounds: RolloutLimits;
   /** Returns the time synchronized across instances, in milliseconds since the Unix epoch. */
   readonly time: () => number;
   /** Returns the number of entry instances. */
-  readonly members: () => number;
+  readonly instanceCount: () => number;
   /** Returns the fleet-wide counts for a hash from `tallyKeys`, as far as this instance knows them. */
-  readonly sumOf: (key: number) => RunCounts | undefined;
+  readonly fleetCountsOf: (key: number) => RunCounts | undefined;
   /** Called when a run begins at a worker of this version. */
   readonly onBegin: (service: string, version: string) => void;
   readonly log: Pick<RoutedLog, "changed">;
@@ -107,7 +107,7 @@
   /** Versions that were rolled back and receive no requests. */
   readonly barred: Set<string>;
   /** Limits the share of requests sent to the version on trial. */
-  share: RolloutShare;
+  share: RolloutBudget;
   /** Ids of the workers of the version on trial, in the order in which they are used. */
   tried: readonly string[];
   /** Ids of all workers on trial that have received a request from this instance. */
@@ -130,13 +130,13 @@
  * instances.
  */
 export function createRolloutView(parts: RolloutViewParts): RolloutView {
-  const { clock, random, bounds, time, members, log } = parts;
+  const { clock, random, bounds, time, instanceCount: members, log } = parts;
   const services = new Map<string, ServiceState>();
   const plans = createRolloutPlans();
-  const tallies = createVersionTallies(parts.sumOf);
-  const newShare = (entry: RolloutEntry | undefined): RolloutShare => {
-    const course = rolloutCourse(entry?.order.duration ?? Infinity, bounds);
-    return createRolloutShare({ bounds, course, members, random });
+  const tallies = createVersionTallies(parts.fleetCountsOf);
+  const newShare = (entry: RolloutEntry | undefined): RolloutBudget => {
+    const course = planRollout(entry?.order.duration ?? Infinity, bounds);
+    return createRolloutBudget({ limits: bounds, schedule: course, memberCount: members, random });
   };
 
   const serviceStateOf = (service: string): ServiceState => {
@@ -170,7 +170,7 @@
     if (served?.tried !== previous?.tried) {
       serviceState.share = newShare(entry);
       serviceState.everTried.clear();
-      tallies.expect(service, served?.tried);
+      tallies.setTrialVersion(service, served?.tried);
       if (served?.tried === undefined) plans.forget(service);
     }
     serviceState.served = served;
@@ -206,9 +206,15 @@
   const onTrial = ({ entry, startedAt, share, base, tried }: ServiceState): string[] => {
     if (entry === undefined || startedAt === undefined) return [];
     const { duration } = entry.order;
-    const part = rolloutCourse(duration, bounds).parts[RolloutPhase.Trial];
+    const part = planRollout(duration, bounds).maxShares[RolloutPhase.Trial];
     const since = time() - startedAt;
-    return workersOnTrial(tried, { since, duration, part, base, delay: share.delay });
+    return activeTrialWorkers(tried, {
+      elapsed: since,
+      duration,
+      maxShare: part,
+      baseWorkers: base,
+      startDelay: share.startDelay,
+    });
   };
   const admitting: RolloutView["admitting"] = (service) => {
     const serviceState = services.get(service);
@@ -216,10 +222,10 @@
     const { served, share } = serviceState;
     const { base, tried: triedVersion } = served;
     const phase = phaseOf(service, serviceState);
-    if (phase === RolloutPhase.Switch && share.mayTry(phase)) {
+    if (phase === RolloutPhase.Switch && share.canSendToTrial(phase)) {
       return { serves: ({ version }) => version === triedVersion, onTrial: NO_WORKERS };
     }
-    const canTry = phase !== undefined && share.mayTry(RolloutPhase.Trial);
+    const canTry = phase !== undefined && share.canSendToTrial(RolloutPhase.Trial);
     const trialWorkers = canTry ? new Set(onTrial(serviceState)) : NO_WORKERS;
     return { serves: ({ version }) => version === base, onTrial: trialWorkers };
   };
@@ -253,7 +259,7 @@
         update(service, serviceState);
       }
     },
-    heard: (received) => {
+    updatePlans: (received) => {
       plans.update(received, clock.now());
       for (const { service, to, startedAt } of received) {
         const serviceState = services.get(service);
@@ -270,14 +276,30 @@
       const triedVersion = serviceState?.served?.tried;
       if (serviceState === undefined || triedVersion === undefined) {
         const tried = undefined;
-        return tallies.begin({ service, route, reads, tried, isCold, isCompared: false, now });
+        return tallies.begin({
+          service,
+          route,
+          prefillTokens: reads,
+          trialWorker: tried,
+          isWarmingUp: isCold,
+          isCompared: false,
+          startedAt: now,
+        });
       }
       const isTried = version === triedVersion;
-      serviceState.share.sent(isTried);
+      serviceState.share.recordSent(isTried);
       if (isTried) serviceState.everTried.add(id);
       const tried = isTried ? id : undefined;
       const isCompared = isTried || onTrial(serviceState).length > 0;
-      return tallies.begin({ service, route, reads, tried, isCold, isCompared, now });
+      return tallies.begin({
+        service,
+        route,
+        prefillTokens: reads,
+        trialWorker: tried,
+        isWarmingUp: isCold,
+        isCompared,
+        startedAt: now,
+      });
     },
     counts: () => tallies.counts(clock.now()),
     evidence: (service, { routes, sums }) => {
--- a/src/process/routed_entry.ts
+++ b/src/process/routed_entry.ts
@@ -1,17 +1,17 @@
 import { openDatagrams } from "../connection/datagrams.ts";
 import { createWorkerConnections } from "../connection/worker_connections.ts";
 import {
-  createRepeatAllowance,
+  createRepeatBudget,
   createSharedQuota,
-  createTrueTime,
+  createFleetTime,
   createUsageLedger,
-  createWorkerDemand,
+  createDemandEstimator,
   createWorkerHealth,
   createWorkerLimits,
-  spreadAddresses,
+  sampleAddresses,
   sum,
 } from "../decision/index.ts";
-import type { DemandLevel, WorkerDemand } from "../decision/index.ts";
+import type { DemandLevel, DemandEstimator } from "../decision/index.ts";
 import { sleep } from "../interface/index.ts";
 import { createRoutedRequests } from "../request/routed_service.ts";
 import type { RoutedContext } from "../request/index.ts";
@@ -19,11 +19,11 @@
 import type { RoutedService, RouteTable } from "../version/index.ts";
 import { createLeaseTask } from "./lease_task.ts";
 import { createMixTask } from "./mix_task.ts";
-import { createFleetNews } from "./fleet_news.ts";
-import { FleetRole } from "./fleet_tree.ts";
+import { createFleetSync } from "./fleet_sync.ts";
+import { FleetRole } from "./fleet_topology.ts";
 import { createInstanceHashes } from "./instance_hashes.ts";
 import { createRequestQuarantine } from "./request_quarantine.ts";
-import { createRoutedBoard } from "./routed_board.ts";
+import { createRoutedWorkerTable } from "./routed_worker_table.ts";
 import type { RoutedEntry, RoutedEntryDependencies } from "./routed_entry_parts.ts";
 import { capacityOf } from "./routed_settings.ts";
 import type { RoutedSettings } from "./routed_settings.ts";
@@ -31,7 +31,7 @@
 import { rolloutStatus } from "./rollout_status.ts";
 import { createRolloutView, servedWorkers } from "./rollout_view.ts";
 import { instanceStatuses, quarantineStatuses, routeStatuses } from "./status_parts.ts";
-import { createStorePace } from "./store_pace.ts";
+import { createStoreThrottle } from "./store_throttle.ts";
 import { createStoreView } from "./store_view.ts";
 import { createUsageTask } from "./usage_task.ts";
 import { createWorkerChecks } from "./worker_checks.ts";
@@ -71,9 +71,9 @@
 
   const health = createWorkerHealth();
   const quota = createSharedQuota(startedAt);
-  const repeats = createRepeatAllowance(settings.repeats);
+  const repeats = createRepeatBudget(settings.repeats);
   const ledger = createUsageLedger();
-  const time = createTrueTime({ date: clock.date().getTime(), steady: startedAt });
+  const time = createFleetTime({ date: clock.date().getTime(), steady: startedAt });
   const synchronizedNow = (): number => time.now(clock.now());
   const versions =
     settings.rollouts === undefined
@@ -83,8 +83,8 @@
           random,
           bounds: settings.rollouts,
           time: synchronizedNow,
-          members: () => fleet.members,
-          sumOf: (key) => fleet.sumOf(key),
+          instanceCount: () => fleet.members,
+          fleetCountsOf: (key) => fleet.sumOf(key),
           onBegin: (service, version) => metrics.sent(service, version),
           log,
         });
@@ -103,16 +103,16 @@
     canErase: () => lease.held().length > 0,
     log,
   });
-  const board = createRoutedBoard({
+  const board = createRoutedWorkerTable({
     clock,
     random,
     zone: settings.zone,
     health,
     members,
-    newsAge: () => fleet.newsAge,
-    onBegin: () => fleet.begun(),
+    newsAge: () => fleet.updateAge,
+    onBegin: () => fleet.reportRunStart(),
     versions,
-    counted: () => quarantine.counts(),
+    extraCounts: () => quarantine.counts(),
     time: synchronizedNow,
     limits: createWorkerLimits({
       time: synchronizedNow,
@@ -139,7 +139,7 @@
     log,
     staleAfter: settings.leaseTerm + LEASE_POLL_INTERVAL,
     fleet: () => fleet,
-    onRouting: (routing) => quota.expect(routing.accounts ?? [], clock.now()),
+    onRouting: (routing) => quota.addAccounts(routing.accounts ?? [], clock.now()),
     onArrival: (way, late) => metrics.changeReceived(way, late),
     onQuarantine: (objects) => quarantine.setObjects(objects),
     followsQuarantine: () =>
@@ -154,7 +154,7 @@
     },
   });
   const table = (): RouteTable | undefined => view.table();
-  const fleet = createFleetNews({
+  const fleet = createFleetSync({
     settings,
     clock,
     random,
@@ -173,13 +173,13 @@
     ledger,
     health,
     board,
-    onHeard: (peer) => {
-      lease.heard(LEASE_NAME, peer.leaseVersion);
-      view.heard(peer);
-      board.heardLimits(peer.limits);
-      versions?.heard(peer.plans);
+    onDigest: (peer) => {
+      lease.observe(LEASE_NAME, peer.leaseVersion);
+      view.beforeDigest(peer);
+      board.updateLimits(peer.limits);
+      versions?.updatePlans(peer.plans);
     },
-    onTold: (peer) => view.told(peer),
+    onDigestApplied: (peer) => view.afterDigest(peer),
     open: openDatagrams,
   });
   const { incarnation } = fleet;
@@ -190,34 +190,34 @@
     clock,
     random,
     store: dependencies.store,
-    pace: createStorePace({ clock, random, members }),
+    throttle: createStoreThrottle({ clock, random, members }),
     duties: () => [LEASE_NAME],
     members: {
       self: { id: incarnation },
       alive: () => [
         ...(canHoldLease() ? [{ id: incarnation }] : []),
         ...fleet
-          .dutyCandidates()
+          .leaseCandidates()
           .filter(({ reachesStore: reaches, ready }) => reaches && ready)
           .map(({ incarnation: id }) => ({ id })),
       ],
     },
-    mayHold: () => canHoldLease(),
-    longestOrder: TAKEOVER_DELAY,
+    canHold: () => canHoldLease(),
+    maxOrderTime: TAKEOVER_DELAY,
     term: settings.leaseTerm,
-    lookPeriod: LEASE_POLL_INTERVAL,
-    isHeldElsewhere: () => fleet.heard().some(({ leaseVersion }) => leaseVersion > 0),
+    pollInterval: LEASE_POLL_INTERVAL,
+    isHeldElsewhere: () => fleet.directPeers().some(({ leaseVersion }) => leaseVersion > 0),
     count: (name) => log.changed(name, {}),
   });
-  const demands = new Map<string, WorkerDemand>();
+  const demands = new Map<string, DemandEstimator>();
   const workersInUse = (service: RoutedService, first: number): DemandLevel => {
     const { name } = service;
-    const { readRate = Infinity } = board.speed(service);
+    const { prefillRate: readRate = Infinity } = board.speed(service);
     const loads = board.loads(name).map(({ running, unreadTokens }) => ({
       running,
       readingTime: unreadTokens / readRate,
     }));
-    const demand = demands.get(name) ?? createWorkerDemand();
+    const demand = demands.get(name) ?? createDemandEstimator();
     demands.set(name, demand);
     return demand.observe(loads, { now: clock.now(), first });
   };
@@ -247,8 +247,8 @@
             (table()?.routing.routes ?? [])
               .filter(({ shares }) => shares.some((share) => share.service === service))
               .map(({ name }) => name),
-          sums: () => fleet.sums(),
-          running: (service) => sum(board.loads(service).map(({ running }) => running)),
+          fleetCounts: () => fleet.sums(),
+          runningRequests: (service) => sum(board.loads(service).map(({ running }) => running)),
           fence: (callTime) => lease.fence(LEASE_NAME, callTime),
           log: (step, fields) => log.changed(step, fields),
         });
@@ -280,39 +280,39 @@
       onEnded: (_worker, prints) => quarantine.recordCrash(prints),
     }),
     quarantine,
-    began: (account, at) => {
+    recordStart: (account, at) => {
       if (account === undefined) return;
-      ledger.began(account, Math.floor(time.now(at) / settings.usage.window));
+      ledger.recordRun(account, Math.floor(time.now(at) / settings.usage.window));
     },
     isStopping,
     isClosedToNew: () =>
       stoppingSince !== undefined && clock.now() - stoppingSince > STOP_ACCEPT_TIME,
-    decided: log.decided,
+    logDecision: log.decided,
     metrics,
   };
   const requests = createRoutedRequests(context);
-  metrics.watch(
+  metrics.addGauge(
     "samphireshore_requests_in_progress",
     "Requests not ended.",
     () => requests.inProgress,
   );
-  metrics.watch(
+  metrics.addGauge(
     "samphireshore_routing_version",
     "Configuration in force.",
     () => table()?.routing.version ?? 0,
   );
-  metrics.watch("samphireshore_members", "Entry instances expected.", members);
-  metrics.watch(
+  metrics.addGauge("samphireshore_members", "Entry instances expected.", members);
+  metrics.addGauge(
     "samphireshore_quarantined_requests",
     "Requests that no worker gets, since workers crashed when they ran them.",
     () => quarantine.list().length,
   );
-  metrics.watch(
+  metrics.addGauge(
     "samphireshore_digest_bytes",
     "Bytes of digests sent to other instances.",
     () => fleet.bytesSent,
   );
-  metrics.watch(
+  metrics.addGauge(
     "samphireshore_worker_connections_opened",
     "Connections opened.",
     () => connections.opened,
@@ -321,7 +321,7 @@
   const drain = async (): Promise<void> => {
     stoppingSince = clock.now();
     log.changed("stopping", { inProgress: requests.inProgress });
-    fleet.announce();
+    fleet.sendNow();
     void lease.release();
     const lastAt = stoppingSince + settings.grace - STOP_MARGIN;
     while (clock.now() < lastAt) {
@@ -341,7 +341,7 @@
       const own = { callers: settings.listen.callers, capacity };
       const instances = isReady() ? [own, ...others] : others;
       return {
-        addresses: spreadAddresses(instances, { most: MAX_ADDRESSES, random }),
+        addresses: sampleAddresses(instances, { most: MAX_ADDRESSES, random }),
         life: Math.min(RESOLVE_TTL, settings.resolveLife),
       };
     },
@@ -381,7 +381,7 @@
     }),
     start: async () => {
       log.changed("starting", { incarnation, zone: settings.zone });
-      fleet.introduce(settings.seeds);
+      fleet.addAddresses(settings.seeds);
       await fleet.start();
       view.start();
       lease.start();
@@ -391,7 +391,7 @@
       rollouts?.start();
     },
     reload: (changed) => {
-      fleet.introduce(changed.seeds);
+      fleet.addAddresses(changed.seeds);
       const other = { ...changed, seeds: settings.seeds };
       const needsRestart = JSON.stringify(other) !== JSON.stringify(settings);
       log.changed("settings-reloaded", { seeds: changed.seeds.join(" "), needsRestart });
--- a/src/process/routed_log.ts
+++ b/src/process/routed_log.ts
@@ -1,4 +1,4 @@
-import "./log_switch.ts";
+import "./enable_log.ts";
 import { ROARR, Roarr } from "roarr";
 import type { Clock } from "../interface/index.ts";
 
--- a/src/process/routed_metrics.ts
+++ b/src/process/routed_metrics.ts
@@ -9,7 +9,7 @@
   /** Returns all metrics in the Prometheus text exposition format. */
   text(): Promise<string>;
   /** Registers a gauge whose value is read when the metrics are fetched. */
-  watch(name: string, help: string, read: () => number): void;
+  addGauge(name: string, help: string, read: () => number): void;
 }
 
 /** Bucket bounds of the latency histograms in seconds, from one cross-zone trip to the longest deadline. */
@@ -48,7 +48,7 @@
     sent: (service, version) => recordOrBuffer((loaded) => loaded.sent(service, version)),
     changeReceived: (way, milliseconds) =>
       recordOrBuffer((loaded) => loaded.changeReceived(way, milliseconds)),
-    watch: (name, help, read) => recordOrBuffer((loaded) => loaded.watch(name, help, read)),
+    addGauge: (name, help, read) => recordOrBuffer((loaded) => loaded.addGauge(name, help, read)),
     text: async () => (await load()).text(),
   };
 }
@@ -114,7 +114,7 @@
     sent: (service, version) => sent.inc({ service, version }),
     changeReceived: (way, milliseconds) =>
       changeKnown.observe({ way }, milliseconds / MILLISECONDS_PER_SECOND),
-    watch: (name, help, read) => {
+    addGauge: (name, help, read) => {
       new Gauge({
         name,
         help,
--- a/src/process/routed_metrics_test.ts
+++ b/src/process/routed_metrics_test.ts
@@ -5,7 +5,7 @@
   const metrics = createRoutedMetrics();
   metrics.refused("quota-used-up");
   metrics.answered("r1", 200, 42);
-  metrics.watch("samphireshore_figure", "A figure.", () => 7);
+  metrics.addGauge("samphireshore_figure", "A figure.", () => 7);
   const text = await metrics.text();
   metrics.repeated("worker-lost");
   const later = await metrics.text();
--- a/src/process/routed_board.ts
+++ b/src/process/routed_worker_table.ts
@@ -1,26 +1,26 @@
-import { comparedWorkers, createReadRate, sum } from "../decision/index.ts";
+import { sampleWorkers, createPrefillRate, sum } from "../decision/index.ts";
 import type {
-  LimitStatement,
-  ReadRate,
+  LimitReport,
+  PrefillRate,
   RunCounts,
-  ServiceSpeed,
+  ServiceTiming,
   WorkerHealth,
   WorkerLimits,
 } from "../decision/index.ts";
 import type { Clock, Random, RoutedWorker, Timer } from "../interface/index.ts";
 import { RunResult } from "../request/routed_context.ts";
-import type { BoardWorker, WorkerBoard } from "../request/index.ts";
+import type { CandidateWorker, WorkerLoads } from "../request/index.ts";
 import { hashText } from "../version/index.ts";
 import type { RoutedService } from "../version/index.ts";
-import { NO_USE } from "./digest.ts";
-import type { InstanceNews, WorkerUse } from "./digest.ts";
+import { NO_WORKER_COUNTS } from "./digest.ts";
+import type { InstanceUpdate, WorkerCounts } from "./digest.ts";
 import { createPeerOccupancy } from "./peer_occupancy.ts";
 import type { Occupancy } from "./peer_occupancy.ts";
 import type { RolloutView } from "./rollout_view.ts";
 import type { RoutedStatus } from "./routed_status.ts";
 
 /** The worker table of an instance: the workers, their load from all instances, health and limits. */
-export interface RoutedBoard extends WorkerBoard {
+export interface RoutedWorkerTable extends WorkerLoads {
   /** Replaces the workers by those registered in the store. */
   setWorkers(workers: readonly RoutedWorker[]): void;
   /** Lists the registered workers. */
@@ -31,17 +31,20 @@
    * Applies another instance's load at workers: a complete snapshot if `isWhole`, otherwise only the workers that
    * changed.
    */
-  heard(instance: string, news: Pick<InstanceNews, "use" | "isWhole">): void;
+  updateOccupancy(
+    instance: string,
+    news: Pick<InstanceUpdate, "workerCounts" | "isSnapshot">,
+  ): void;
   /** Marks workers as leaving that another instance reported, in the form that `leaving` returns. */
-  heardLeaving(leaving: readonly string[]): void;
+  markLeaving(leaving: readonly string[]): void;
   /** Returns the known rate limits of workers, to be sent to other instances. */
-  limitStatements(): readonly LimitStatement[];
+  limitStatements(): readonly LimitReport[];
   /** Applies rate limits received from another instance. */
-  heardLimits(statements: readonly LimitStatement[]): void;
+  updateLimits(statements: readonly LimitReport[]): void;
   /** Removes the load of all instances except these, because the requests of a stopped instance have ended. */
-  keepInstances(instances: ReadonlySet<string>): void;
+  retainInstances(instances: ReadonlySet<string>): void;
   /** Returns this instance's own load and run counts, by the hashes of the worker ids. */
-  use(): ReadonlyMap<number, WorkerUse>;
+  use(): ReadonlyMap<number, WorkerCounts>;
   /** Returns the status of every worker, for operators. */
   overview(): RoutedStatus["workers"];
   /** Whether a worker is leaving or no longer registered. */
@@ -63,7 +66,7 @@
 }
 
 /** Dependencies of the worker table. */
-export interface RoutedBoardParts {
+export interface RoutedWorkerTableParts {
   readonly clock: Clock;
   readonly random: Random;
   /** Availability zone of this instance. */
@@ -82,7 +85,7 @@
   /** Called when a run begins. */
   readonly onBegin: () => void;
   /** Returns further counts of this instance that are sent to others together with the workers' run counts. */
-  readonly counted?: (() => ReadonlyMap<number, RunCounts>) | undefined;
+  readonly extraCounts?: (() => ReadonlyMap<number, RunCounts>) | undefined;
   /** Decides which versions receive requests. All versions do if undefined. */
   readonly versions?: Pick<RolloutView, "admitting" | "begin" | "counts"> | undefined;
 }
@@ -136,10 +139,10 @@
  * All instances send requests to the same workers. Each one adds its own running requests to those reported by the
  * other instances, so that together they don't overload a worker.
  */
-export function createRoutedBoard(parts: RoutedBoardParts): RoutedBoard {
+export function createRoutedWorkerTable(parts: RoutedWorkerTableParts): RoutedWorkerTable {
   const { clock, random, zone, health, members, newsAge, onBegin, versions } = parts;
   const { time, limits, onLimit = () => undefined } = parts;
-  const { counted = () => new Map<number, RunCounts>() } = parts;
+  const { extraCounts: counted = () => new Map<number, RunCounts>() } = parts;
   const entries = new Map<string, WorkerEntry>();
   /** Entries by service, because each request iterates over those of one service. */
   let byService: ReadonlyMap<string, readonly WorkerEntry[]> = new Map();
@@ -147,9 +150,9 @@
   const peerOccupancy = createPeerOccupancy();
   const runTimes = new Map<string, number>();
   const unseenCache = new Map<string, { unseen: number; at: number }>();
-  const readRates = new Map<string, ReadRate>();
-  const readRate = (service: string): ReadRate => {
-    const known = readRates.get(service) ?? createReadRate();
+  const readRates = new Map<string, PrefillRate>();
+  const readRate = (service: string): PrefillRate => {
+    const known = readRates.get(service) ?? createPrefillRate();
     readRates.set(service, known);
     return known;
   };
@@ -197,7 +200,7 @@
   const available = (service: RoutedService, now: number): WorkerEntry[] =>
     entriesOf(service.name).filter(
       ({ hash, isLeaving, pausedUntil }) =>
-        !isLeaving && now >= pausedUntil && limits.mayTake(hash),
+        !isLeaving && now >= pausedUntil && limits.canSend(hash),
     );
   const eligible = (service: RoutedService, now: number): WorkerEntry[] => {
     const entriesNow = available(service, now);
@@ -223,28 +226,32 @@
   };
   const maxConnectionsFor = ({ maxConnections }: RoutedService): number =>
     Math.max(1, Math.floor((maxConnections * CONNECTION_SHARE) / members()));
-  const boardWorker = (entry: WorkerEntry, maxConnections: number, now: number): BoardWorker => {
+  const boardWorker = (
+    entry: WorkerEntry,
+    maxConnections: number,
+    now: number,
+  ): CandidateWorker => {
     const { worker, hash } = entry;
     return {
       id: worker.id,
       hash,
       ...loadAt(entry),
       slots: worker.slots,
-      failing: health.excess(hash, worker.service, now),
-      sameZone: worker.zone === zone,
-      coldFor: Math.max(0, worker.coldFor - (now - entry.seenAt)),
+      excessFailureRate: health.excessFailureRate(hash, worker.service, now),
+      isSameZone: worker.zone === zone,
+      warmupLeft: Math.max(0, worker.coldFor - (now - entry.seenAt)),
       address: worker.address,
       service: worker.service,
-      mostConnections: maxConnections,
+      maxConnections: maxConnections,
     };
   };
-  const candidates = (service: RoutedService): BoardWorker[] => {
+  const candidates = (service: RoutedService): CandidateWorker[] => {
     const now = clock.now();
     const maxConnections = maxConnectionsFor(service);
     return eligible(service, now).map((entry) => boardWorker(entry, maxConnections, now));
   };
   // Every request takes this path. The workers to compare are drawn first, so that objects are created only for them.
-  const compared: RoutedBoard["compared"] = (service, parts) => {
+  const compared: RoutedWorkerTable["sample"] = (service, parts) => {
     const now = clock.now();
     const tried = onTrial(service, now);
     if (tried.length > 0) {
@@ -256,15 +263,15 @@
     }
     const unseenNow = unseen(service, now);
     if (unseenNow === 0) {
-      return comparedWorkers(candidates(service), { unseen: unseenNow, parts, random });
+      return sampleWorkers(candidates(service), { unseen: unseenNow, parts, random });
     }
     const maxConnections = maxConnectionsFor(service);
     const entriesNow = eligible(service, now);
-    const drawn = comparedWorkers(entriesNow, { unseen: unseenNow, parts, random });
+    const drawn = sampleWorkers(entriesNow, { unseen: unseenNow, parts, random });
     const made = new Map(
       drawn.workers.map((entry) => [entry, boardWorker(entry, maxConnections, now)]),
     );
-    const homes = new Map<BoardWorker, number>();
+    const homes = new Map<CandidateWorker, number>();
     for (const [entry, chance] of drawn.homes) {
       const worker = made.get(entry);
       if (worker !== undefined) homes.set(worker, chance);
@@ -284,8 +291,8 @@
     unseenCache.set(service.name, { unseen: found, at: now });
     return found;
   };
-  const begin: RoutedBoard["begin"] = (target, { reads, route }) => {
-    const { id, hash, service, unreadTokens, coldFor } = target;
+  const begin: RoutedWorkerTable["begin"] = (target, { reads, route }) => {
+    const { id, hash, service, unreadTokens, warmupLeft: coldFor } = target;
     const startedAt = clock.now();
     const sentAt = time();
     const routedWorker = entries.get(id)?.worker;
@@ -306,18 +313,18 @@
       unread = 0;
     };
     adjustLoad(1, reads);
-    limits.took(hash);
+    limits.recordSent(hash);
     onBegin();
     return {
-      answering: (limit) => {
+      recordResponse: (limit) => {
         trackLimit({ hash, isOwn: true }, () =>
-          limits.answered(hash, { perSecond: limit, sentAt }),
+          limits.recordAnswer(hash, { perSecond: limit, sentAt }),
         );
       },
-      read: () => {
+      recordFirstEvent: () => {
         const now = clock.now();
         readRate(service).observe({ tokens: unreadTotal, took: now - startedAt });
-        tally?.answered(now);
+        tally?.recordAnswer(now);
         stopReading();
       },
       end: (result) => {
@@ -327,12 +334,12 @@
         const entry = entries.get(id);
         if (result === RunResult.Answered) {
           recordRunTime(service, now - startedAt);
-          tally?.answered(now);
+          tally?.recordAnswer(now);
         }
         const effect = HEALTH_EFFECT[result];
-        tally?.ended(effect);
+        tally?.recordEnd(effect);
         if (effect !== "unknown") {
-          health.ended({ worker: hash, service, failed: effect === "failed", now });
+          health.recordRun({ worker: hash, service, failed: effect === "failed", now });
         }
         const pause = PAUSE_TIMES[result];
         if (pause !== undefined && entry !== undefined) entry.pausedUntil = now + pause;
@@ -343,16 +350,16 @@
     const before = runTimes.get(service) ?? took;
     runTimes.set(service, before + (took - before) * RUN_TIME_WEIGHT);
   };
-  const speed = ({ name, engine }: RoutedService): ServiceSpeed => ({
-    readRate: engine === undefined ? undefined : readRate(name).value,
+  const speed = ({ name, engine }: RoutedService): ServiceTiming => ({
+    prefillRate: engine === undefined ? undefined : readRate(name).value,
     runTime:
       runTimes.get(name) ??
       (engine === undefined ? INITIAL_RUN_TIME.plain : INITIAL_RUN_TIME.engine),
   });
   return {
     candidates,
-    opensIn: ({ name }) => limits.opensIn(entriesOf(name).map(({ hash }) => hash)),
-    compared,
+    timeUntilCapacity: ({ name }) => limits.timeToNextSlot(entriesOf(name).map(({ hash }) => hash)),
+    sample: compared,
     begin,
     speed,
     onLeaving: (id, listener) => {
@@ -375,33 +382,33 @@
       }
       byService = groupByService(entries.values());
       const hashes = new Set([...entries.values()].map(({ hash }) => hash));
-      health.keepOnly(hashes);
-      limits.keepOnly(hashes);
+      health.retainWorkers(hashes);
+      limits.retainWorkers(hashes);
     },
     workers: () => [...entries.values()].map(({ worker }) => worker),
     loads: (service) => entriesOf(service).map(loadAt),
-    heard: (instance, news) => peerOccupancy.update(instance, news),
-    heardLeaving: (leaving) => {
+    updateOccupancy: (instance, news) => peerOccupancy.update(instance, news),
+    markLeaving: (leaving) => {
       if (leaving.length === 0) return;
       const reported = new Set(leaving);
       for (const entry of entries.values())
         if (reported.has(startKey(entry))) entry.isLeaving = true;
     },
-    limitStatements: () => limits.statements(),
-    heardLimits: (statements) => {
+    limitStatements: () => limits.recentReports(),
+    updateLimits: (statements) => {
       for (const statement of statements) {
-        trackLimit({ hash: statement.worker, isOwn: false }, () => limits.heard(statement));
+        trackLimit({ hash: statement.worker, isOwn: false }, () => limits.receiveReport(statement));
       }
     },
-    keepInstances: (instances) => peerOccupancy.retainInstances(instances),
+    retainInstances: (instances) => peerOccupancy.retainInstances(instances),
     use: () => {
-      const use = new Map<number, WorkerUse>();
+      const use = new Map<number, WorkerCounts>();
       for (const { hash, running, unreadTokens } of entries.values()) {
         const { runs, failures } = health.ownCounts(hash);
         if (running > 0 || runs > 0) use.set(hash, { running, unreadTokens, runs, failures });
       }
       for (const counts of [versions?.counts() ?? [], counted()]) {
-        for (const [key, count] of counts) use.set(key, { ...NO_USE, ...count });
+        for (const [key, count] of counts) use.set(key, { ...NO_WORKER_COUNTS, ...count });
       }
       return use;
     },
@@ -409,7 +416,7 @@
       [...entries.values()].map((entry) => {
         const { id, service, version, zone: place, purchase } = entry.worker;
         const { running } = loadAt(entry);
-        const failing = health.excess(entry.hash, service, clock.now());
+        const failing = health.excessFailureRate(entry.hash, service, clock.now());
         const leaving = entry.isLeaving;
         const limit = limits.limitOf(entry.hash);
         return { id, service, version, zone: place, purchase, leaving, running, failing, limit };
--- a/src/process/routed_board_test.ts
+++ b/src/process/routed_worker_table_test.ts
@@ -6,9 +6,9 @@
 import { createVirtualClock } from "../standin/memory/index.ts";
 import { hashText } from "../version/index.ts";
 import type { RoutedService } from "../version/index.ts";
-import type { WorkerUse } from "./digest.ts";
-import { createRoutedBoard } from "./routed_board.ts";
-import type { RoutedBoard } from "./routed_board.ts";
+import type { WorkerCounts } from "./digest.ts";
+import { createRoutedWorkerTable } from "./routed_worker_table.ts";
+import type { RoutedWorkerTable } from "./routed_worker_table.ts";
 
 /** The synchronized time in these tests, which changes only where a test sets it. */
 const sharedTime = { now: 1_000_000 };
@@ -16,7 +16,7 @@
 /** Only this instance shares the limits. */
 const INSTANCES = [1];
 
-function startBoard(): RoutedBoard {
+function startBoard(): RoutedWorkerTable {
   const time = (): number => sharedTime.now;
   const parts = {
     time,
@@ -28,7 +28,7 @@
     random: createSeededRandom(1),
     onBegin: () => undefined,
   };
-  const board = createRoutedBoard({ clock: createVirtualClock(), ...parts });
+  const board = createRoutedWorkerTable({ clock: createVirtualClock(), ...parts });
   board.setWorkers(["w0", "w1"].map(workerNamed));
   return board;
 }
@@ -49,7 +49,7 @@
   };
 }
 
-function occupancyOf(use: Readonly<Record<string, number>>): ReadonlyMap<number, WorkerUse> {
+function occupancyOf(use: Readonly<Record<string, number>>): ReadonlyMap<number, WorkerCounts> {
   return new Map(
     Object.entries(use).map(([id, running]) => [
       hashText(id),
@@ -58,7 +58,7 @@
   );
 }
 
-function runningAt(board: RoutedBoard): number[] {
+function runningAt(board: RoutedWorkerTable): number[] {
   return board.loads("desk").map(({ running }) => running);
 }
 
@@ -66,14 +66,14 @@
 // instance's load twice, would choose a full worker or avoid an idle one.
 test("adds up the load of other instances, replaces it and removes it with them", () => {
   const board = startBoard();
-  board.heard("e1", { use: occupancyOf({ w0: 2, w1: 1 }), isWhole: true });
-  board.heard("e2", { use: occupancyOf({ w0: 3 }), isWhole: true });
+  board.updateOccupancy("e1", { workerCounts: occupancyOf({ w0: 2, w1: 1 }), isSnapshot: true });
+  board.updateOccupancy("e2", { workerCounts: occupancyOf({ w0: 3 }), isSnapshot: true });
   expect(runningAt(board)).toEqual([5, 1]);
-  board.heard("e1", { use: occupancyOf({ w1: 4 }), isWhole: true });
+  board.updateOccupancy("e1", { workerCounts: occupancyOf({ w1: 4 }), isSnapshot: true });
   expect(runningAt(board)).toEqual([3, 4]);
-  board.keepInstances(new Set(["e1"]));
+  board.retainInstances(new Set(["e1"]));
   expect(runningAt(board)).toEqual([0, 4]);
-  board.keepInstances(new Set());
+  board.retainInstances(new Set());
   expect(runningAt(board)).toEqual([0, 0]);
   expect(board.workers()).toHaveLength(2);
 });
@@ -81,12 +81,12 @@
 // Most load reports contain only the changes. If taken as complete, the load that didn't change would be lost.
 test("keeps the load of workers that a delta does not name", () => {
   const board = startBoard();
-  board.heard("e1", { use: occupancyOf({ w0: 2, w1: 1 }), isWhole: true });
-  board.heard("e1", { use: occupancyOf({ w1: 4 }), isWhole: false });
+  board.updateOccupancy("e1", { workerCounts: occupancyOf({ w0: 2, w1: 1 }), isSnapshot: true });
+  board.updateOccupancy("e1", { workerCounts: occupancyOf({ w1: 4 }), isSnapshot: false });
   expect(runningAt(board)).toEqual([2, 4]);
-  board.heard("e1", { use: occupancyOf({ w0: 0 }), isWhole: false });
+  board.updateOccupancy("e1", { workerCounts: occupancyOf({ w0: 0 }), isSnapshot: false });
   expect(runningAt(board)).toEqual([0, 4]);
-  board.keepInstances(new Set());
+  board.retainInstances(new Set());
   expect(runningAt(board)).toEqual([0, 0]);
 });
 
@@ -94,9 +94,9 @@
 // when the registration is back, including load reported in the meantime.
 test("knows the load of other instances at a worker that is registered again", () => {
   const board = startBoard();
-  board.heard("e1", { use: occupancyOf({ w0: 2 }), isWhole: true });
+  board.updateOccupancy("e1", { workerCounts: occupancyOf({ w0: 2 }), isSnapshot: true });
   board.setWorkers([workerNamed("w1")]);
-  board.heard("e2", { use: occupancyOf({ w0: 1 }), isWhole: true });
+  board.updateOccupancy("e2", { workerCounts: occupancyOf({ w0: 1 }), isSnapshot: true });
   board.setWorkers(["w0", "w1"].map(workerNamed));
   expect(runningAt(board).reduce((sum, running) => sum + running, 0)).toBe(3);
 });
@@ -109,7 +109,7 @@
 };
 
 /** Sends each worker a request whenever it may receive one, and returns the counts over this many seconds. */
-function sendForSeconds(board: RoutedBoard, seconds: number): Record<string, number> {
+function sendForSeconds(board: RoutedWorkerTable, seconds: number): Record<string, number> {
   const counts: Record<string, number> = {};
   for (let step = 0; step < seconds * 100; step++) {
     sharedTime.now += 10;
@@ -122,25 +122,25 @@
 }
 
 /** Sends the worker a request that it answers with this limit. */
-function answerWithLimit(board: RoutedBoard, id: string, limit: number | undefined): void {
+function answerWithLimit(board: RoutedWorkerTable, id: string, limit: number | undefined): void {
   const worker = board.candidates(DESK).find((one) => one.id === id);
   if (worker === undefined) throw new Error(`Worker ${id} accepts no request at the moment.`);
   const run = board.begin(worker, { reads: 0, route: "r" });
   sharedTime.now += 1;
-  run.answering(limit);
+  run.recordResponse(limit);
   run.end(RunResult.Answered);
 }
 
 test("sends a worker with a limit no more than that, and does not limit the other workers", () => {
   const board = startBoard();
-  expect(board.opensIn(DESK)).toBeUndefined();
+  expect(board.timeUntilCapacity(DESK)).toBeUndefined();
   answerWithLimit(board, "w0", 2);
   const counts = sendForSeconds(board, 10);
   expect(counts["w0"]).toBeGreaterThanOrEqual(19);
   expect(counts["w0"]).toBeLessThanOrEqual(21);
   expect(counts["w1"]).toBe(1_000);
-  expect(board.opensIn(DESK)).toBeGreaterThan(0);
-  expect(board.opensIn(DESK)).toBeLessThanOrEqual(500);
+  expect(board.timeUntilCapacity(DESK)).toBeGreaterThan(0);
+  expect(board.timeUntilCapacity(DESK)).toBeLessThanOrEqual(500);
 });
 
 test("removes the limit of a worker that restarts under the same id", () => {
--- a/src/process/slot_task.ts
+++ b/src/process/slot_task.ts
@@ -140,7 +140,7 @@
    * not cut off.
    */
   const hasMajorityContact = (): boolean => {
-    const lastMessageAt = members.heardAt();
+    const lastMessageAt = members.lastMessageAt();
     const hasContact = lastMessageAt !== undefined && clock.now() - lastMessageAt < CLAIM_TIMEOUT;
     return hasContact && seesMajorityOfOwners(map, members);
   };
@@ -224,7 +224,7 @@
   ): Promise<PutOutcome["kind"]> => {
     const value = formatSlotMap(slots, claimant);
     const expect = map.version;
-    const outcome = await configuration.pace.run(() =>
+    const outcome = await configuration.throttle.run(() =>
       parts.store.put(SLOT_MAP_KEY, value, { expect }),
     );
     parts.count(`slots.write.${outcome.kind}`);
@@ -233,9 +233,9 @@
   };
   const applyOutcome = async (outcome: PutOutcome, value: string): Promise<void> => {
     if (outcome.kind === "written") {
-      configuration.hear(SLOT_MAP_KEY, { version: outcome.version, value });
+      configuration.receive(SLOT_MAP_KEY, { version: outcome.version, value });
     } else if (outcome.kind === "conflict") {
-      if (outcome.current !== undefined) configuration.hear(SLOT_MAP_KEY, outcome.current);
+      if (outcome.current !== undefined) configuration.receive(SLOT_MAP_KEY, outcome.current);
     } else if (outcome.kind === "unknown") {
       // The write may have succeeded although its response was lost. The map is read again before
       // planning, so a change already made is not planned twice.
--- a/src/process/state_log.ts
+++ b/src/process/state_log.ts
@@ -1,4 +1,4 @@
-import "./log_switch.ts";
+import "./enable_log.ts";
 import { ROARR, Roarr } from "roarr";
 import type { Member, MemberState } from "../interface/index.ts";
 import { WorkerState } from "../interface/index.ts";
--- a/src/process/status_parts.ts
+++ b/src/process/status_parts.ts
@@ -10,14 +10,14 @@
  * @param now The clock's time, in milliseconds.
  */
 export function instanceStatuses(
-  fleet: { live(): readonly RosterEntry[]; heard(): readonly PeerInstance[] },
+  fleet: { live(): readonly RosterEntry[]; directPeers(): readonly PeerInstance[] },
   now: number,
 ): RoutedStatus["instances"] {
-  const peerBySession = new Map(fleet.heard().map((peer) => [peer.session, peer]));
+  const peerBySession = new Map(fleet.directPeers().map((peer) => [peer.session, peer]));
   return fleet.live().map(({ session, name, zone, callers, ready, reachesStore }) => {
     const found = peerBySession.get(session);
     const holdsLease = (found?.leaseVersion ?? 0) > 0;
-    const age = found === undefined ? undefined : Math.round(now - found.heardAt);
+    const age = found === undefined ? undefined : Math.round(now - found.receivedAt);
     return { name, zone, callers, ready, reachesStore, holdsLease, age };
   });
 }
--- a/src/process/store_pace.ts
+++ b/src/process/store_throttle.ts
@@ -28,7 +28,7 @@
  * Creates the limiter. Without it, hundreds of instances waiting for the store would all call it at
  * the moment it recovers, and overload it again.
  */
-export function createStorePace(parts: {
+export function createStoreThrottle(parts: {
   readonly clock: Clock;
   readonly random: Random;
   /** Returns the number of entry instances that share the rate. */
--- a/src/process/store_view.ts
+++ b/src/process/store_view.ts
@@ -12,8 +12,8 @@
 import type { InstanceState } from "./digest.ts";
 import { createFeedFollower } from "./feed_follower.ts";
 import type { ChangeArrival, ChangeSource, FeedFollower } from "./feed_follower.ts";
-import type { FleetSync } from "./fleet_news.ts";
-import { FleetRole } from "./fleet_tree.ts";
+import type { FleetSync } from "./fleet_sync.ts";
+import { FleetRole } from "./fleet_topology.ts";
 import { createPeerCatchUp } from "./peer_catch_up.ts";
 import { fetchObjects } from "./peer_fetch.ts";
 import type { PeerInstance } from "./peer.ts";
@@ -39,8 +39,8 @@
    * Must be called with each digest's sender, before and after the store changes in the digest are
    * applied.
    */
-  heard(peer: PeerInstance): void;
-  told(peer: PeerInstance): void;
+  beforeDigest(peer: PeerInstance): void;
+  afterDigest(peer: PeerInstance): void;
   start(): void;
   close(): void;
 }
@@ -145,7 +145,7 @@
     {
       feedsOthers: () => fleet().role !== FleetRole.Mesh,
       apply: (changes) => {
-        roster.changed(changes);
+        roster.applyChanges(changes);
         applyWorkers();
       },
       onReach: (reached) => {
@@ -241,12 +241,12 @@
       return hasWorkers;
     },
     state: () => ({ reachesStore: reachesStore(), hasStoreReturned: roster.isReturning() }),
-    heard: (peer) => {
+    beforeDigest: (peer) => {
       if (peer.reachesStore) outage.reportAnswer();
       // Otherwise the peer's changes would remove workers whose entries have only expired.
       if (peer.hasStoreReturned && fleet().isFed() && !roster.isReturning()) roster.storeReturned();
     },
-    told: (peer) => catchUp.receive(peer),
+    afterDigest: (peer) => catchUp.receive(peer),
     start: () => {
       for (const feed of feeds.values()) feed.start();
     },
--- a/src/process/testing/outside.ts
+++ b/src/process/testing/core_fakes.ts
@@ -1,5 +1,5 @@
 import type { Cloud, Worker } from "../../interface/index.ts";
-import { workerNamed } from "../../request/testing/request_fleet.ts";
+import { createTestWorker } from "../../request/testing/request_fleet.ts";
 
 /** A cloud without machines and notices. */
 export const NO_CLOUD: Cloud = {
@@ -10,5 +10,5 @@
 
 /** A worker of the service in the minimal deployment. */
 export function deskWorker(id: string): Worker {
-  return { ...workerNamed(id), service: "desk", zone: "z0" };
+  return { ...createTestWorker(id), service: "desk", zone: "z0" };
 }
--- a/src/process/testing/core_fleet.ts
+++ b/src/process/testing/core_fleet.ts
@@ -11,7 +11,7 @@
 import { createEntryCore } from "../entry_core.ts";
 import type { EntryCore } from "../entry_core.ts";
 import { MINIMAL_REVISION } from "../../version/testing/minimal_revision.ts";
-import { deskWorker, NO_CLOUD } from "./outside.ts";
+import { deskWorker, NO_CLOUD } from "./core_fakes.ts";
 
 /** Response that a caller of a {@linkcode CoreFleet} has received so far. */
 export interface Answer {
--- a/src/process/testing/datagram_network.ts
+++ b/src/process/testing/datagram_network.ts
@@ -5,7 +5,7 @@
 export interface DatagramNetwork {
   readonly open: (parts: DatagramParts) => Promise<Datagrams>;
   /** Fractions of datagrams to lose and to duplicate, from 0 to 1. */
-  trouble: { lost: number; twice: number };
+  faults: { lost: number; twice: number };
   /** Links that drop all datagrams, in the form `from>to`. */
   readonly cut: Set<string>;
 }
@@ -23,16 +23,16 @@
     clock.after(random.next() * MAX_DELAY, () => receivers.get(to)?.onMessage(bytes));
   };
   const network: DatagramNetwork = {
-    trouble: { lost: 0, twice: 0 },
+    faults: { lost: 0, twice: 0 },
     cut: new Set(),
     open: (parts) => {
       receivers.set(parts.address, parts);
       return Promise.resolve({
         send: (bytes, to) => {
           if (network.cut.has(`${parts.address}>${to}`)) return;
-          if (random.next() < network.trouble.lost) return;
+          if (random.next() < network.faults.lost) return;
           deliver(bytes, to);
-          if (random.next() < network.trouble.twice) deliver(bytes, to);
+          if (random.next() < network.faults.twice) deliver(bytes, to);
         },
         close: () => {
           if (receivers.get(parts.address) === parts) receivers.delete(parts.address);
--- a/src/process/testing/news_fleet.ts
+++ b/src/process/testing/sync_fleet.ts
@@ -1,25 +1,25 @@
 import {
   createCrashEvidence,
   createWorkerLimits,
-  createRepeatAllowance,
+  createRepeatBudget,
   createSharedQuota,
-  createTrueTime,
+  createFleetTime,
   createUsageLedger,
   createWorkerHealth,
 } from "../../decision/index.ts";
 import type { CrashEvidence, SharedQuota, UsageLedger } from "../../decision/index.ts";
 import { createSeededRandom, Purchase, sleep } from "../../interface/index.ts";
 import type { RoutedWorker } from "../../interface/index.ts";
-import type { BoardRun, BoardWorker } from "../../request/index.ts";
+import type { WorkerRun, CandidateWorker } from "../../request/index.ts";
 import { createVirtualClock } from "../../standin/memory/index.ts";
 import { hashText, QuotaUnit } from "../../version/index.ts";
 import type { RoutedService } from "../../version/index.ts";
-import { createFleetNews } from "../fleet_news.ts";
-import type { FleetSync } from "../fleet_news.ts";
-import { FleetRole } from "../fleet_tree.ts";
+import { createFleetSync } from "../fleet_sync.ts";
+import type { FleetSync } from "../fleet_sync.ts";
+import { FleetRole } from "../fleet_topology.ts";
 import { createInstanceHashes } from "../instance_hashes.ts";
-import { createRoutedBoard } from "../routed_board.ts";
-import type { RoutedBoard } from "../routed_board.ts";
+import { createRoutedWorkerTable } from "../routed_worker_table.ts";
+import type { RoutedWorkerTable } from "../routed_worker_table.ts";
 import { createRoutedLog } from "../routed_log.ts";
 import { createPeerCatchUp } from "../peer_catch_up.ts";
 import { createFeedFollower } from "../feed_follower.ts";
@@ -30,7 +30,7 @@
 import type { DatagramNetwork } from "./datagram_network.ts";
 
 /** The only service of the fleet's workers. */
-export const NEWS_SERVICE = "desk";
+export const FLEET_SERVICE = "desk";
 /** Kind of the store's objects. */
 const KIND = "workers";
 /** Number of the usage window in which all runs count. */
@@ -45,10 +45,10 @@
 const REPEATS = { ratio: 0.2, slack: 50, window: 10_000 };
 
 /** An instance with the components that its updates come from and go to. */
-export interface NewsMember {
+export interface SyncMember {
   readonly zone: string;
-  readonly news: FleetSync;
-  readonly board: RoutedBoard;
+  readonly sync: FleetSync;
+  readonly board: RoutedWorkerTable;
   readonly ledger: UsageLedger;
   readonly quota: SharedQuota;
   /** Known requests that crash workers. */
@@ -67,16 +67,16 @@
  * Instances that exchange digests, with a store of one kind of objects but without callers and
  * workers.
  */
-export interface NewsFleet {
+export interface SyncFleet {
   readonly store: MemoryFeed;
   readonly clock: ReturnType<typeof createVirtualClock>;
   readonly network: DatagramNetwork;
-  readonly members: NewsMember[];
+  readonly members: SyncMember[];
   readonly workers: readonly RoutedWorker[];
   /** Starts a run for the account at the worker with the given index. */
-  begin(member: NewsMember, run: { worker: number; account: string }): BoardRun;
+  begin(member: SyncMember, run: { worker: number; account: string }): WorkerRun;
   /** Whether the instance would admit another request of the account. */
-  canAdmit(member: NewsMember, account: string): boolean;
+  canAdmit(member: SyncMember, account: string): boolean;
   close(): void;
 }
 
@@ -89,26 +89,26 @@
 }
 
 /** Starts instances in four availability zones. Each knows the addresses of the first two at first. */
-export async function startNewsFleet(size: SyncFleetSize): Promise<NewsFleet> {
+export async function startSyncFleet(size: SyncFleetSize): Promise<SyncFleet> {
   const clock = createVirtualClock();
   const random = createSeededRandom(size.seed ?? 1);
   const network = createDatagramNetwork(clock, random);
   const workers = Array.from({ length: size.workers }, (_, index) => workerAt(index));
   const store = createMemoryFeed(clock);
-  const members: NewsMember[] = [];
+  const members: SyncMember[] = [];
   for (let index = 0; index < size.instances; index++) {
     members.push(startMember(index, { clock, random, network, store, members }));
   }
-  for (const { board, quota, news, feed } of members) {
+  for (const { board, quota, sync: news, feed } of members) {
     board.setWorkers(workers);
     const accounts = size.accounts.map((name) => ({ name, quota: QUOTA }));
-    quota.expect(accounts, clock.now());
-    news.introduce([addressAt(0), addressAt(1)]);
+    quota.addAccounts(accounts, clock.now());
+    news.addAddresses([addressAt(0), addressAt(1)]);
     await news.start();
     feed.start();
   }
   // A run starts the same way whatever the load, so one list of candidates serves all instances.
-  const candidates: readonly BoardWorker[] = members[0]?.board.candidates(SERVICE) ?? [];
+  const candidates: readonly CandidateWorker[] = members[0]?.board.candidates(SERVICE) ?? [];
   return {
     clock,
     network,
@@ -118,14 +118,14 @@
     begin: ({ board, ledger, quota }, { worker, account }) => {
       const found = candidates[worker];
       if (found === undefined) throw new Error(`There is no worker ${worker}.`);
-      ledger.began(account, FLEET_WINDOW);
+      ledger.recordRun(account, FLEET_WINDOW);
       quota.take({ account, quota: QUOTA, size: 100, now: clock.now() });
       return board.begin(found, { reads: 640, route: "desk" });
     },
     canAdmit: ({ quota }, account) =>
       quota.take({ account, quota: QUOTA, size: 0, now: clock.now() }) === 0,
     close: () => {
-      for (const { news, feed } of members) {
+      for (const { sync: news, feed } of members) {
         news.close();
         feed.close();
       }
@@ -140,17 +140,17 @@
 const OBJECT_SIZE = 240;
 
 /** Starts a fleet for tests of store changes and waits until its instances know each other. */
-export async function startChangeFleet(instances: number, seed = 1): Promise<NewsFleet> {
-  const fleet = await startNewsFleet({ instances, workers: 4, accounts: [], seed });
+export async function startChangeFleet(instances: number, seed = 1): Promise<SyncFleet> {
+  const fleet = await startSyncFleet({ instances, workers: 4, accounts: [], seed });
   await fleet.clock.advance(4_000);
   return fleet;
 }
 
 /** Writes objects and returns the milliseconds until all given instances have the last one. */
 export async function measurePropagation(
-  { clock, store, members }: NewsFleet,
+  { clock, store, members }: SyncFleet,
   objects: readonly string[],
-  among: readonly NewsMember[] = members,
+  among: readonly SyncMember[] = members,
 ): Promise<number> {
   for (const name of objects) store.put(name, `${name} ${"x".repeat(OBJECT_SIZE)}`);
   const last = objects.at(-1) ?? "";
@@ -163,7 +163,7 @@
 }
 
 const SERVICE: RoutedService = {
-  name: NEWS_SERVICE,
+  name: FLEET_SERVICE,
   maxConnections: 1_000,
   engine: undefined,
   scaling: undefined,
@@ -177,7 +177,7 @@
   return {
     id: `w-${index}`,
     born: 1,
-    service: NEWS_SERVICE,
+    service: FLEET_SERVICE,
     address: `10.9.${index >> 8}.${index & 255}:80`,
     zone: "z0",
     version: "v1",
@@ -191,10 +191,10 @@
 
 function startMember(
   index: number,
-  environment: Pick<NewsFleet, "clock" | "network" | "store" | "members"> & {
+  environment: Pick<SyncFleet, "clock" | "network" | "store" | "members"> & {
     random: ReturnType<typeof createSeededRandom>;
   },
-): NewsMember {
+): SyncMember {
   const { clock, random, network, store, members } = environment;
   const name = `e${index}`;
   const zone = `z${index % 4}`;
@@ -203,15 +203,15 @@
   const quota = createSharedQuota(clock.now());
   const ledger = createUsageLedger();
   const evidence = createCrashEvidence((key) => sync.sumOf(key));
-  const board = createRoutedBoard({
+  const board = createRoutedWorkerTable({
     clock,
     random,
     zone,
     health,
     members: () => 1,
     newsAge: () => 0,
-    onBegin: () => sync.begun(),
-    counted: () => evidence.counts(clock.now()),
+    onBegin: () => sync.reportRunStart(),
+    extraCounts: () => evidence.counts(clock.now()),
     time: () => clock.now(),
     limits: createWorkerLimits({
       time: () => clock.now(),
@@ -248,7 +248,7 @@
       throw new Error(`${peer} doesn't answer.`);
     },
   });
-  const sync: FleetSync = createFleetNews({
+  const sync: FleetSync = createFleetSync({
     settings: {
       name,
       zone,
@@ -276,16 +276,16 @@
       plans: [],
       limits: board.limitStatements(),
     }),
-    time: createTrueTime({ date: clock.now(), steady: clock.now() }),
+    time: createFleetTime({ date: clock.now(), steady: clock.now() }),
     quota,
-    repeats: createRepeatAllowance(REPEATS),
+    repeats: createRepeatBudget(REPEATS),
     ledger,
     health,
     board,
-    onHeard: (peer) => board.heardLimits(peer.limits),
-    onTold: (peer) => catchUp.receive(peer),
+    onDigest: (peer) => board.updateLimits(peer.limits),
+    onDigestApplied: (peer) => catchUp.receive(peer),
     open: network.open,
   });
-  const parts = { zone, news: sync, feed, address, board, ledger, quota, evidence };
+  const parts = { zone, sync, feed, address, board, ledger, quota, evidence };
   return { ...parts, isLive: true, canAnswerFetches: true };
 }
--- a/src/process/time_limit.ts
+++ b/src/process/timeout.ts
@@ -9,7 +9,7 @@
  * @param options The timeout in milliseconds, and the attempted action for the error message.
  * @throws {Error} If no answer arrives in time.
  */
-export function withinTime<T>(
+export function withTimeout<T>(
   clock: Clock,
   answer: Promise<T>,
   options: { readonly limit: number; readonly step: string },
--- a/src/process/update_sources.ts
+++ b/src/process/update_sources.ts
@@ -1,11 +1,11 @@
 import type { Clock } from "../interface/index.ts";
 import { UpdateScope } from "./digest.ts";
-import type { Digest, InstanceNews } from "./digest.ts";
-import { FleetRole } from "./fleet_tree.ts";
-import type { FleetTopology } from "./fleet_tree.ts";
+import type { Digest, InstanceUpdate } from "./digest.ts";
+import { FleetRole } from "./fleet_topology.ts";
+import type { FleetTopology } from "./fleet_topology.ts";
 import type { GroupCounts } from "./group_totals.ts";
-import { createOthersView } from "./others_view.ts";
-import type { OthersView } from "./others_view.ts";
+import { createPeerTotals } from "./peer_totals.ts";
+import type { PeerTotals } from "./peer_totals.ts";
 import type { Peer } from "./peer.ts";
 
 /**
@@ -48,7 +48,7 @@
   readonly peers: () => Iterable<Peer>;
   /** Returns this instance's own counts as of a round; undefined if they are no longer retained. */
   readonly ownCountsAt: (round: number) => GroupCounts | undefined;
-  readonly onUpdate: (source: UpdateSource, update: InstanceNews) => void;
+  readonly onUpdate: (source: UpdateSource, update: InstanceUpdate) => void;
 }
 
 /** Subject of updates that cover all instances. */
@@ -65,7 +65,7 @@
   readonly session: number;
   lostAt: number | undefined;
   readonly source: UpdateSource;
-  readonly others: OthersView;
+  readonly others: PeerTotals;
 }
 
 /**
@@ -119,20 +119,20 @@
         ? subject
         : `${subject}/${peer.session.toString(16)}/${selections}`;
     const source = { id, subject, scope: peer.scope };
-    const found = { session: peer.session, lostAt: undefined, source, others: createOthersView() };
+    const found = { session: peer.session, lostAt: undefined, source, others: createPeerTotals() };
     selected.set(subject, found);
     return found;
   };
   const subtractOwn = (
     { others }: SelectedSource,
-    update: InstanceNews,
+    update: InstanceUpdate,
     digest: Digest,
-  ): InstanceNews | undefined => {
+  ): InstanceUpdate | undefined => {
     const own = digest.includesReceiver
       ? parts.ownCountsAt(digest.acknowledged?.sequence ?? 0)
       : undefined;
     if (digest.includesReceiver && own === undefined) return undefined;
-    return { ...update, ...others.heard(update, own), isWhole: true };
+    return { ...update, ...others.update(update, own), isSnapshot: true };
   };
   return {
     receive: (peer, digest) => {
@@ -142,7 +142,7 @@
       const before = selected.get(subject);
       const isSame = before?.session === peer.session;
       // A delta is useless without its base. A full snapshot will be sent on request.
-      if (!isSame && !update.isWhole) return false;
+      if (!isSame && !update.isSnapshot) return false;
       const current = isSame ? before : select(peer, subject);
       const isFresh = isSame || (before === undefined && !hasBeenReset);
       const uptime = isFresh ? update.uptime : Infinity;
--- a/src/process/usage_task_test.ts
+++ b/src/process/usage_task_test.ts
@@ -71,10 +71,10 @@
 // the window would be billed twice.
 test("sends the stored counts even if the response to their write was lost", async () => {
   const { clock, ledger, reported, writes } = startTask();
-  ledger.began("a", FIRST_WINDOW);
+  ledger.recordRun("a", FIRST_WINDOW);
   writes.push("lost");
   await clock.advance(WINDOW + 1_900);
-  ledger.began("a", FIRST_WINDOW);
+  ledger.recordRun("a", FIRST_WINDOW);
   await clock.advance(2_000);
   expect(reported).toEqual([{ window: FIRST_WINDOW, counts: { a: 1 } }]);
 });
@@ -82,7 +82,7 @@
 // The store is unavailable for several checks. The report must be sent exactly once after it recovers.
 test("reports a window after the store was unavailable", async () => {
   const { clock, ledger, reported, writes } = startTask();
-  ledger.began("a", FIRST_WINDOW);
+  ledger.recordRun("a", FIRST_WINDOW);
   writes.push("unavailable", "unavailable", "unavailable");
   await clock.advance(WINDOW + 6_000);
   expect(reported).toEqual([{ window: FIRST_WINDOW, counts: { a: 1 } }]);
@@ -93,7 +93,7 @@
 test("logs an unreadable record and resumes reporting after it is corrected", async () => {
   const stored = { version: 4, value: "not a record" };
   const { clock, ledger, reported, logged } = startTask(stored);
-  ledger.began("a", FIRST_WINDOW);
+  ledger.recordRun("a", FIRST_WINDOW);
   await clock.advance(WINDOW + 3_000);
   expect(reported).toEqual([]);
   expect(logged).toContain("usage-record-unreadable");
--- a/src/process/worker_checks.ts
+++ b/src/process/worker_checks.ts
@@ -1,6 +1,6 @@
 import { Reach } from "../interface/index.ts";
 import type { Clock, WorkerPlace } from "../interface/index.ts";
-import type { RequestPrint, WorkerChecks } from "../request/index.ts";
+import type { RequestFingerprint, WorkerChecks } from "../request/index.ts";
 import type { RoutedLog } from "./routed_log.ts";
 
 /** Dependencies of {@linkcode createWorkerChecks}. */
@@ -12,7 +12,7 @@
   readonly isLeaving: (worker: WorkerPlace) => boolean;
   readonly log: Pick<RoutedLog, "changed">;
   /** Called when a worker that wasn't leaving has ended, with the distinct requests that it was running. */
-  readonly onEnded: (worker: WorkerPlace, fingerprints: readonly RequestPrint[]) => void;
+  readonly onEnded: (worker: WorkerPlace, fingerprints: readonly RequestFingerprint[]) => void;
 }
 
 /** Time for which a worker's end is remembered, in milliseconds: its last connections break during this time. */
@@ -30,7 +30,7 @@
 export function createWorkerChecks(parts: WorkerChecksParts): WorkerChecks {
   const { clock, reach, log, onEnded } = parts;
   /** By worker being checked, the requests whose connections to it broke. */
-  const pending = new Map<string, Map<string, RequestPrint>>();
+  const pending = new Map<string, Map<string, RequestFingerprint>>();
   /** Clock time at which each recently ended worker was found to have ended, by worker id. */
   const endedAt = new Map<string, number>();
 
@@ -59,7 +59,7 @@
     for (const [id, at] of endedAt) if (at < cutoff) endedAt.delete(id);
   };
   return {
-    broke: (worker, fingerprint) => {
+    reportBrokenConnection: (worker, fingerprint) => {
       const known = pending.get(worker.id);
       if (known !== undefined) {
         known.set(fingerprint.name, fingerprint);
--- a/src/process/worker_checks_test.ts
+++ b/src/process/worker_checks_test.ts
@@ -1,11 +1,11 @@
 import { expect, test } from "vitest";
 import { Reach } from "../interface/index.ts";
-import { printNamed } from "../request/index.ts";
+import { fingerprintFromName } from "../request/index.ts";
 import { createVirtualClock } from "../standin/memory/index.ts";
 import { createWorkerChecks } from "./worker_checks.ts";
 
 const WORKER = { id: "i-1", address: "10.0.0.1:80" };
-const [a, b, c] = ["a", "b", "c"].map((letter) => printNamed(letter.repeat(16)));
+const [a, b, c] = ["a", "b", "c"].map((letter) => fingerprintFromName(letter.repeat(16)));
 
 function setUp(found: Reach, isLeaving = false) {
   const clock = createVirtualClock();
@@ -27,7 +27,8 @@
 
 test("reports a worker that refuses connections as ended with all its requests, after one attempt", async () => {
   const { clock, checks, ended, reached } = setUp(Reach.Refused);
-  for (const print of [a, b, a]) if (print !== undefined) checks.broke(WORKER, print);
+  for (const print of [a, b, a])
+    if (print !== undefined) checks.reportBrokenConnection(WORKER, print);
   await clock.advance(10);
   expect(ended).toEqual([["a", "b"]]);
   expect(reached()).toBe(1);
@@ -35,9 +36,9 @@
 
 test("attributes a run whose connection breaks slightly later to the same end of the worker", async () => {
   const { clock, checks, ended, reached } = setUp(Reach.Refused);
-  if (a !== undefined) checks.broke(WORKER, a);
+  if (a !== undefined) checks.reportBrokenConnection(WORKER, a);
   await clock.advance(300);
-  if (c !== undefined) checks.broke(WORKER, c);
+  if (c !== undefined) checks.reportBrokenConnection(WORKER, c);
   await clock.advance(10);
   expect(ended).toEqual([["a"], ["c"]]);
   expect(reached()).toBe(1);
@@ -45,7 +46,7 @@
 
 test("does not report the requests of a leaving worker as the cause of its end", async () => {
   const { clock, checks, ended } = setUp(Reach.Refused, true);
-  if (a !== undefined) checks.broke(WORKER, a);
+  if (a !== undefined) checks.reportBrokenConnection(WORKER, a);
   await clock.advance(10);
   expect(ended).toEqual([]);
 });
@@ -55,7 +56,7 @@
   "does not report a worker as ended if a new connection is %s",
   async (found) => {
     const { clock, checks, ended } = setUp(found);
-    if (a !== undefined) checks.broke(WORKER, a);
+    if (a !== undefined) checks.reportBrokenConnection(WORKER, a);
     await clock.advance(10);
     expect(ended).toEqual([]);
   },
--- a/src/process/worker_limits_fleet_test.ts
+++ b/src/process/worker_limits_fleet_test.ts
@@ -1,11 +1,11 @@
 import { afterEach, expect, test } from "vitest";
 import { RunResult } from "../request/index.ts";
 import type { RoutedService } from "../version/index.ts";
-import { NEWS_SERVICE, startNewsFleet } from "./testing/news_fleet.ts";
-import type { NewsFleet, NewsMember } from "./testing/news_fleet.ts";
+import { FLEET_SERVICE, startSyncFleet } from "./testing/sync_fleet.ts";
+import type { SyncFleet, SyncMember } from "./testing/sync_fleet.ts";
 
 const SERVICE: RoutedService = {
-  name: NEWS_SERVICE,
+  name: FLEET_SERVICE,
   maxConnections: 1_000,
   engine: undefined,
   scaling: undefined,
@@ -18,35 +18,35 @@
 const TEST_TIMEOUT = 240_000;
 const STEP = 100;
 
-const fleets: NewsFleet[] = [];
+const fleets: SyncFleet[] = [];
 afterEach(() => {
   for (const fleet of fleets.splice(0)) fleet.close();
 });
 
-async function start(instances: number): Promise<NewsFleet> {
-  const fleet = await startNewsFleet({ instances, workers: 2, accounts: [] });
+async function start(instances: number): Promise<SyncFleet> {
+  const fleet = await startSyncFleet({ instances, workers: 2, accounts: [] });
   fleets.push(fleet);
   await fleet.clock.advance(4_000);
   return fleet;
 }
 
-function limitAt({ board }: NewsMember): number | undefined {
+function limitAt({ board }: SyncMember): number | undefined {
   return board.overview().find(({ id }) => id === LIMITED)?.limit;
 }
 
 /** Sends the worker a request if allowed, which it answers with this limit. Returns whether it was sent. */
-function sendRequest({ board }: NewsMember, limit: number | undefined): boolean {
+function sendRequest({ board }: SyncMember, limit: number | undefined): boolean {
   const worker = board.candidates(SERVICE).find(({ id }) => id === LIMITED);
   if (worker === undefined) return false;
   const run = board.begin(worker, { reads: 0, route: "r" });
-  run.answering(limit);
+  run.recordResponse(limit);
   run.end(RunResult.Answered);
   return true;
 }
 
 /** Offers every instance a request for the worker at every step. Returns the times at which requests were sent. */
 async function offerLoad(
-  { clock, members }: NewsFleet,
+  { clock, members }: SyncFleet,
   options: { milliseconds: number; limit: number | undefined },
 ): Promise<number[]> {
   const sent: number[] = [];
@@ -94,7 +94,7 @@
   for (const member of fleet.members.slice(0, 6)) {
     sent.push(...(await offerLoad(fleet, { milliseconds: 1_000, limit: 2.6 })));
     member.isLive = false;
-    member.news.close();
+    member.sync.close();
     member.feed.close();
   }
   sent.push(...(await offerLoad(fleet, { milliseconds: 6_000, limit: 2.6 })));
--- a/src/process/worker_roster.ts
+++ b/src/process/worker_roster.ts
@@ -3,7 +3,7 @@
 /** The workers according to their registrations in the store. */
 export interface WorkerRoster {
   /** Applies changes of registrations. */
-  changed(changes: readonly FeedChange[]): void;
+  applyChanges(changes: readonly FeedChange[]): void;
   /** Records that the store responds again after an outage. */
   storeReturned(): void;
   /** Whether registrations of live workers may still be missing after an outage of the store. */
@@ -53,7 +53,7 @@
     });
   };
   return {
-    changed: (changes) => {
+    applyChanges: (changes) => {
       const isRecent = isReturning();
       for (const { object, removed } of changes) {
         if (removed) {
--- a/src/process/worker_roster_test.ts
+++ b/src/process/worker_roster_test.ts
@@ -39,11 +39,11 @@
     onChange: () => changes++,
     onUnreadable: () => undefined,
   });
-  roster.changed([change("w1", ""), change("w2", ""), change("w3", "leaving")]);
+  roster.applyChanges([change("w1", ""), change("w2", ""), change("w3", "leaving")]);
   roster.storeReturned();
-  roster.changed(["w1", "w2", "w3"].map((name) => change(name, "", true)));
+  roster.applyChanges(["w1", "w2", "w3"].map((name) => change(name, "", true)));
   expect(roster.list().map(({ id }) => id)).toEqual(["w1", "w2"]);
-  roster.changed([change("w1", "")]);
+  roster.applyChanges([change("w1", "")]);
   await clock.advance(2_100);
   expect(roster.list().map(({ id }) => id)).toEqual(["w1"]);
   expect(changes).toBe(1);
@@ -53,8 +53,8 @@
   const clock = createVirtualClock();
   const parts = { clock, decode, onChange: () => undefined, onUnreadable: () => undefined };
   const roster = createWorkerRoster(parts);
-  roster.changed([change("w1", "")]);
-  roster.changed([change("w1", "", true)]);
+  roster.applyChanges([change("w1", "")]);
+  roster.applyChanges([change("w1", "", true)]);
   expect(roster.list()).toEqual([]);
 });
 
@@ -66,8 +66,8 @@
     onChange: () => undefined,
     onUnreadable: (name) => unreadable.push(name),
   });
-  roster.changed([change("w1", ""), change("w2", "")]);
-  roster.changed([change("w1", "unreadable")]);
+  roster.applyChanges([change("w1", ""), change("w2", "")]);
+  roster.applyChanges([change("w1", "unreadable")]);
   expect(roster.list().map(({ id }) => id)).toEqual(["w2"]);
   expect(unreadable).toEqual(["w1"]);
 });
--- a/src/request/announced_reclaim_test.ts
+++ b/src/request/announced_reclaim_test.ts
@@ -4,7 +4,7 @@
   expectedAnswer,
   createRequestFleet,
   endedRecord,
-  workerNamed,
+  createTestWorker,
 } from "./testing/request_fleet.ts";
 import type { RequestFleet } from "./testing/request_fleet.ts";
 
@@ -17,7 +17,7 @@
 
 async function reclaim(fleet: RequestFleet, instances: readonly number[]): Promise<void> {
   for (const index of instances) fleet.setState(index, MemberState.Leaving);
-  const handovers = instances.map((index) => fleet.node(index).requests.cedeAll());
+  const handovers = instances.map((index) => fleet.node(index).requests.handOverAll());
   await fleet.clock.advance(1_500);
   await Promise.all(handovers);
 }
@@ -47,7 +47,7 @@
   const caller = fleet.submit(0);
   await fleet.clock.advance(60);
   fleet.setState(0, MemberState.Leaving);
-  const handovers = fleet.node(0).requests.cedeAll();
+  const handovers = fleet.node(0).requests.handOverAll();
   await fleet.clock.advance(1_000);
   await handovers;
   expect(caller.text).toBe(expectedAnswer());
@@ -146,8 +146,8 @@
   await fleet.clock.advance(10_000);
   const tokensBefore = caller.text.split(" ").length - 1;
   const reclaimAt = fleet.clock.now() + 3_000;
-  const leaving = { ...workerNamed("w1"), state: WorkerState.Leaving, reclaimAt };
-  fleet.setWorkers([leaving, workerNamed("w2")]);
+  const leaving = { ...createTestWorker("w1"), state: WorkerState.Leaving, reclaimAt };
+  fleet.setWorkers([leaving, createTestWorker("w2")]);
   await fleet.clock.advance(5_000);
   fleet.engines.kill("w1");
   await fleet.clock.advance(60_000);
--- a/src/request/at_most_once_test.ts
+++ b/src/request/at_most_once_test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from "vitest";
 import { Refusal, RequestState } from "../interface/index.ts";
-import { expectedAnswer, createRequestFleet, workerNamed } from "./testing/request_fleet.ts";
+import { expectedAnswer, createRequestFleet, createTestWorker } from "./testing/request_fleet.ts";
 import type { CallerView, RequestFleet } from "./testing/request_fleet.ts";
 
 const ENTRY = { key: "entry-17", repeatable: false };
@@ -87,7 +87,7 @@
   // contact. If the owner sent the request and died, the backup would not know the intent and would
   // send it again.
   const fleet = await startedFleet();
-  const workers = [workerNamed("w1")];
+  const workers = [createTestWorker("w1")];
   const caller = fleet.submit(2, ENTRY);
   await fleet.clock.advance(2);
   fleet.setWorkers([]);
--- a/src/request/caller_answer_test.ts
+++ b/src/request/caller_response_test.ts
@@ -1,6 +1,6 @@
 import { readFileSync } from "node:fs";
 import { expect, test } from "vitest";
-import { RoutedRefusal } from "./caller_answer.ts";
+import { RoutedRefusal } from "./caller_response.ts";
 
 test("the operators' page lists every reason of a routed refusal", () => {
   const page = readFileSync("docs/OPERATORS.md", "utf8");
--- a/src/request/engine_stream.ts
+++ b/src/request/engine_stream.ts
@@ -84,10 +84,10 @@
     if (event.index > live.tokens.length) return false;
     const now = clock.now();
     if (!progress.hasToken) {
-      scheduler.firstToken(live.record.id, now, options.worker);
+      scheduler.recordFirstToken(live.record.id, now, options.worker);
       progress.hasToken = true;
     } else {
-      scheduler.token(live.record.id, now, options.worker);
+      scheduler.recordToken(live.record.id, now, options.worker);
       counters.betweenTokens(live.record.service, now - progress.lastTokenAt);
     }
     progress.lastTokenAt = now;
--- a/src/request/handover.ts
+++ b/src/request/handover.ts
@@ -2,12 +2,12 @@
 import type { CedeMessage, Member, Timer } from "../interface/index.ts";
 import { rendezvousOrder } from "../version/index.ts";
 import type { Environment } from "./environment.ts";
-import type { OwnedRequests } from "./ownership.ts";
+import type { OwnedRequests } from "./owned_requests.ts";
 import {
-  cedeSlot,
-  completionOf,
+  createSlotHandover,
+  createCompletionMessage,
   createCopyMessage,
-  isKeeper,
+  hasRecordsToForward,
   ownsSlot,
   Stance,
 } from "./slot_replica.ts";
@@ -90,7 +90,7 @@
     const { backup } = replica.assignment;
     const backupMember = isAlive(backup) ? members.find(backup) : undefined;
     if (backupMember !== undefined) {
-      const slotHandover = cedeSlot(replica, backupMember.id);
+      const slotHandover = createSlotHandover(replica, backupMember.id);
       table.set(slotHandover.replica);
       const outcome = await sendHandover(backupMember, slotHandover.message);
       if (outcome === SlotOutcome.Acknowledged) return;
@@ -103,27 +103,27 @@
       counters.count("cede.nobody");
       return;
     }
-    const slotHandover = cedeSlot(current, custodian.id);
+    const slotHandover = createSlotHandover(current, custodian.id);
     if (current.stance !== Stance.Backup) table.set(slotHandover.replica);
     if (slotHandover.message.records.length > 0)
       await sendHandover(custodian, slotHandover.message);
   };
 
   /** A backup that is being reclaimed forwards its copies if the primary can't. */
-  const mustForward = ({ stance, assignment, held }: SlotReplica): boolean =>
+  const mustForward = ({ stance, assignment, records: held }: SlotReplica): boolean =>
     stance === Stance.Backup && held.size > 0 && !isAlive(assignment.primary);
 
   const scheduled = new Map<number, { readonly timer: Timer; readonly dueAt: number }>();
   const forwardNow = async (slot: number): Promise<void> => {
     const replica = table.get(slot);
     const { primary } = replica.assignment;
-    if (!isKeeper(replica) || !isAlive(primary)) return;
+    if (!hasRecordsToForward(replica) || !isAlive(primary)) return;
     const member = members.find(primary);
     if (member === undefined) return;
-    const outcome = await sendHandover(member, cedeSlot(replica, member.id).message);
+    const outcome = await sendHandover(member, createSlotHandover(replica, member.id).message);
     if (outcome !== SlotOutcome.Acknowledged || replica.stance === Stance.Backup) return;
     // Drops only records that were sent and have not changed since.
-    for (const [id, held] of replica.held) {
+    for (const [id, held] of replica.records) {
       if (table.find(slot, id) === held.record && !ownsSlot(table.get(slot)))
         table.forget(slot, id);
     }
@@ -135,7 +135,7 @@
     const { epoch, backup } = table.get(slot).assignment;
     while (!isClosed && table.get(slot).assignment.epoch === epoch && ownsSlot(table.get(slot))) {
       const member = isAlive(backup) ? members.find(backup) : undefined;
-      const message = completionOf(table.get(slot));
+      const message = createCompletionMessage(table.get(slot));
       if (member !== undefined && message !== undefined) {
         if ((await sendHandover(member, message)) !== undefined) return;
       }
@@ -145,7 +145,7 @@
 
   const handover: Handover = {
     confirmHistory: (slot) => {
-      const { stance, assignment, completeTo } = table.get(slot);
+      const { stance, assignment, completeThroughEpoch: completeTo } = table.get(slot);
       const isConfirmable = stance === Stance.Primary && completeTo >= assignment.epoch;
       // The backup of the first epoch knows that there is no earlier history.
       if (!isConfirmable || assignment.epoch <= 1 || assignment.backup === "") return;
--- a/src/request/moved_run_test.ts
+++ b/src/request/moved_run_test.ts
@@ -5,7 +5,7 @@
   expectedAnswer,
   createRequestFleet,
   endedRecord,
-  workerNamed,
+  createTestWorker,
 } from "./testing/request_fleet.ts";
 import type { RequestFleet } from "./testing/request_fleet.ts";
 
@@ -24,8 +24,8 @@
 /** Puts the first worker under notice, and removes it when the notice period ends. */
 async function reclaimFirst(fleet: RequestFleet): Promise<void> {
   const reclaimAt = fleet.clock.now() + NOTICE_PERIOD;
-  const leaving = { ...workerNamed("w1"), state: WorkerState.Leaving, reclaimAt };
-  fleet.setWorkers([leaving, workerNamed("w2")]);
+  const leaving = { ...createTestWorker("w1"), state: WorkerState.Leaving, reclaimAt };
+  fleet.setWorkers([leaving, createTestWorker("w2")]);
   await fleet.clock.advance(NOTICE_PERIOD);
   fleet.engines.kill("w1");
 }
@@ -34,7 +34,7 @@
   // The server is reclaimed while it answers, and the answer takes longer than the notice period.
   // If the request stayed, it would end as "may have run"; if it restarted, the caller would pay
   // twice. So the server stops it, and the next one continues from the tokens received.
-  const fleet = await fleetWith([workerNamed("w1")]);
+  const fleet = await fleetWith([createTestWorker("w1")]);
   const caller = fleet.submit(0, { key: "entry", repeatable: false, body: BODY });
   await fleet.clock.advance(1_000);
   await reclaimFirst(fleet);
@@ -51,7 +51,7 @@
 test("a request without a first token stays at the server under notice", async () => {
   // Without a token there is nothing to continue from. At another server, the request would run a
   // second time.
-  const fleet = await fleetWith([workerNamed("w1")]);
+  const fleet = await fleetWith([createTestWorker("w1")]);
   fleet.engines.slow("w1", 1_000);
   fleet.submit(0, { key: "entry", repeatable: false, body: BODY });
   await fleet.clock.advance(1_000);
@@ -65,11 +65,11 @@
   // A former owner moves a request and cancels its run, while the new owner follows the run. For
   // the new owner the answer just ends. If it counted as complete, the caller would receive half of
   // it.
-  const fleet = await fleetWith([workerNamed("w1"), workerNamed("w2")]);
+  const fleet = await fleetWith([createTestWorker("w1"), createTestWorker("w2")]);
   const caller = fleet.submit(0, { body: BODY });
   await fleet.clock.advance(1_000);
   const [run] = fleet.engines.runs;
-  void fleet.engines.connect().cancel(workerNamed(run?.worker ?? ""), run?.id ?? "");
+  void fleet.engines.connect().cancel(createTestWorker(run?.worker ?? ""), run?.id ?? "");
   await fleet.clock.advance(20_000);
   expect(endedRecord(caller)?.state).toBe(RequestState.Complete);
   expect(caller.text).toBe(expectedAnswer(TOKENS));
@@ -80,14 +80,14 @@
   // A server and an entry instance are reclaimed in one wave. The server's notice comes first, then
   // the instance hands its slots over. The new owner must move the requests that it inherits on
   // that server.
-  const fleet = await fleetWith([workerNamed("w1")]);
+  const fleet = await fleetWith([createTestWorker("w1")]);
   const caller = fleet.submit(2, { key: "entry", repeatable: false, body: BODY });
   await fleet.clock.advance(1_000);
   const reclaimAt = fleet.clock.now() + NOTICE_PERIOD;
-  const leaving = { ...workerNamed("w1"), state: WorkerState.Leaving, reclaimAt };
-  fleet.setWorkers([leaving, workerNamed("w2")]);
+  const leaving = { ...createTestWorker("w1"), state: WorkerState.Leaving, reclaimAt };
+  fleet.setWorkers([leaving, createTestWorker("w2")]);
   await fleet.clock.advance(50);
-  void fleet.node(0).requests.cedeAll();
+  void fleet.node(0).requests.handOverAll();
   await fleet.clock.advance(100);
   fleet.kill(0);
   fleet.assign(1, 2);
@@ -103,7 +103,7 @@
 test("a request without a token at its server's notice is moved once it has one", async () => {
   // The notice comes while the server still reads the prompt, so the request can't be moved yet. It
   // must be moved once tokens arrive, before the server is gone.
-  const fleet = await fleetWith([workerNamed("w1")]);
+  const fleet = await fleetWith([createTestWorker("w1")]);
   fleet.engines.slow("w1", 50);
   const caller = fleet.submit(0, { key: "entry", repeatable: false, body: BODY });
   await fleet.clock.advance(100);
@@ -118,14 +118,14 @@
   // Reclaims come in waves, so the server to which a request was moved may be reclaimed too. If a
   // request were moved only once, it would be lost with the second server and end as "may have
   // run".
-  const fleet = await fleetWith([workerNamed("w1")]);
+  const fleet = await fleetWith([createTestWorker("w1")]);
   const caller = fleet.submit(0, { key: "entry", repeatable: false, body: BODY });
   await fleet.clock.advance(1_000);
   await reclaimFirst(fleet);
   await fleet.clock.advance(500);
   const reclaimAt = fleet.clock.now() + NOTICE_PERIOD / 2;
-  const leaving = { ...workerNamed("w2"), state: WorkerState.Leaving, reclaimAt };
-  fleet.setWorkers([leaving, workerNamed("w3")]);
+  const leaving = { ...createTestWorker("w2"), state: WorkerState.Leaving, reclaimAt };
+  fleet.setWorkers([leaving, createTestWorker("w3")]);
   await fleet.clock.advance(NOTICE_PERIOD / 2);
   fleet.engines.kill("w2");
   await fleet.clock.advance(10_000);
--- a/src/request/ownership.ts
+++ b/src/request/owned_requests.ts
@@ -15,7 +15,12 @@
 import { runRequest } from "./request_run.ts";
 import type { RunContext } from "./run_context.ts";
 import type { Retention } from "./retention.ts";
-import { Inheritance, inheritanceOf, mayAcceptUnknownKey, ownsSlot } from "./slot_replica.ts";
+import {
+  TakeoverAction,
+  takeoverActionFor,
+  canAcceptUnknownKey,
+  ownsSlot,
+} from "./slot_replica.ts";
 import type { SlotReplica } from "./slot_replica.ts";
 
 /** The requests that this instance owns. */
@@ -114,7 +119,7 @@
    * Returns the refusal for a record that this owner doesn't know and can't accept, or undefined.
    */
   const findRefusal = (replica: SlotReplica, record: RequestRecord): FinalEvent | undefined => {
-    if (record.keyed && !mayAcceptUnknownKey(replica, record.repeatable)) {
+    if (record.keyed && !canAcceptUnknownKey(replica, record.repeatable)) {
       const detail =
         "Both owners of the key's slot were lost with their history; the request may have run before.";
       return createEndedEvent({ ...record, reason: Refusal.HistoryLost, detail, body: "" });
@@ -160,7 +165,7 @@
   const replicateAndRun = async (live: LiveRequest, job: Job): Promise<void> => {
     const copyState = await replicator.waitForCopy(live.record, ACCEPT_TIMEOUT);
     if (liveById.get(live.record.id) !== live) {
-      scheduler.settled(job, clock.now());
+      scheduler.jobEnded(job, clock.now());
       return;
     }
     if (copyState === CopyState.Acknowledged) {
@@ -169,7 +174,7 @@
       return run(live, { job, isInquiry: false });
     }
     if (copyState === CopyState.NotSent || copyState === CopyState.NotOwner) {
-      scheduler.settled(job, clock.now());
+      scheduler.jobEnded(job, clock.now());
       // If the slot has moved, its new owner has the record.
       if (copyState === CopyState.NotOwner) live.finish(createMovedEvent(live.record.slot));
       else {
@@ -250,7 +255,7 @@
     const wasDispatched = state === RequestState.Dispatched || state === RequestState.Streaming;
     live.isPossiblySent = repeatable || wasDispatched;
     if (live.isPossiblySent) live.resumeCause = RetryCause.OwnerMoved;
-    const isInquiry = inheritanceOf(record) === Inheritance.Inquire;
+    const isInquiry = takeoverActionFor(record) === TakeoverAction.Inquire;
     replicator.send(record);
     void run(live, { job: createInheritedJob(environment, record), isInquiry });
     return live;
@@ -277,7 +282,7 @@
     },
     cancel: (id) => liveById.get(id)?.stop(StopReason.Cancelled),
     inheritSlot: (slot) => {
-      for (const { record } of table.get(slot).held.values()) {
+      for (const { record } of table.get(slot).records.values()) {
         const live = liveById.get(record.id);
         // A request started during an earlier ownership has no knowledge of what the owners since
         // then did. Continuing it would send again what they have sent.
--- a/src/request/replicator.ts
+++ b/src/request/replicator.ts
@@ -2,10 +2,10 @@
 import type { ReplicateMessage, RequestRecord } from "../interface/index.ts";
 import type { Environment } from "./environment.ts";
 import {
-  hearAcknowledgement,
+  applyAcknowledgement,
   isAcknowledged,
   ownsSlot,
-  replicationOf,
+  createReplicateMessage,
   stepDown,
 } from "./slot_replica.ts";
 import type { SlotReplica } from "./slot_replica.ts";
@@ -102,7 +102,7 @@
 
   /** Sends one message. Resolves to false if the next attempt has to wait. */
   const sendOnce = async (replication: Replication, replica: SlotReplica): Promise<boolean> => {
-    const message = replicationOf(replica, replication.key.id);
+    const message = createReplicateMessage(replica, replication.key.id);
     const backup = members.find(replica.assignment.backup);
     if (message === undefined || backup === undefined) return false;
     replication.hasUnresolvedMessage = true;
@@ -128,7 +128,7 @@
       const tokens = message.record.tokens.length;
       if (tokens > 0) copiedTokens.set(id, { tokens, epoch: message.epoch });
       const { sequence } = message.record;
-      table.set(hearAcknowledgement(table.get(slot), { id, sequence, epoch: message.epoch }));
+      table.set(applyAcknowledgement(table.get(slot), { id, sequence, epoch: message.epoch }));
       return;
     }
     counters.count(`replicate.${outcome}`);
@@ -145,7 +145,7 @@
     const { slot, id } = replication.key;
     while (!isClosed) {
       const replica = table.get(slot);
-      const held = replica.held.get(id);
+      const held = replica.records.get(id);
       if (held === undefined || !ownsSlot(replica)) {
         settle(replication, CopyState.NotOwner);
         return;
@@ -210,7 +210,7 @@
   replica: SlotReplica,
   { id, sequence }: RequestRecord,
 ): SlotReplica {
-  return hearAcknowledgement(replica, { id, sequence, epoch: replica.assignment.epoch });
+  return applyAcknowledgement(replica, { id, sequence, epoch: replica.assignment.epoch });
 }
 
 /** Omits the tokens that the backup has acknowledged at this epoch. */
--- a/src/request/request_api.ts
+++ b/src/request/request_api.ts
@@ -1,4 +1,4 @@
-import type { EntryStance } from "../decision/index.ts";
+import type { EntryMode } from "../decision/index.ts";
 import type {
   Member,
   PeerHandlers,
@@ -81,15 +81,15 @@
    */
   copyTo(slots: readonly number[], member: Member): Promise<boolean>;
   /** Restricts new requests to those that the stance allows. Accepted requests continue. */
-  setStance(stance: EntryStance): void;
+  setStance(stance: EntryMode): void;
   /** Stops accepting new requests. Requests in progress continue. */
-  stopTaking(): void;
+  stopAccepting(): void;
   /** Resolves once no request is in progress here, whether owned or forwarded to another owner. */
   whenIdle(): Promise<void>;
   /**
    * Hands over every slot at once, without the store: to its assigned backup, or else into custody.
    */
-  cedeAll(): Promise<void>;
+  handOverAll(): Promise<void>;
   /** Returns the number of accepted requests that this instance owns and that have not ended. */
   inProgress(): number;
   close(): void;
--- a/src/request/request_end.ts
+++ b/src/request/request_end.ts
@@ -4,7 +4,7 @@
 import type { LiveRequest } from "./live_request.ts";
 import type { RunContext } from "./run_context.ts";
 import type { RunOutcome } from "./run_outcome.ts";
-import { mayTellEnd, ownsSlot } from "./slot_replica.ts";
+import { canReportEnd, ownsSlot } from "./slot_replica.ts";
 
 /**
  * Milliseconds to wait for the backup's acknowledgement of an end before the caller has to ask
@@ -48,9 +48,9 @@
 ): Promise<void> {
   const { id, slot } = live.record;
   replicator.send(live.record);
-  if (!mayTellEnd(table.get(slot), id)) await replicator.waitForCopy(live.record, END_TIMEOUT);
+  if (!canReportEnd(table.get(slot), id)) await replicator.waitForCopy(live.record, END_TIMEOUT);
   const replica = table.get(slot);
-  if (mayTellEnd(replica, id)) {
+  if (canReportEnd(replica, id)) {
     live.finish(createEndedEvent({ ...live.record, tokens: [] }));
   } else if (!ownsSlot(replica)) {
     live.finish({ kind: "moved", epoch: replica.assignment.epoch });
--- a/src/request/request_print.ts
+++ b/src/request/request_fingerprint.ts
@@ -2,7 +2,7 @@
 import type { IncomingMessage } from "node:http";
 
 /** Identifies equal requests regardless of the ids that their callers gave them. */
-export interface RequestPrint {
+export interface RequestFingerprint {
   /** 16 hexadecimal digits. */
   readonly name: string;
   /** The first 32 bits of the name. Instances exchange their counts under this key. */
@@ -22,14 +22,14 @@
 export function fingerprintRequest(
   { method, url, headers }: Pick<IncomingMessage, "method" | "url" | "headers">,
   { account, body }: { readonly account: string | undefined; readonly body: Buffer },
-): RequestPrint {
+): RequestFingerprint {
   // No part of the head can contain the separator.
   const head = [account ?? "", method ?? "", headers.host ?? "", url ?? ""].join("\n");
   const digest = createHash("sha256").update(`${head}\n`).update(body).digest("hex");
-  return printNamed(digest.slice(0, NAME_DIGITS));
+  return fingerprintFromName(digest.slice(0, NAME_DIGITS));
 }
 
 /** Returns the fingerprint with the given name. */
-export function printNamed(name: string): RequestPrint {
+export function fingerprintFromName(name: string): RequestFingerprint {
   return { name, key: Number.parseInt(name.slice(0, KEY_DIGITS), HEXADECIMAL) };
 }
--- a/src/request/request_print_test.ts
+++ b/src/request/request_fingerprint_test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from "vitest";
-import { printNamed, fingerprintRequest } from "./request_print.ts";
+import { fingerprintFromName, fingerprintRequest } from "./request_fingerprint.ts";
 
 const REQUEST = { method: "POST", url: "/desk/7?a=b", headers: { host: "desk.example" } };
 const BODY = Buffer.from("draft the list");
@@ -26,6 +26,6 @@
 
 test("a fingerprint can be restored from its name", () => {
   const fingerprint = fingerprintRequest(REQUEST, { account: "club", body: BODY });
-  expect(printNamed(fingerprint.name)).toEqual(fingerprint);
+  expect(fingerprintFromName(fingerprint.name)).toEqual(fingerprint);
   expect(fingerprint.key).toBeLessThan(2 ** 32);
 });
--- a/src/request/caller_stream.ts
+++ b/src/request/request_forwarding.ts
@@ -2,7 +2,7 @@
 import type { Member, RelayEvent, RelayMessage, RequestRecord } from "../interface/index.ts";
 import { assignmentOf } from "../version/index.ts";
 import type { Environment } from "./environment.ts";
-import type { OwnedRequests } from "./ownership.ts";
+import type { OwnedRequests } from "./owned_requests.ts";
 import type { CallerEvent, Rejection } from "./request_api.ts";
 import { ownsSlot } from "./slot_replica.ts";
 import type { SlotTable } from "./slot_table.ts";
--- a/src/request/request_key.ts
+++ b/src/request/request_key.ts
@@ -14,7 +14,7 @@
  *
  * @returns The id and its slot.
  */
-export function keyedId(account: string, key: string): { id: string; slot: number } {
+export function requestIdForKey(account: string, key: string): { id: string; slot: number } {
   const digest = createHash("sha256").update(account).update("\0").update(key).digest();
   const slot = digest.readUInt32BE(0) % SLOT_COUNT;
   const unique = digest.subarray(WORDS).toString("hex").slice(0, UNIQUE_LENGTH);
--- a/src/request/request_queue.ts
+++ b/src/request/request_queue.ts
@@ -1,7 +1,7 @@
 import PQueue from "p-queue";
 import type { QueueAddOptions } from "p-queue";
 import { createFairQueueClass } from "../decision/index.ts";
-import type { FairQueue, FairRun, Job, Scheduler } from "../decision/index.ts";
+import type { FairQueue, FairQueueTask, Job, Scheduler } from "../decision/index.ts";
 import type { Clock } from "../interface/index.ts";
 
 /** Options of {@linkcode RequestQueue.run}. */
@@ -33,7 +33,7 @@
   readonly job?: Job;
 }
 
-type ServiceQueue = PQueue<FairQueue<FairRun>, AddOptions>;
+type ServiceQueue = PQueue<FairQueue<FairQueueTask>, AddOptions>;
 
 /** Creates the queues. */
 export function createRequestQueue(scheduler: Scheduler, clock: Clock): RequestQueue {
--- a/src/request/request_run.ts
+++ b/src/request/request_run.ts
@@ -58,7 +58,7 @@
     await finishRequest(context, live, outcome);
   } finally {
     deadline.close();
-    scheduler.settled(job, clock.now());
+    scheduler.jobEnded(job, clock.now());
     context.queue.updateConcurrency();
   }
 }
--- a/src/request/request_service.ts
+++ b/src/request/request_service.ts
@@ -1,4 +1,4 @@
-import { EntryStance, Lane } from "../decision/index.ts";
+import { EntryMode, Lane } from "../decision/index.ts";
 import { hasEnded, Refusal, RequestState, SlotOutcome } from "../interface/index.ts";
 import type {
   AskMessage,
@@ -7,18 +7,24 @@
   RequestRecord,
   SlotReply,
 } from "../interface/index.ts";
-import { forwardToOwner, selectOwner } from "./caller_stream.ts";
-import type { ForwardingContext } from "./caller_stream.ts";
+import { forwardToOwner, selectOwner } from "./request_forwarding.ts";
+import type { ForwardingContext } from "./request_forwarding.ts";
 import type { Environment } from "./environment.ts";
 import { createHandover } from "./handover.ts";
-import { createOwnedRequests } from "./ownership.ts";
+import { createOwnedRequests } from "./owned_requests.ts";
 import { createReplicator } from "./replicator.ts";
 import type { CallerEvent, Rejection, RequestService, Submission } from "./request_api.ts";
 import { slotOfRequestId } from "./request_id.ts";
-import { generateRequestId, fingerprintSubmission, keyedId } from "./request_key.ts";
+import { generateRequestId, fingerprintSubmission, requestIdForKey } from "./request_key.ts";
 import { createRequestQueue } from "./request_queue.ts";
 import { createRetention } from "./retention.ts";
-import { isKeeper, ownsSlot, receiveCession, receiveRecord, Stance } from "./slot_replica.ts";
+import {
+  hasRecordsToForward,
+  ownsSlot,
+  receiveHandover,
+  receiveRecord,
+  Stance,
+} from "./slot_replica.ts";
 import { watchReclaims } from "./worker_reclaim.ts";
 import { createSlotTable } from "./slot_table.ts";
 import type { SlotChange } from "./slot_table.ts";
@@ -64,14 +70,14 @@
   const handover = createHandover(environment, { table, ownedRequests });
   const idleListeners = new Set<() => void>();
   let isAccepting = true;
-  let stance = EntryStance.Open;
+  let stance = EntryMode.Open;
   let forwardedCount = 0;
 
   const onSlotChange = ({ before, after }: SlotChange): void => {
     handover.confirmHistory(after.slot);
     if (ownsSlot(after)) ownedRequests.inheritSlot(after.slot);
     else if (ownsSlot(before)) ownedRequests.releaseSlot(after.slot);
-    if (isKeeper(after)) {
+    if (hasRecordsToForward(after)) {
       // The primary sends its backup every record that the primary has. The backup then has to
       // forward only the records that the primary lacks.
       const wasBackup = before.stance === Stance.Backup || after.stance === Stance.Backup;
@@ -156,7 +162,7 @@
   };
   const receiveCede = (message: CedeMessage): SlotReply => {
     const before = table.get(message.slot);
-    const reply = table.applyTransition(receiveCession(before, message));
+    const reply = table.applyTransition(receiveHandover(before, message));
     for (const record of message.records) if (hasEnded(record.state)) retention.add(record);
     const after = table.get(message.slot);
     // Changes of the role are handled by the listener. This continues records that an owner
@@ -189,7 +195,7 @@
     setStance: (next) => {
       stance = next;
     },
-    stopTaking: () => {
+    stopAccepting: () => {
       isAccepting = false;
     },
     whenIdle: () =>
@@ -197,7 +203,7 @@
         idleListeners.add(resolve);
         notifyIfIdle();
       }),
-    cedeAll: () => handover.handOver(table.all().map(({ slot }) => slot)),
+    handOverAll: () => handover.handOver(table.all().map(({ slot }) => slot)),
     inProgress: () => ownedRequests.inProgress(),
     close: () => {
       for (const subscription of subscriptions) subscription.close();
@@ -216,7 +222,7 @@
  */
 function withUnknownKeyHistory(rejection: Rejection, { account, key }: Submission): Rejection {
   if (key === undefined) return rejection;
-  return { ...rejection, notRun: false, id: keyedId(account, key).id };
+  return { ...rejection, notRun: false, id: requestIdForKey(account, key).id };
 }
 
 const DRAINING_REJECTION: Rejection = {
@@ -229,11 +235,11 @@
 /** Refuses new requests in two steps while the instance is overloaded. */
 function refuseWhenOverloaded(
   { configuration }: Environment,
-  { stance, submission }: { stance: EntryStance; submission: Submission },
+  { stance, submission }: { stance: EntryMode; submission: Submission },
 ): Rejection | undefined {
-  if (stance === EntryStance.Open) return undefined;
+  if (stance === EntryMode.Open) return undefined;
   const service = configuration.revision()?.deployment.services[submission.service];
-  if (stance === EntryStance.LookupsOnly && service?.lane === Lane.Lookup) return undefined;
+  if (stance === EntryMode.LookupsOnly && service?.lane === Lane.Lookup) return undefined;
   const detail = "This entry instance is overloaded; resolve the address again.";
   return { reason: Refusal.EntryOverloaded, notRun: true, retryAfter: RETRY_AFTER, detail };
 }
@@ -329,7 +335,7 @@
   random,
 }: RecordOptions & { random: Environment["random"] }): { id: string; slot: number } | undefined {
   const { account, key } = submission;
-  if (key !== undefined) return keyedId(account, key);
+  if (key !== undefined) return requestIdForKey(account, key);
   const slot = pickSlot(random);
   return slot === undefined ? undefined : { id: generateRequestId(slot, random), slot };
 }
--- a/src/request/request_service_test.ts
+++ b/src/request/request_service_test.ts
@@ -4,7 +4,7 @@
   expectedAnswer,
   createRequestFleet,
   endedRecord,
-  workerNamed,
+  createTestWorker,
 } from "./testing/request_fleet.ts";
 
 test("an answer arrives in full after its acceptance was copied to the backup", async () => {
@@ -61,7 +61,7 @@
   const before = caller.text;
   expect(before.length).toBeGreaterThan(0);
   fleet.setState(0, MemberState.Leaving);
-  const ceded = fleet.node(0).requests.cedeAll();
+  const ceded = fleet.node(0).requests.handOverAll();
   await fleet.clock.advance(50);
   await ceded;
   fleet.kill(0);
@@ -84,7 +84,7 @@
   await fleet.clock.advance(100);
   await cancelled;
   expect(endedRecord(caller)?.state).toBe(RequestState.Cancelled);
-  const knowledge = fleet.engines.connect().ask(workerNamed("w1"), caller.id, { bar: false });
+  const knowledge = fleet.engines.connect().ask(createTestWorker("w1"), caller.id, { bar: false });
   await fleet.clock.advance(100);
   expect(await knowledge).toBe(EngineKnowledge.Cancelled);
   fleet.close();
--- a/src/request/routed_attempt.ts
+++ b/src/request/routed_attempt.ts
@@ -1,11 +1,11 @@
-import { isSilent } from "../decision/index.ts";
+import { isWorkerSilent } from "../decision/index.ts";
 import type { AnswerHead, Exchange } from "../interface/index.ts";
-import type { BoardRun, BoardWorker } from "./routed_context.ts";
+import type { WorkerRun, CandidateWorker } from "./routed_context.ts";
 
 /** One attempt to run a request at one worker. */
 export interface Attempt {
-  readonly worker: BoardWorker;
-  readonly run: BoardRun;
+  readonly worker: CandidateWorker;
+  readonly run: WorkerRun;
   /** In the clock's milliseconds. */
   readonly startedAt: number;
   /** Expected time to the first token, in milliseconds. */
@@ -30,8 +30,8 @@
 
 /** Creates an attempt. Its exchange is set when the request is sent. */
 export function createAttempt(
-  worker: BoardWorker,
-  { run, now, wait }: { run: BoardRun; now: number; wait: number },
+  worker: CandidateWorker,
+  { run, now, wait }: { run: WorkerRun; now: number; wait: number },
 ): Attempt {
   return {
     worker,
@@ -70,12 +70,12 @@
   { now, workerLastReceivedAt = startedAt, isStream, target }: AttemptCheck,
 ): boolean {
   if (isPaused) return false;
-  return isSilent({
+  return isWorkerSilent({
     isStream,
-    hasBegun: hasEvent,
-    quietFor: now - lastReceivedAt,
-    workerQuietFor: now - workerLastReceivedAt,
+    hasFirstEvent: hasEvent,
+    silentFor: now - lastReceivedAt,
+    workerSilentFor: now - workerLastReceivedAt,
     target,
-    expected: expectedWait,
+    expectedFirstToken: expectedWait,
   });
 }
--- a/src/request/routed_choice.ts
+++ b/src/request/routed_choice.ts
@@ -1,19 +1,19 @@
-import { isWorthOffering, rankWorkers } from "../decision/index.ts";
-import type { Offer, PromptHomes, Ranking } from "../decision/index.ts";
+import { shouldOffer, rankWorkers } from "../decision/index.ts";
+import type { WorkerOffer, PromptHomes, RankedChoice } from "../decision/index.ts";
 import type { RoutedService } from "../version/index.ts";
 import type { RoutedArrival } from "./routed_arrival.ts";
-import type { BoardWorker, RoutedContext } from "./routed_context.ts";
+import type { CandidateWorker, RoutedContext } from "./routed_context.ts";
 
 /** The result of choosing workers for a request. */
 export type WorkerChoice =
   /** Every worker that accepts requests has had this one already, or there is none. */
   | { readonly kind: "none" }
   /** No worker is expected to start the request in time. */
-  | { readonly kind: "overloaded"; readonly offer: Offer; readonly candidates: number }
+  | { readonly kind: "overloaded"; readonly offer: WorkerOffer; readonly candidates: number }
   | {
       readonly kind: "ranked";
       /** Yields workers in the order in which to try them, until one has a free connection. */
-      inOrder(): Generator<Ranking<BoardWorker>>;
+      inOrder(): Generator<RankedChoice<CandidateWorker>>;
     };
 
 /** A request that needs a worker. */
@@ -31,9 +31,9 @@
 ): WorkerChoice {
   const timeLeft = arrival.deadlineAt - clock.now();
   const rank = (
-    workers: readonly BoardWorker[],
-    homes?: PromptHomes<BoardWorker>,
-  ): Ranking<BoardWorker>[] =>
+    workers: readonly CandidateWorker[],
+    homes?: PromptHomes<CandidateWorker>,
+  ): RankedChoice<CandidateWorker>[] =>
     rankWorkers(
       workers.filter(({ id }) => !tried.has(id)),
       {
@@ -43,21 +43,21 @@
         ...(homes === undefined ? {} : { homes }),
       },
     );
-  const createOffer = (choice: Ranking<BoardWorker> | undefined): Offer => ({
-    wait: choice?.wait ?? 0,
-    target: arrival.route.target,
-    left: timeLeft,
-    rank: arrival.rank,
-    isReturn: arrival.isRetry || tried.size > 0,
+  const createOffer = (choice: RankedChoice<CandidateWorker> | undefined): WorkerOffer => ({
+    expectedFirstToken: choice?.wait ?? 0,
+    firstTokenTarget: arrival.route.target,
+    timeLeft: timeLeft,
+    priorityRank: arrival.rank,
+    isRetry: arrival.isRetry || tried.size > 0,
   });
-  const sample = board.compared(service, arrival.promptParts);
+  const sample = board.sample(service, arrival.promptParts);
   const sampled = rank(sample.workers, sample.homes);
-  const isSampleUsable = sampled.length > 0 && isWorthOffering(createOffer(sampled[0]));
+  const isSampleUsable = sampled.length > 0 && shouldOffer(createOffer(sampled[0]));
   // If no worker of the sample is good enough, one of the others may be.
   const ranked = isSampleUsable ? sampled : rank(board.candidates(service));
   if (ranked.length === 0) return { kind: "none" };
   const offer = createOffer(ranked[0]);
-  if (!isWorthOffering(offer)) return { kind: "overloaded", offer, candidates: ranked.length };
+  if (!shouldOffer(offer)) return { kind: "overloaded", offer, candidates: ranked.length };
   return {
     kind: "ranked",
     *inOrder() {
--- a/src/request/routed_context.ts
+++ b/src/request/routed_context.ts
@@ -1,9 +1,9 @@
 import type {
   RankedWorker,
-  RepeatAllowance,
-  ServiceSpeed,
+  RepeatBudget,
+  ServiceTiming,
   SharedQuota,
-  Compared,
+  CandidateWorkers,
   PromptPart,
 } from "../decision/index.ts";
 import type {
@@ -14,7 +14,7 @@
   WorkerPlace,
 } from "../interface/index.ts";
 import type { RoutedService, RouteTable } from "../version/index.ts";
-import type { RequestPrint } from "./request_print.ts";
+import type { RequestFingerprint } from "./request_fingerprint.ts";
 
 /** How a run at a worker ended, as evidence for or against the worker. */
 export enum RunResult {
@@ -36,48 +36,51 @@
 }
 
 /** A run of this instance at a worker. */
-export interface BoardRun {
+export interface WorkerRun {
   /**
    * Records that the worker has started to respond.
    *
    * @param limit Requests per second that the worker accepts from all instances together; undefined
    * if it sent no limit.
    */
-  answering(limit: number | undefined): void;
+  recordResponse(limit: number | undefined): void;
   /** Records that the first event has arrived, so the worker has read the prompt. */
-  read(): void;
+  recordFirstEvent(): void;
   /** Ends the run and records its result. */
   end(result: RunResult): void;
 }
 
 /** A worker that may receive requests. */
-export interface BoardWorker extends RankedWorker, WorkerPlace {
+export interface CandidateWorker extends RankedWorker, WorkerPlace {
   /** Name of the worker's service. */
   readonly service: string;
   /** Maximum number of connections from this instance to the worker. */
-  readonly mostConnections: number;
+  readonly maxConnections: number;
 }
 
 /** The workers and their load from all instances. */
-export interface WorkerBoard {
+export interface WorkerLoads {
   /** Returns the service's workers that accept new requests now. */
-  candidates(service: RoutedService): BoardWorker[];
+  candidates(service: RoutedService): CandidateWorker[];
   /**
    * Milliseconds until the next request may go to one of the service's workers that have a request
    * limit, counted over all instances; undefined if none of them has one.
    */
-  opensIn(service: RoutedService): number | undefined;
+  timeUntilCapacity(service: RoutedService): number | undefined;
   /** Returns the sample of the candidates that is compared first for a request with this prompt. */
-  compared(service: RoutedService, parts: readonly PromptPart[]): Compared<BoardWorker>;
+  sample(service: RoutedService, parts: readonly PromptPart[]): CandidateWorkers<CandidateWorker>;
   /**
    * Registers a run.
    *
    * @param run `reads` is the number of prompt tokens that the worker has to read for it, `route`
    * is the name of its route.
    */
-  begin(worker: BoardWorker, run: { readonly reads: number; readonly route: string }): BoardRun;
+  begin(
+    worker: CandidateWorker,
+    run: { readonly reads: number; readonly route: string },
+  ): WorkerRun;
   /** Returns the reading rate and the run time of the service's workers. */
-  speed(service: RoutedService): ServiceSpeed;
+  speed(service: RoutedService): ServiceTiming;
   /**
    * Calls the listener when the worker is about to leave, so that its runs can continue elsewhere.
    */
@@ -90,15 +93,15 @@
    * Returns the milliseconds after which the request may be sent to a worker again; 0 if it may be
    * sent now.
    */
-  waitFor(print: RequestPrint): number;
+  remainingTime(print: RequestFingerprint): number;
   /** Records that a worker sent a complete response to the request. */
-  answered(print: RequestPrint): void;
+  recordAnswer(print: RequestFingerprint): void;
 }
 
 /** Determines what happened to workers that lost their connection during a run. */
 export interface WorkerChecks {
   /** Reports that the connection to the worker broke while it ran the request. */
-  broke(worker: WorkerPlace, print: RequestPrint): void;
+  reportBrokenConnection(worker: WorkerPlace, print: RequestFingerprint): void;
 }
 
 /** The fields of a line of the decision log besides the request id. */
@@ -112,16 +115,16 @@
   readonly names: HeaderNames;
   /** Returns undefined until the first configuration is received. */
   table(): RouteTable | undefined;
-  readonly board: WorkerBoard;
+  readonly board: WorkerLoads;
   readonly connections: WorkerConnections;
   /** Quotas of the client accounts, shared by all instances. */
   readonly quota: SharedQuota;
   /** Limit on the repeats of each service. */
-  readonly repeats: RepeatAllowance;
+  readonly repeats: RepeatBudget;
   readonly checks: WorkerChecks;
   readonly quarantine: Quarantine;
   /** Records that a run for the account started at this time, in the clock's milliseconds. */
-  began(account: string | undefined, at: number): void;
+  recordStart(account: string | undefined, at: number): void;
   /**
    * Whether the instance has been asked to stop. Connections are then closed after their response.
    */
@@ -129,7 +132,7 @@
   /** Whether a planned stop has progressed too far to start new requests. */
   isClosedToNew(): boolean;
   /** Writes a line of the decision log. */
-  readonly decided: (step: string, id: string | undefined, fields: DecisionFields) => void;
+  readonly logDecision: (step: string, id: string | undefined, fields: DecisionFields) => void;
   readonly metrics: RoutedMetrics;
 }
 
--- a/src/request/routed_run.ts
+++ b/src/request/routed_run.ts
@@ -1,16 +1,16 @@
 import type { IncomingMessage } from "node:http";
 import { createEventSplitter } from "./event_splitter.ts";
-import { returnAfter } from "../decision/index.ts";
-import type { Ranking } from "../decision/index.ts";
+import { offerRetryDelay } from "../decision/index.ts";
+import type { RankedChoice } from "../decision/index.ts";
 import type { AnswerHead, Exchange, ExchangeEnd, Timer } from "../interface/index.ts";
 import { Delivery, Repetition } from "../version/index.ts";
 import type { RoutedService } from "../version/index.ts";
-import { RoutedRefusal } from "./caller_answer.ts";
-import type { CallerResponse } from "./caller_answer.ts";
-import type { RequestPrint } from "./request_print.ts";
+import { RoutedRefusal } from "./caller_response.ts";
+import type { CallerResponse } from "./caller_response.ts";
+import type { RequestFingerprint } from "./request_fingerprint.ts";
 import type { RoutedArrival } from "./routed_arrival.ts";
 import { RunResult } from "./routed_context.ts";
-import type { BoardWorker, DecisionFields, RoutedContext } from "./routed_context.ts";
+import type { CandidateWorker, DecisionFields, RoutedContext } from "./routed_context.ts";
 import { chooseWorkers } from "./routed_choice.ts";
 import { buildAddedHeaders, buildRequestHeaders, parseWorkerLimit } from "./routed_headers.ts";
 import { createAttempt, isHungAttempt } from "./routed_attempt.ts";
@@ -22,7 +22,7 @@
   readonly arrival: RoutedArrival;
   readonly service: RoutedService;
   readonly body: Buffer;
-  readonly fingerprint: RequestPrint;
+  readonly fingerprint: RequestFingerprint;
   /** Refunds the account's quota, because the request certainly did not run. */
   readonly refundQuota: () => void;
 }
@@ -89,7 +89,7 @@
   let silenceTimer: Timer | undefined;
 
   const logStep = (step: string, fields: DecisionFields): void =>
-    context.decided(step, arrival.id, { route: route.name, ...fields });
+    context.logDecision(step, arrival.id, { route: route.name, ...fields });
   const finish = (): void => {
     isDone = true;
     deadline.close();
@@ -141,14 +141,14 @@
       giveUp(RoutedRefusal.DeadlinePassed);
       return;
     }
-    const quarantinedFor = context.quarantine.waitFor(fingerprint);
+    const quarantinedFor = context.quarantine.remainingTime(fingerprint);
     if (quarantinedFor > 0) {
       giveUp(RoutedRefusal.CrashesWorkers, quarantinedFor);
       return;
     }
     const choice = chooseWorkers(context, { arrival, service, tried });
     if (choice.kind === "none") {
-      const capacityIn = board.opensIn(service);
+      const capacityIn = board.timeUntilCapacity(service);
       const after =
         capacityIn === undefined ? NO_WORKER_RETRY_AFTER : Math.max(BUSY_RETRY_AFTER, capacityIn);
       giveUp(RoutedRefusal.NoWorker, Math.round(after));
@@ -156,10 +156,12 @@
     }
     if (choice.kind === "overloaded") {
       const { offer, candidates } = choice;
-      giveUp(RoutedRefusal.Overloaded, Math.round(returnAfter(offer)), {
-        ...offer,
-        wait: Math.round(offer.wait),
+      giveUp(RoutedRefusal.Overloaded, Math.round(offerRetryDelay(offer)), {
+        wait: Math.round(offer.expectedFirstToken),
+        target: offer.firstTokenTarget,
         left: Math.round(timeLeft),
+        rank: offer.priorityRank,
+        isReturn: offer.isRetry,
         candidates,
       });
       return;
@@ -167,7 +169,12 @@
     for (const ranked of choice.inOrder()) if (send(ranked)) return;
     giveUp(RoutedRefusal.Overloaded, BUSY_RETRY_AFTER);
   };
-  const send = ({ worker, cost, reads, wait }: Ranking<BoardWorker>): boolean => {
+  const send = ({
+    worker,
+    cost,
+    prefillTokens: reads,
+    wait,
+  }: RankedChoice<CandidateWorker>): boolean => {
     const now = clock.now();
     splitter.discardPartial();
     const attempt = createAttempt(worker, {
@@ -201,7 +208,7 @@
           end: (end) => onEnd(attempt, end),
         },
         repeatable,
-        most: worker.mostConnections,
+        most: worker.maxConnections,
       },
     );
     if (exchange === undefined) {
@@ -234,7 +241,7 @@
     if (current !== attempt) return;
     attempt.lastReceivedAt = clock.now();
     attempt.head = head;
-    attempt.run.answering(parseWorkerLimit(head, names));
+    attempt.run.recordResponse(parseWorkerLimit(head, names));
     attempt.isStreaming = isStream && isSuccess(head.status);
   };
   const onData = (attempt: Attempt, chunk: Buffer): void => {
@@ -260,8 +267,8 @@
     if (count === 0) return;
     if (!attempt.hasEvent) {
       attempt.hasEvent = true;
-      attempt.run.read();
-      context.began(arrival.account?.name, clock.now());
+      attempt.run.recordFirstEvent();
+      context.recordStart(arrival.account?.name, clock.now());
     }
     if (!response.hasStarted && attempt.head !== undefined) {
       response.start(attempt.head);
@@ -293,7 +300,7 @@
       return;
     }
     hasPossiblyRun = true;
-    context.checks.broke(attempt.worker, fingerprint);
+    context.checks.reportBrokenConnection(attempt.worker, fingerprint);
     countUnanswered(attempt);
     retry("worker-lost");
   };
@@ -309,7 +316,7 @@
    * any other request has most probably run where it was sent.
    */
   const countUnanswered = (attempt: Attempt): void => {
-    if (!isStream) context.began(arrival.account?.name, attempt.startedAt);
+    if (!isStream) context.recordStart(arrival.account?.name, attempt.startedAt);
   };
   const onComplete = (attempt: Attempt): void => {
     const { head } = attempt;
@@ -340,8 +347,8 @@
       retryElsewhere("refused-by-worker");
       return;
     }
-    context.began(arrival.account?.name, attempt.startedAt);
-    context.quarantine.answered(fingerprint);
+    context.recordStart(arrival.account?.name, attempt.startedAt);
+    context.quarantine.recordAnswer(fingerprint);
     hasPossiblyRun = true;
     const isFailed = head.status >= SERVER_ERROR && head.status !== GATEWAY_TIMEOUT;
     endAttempt(isFailed ? RunResult.Failed : RunResult.Answered);
@@ -367,8 +374,8 @@
   };
   const onStreamComplete = (attempt: Attempt): void => {
     endAttempt(RunResult.Answered);
-    context.quarantine.answered(fingerprint);
-    if (!attempt.hasEvent) context.began(arrival.account?.name, attempt.startedAt);
+    context.quarantine.recordAnswer(fingerprint);
+    if (!attempt.hasEvent) context.recordStart(arrival.account?.name, attempt.startedAt);
     if (!response.hasStarted && attempt.head !== undefined) response.start(attempt.head);
     complete(attempt.head?.status ?? SUCCESS, () => {
       if (splitter.partialEvent.length > 0) response.write(splitter.partialEvent);
@@ -424,7 +431,7 @@
     });
   };
 
-  repeats.requested(service.name, clock.now());
+  repeats.recordRequest(service.name, clock.now());
   tryNext();
   return {
     abandon: () => {
--- a/src/request/routed_service.ts
+++ b/src/request/routed_service.ts
@@ -1,10 +1,10 @@
 import type { IncomingMessage, ServerResponse } from "node:http";
-import { createCallerResponse, RoutedRefusal } from "./caller_answer.ts";
-import type { CallerResponse } from "./caller_answer.ts";
+import { createCallerResponse, RoutedRefusal } from "./caller_response.ts";
+import type { CallerResponse } from "./caller_response.ts";
 import { quotaCost, readArrival } from "./routed_arrival.ts";
 import type { RoutedArrival } from "./routed_arrival.ts";
 import type { RoutedContext } from "./routed_context.ts";
-import { fingerprintRequest } from "./request_print.ts";
+import { fingerprintRequest } from "./request_fingerprint.ts";
 import { startRoutedRun } from "./routed_run.ts";
 import { pickService } from "./traffic_share.ts";
 import type { RouteTable } from "../version/index.ts";
@@ -48,7 +48,7 @@
     { reason, id, retryAfter, ...fields }: RefusalDetail,
   ): void => {
     context.metrics.refused(reason);
-    context.decided("refused", id, { reason, retryAfter, ...fields });
+    context.logDecision("refused", id, { reason, retryAfter, ...fields });
     if (!callerResponse.isClosed) callerResponse.refuse(reason, retryAfter);
   };
   const handle = (request: IncomingMessage, response: ServerResponse): void => {
@@ -123,7 +123,7 @@
         });
         return undefined;
       }
-      refundQuota = () => context.quota.giveBack(accountName, size);
+      refundQuota = () => context.quota.refund(accountName, size);
     }
     const fingerprint = fingerprintRequest(request, { account: account?.name, body });
     const admittedRequest = { request, arrival, service, body, fingerprint, refundQuota };
