--- a/src/request/slot_replica.ts
+++ b/src/request/slot_replica.ts
@@ -38,7 +38,7 @@
 }
 
 /** A record with the state of its copies. */
-export interface Held {
+export interface HeldRecord {
   readonly record: RequestRecord;
   /** Highest sequence that the backup has acknowledged at the current epoch; 0 for none. */
   readonly acknowledged: number;
@@ -112,9 +112,9 @@
   /** The instance's role for the slot. */
   readonly stance: Stance;
   /** Epoch up to which this instance has received every record of the slot. */
-  readonly completeTo: number;
+  readonly completeThroughEpoch: number;
   /** The records of the slot by id. */
-  readonly held: ReadonlyMap<string, Held>;
+  readonly records: ReadonlyMap<string, HeldRecord>;
 }
 
 /** The new state of a slot and the reply to the message that caused it. */
@@ -140,7 +140,7 @@
 }
 
 /** What a new owner does with an inherited record. */
-export enum Inheritance {
+export enum TakeoverAction {
   /** The record has ended and is only kept. */
   Keep = "keep",
   /** The request continues from the tokens in the record, or starts. */
@@ -161,8 +161,8 @@
     slot,
     assignment: UNASSIGNED,
     stance: Stance.None,
-    completeTo: 0,
-    held: new Map(),
+    completeThroughEpoch: 0,
+    records: new Map(),
   };
 }
 
@@ -180,7 +180,7 @@
  * while others owned the slot, or it is the backup of a primary that was assigned without having
  * them. A primary that has a record sends it to the backup at each new epoch.
  */
-export function isKeeper(replica: SlotReplica): boolean {
+export function hasRecordsToForward(replica: SlotReplica): boolean {
   return !ownsSlot(replica) && recordsToForward(replica).length > 0;
 }
 
@@ -195,7 +195,7 @@
  * have copies older than the latest state. A new primary that ran a request from such a copy could
  * run it a second time, so it ends those records as {@linkcode RequestState.MayHaveRun}.
  */
-export function hearAssignment(
+export function applyAssignment(
   replica: SlotReplica,
   assignment: Assignment,
   rules: Rules = ALL_RULES,
@@ -210,10 +210,10 @@
     ...replica,
     assignment,
     stance,
-    completeTo: completeThroughAfter(replica, { assignment, stance }),
+    completeThroughEpoch: completeThroughAfter(replica, { assignment, stance }),
   };
-  const held = new Map<string, Held>();
-  for (const [id, existing] of replica.held) {
+  const held = new Map<string, HeldRecord>();
+  for (const [id, existing] of replica.records) {
     const latestThroughEpoch = extendThroughEpoch(updated, existing.latestThroughEpoch);
     // From here on, the new primary's copy takes precedence over messages still in transit.
     const isAuthoritative = stance === Stance.Primary && latestThroughEpoch >= assignment.epoch;
@@ -227,7 +227,7 @@
     };
     held.set(id, endIfStale(updated, updatedRecord, rules));
   }
-  return { ...updated, held };
+  return { ...updated, records: held };
 }
 
 /**
@@ -253,11 +253,11 @@
     assignment.historyLostAt !== replica.assignment.historyLostAt &&
     assignment.epoch === replica.assignment.epoch + 1;
   if (isNewHistory) return assignment.epoch;
-  return extendThroughEpoch({ ...replica, assignment, stance }, replica.completeTo);
+  return extendThroughEpoch({ ...replica, assignment, stance }, replica.completeThroughEpoch);
 }
 
 /** Ends a record if this instance is the primary and its copy may be out of date. */
-function endIfStale(replica: SlotReplica, held: Held, rules: Rules): Held {
+function endIfStale(replica: SlotReplica, held: HeldRecord, rules: Rules): HeldRecord {
   const { record } = held;
   const isFresh = held.latestThroughEpoch >= replica.assignment.epoch || !rules.freshCopy;
   if (isFresh || replica.stance !== Stance.Primary) return held;
@@ -284,7 +284,7 @@
  * @returns The new state, with the sequence of the record incremented.
  */
 export function writeRecord(replica: SlotReplica, record: RequestRecord): SlotReplica {
-  const existing = replica.held.get(record.id);
+  const existing = replica.records.get(record.id);
   const sequence = (existing?.record.sequence ?? 0) + 1;
   const { epoch } = replica.assignment;
   return withRecord(replica, {
@@ -296,18 +296,21 @@
   });
 }
 
-function withRecord(replica: SlotReplica, held: Held): SlotReplica {
-  const all = new Map(replica.held);
+function withRecord(replica: SlotReplica, held: HeldRecord): SlotReplica {
+  const all = new Map(replica.records);
   all.set(held.record.id, held);
-  return { ...replica, held: all };
+  return { ...replica, records: all };
 }
 
 /**
  * Creates the message that replicates a record to the backup, or returns undefined if there is no
  * backup.
  */
-export function replicationOf(replica: SlotReplica, id: string): ReplicateMessage | undefined {
-  const held = replica.held.get(id);
+export function createReplicateMessage(
+  replica: SlotReplica,
+  id: string,
+): ReplicateMessage | undefined {
+  const held = replica.records.get(id);
   if (held === undefined || replica.stance !== Stance.Primary) return undefined;
   if (replica.assignment.backup === "") return undefined;
   return {
@@ -373,7 +376,7 @@
   options: { epoch: number; rules?: Rules },
 ): SlotReplica {
   const { epoch, rules = ALL_RULES } = options;
-  const existing = replica.held.get(record.id);
+  const existing = replica.records.get(record.id);
   if (existing !== undefined && !isNewer({ record, epoch }, existing, rules)) return replica;
   const latestThroughEpoch = extendThroughEpoch(replica, epoch);
   const joined = joinTokens(existing?.record, record);
@@ -382,8 +385,8 @@
 }
 
 function isNewer(
-  { record, epoch }: Pick<Held, "record" | "epoch">,
-  existing: Held,
+  { record, epoch }: Pick<HeldRecord, "record" | "epoch">,
+  existing: HeldRecord,
   rules: Rules,
 ): boolean {
   if (rules.copyOrder && epoch !== existing.epoch) return epoch > existing.epoch;
@@ -392,7 +395,7 @@
 
 function hasTokenGap(replica: SlotReplica, { record, epoch }: ReplicateMessage): boolean {
   if (record.tokensFrom === 0) return false;
-  const existing = replica.held.get(record.id);
+  const existing = replica.records.get(record.id);
   // Tokens from an earlier epoch may belong to a different answer and must not be joined to these.
   if (existing?.epoch !== epoch) return true;
   if (existing.record.sequence >= record.sequence) return false;
@@ -420,18 +423,18 @@
 
 /** Removes a record that was never sent anywhere or whose retention has expired. */
 export function forgetRecord(replica: SlotReplica, id: string): SlotReplica {
-  if (!replica.held.has(id)) return replica;
-  const held = new Map(replica.held);
+  if (!replica.records.has(id)) return replica;
+  const held = new Map(replica.records);
   held.delete(id);
-  return { ...replica, held };
+  return { ...replica, records: held };
 }
 
 /** Records that the backup has acknowledged a sequence, if it did so at the current epoch. */
-export function hearAcknowledgement(
+export function applyAcknowledgement(
   replica: SlotReplica,
   acknowledgement: { id: string; sequence: number; epoch: number },
 ): SlotReplica {
-  const held = replica.held.get(acknowledgement.id);
+  const held = replica.records.get(acknowledgement.id);
   if (held === undefined || acknowledgement.epoch !== replica.assignment.epoch) return replica;
   if (held.acknowledged >= acknowledgement.sequence) return replica;
   return withRecord(replica, { ...held, acknowledged: acknowledgement.sequence });
@@ -439,7 +442,7 @@
 
 /** Whether the backup has the current state of the record. */
 export function isAcknowledged(replica: SlotReplica, id: string): boolean {
-  const held = replica.held.get(id);
+  const held = replica.records.get(id);
   return held !== undefined && held.acknowledged >= held.record.sequence;
 }
 
@@ -452,7 +455,7 @@
   id: string,
   rules: Rules = ALL_RULES,
 ): Permission {
-  const held = replica.held.get(id);
+  const held = replica.records.get(id);
   if (held === undefined || !ownsSlot(replica)) return Permission.NotOwner;
   if (held.record.repeatable) return Permission.Send;
   if (replica.stance === Stance.Acting)
@@ -464,8 +467,8 @@
 }
 
 /** Whether the end in the record may be reported to the caller. */
-export function mayTellEnd(replica: SlotReplica, id: string, rules: Rules = ALL_RULES): boolean {
-  const held = replica.held.get(id);
+export function canReportEnd(replica: SlotReplica, id: string, rules: Rules = ALL_RULES): boolean {
+  const held = replica.records.get(id);
   if (held === undefined || !hasEnded(held.record.state)) return false;
   if (!ownsSlot(replica)) return false;
   const needsAcknowledgement =
@@ -474,15 +477,15 @@
 }
 
 /** Whether the end must read the same at a later owner, because the caller can ask for it there. */
-function mustSurviveOwner({ record }: Held): boolean {
+function mustSurviveOwner({ record }: HeldRecord): boolean {
   return !record.repeatable || record.detached || record.keyed;
 }
 
 /** Returns what a new owner does with an inherited record. */
-export function inheritanceOf(record: RequestRecord, rules: Rules = ALL_RULES): Inheritance {
-  if (hasEnded(record.state)) return Inheritance.Keep;
-  if (record.repeatable || record.state === RequestState.Accepted) return Inheritance.Run;
-  return rules.intentBlocks ? Inheritance.Inquire : Inheritance.Run;
+export function takeoverActionFor(record: RequestRecord, rules: Rules = ALL_RULES): TakeoverAction {
+  if (hasEnded(record.state)) return TakeoverAction.Keep;
+  if (record.repeatable || record.state === RequestState.Accepted) return TakeoverAction.Run;
+  return rules.intentBlocks ? TakeoverAction.Inquire : TakeoverAction.Run;
 }
 
 /** The state of a slot after a handover, and the message that performs it. */
@@ -500,7 +503,11 @@
  * custody only. Handing the slot over to a second instance because the first did not reply would
  * create two owners.
  */
-export function cedeSlot(replica: SlotReplica, to: string, rules: Rules = ALL_RULES): SlotHandover {
+export function createSlotHandover(
+  replica: SlotReplica,
+  to: string,
+  rules: Rules = ALL_RULES,
+): SlotHandover {
   const isCustody =
     rules.cedeToNamed && !(replica.assignment.backup === to && canHandOver(replica));
   const isOrWasOwner = ownsSlot(replica) || replica.stance === Stance.Ceded;
@@ -510,7 +517,7 @@
     slot: replica.slot,
     epoch: isOrWasOwner ? epoch : Math.min(epoch - 1, oldestCopyEpoch(replica)),
     custody: isCustody,
-    complete: isOrWasOwner && replica.completeTo >= epoch,
+    complete: isOrWasOwner && replica.completeThroughEpoch >= epoch,
     records: recordsToForward(replica),
   };
   const stance = ownsSlot(replica) ? Stance.Ceded : replica.stance;
@@ -544,29 +551,31 @@
  * @returns Undefined if this primary doesn't have the whole history itself, or the backup hasn't
  * acknowledged every record yet.
  */
-export function completionOf(replica: SlotReplica): CedeMessage | undefined {
+export function createCompletionMessage(replica: SlotReplica): CedeMessage | undefined {
   const { epoch, backup } = replica.assignment;
-  if (replica.stance !== Stance.Primary || backup === "" || replica.completeTo < epoch) {
+  if (replica.stance !== Stance.Primary || backup === "" || replica.completeThroughEpoch < epoch) {
     return undefined;
   }
-  if (![...replica.held.keys()].every((id) => isAcknowledged(replica, id))) return undefined;
+  if (![...replica.records.keys()].every((id) => isAcknowledged(replica, id))) return undefined;
   const { self: from, slot } = replica;
   return { from, slot, epoch, custody: true, complete: true, records: [] };
 }
 
 function listRecords(replica: SlotReplica): RequestRecord[] {
-  return [...replica.held.values()].map((held) => held.record);
+  return [...replica.records.values()].map((held) => held.record);
 }
 
 /** Returns all records, except for those that a backup received from its current primary. */
 function recordsToForward(replica: SlotReplica): RequestRecord[] {
   if (replica.stance !== Stance.Backup) return listRecords(replica);
   const { epoch } = replica.assignment;
-  return [...replica.held.values()].filter((held) => held.epoch < epoch).map((held) => held.record);
+  return [...replica.records.values()]
+    .filter((held) => held.epoch < epoch)
+    .map((held) => held.record);
 }
 
 function oldestCopyEpoch(replica: SlotReplica): number {
-  const epochs = [...replica.held.values()].map((held) => held.latestThroughEpoch);
+  const epochs = [...replica.records.values()].map((held) => held.latestThroughEpoch);
   return epochs.length === 0 ? 0 : Math.min(...epochs);
 }
 
@@ -579,7 +588,7 @@
 }
 
 /** Handles a handover message. A duplicate is acknowledged again and changes nothing. */
-export function receiveCession(
+export function receiveHandover(
   replica: SlotReplica,
   message: CedeMessage,
   rules: Rules = ALL_RULES,
@@ -588,7 +597,13 @@
   const merged = message.records.reduce(
     (into, record) => mergeRecord(into, record, { epoch, rules }),
     message.complete === true
-      ? { ...replica, completeTo: Math.max(replica.completeTo, extendThroughEpoch(replica, epoch)) }
+      ? {
+          ...replica,
+          completeThroughEpoch: Math.max(
+            replica.completeThroughEpoch,
+            extendThroughEpoch(replica, epoch),
+          ),
+        }
       : replica,
   );
   if (message.custody) {
@@ -615,14 +630,14 @@
  * both earlier owners and their records were lost, or this owner was assigned before it had all
  * records.
  */
-export function mayAcceptUnknownKey(
+export function canAcceptUnknownKey(
   replica: SlotReplica,
   repeatable: boolean,
   rules: Rules = ALL_RULES,
 ): boolean {
   if (repeatable) return true;
   const isLost = replica.assignment.historyLostAt !== 0 && rules.historyLost;
-  const isPartial = replica.completeTo < replica.assignment.epoch && rules.freshCopy;
+  const isPartial = replica.completeThroughEpoch < replica.assignment.epoch && rules.freshCopy;
   return !isLost && !isPartial;
 }
 
@@ -634,8 +649,8 @@
  * @returns True only if no other instance can have sent it either. A repeatable request is sent
  * without informing the backup, so only the instance that accepted it can know.
  */
-export function mayEndNotRun(replica: SlotReplica, id: string, sent: boolean): boolean {
-  const held = replica.held.get(id);
+export function canEndNotRun(replica: SlotReplica, id: string, sent: boolean): boolean {
+  const held = replica.records.get(id);
   if (held === undefined || sent || !ownsSlot(replica)) return false;
   return held.own || (!held.record.repeatable && held.record.state === RequestState.Accepted);
 }
--- a/src/request/slot_table.ts
+++ b/src/request/slot_table.ts
@@ -5,7 +5,7 @@
 import {
   emptyReplica,
   forgetRecord,
-  hearAssignment,
+  applyAssignment,
   ownsSlot,
   Stance,
   writeRecord,
@@ -80,7 +80,7 @@
     const map = configuration.slotMap();
     const isProvisional = map.version === 0 && isAlone();
     for (const replica of [...replicas]) {
-      const next = hearAssignment(replica, assignmentOf(map, replica.slot));
+      const next = applyAssignment(replica, assignmentOf(map, replica.slot));
       set(isProvisional ? provisionalOwner(next) : next);
     }
   };
@@ -119,9 +119,9 @@
     write: (record) => {
       const after = writeRecord(get(record.slot), record);
       set(after);
-      return after.held.get(record.id)?.record ?? record;
+      return after.records.get(record.id)?.record ?? record;
     },
-    find: (slot, id) => get(slot).held.get(id)?.record,
+    find: (slot, id) => get(slot).records.get(id)?.record,
     forget: (slot, id) => set(forgetRecord(get(slot), id)),
     pickSlot: (random) => {
       eligibleSlots ??= findEligibleSlots();
--- a/src/request/testing/request_fleet.ts
+++ b/src/request/testing/request_fleet.ts
@@ -81,7 +81,7 @@
   const states = new Map<string, MemberState>();
   const listeners = new Set<() => void>();
   const workerListeners = new Set<() => void>();
-  let workers: readonly Worker[] = [workerNamed("w1"), workerNamed("w2")];
+  let workers: readonly Worker[] = [createTestWorker("w1"), createTestWorker("w2")];
   let map: SlotMap = EMPTY_SLOT_MAP;
   const members = Array.from({ length: instances }, (_, index) => createMember(index));
   const stateOf = (id: string): MemberState => states.get(id) ?? MemberState.Alive;
@@ -213,7 +213,7 @@
 }
 
 /** Creates a worker of the service of {@linkcode SUBMISSION}. */
-export function workerNamed(id: string): Worker {
+export function createTestWorker(id: string): Worker {
   return {
     id,
     address: "http://127.0.0.1:1",
--- a/src/request/worker_reclaim.ts
+++ b/src/request/worker_reclaim.ts
@@ -1,5 +1,5 @@
 import { triage, TriageChoice } from "../decision/index.ts";
-import type { Endangered, Triage } from "../decision/index.ts";
+import type { TriageRequest, TriageDecision } from "../decision/index.ts";
 import { WorkerState } from "../interface/index.ts";
 import type { Timer, Worker } from "../interface/index.ts";
 import type { Environment, Subscription } from "./environment.ts";
@@ -47,7 +47,7 @@
     });
     timers.add(timer);
   };
-  const applyTriage = ({ choice, at }: Triage, { live, worker }: EndangeredRun): void => {
+  const applyTriage = ({ choice, at }: TriageDecision, { live, worker }: EndangeredRun): void => {
     const isStillThere = (): boolean => live.record.worker === worker.id;
     const move = (): void => {
       if (isStillThere()) live.interrupt(StopReason.Reclaimed);
@@ -117,22 +117,22 @@
 function runTriage(
   { clock, configuration, workers }: Environment,
   worker: Worker,
-  endangered: readonly Endangered[],
-): readonly Triage[] {
+  endangered: readonly TriageRequest[],
+): readonly TriageDecision[] {
   const serviceWorkers = workers.list().filter(({ service }) => service === worker.service);
   const classes = configuration.revision()?.deployment.machineClasses ?? {};
   return triage(endangered, {
     now: clock.now(),
     reclaimAt: worker.reclaimAt ?? clock.now(),
-    transferRate: TRANSFER_RATE,
+    transferBytesPerSecond: TRANSFER_RATE,
     bytesPerToken: BYTES_PER_TOKEN,
     targets: serviceWorkers.filter(({ state }) => state === WorkerState.Live),
     prefillPerSecond: classes[worker.machineClass]?.prefillPerSecond ?? PREFILL_RATE,
-    underNotice: serviceWorkers.filter(({ reclaimAt }) => reclaimAt !== undefined),
+    workersWithNotice: serviceWorkers.filter(({ reclaimAt }) => reclaimAt !== undefined),
   });
 }
 
-function toEndangered({ clock }: Environment, live: LiveRequest): Endangered {
+function toEndangered({ clock }: Environment, live: LiveRequest): TriageRequest {
   const { id, repeatable, body, deadlineAt } = live.record;
   const produced = live.tokens.length;
   const elapsed = clock.now() - live.dispatchedAt;
--- a/src/standin/replay/baseline_scheduler.ts
+++ b/src/standin/replay/baseline_scheduler.ts
@@ -44,10 +44,10 @@
     waitingJobs: 0,
     waitingWork: 0,
     runningJobs: [...running.values()].filter(({ job }) => job.service === service).length,
-    arriving: (arrivedBetween(service, now - RATE_WINDOW, now) * 1_000) / RATE_WINDOW,
-    arrivedBefore:
+    arrivalRate: (arrivedBetween(service, now - RATE_WINDOW, now) * 1_000) / RATE_WINDOW,
+    previousArrivalRate:
       (arrivedBetween(service, now - 2 * RATE_WINDOW, now - RATE_WINDOW) * 1_000) / RATE_WINDOW,
-    draining: 0,
+    completionRate: 0,
   });
   const adopt = (arrival: Arrival, now: number): Job => {
     const answerTokens = arrival.maxTokens ?? DEFAULT_ANSWER;
@@ -76,21 +76,21 @@
     },
     hedge: () => ({ kind: "none" }),
     capacity: () => Number.MAX_SAFE_INTEGER,
-    firstToken: () => undefined,
-    token: () => undefined,
+    recordFirstToken: () => undefined,
+    recordToken: () => undefined,
     runEnded: (id) => {
       const run = running.get(id);
       if (run === undefined) return;
       running.delete(id);
       counts.set(run.worker, own(run.worker) - 1);
     },
-    settled: () => undefined,
+    jobEnded: () => undefined,
     retry: () => ({ kind: "retry", delay: 0 }),
     setWorkers: (known) => {
       workers = known;
     },
-    report: () => undefined,
-    cacheEvent: () => undefined,
+    recordLoadReport: () => undefined,
+    recordCacheEvent: () => undefined,
     snapshot: (now) => {
       while (arrived[0] !== undefined && arrived[0].at <= now - 2 * RATE_WINDOW) arrived.shift();
       const services = [...new Set(workers.map((worker) => worker.service))];
--- a/src/standin/replay/entry.ts
+++ b/src/standin/replay/entry.ts
@@ -1,5 +1,5 @@
 import { createFairQueueClass, Lane, RunEnd } from "../../decision/index.ts";
-import type { Arrival, FairQueue, FairRun, Scheduler } from "../../decision/index.ts";
+import type { Arrival, FairQueue, FairQueueTask, Scheduler } from "../../decision/index.ts";
 import { RetryCause } from "../../interface/index.ts";
 import type { Random } from "../../interface/index.ts";
 import type { Deployment } from "../../version/index.ts";
@@ -61,7 +61,7 @@
   const scheduler = policy.createScheduler(deployment);
   scheduler.configure(deployment, 0);
   scheduler.setInstances(options.instances, 0);
-  const queues = new Map<string, FairQueue<FairRun>>();
+  const queues = new Map<string, FairQueue<FairQueueTask>>();
   const parked = new Map<string, TrackedRequest[]>();
   const taken = new Map<string, number>();
   const runs = new Map<string, Run>();
@@ -164,7 +164,7 @@
     }
     request.ended = true;
     inProgress--;
-    scheduler.settled(request.job, events.now());
+    scheduler.jobEnded(request.job, events.now());
   };
   const giveUp = (request: TrackedRequest): void => {
     request.group.lost++;
@@ -202,10 +202,10 @@
     const { group, arrival } = request;
     if (run.firstTokenAt === undefined) {
       run.firstTokenAt = at;
-      scheduler.firstToken(request.job.id, at, run.worker);
+      scheduler.recordFirstToken(request.job.id, at, run.worker);
       endOtherRuns(run);
     } else {
-      scheduler.token(request.job.id, at, run.worker);
+      scheduler.recordToken(request.job.id, at, run.worker);
     }
     run.tokens++;
     run.lastTokenAt = at;
--- a/src/standin/replay/fleet_control.ts
+++ b/src/standin/replay/fleet_control.ts
@@ -1,4 +1,4 @@
-import type { FleetMemory, Pool, ServiceDemand, ServiceSnapshot } from "../../decision/index.ts";
+import type { PlannerState, Pool, ServiceDemand, ServiceSnapshot } from "../../decision/index.ts";
 import { Purchase, WorkerState } from "../../interface/index.ts";
 import type { Worker } from "../../interface/index.ts";
 import type { Service } from "../../version/index.ts";
@@ -74,7 +74,7 @@
   const counts: FleetCounts = { launched: 0, refused: 0, reclaimed: 0, retired: 0, peak: 0 };
   let preset = header.preset;
   let presetSince = 0;
-  let memory: FleetMemory | undefined;
+  let memory: PlannerState | undefined;
   let weightStoreFreeAt = 0;
   let closed = false;
 
@@ -108,16 +108,16 @@
       .filter((worker) => worker.service === service && worker.state !== WorkerState.Starting);
     return {
       service,
-      arriving: snapshot.arriving,
-      arrivedBefore: snapshot.arrivedBefore,
-      waiting: snapshot.waitingWork,
-      inProgress: options.inProgress(),
+      arrivalRate: snapshot.arrivalRate,
+      previousArrivalRate: snapshot.previousArrivalRate,
+      waitingWork: snapshot.waitingWork,
+      workInProgress: options.inProgress(),
       workers,
-      least: bounds?.least ?? 0,
-      most: bounds?.most ?? 0,
-      reclaimable: bounds?.reclaimable ?? 1,
-      firstToken: deployment.services[service]?.target.firstToken ?? 0,
-      weights: weightsOf(deployment.services[service]),
+      minWorkers: bounds?.least ?? 0,
+      maxWorkers: bounds?.most ?? 0,
+      maxReclaimableShare: bounds?.reclaimable ?? 1,
+      firstTokenTarget: deployment.services[service]?.target.firstToken ?? 0,
+      weightBytes: weightsOf(deployment.services[service]),
       presetSince,
     };
   };
@@ -131,10 +131,10 @@
       pools: poolsNow(),
       zones: deployment.zones,
       launching,
-      memory,
+      plannerState: memory,
       weightStoreRate: header.weightStore,
     });
-    memory = planned.memory;
+    memory = planned.plannerState;
     return planned;
   };
   const add = (service: string, pool: Pool): Machine => {
@@ -308,7 +308,7 @@
       machine === undefined ? 1 : machine.tokensPerSecond / machine.prefillPerSecond;
     const work = early.reduce((sum, arrival) => sum + arrival.p * perPrompt + arrival.n, 0);
     const arriving = (work * 1_000) / Math.min(WARM_UP, header.duration);
-    const none = { waitingJobs: 0, waitingWork: 0, runningJobs: 0, draining: 0 };
-    return { service, ...none, arriving, arrivedBefore: arriving };
+    const none = { waitingJobs: 0, waitingWork: 0, runningJobs: 0, completionRate: 0 };
+    return { service, ...none, arrivalRate: arriving, previousArrivalRate: arriving };
   });
 }
--- a/src/standin/replay/policy.ts
+++ b/src/standin/replay/policy.ts
@@ -1,6 +1,6 @@
 import { createScheduler, planFleet, triage, TriageChoice } from "../../decision/index.ts";
 import type { FleetPlan, FleetView, Policy, Scheduler } from "../../decision/index.ts";
-import type { Triage, TriageView, Endangered } from "../../decision/index.ts";
+import type { TriageDecision, TriageView, TriageRequest } from "../../decision/index.ts";
 import { Purchase } from "../../interface/index.ts";
 import { createBaselineScheduler, leastOutstanding, roundRobin } from "./baseline_scheduler.ts";
 
@@ -22,7 +22,7 @@
 export interface ReplayPolicy {
   readonly name: PolicyName;
   readonly createScheduler: (policy: Policy) => Scheduler;
-  readonly triage: (requests: readonly Endangered[], view: TriageView) => Triage[];
+  readonly triage: (requests: readonly TriageRequest[], view: TriageView) => TriageDecision[];
   readonly planFleet: (view: FleetView) => FleetPlan;
   /** Whether a request goes on from the tokens that its caller has. */
   readonly resumes: boolean;
@@ -58,6 +58,6 @@
   return planFleet({ ...view, pools, services });
 }
 
-function stayAll(requests: readonly Endangered[]): Triage[] {
+function stayAll(requests: readonly TriageRequest[]): TriageDecision[] {
   return requests.map(({ id }) => ({ id, choice: TriageChoice.Stay }));
 }
--- a/src/standin/replay/reclaim.ts
+++ b/src/standin/replay/reclaim.ts
@@ -1,5 +1,5 @@
 import { TriageChoice } from "../../decision/index.ts";
-import type { Endangered, Triage } from "../../decision/index.ts";
+import type { TriageRequest, TriageDecision } from "../../decision/index.ts";
 import { Purchase, WorkerState } from "../../interface/index.ts";
 import type { Worker } from "../../interface/index.ts";
 import type { Entry, EntryOptions } from "./entry.ts";
@@ -30,13 +30,13 @@
   const choices = policy.triage(runs.map(endangered), {
     now: events.now(),
     reclaimAt,
-    transferRate: trace.header.transferRate,
+    transferBytesPerSecond: trace.header.transferRate,
     bytesPerToken: trace.header.bytesPerToken,
     targets: targets.map((target) => target.worker),
     prefillPerSecond: machineClass?.prefillPerSecond ?? 1,
-    underNotice: workers.map((other) => other.worker).filter(isUnderNotice),
-    room: new Map(targets.map((target) => [target.worker.id, roomOf(target)])),
-    otherExports: 0,
+    workersWithNotice: workers.map((other) => other.worker).filter(isUnderNotice),
+    freeCacheTokens: new Map(targets.map((target) => [target.worker.id, roomOf(target)])),
+    concurrentExports: 0,
   });
   for (const choice of choices) {
     const run = byRequest.get(choice.id);
@@ -53,7 +53,7 @@
   return cacheCapacity - cacheTokens;
 }
 
-function endangered(run: Run): Endangered {
+function endangered(run: Run): TriageRequest {
   const { job, produced } = run.request;
   const pace = (run.lastTokenAt - (run.firstTokenAt ?? 0)) / Math.max(1, run.tokens - 1);
   return {
@@ -74,7 +74,7 @@
   readonly options: EntryOptions;
 }
 
-function follow({ choice, target, at }: Triage, one: Case): void {
+function follow({ choice, target, at }: TriageDecision, one: Case): void {
   const { run, machine, entry, options } = one;
   const { events } = options;
   const now = events.now();
--- a/src/standin/replay/replay.ts
+++ b/src/standin/replay/replay.ts
@@ -73,7 +73,7 @@
     const { kind, blocks } = event;
     events.add(event.at + CACHE_EVENT_LAG, () => {
       const told = { worker: worker.id, kind, blocks };
-      for (const { scheduler } of entries) scheduler.cacheEvent(told, events.now());
+      for (const { scheduler } of entries) scheduler.recordCacheEvent(told, events.now());
     });
   };
   const spreadWorkers = (machine: Machine): void => {
@@ -154,7 +154,7 @@
   }));
   events.add(takenAt + REPORT_LAG, () => {
     for (const entry of entries) {
-      for (const report of reports) entry.scheduler.report(report, events.now());
+      for (const report of reports) entry.scheduler.recordLoadReport(report, events.now());
       entry.drain();
     }
   });
@@ -175,7 +175,7 @@
 
 function none(service: string): ServiceSnapshot {
   const waits = { waitingJobs: 0, waitingWork: 0, runningJobs: 0 };
-  return { service, ...waits, arriving: 0, arrivedBefore: 0, draining: 0 };
+  return { service, ...waits, arrivalRate: 0, previousArrivalRate: 0, completionRate: 0 };
 }
 
 function sumOf(a: ServiceSnapshot, b: ServiceSnapshot): ServiceSnapshot {
@@ -184,9 +184,9 @@
     waitingJobs: a.waitingJobs + b.waitingJobs,
     waitingWork: a.waitingWork + b.waitingWork,
     runningJobs: a.runningJobs + b.runningJobs,
-    arriving: a.arriving + b.arriving,
-    arrivedBefore: a.arrivedBefore + b.arrivedBefore,
-    draining: a.draining + b.draining,
+    arrivalRate: a.arrivalRate + b.arrivalRate,
+    previousArrivalRate: a.previousArrivalRate + b.previousArrivalRate,
+    completionRate: a.completionRate + b.completionRate,
   };
 }
 
