--- a/src/connection/answer_parser.ts
+++ b/src/connection/answer_parser.ts
@@ -1,51 +1,65 @@
 /**
- * Reads HTTP/1.1 answers from the bytes of one connection.
+ * Incremental parser for the HTTP/1.1 responses on one connection to a worker.
  *
- * The client of the HTTP library takes an answer without a length that is reset on the way for a whole one.
- * For a proxy that is a wrong answer passed on as a right one; so the end of an answer is judged here.
+ * A response without `Content-Length` or chunked framing ends when the connection is closed. If the
+ * connection is reset while such a response is being sent, the client of the HTTP library reports the
+ * truncated response as complete, and a proxy would pass it on to the caller as valid. This parser
+ * therefore detects the end of a response itself. Without a length, a response is complete only if the
+ * peer closed the connection in an orderly way.
  *
  * @module
  */
 import type { AnswerHead } from "../interface/index.ts";
 
-/** What the parser tells of an answer. */
+/** Receives the parsed parts of a response, in order. */
 export interface AnswerSink {
+  /** Called once, with the head of the final response; interim (1xx) responses are skipped. */
   head(head: AnswerHead): void;
+  /** Called with each piece of the body, without chunk framing. */
   data(chunk: Buffer): void;
-  /** The answer is whole. */
+  /** Called once the response is complete. */
   end(): void;
 }
 
-/** Reads one connection's answers, one after the other. */
+/** Parses the responses of one connection, one after the other. */
 export interface AnswerParser {
   /**
-   * Takes bytes.
+   * Parses the next bytes from the connection.
    *
-   * @returns A fault where they are no answer, or come where no answer is due.
+   * @param bytes The bytes, split at any position.
+   * @returns Undefined, or a fault if the bytes aren't a valid response or no response is expected.
    */
   feed(bytes: Buffer): AnswerFault | undefined;
   /**
-   * The peer has closed its side in an orderly way.
+   * Signals that the peer closed its side of the connection in an orderly way (TCP FIN).
    *
-   * @returns A fault where the answer wasn't whole by then.
+   * @returns Undefined, or a fault if the response was incomplete.
    */
   finish(): AnswerFault | undefined;
-  /** An answer to a request with this method is due; it goes to `sink`. */
+  /**
+   * Prepares for the response to a request that is about to be sent.
+   *
+   * @param method The request's method: a response to `HEAD` has no body.
+   * @param sink Receives the response.
+   */
   expect(method: string, sink: AnswerSink): void;
 }
 
-/** Why bytes can't be an answer. */
+/** Why the bytes of a connection can't be parsed as a response. */
 export enum AnswerFault {
-  /** No request waits for an answer. */
+  /** Bytes arrived while no request was waiting for a response. */
   Unexpected = "unexpected bytes",
+  /** The status line, a header line or the body framing is invalid or ambiguous. */
   Malformed = "malformed answer",
+  /** The head or a trailer line exceeds its size limit. */
   TooLarge = "head too large",
+  /** The connection was closed before the response was complete. */
   Truncated = "truncated answer",
 }
 
-/** Bytes of a head; the engines' are under one thousand. */
+/** Maximum size of a response head, in bytes; the engines' heads are under 1000 bytes. */
 const GREATEST_HEAD = 65_536;
-/** Characters of a chunk's size line with its extensions. */
+/** Maximum length of a chunk size line with its extensions, in characters. */
 const GREATEST_SIZE_LINE = 256;
 const STATUS_LINE = /^HTTP\/1\.[01] (\d{3})(?: |$)/;
 const TOKEN = /^[!#$%&'*+\-.^_`|~0-9A-Za-z]+$/;
@@ -55,6 +69,7 @@
 const FIRST_FINAL = 200;
 const SWITCHING = 101;
 
+/** The part of a response that the parser expects next. */
 enum Phase {
   Idle,
   Head,
@@ -66,7 +81,7 @@
   UntilClose,
 }
 
-/** Makes a parser for a connection that has just been opened. */
+/** Creates a parser for a newly opened connection. */
 export function createAnswerParser(): AnswerParser {
   let phase = Phase.Idle;
   let sink: AnswerSink | undefined;
@@ -80,7 +95,7 @@
     sink = undefined;
     done?.end();
   };
-  /** A line up to CR LF out of what is held; undefined where it isn't whole yet. */
+  /** Removes a line ending in CR LF from the buffer; undefined if it is incomplete. */
   const takeLine = (): string | undefined => {
     const end = held.indexOf("\r\n");
     if (end < 0) return undefined;
@@ -95,7 +110,7 @@
     held = held.subarray(end + 4);
     if (head === undefined) return AnswerFault.Malformed;
     if (head.status === SWITCHING) return AnswerFault.Malformed;
-    // An interim answer is followed by the final one.
+    // An interim (1xx) response is followed by the final one.
     if (head.status < FIRST_FINAL) return true;
     const framing = framingOf(head, method);
     if (framing === undefined) return AnswerFault.Malformed;
@@ -138,7 +153,7 @@
     if (line === "") complete();
     return true;
   };
-  /** Takes one step; false where more bytes are needed. */
+  /** Parses the next element; returns false if more bytes are needed. */
   const step = (): AnswerFault | boolean => {
     switch (phase) {
       case Phase.Idle:
@@ -196,7 +211,7 @@
     const value = line.slice(colon + 1).trim();
     headers.push(name, value);
     const known = byName.get(name.toLowerCase());
-    // Two lengths that differ would let one peer see another end of the answer than the other.
+    // With two different lengths, two peers could disagree about where the response ends.
     if (name.toLowerCase() === "content-length" && known !== undefined && known !== value) {
       return undefined;
     }
--- a/src/connection/answer_parser_test.ts
+++ b/src/connection/answer_parser_test.ts
@@ -9,7 +9,7 @@
   readonly fault: AnswerFault | undefined;
 }
 
-/** Feeds the bytes in pieces of the given sizes, one answer being due, then closes in an orderly way. */
+/** Parses one response from bytes split into the given sizes, then signals an orderly close. */
 function read(bytes: Buffer, sizes: readonly number[], method = "GET"): Read {
   const parser = createAnswerParser();
   let status: number | undefined;
@@ -42,7 +42,7 @@
   { text: "HTTP/1.1 204 No Content\r\n\r\n", body: "" },
 ];
 
-test("whole answers are read whole, however their bytes are cut", () => {
+test("complete responses are parsed regardless of how their bytes are split", () => {
   fc.assert(
     fc.property(SIZES, fc.constantFrom(...WHOLE), (sizes, { text, body }) => {
       const found = read(Buffer.from(text), sizes);
@@ -51,8 +51,8 @@
   );
 });
 
-// A worker crashes at any byte. Whatever part of an answer with a length has come, it isn't taken for a whole one.
-test("an answer with a length or in chunks that is cut anywhere is never whole", () => {
+// Guards against passing on a truncated response as complete when a worker crashes while sending it.
+test("a response with a length or in chunks is never complete when truncated", () => {
   fc.assert(
     fc.property(fc.constantFrom(...WHOLE.slice(0, 2)), fc.nat(), SIZES, ({ text }, at, sizes) => {
       const cut = Buffer.from(text).subarray(0, at % text.length);
@@ -63,7 +63,7 @@
   );
 });
 
-test("any bytes at all are read or refused, and end an answer at most once", () => {
+test("arbitrary bytes are parsed or rejected, and end a response at most once", () => {
   const noise = fc.uint8Array({ maxLength: 300 }).map((bytes) => Buffer.from(bytes));
   const spoiled = fc
     .tuple(fc.constantFrom(...WHOLE), fc.nat(), fc.nat(255))
@@ -81,8 +81,8 @@
   );
 });
 
-// A second answer after a whole one belongs to no request.
-test("bytes after a whole answer are a fault", () => {
+// A second response after a complete one belongs to no request and must not reach the next one.
+test("bytes after a complete response are a fault", () => {
   const answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
   fc.assert(
     fc.property(SIZES, fc.string({ minLength: 1 }), (sizes, more) => {
@@ -93,7 +93,8 @@
   );
 });
 
-test("framings that two readers could read differently are refused", () => {
+// Two peers that frame the same bytes differently would disagree about where the response ends.
+test("ambiguous framing is rejected", () => {
   const heads = [
     "Content-Length: 5\r\nContent-Length: 6",
     "Content-Length: 5\r\nTransfer-Encoding: chunked",
@@ -107,7 +108,8 @@
   }
 });
 
-test("a head without end is refused before it fills the memory", () => {
+// Guards against running out of memory on a response head that never ends.
+test("a head over the size limit is rejected", () => {
   const endless = Buffer.from(`HTTP/1.1 200 OK\r\nA: ${"x".repeat(70_000)}`);
   expect(read(endless, [1_000]).fault).toBe(AnswerFault.TooLarge);
 });
--- a/src/connection/caller_account.ts
+++ b/src/connection/caller_account.ts
@@ -5,29 +5,36 @@
 import type { Account, Deployment, Revision } from "../version/index.ts";
 import { bearerOf } from "./constant_time.ts";
 
-/** A caller that has shown an account's key. */
+/** An authenticated caller: its request carried the key of a client account. */
 export interface Caller {
+  /** Name of the client account. */
   readonly account: string;
+  /** The account's entry in the deployment. */
   readonly settings: Account;
+  /** The deployment in force when the caller was authenticated. */
   readonly deployment: Deployment;
 }
 
-/** Says whether what was found is a rejection. */
+/** Returns whether a result is a {@linkcode Rejection} rather than the expected value. */
 export function isRejection(found: object): found is Rejection {
   return "notRun" in found;
 }
 
 /**
- * Finds the client account whose key the request carries.
+ * Authenticates a request by the API key in its `Authorization` header.
  *
- * All accounts are compared, each in constant time, so the answer's time tells nothing about keys.
+ * The key is compared with the key of every account, each in constant time, so that the response time
+ * reveals nothing about the keys.
+ *
+ * @param revision The configuration in force; undefined if this instance doesn't have one yet.
+ * @returns The caller, or a rejection if there is no configuration or no account has the key.
  */
 export function callerOf(
   request: IncomingMessage,
   revision: Revision | undefined,
 ): Caller | Rejection {
   if (revision === undefined) {
-    const detail = "This entry instance doesn't know the configuration in force yet.";
+    const detail = "This entry instance hasn't received the configuration in force yet.";
     return { reason: Refusal.CutOff, notRun: true, retryAfter: 1_000, detail };
   }
   const key = bearerOf(request.headers.authorization);
@@ -41,15 +48,17 @@
   if (caller !== undefined) return caller;
   const detail =
     key === ""
-      ? "The request carries no key; send it as Authorization: Bearer KEY."
-      : "The key belongs to no client account.";
+      ? "The request has no API key; send it as Authorization: Bearer KEY."
+      : "The API key doesn't belong to any client account.";
   return { reason: Refusal.Unauthenticated, notRun: true, detail };
 }
 
 /**
- * Checks that a caller may use a service, and that the service has the model.
+ * Checks that a service of the given kind exists, that the caller's account may use it, and that it
+ * serves the model.
  *
- * @returns Undefined where it may.
+ * @param model `MODEL` or `MODEL+ADAPTER`; empty to skip the check of the model.
+ * @returns Undefined if all checks pass, otherwise the rejection.
  */
 export function serviceRefusal(
   { account, settings, deployment }: Caller,
@@ -63,7 +72,7 @@
     return { reason: Refusal.UnknownService, notRun: true, detail };
   }
   if (!settings.services.includes(service)) {
-    const detail = `The account ${account} may not use the service ${service}.`;
+    const detail = `The account ${account} is not allowed to use the service ${service}.`;
     return { reason: Refusal.Forbidden, notRun: true, detail };
   }
   if (found.kind === "plain" || model === "") return undefined;
--- a/src/connection/caller_headers.ts
+++ b/src/connection/caller_headers.ts
@@ -3,14 +3,19 @@
 import type { Rejection, Submission } from "../request/index.ts";
 import { duration } from "../version/index.ts";
 
-/** What a caller's headers say about how its request is to be treated. */
+/** Options that a caller sets in the headers of its request. */
 export type CallerWishes = Pick<Submission, "detached" | "key" | "repeatable" | "deadline">;
 
+/** Maximum length of an `Idempotency-Key`, in characters. */
 const LONGEST_KEY = 255;
-/** Longest deadline that a caller may ask for, in milliseconds: one day. */
+/** Maximum deadline that a caller may set, in milliseconds: one day. */
 const LONGEST_DEADLINE = 86_400_000;
 
-/** Reads `Idempotency-Key`, `X-Samphireshore-Repeat`, `X-Samphireshore-Deadline` and `Prefer`. */
+/**
+ * Parses `Idempotency-Key`, `X-Samphireshore-Repeat`, `X-Samphireshore-Deadline` and `Prefer`.
+ *
+ * @returns The options, or a rejection if a header has an invalid value.
+ */
 export function callerWishes(request: IncomingMessage): CallerWishes | Rejection {
   const key = header(request, "idempotency-key");
   if (key !== undefined && (key === "" || key.length > LONGEST_KEY)) {
@@ -33,20 +38,21 @@
   };
 }
 
+/** Parses a deadline; returns milliseconds, an error text, or undefined without the header. */
 function deadlineOf(text: string | undefined): number | string | undefined {
   if (text === undefined) return undefined;
   const parsed = duration.safeParse(text);
   if (!parsed.success) {
-    return `Found X-Samphireshore-Deadline "${text}", expected a time such as "30s".`;
+    return `Found X-Samphireshore-Deadline "${text}", expected a duration such as "30s".`;
   }
   if (parsed.data > 0 && parsed.data <= LONGEST_DEADLINE) return parsed.data;
-  return `Found X-Samphireshore-Deadline "${text}", expected more than 0 and at most a day.`;
+  return `Found X-Samphireshore-Deadline "${text}", expected more than 0 and at most one day.`;
 }
 
 /**
- * The first token that a caller wants of a stream that it had begun to read.
+ * Returns the index of the first token to send to a caller that resumes a stream.
  *
- * @returns One more than the index in `Last-Event-ID`; 0 without the header or for one that is no index.
+ * @returns The index in `Last-Event-ID` plus 1; 0 if the header is missing or isn't an index.
  */
 export function firstTokenWanted(request: IncomingMessage): number {
   const last = header(request, "last-event-id") ?? "";
--- a/src/connection/caller_listener.ts
+++ b/src/connection/caller_listener.ts
@@ -4,29 +4,41 @@
 import { listenerOf, splitAddress } from "./http_listener.ts";
 import type { Listener } from "./http_listener.ts";
 
-/** Who serves the requests of a listener. */
+/** Handles the requests that a listener accepts. */
 export interface CallerHandler {
   handle(request: IncomingMessage, response: ServerResponse): void;
-  /** The limits in force; undefined until they are known. */
+  /** The routing configuration with the limits in force; undefined until one was received. */
   routing(): { readonly limits: CallerLimits } | undefined;
 }
 
-/** Limits until a configuration is known: the platform's usual ones. */
+/** Limits used until a configuration was received: the platform's usual ones. */
 const FIRST_LIMITS: CallerLimits = {
   headerBytes: 16_384,
   bodyBytes: 4_194_304,
   headerTimeout: 3_000,
   idleTimeout: 15_000,
 };
-/** The parser's own bound on headers, which can't change while it listens; the limits in force are below it. */
+/**
+ * Maximum total size of the headers that Node's parser accepts, in bytes. It can't change while the
+ * server listens, so it is above every configurable limit; the limit in force is checked per request.
+ */
 const GREATEST_HEADER_BYTES = 131_072;
-/** How often connections whose headers are late are looked for, in milliseconds. */
+/** Interval of the check for connections that exceed the header timeout, in milliseconds. */
 const CONNECTION_LOOK = 500;
+/** HTTP status 431 (Request Header Fields Too Large). */
 const HEADERS_TOO_LARGE = 431;
-/** Connections that may wait to be accepted: a burst's worth, since a refused one comes back seconds later. */
+/**
+ * Maximum number of connections waiting to be accepted. It is sized for a burst, because a client whose
+ * connection attempt was refused comes back only seconds later.
+ */
 const BACKLOG = 1_024;
 
-/** Listens for callers' requests at `IP:PORT`, with limits that follow the configuration. */
+/**
+ * Listens for HTTP requests of callers. The header and timeout limits follow the configuration in force.
+ *
+ * @param address `IP:PORT`; port 0 binds a free port.
+ * @returns The listener, once it accepts connections. Rejects if the address can't be bound.
+ */
 export function listenCallers(address: string, handler: CallerHandler): Promise<Listener> {
   const limits = (): CallerLimits => handler.routing()?.limits ?? FIRST_LIMITS;
   const server = createServer(
@@ -57,7 +69,7 @@
   });
 }
 
-/** Bytes of a head, nearly: separators are counted as they are usually written. */
+/** Approximate size of the headers in bytes, assuming a separator of two bytes per name and value. */
 function headerSize({ rawHeaders }: IncomingMessage): number {
   return rawHeaders.reduce((sum, text) => sum + text.length + 2, 0);
 }
--- a/src/connection/caller_refusal.ts
+++ b/src/connection/caller_refusal.ts
@@ -3,7 +3,7 @@
 import type { Rejection } from "../request/index.ts";
 import { sendJson } from "./http_body.ts";
 
-/** The HTTP status of each reason for which a caller is turned away. */
+/** The HTTP status for each reason for which a request is rejected. */
 const STATUS: Readonly<Record<Refusal, number>> = {
   [Refusal.None]: 500,
   [Refusal.Unauthenticated]: 401,
@@ -38,12 +38,17 @@
 const SERVER_FAULT = 500;
 const SECOND = 1_000;
 
-/** The HTTP status of a reason. */
+/** Returns the HTTP status for a reason. */
 export function statusOf(reason: Refusal): number {
   return STATUS[reason];
 }
 
-/** An error body in the shape of the OpenAI API, with what a caller needs to act on it. */
+/**
+ * Returns an error body in the format of the OpenAI API.
+ *
+ * `code` is the reason, `not_run` is true only if the request was certainly not run, and `request_id` is
+ * present if the request has an id.
+ */
 export function errorBody(rejection: Rejection): object {
   const status = statusOf(rejection.reason);
   return {
@@ -64,7 +69,10 @@
   return clientFault ? "invalid_request_error" : "server_error";
 }
 
-/** Turns a caller away, saying why, whether its request was not run, and when to come back. */
+/**
+ * Sends an error response with the reason, whether the request was certainly not run, and `Retry-After`
+ * if a later attempt may succeed.
+ */
 export function sendRejection(response: ServerResponse, rejection: Rejection): void {
   const { retryAfter, notRun, id, reason } = rejection;
   const headers: Record<string, string> = {};
@@ -72,7 +80,7 @@
     headers["retry-after"] = String(Math.max(1, Math.ceil(retryAfter / SECOND)));
   }
   if (id !== undefined) headers["x-request-id"] = id;
-  // A client that tries again by itself would run the request a second time under another id.
+  // The OpenAI clients retry on their own; a retry would run the request again under another id.
   if (!notRun) headers["x-should-retry"] = "false";
   if (reason === Refusal.TooLarge || reason === Refusal.Draining) headers["connection"] = "close";
   sendJson(response, errorBody(rejection), { status: statusOf(reason), headers });
--- a/src/connection/caller_routes.ts
+++ b/src/connection/caller_routes.ts
@@ -19,10 +19,13 @@
 import { addServiceRoutes, sendAccepted } from "./service_routes.ts";
 
 const SECOND = 1_000;
-/** Characters a token, to tell a prompt's length where the engine doesn't. */
+/** Characters per token, to estimate the prompt's tokens, which the engine doesn't report. */
 const TOKEN_CHARACTERS = 4;
 
-/** Adds the routes of callers. */
+/**
+ * Adds the routes for callers: address resolution, the list of models, chat completions, the requests
+ * of an account, and plain services.
+ */
 export function addCallerRoutes(app: Polka, parts: EntryInstanceParts): void {
   app.get("/v1/resolve", (request, response) => {
     answerResolve(parts, request, response);
@@ -40,6 +43,7 @@
   addServiceRoutes(app, parts);
 }
 
+/** Counts a rejection and sends it. */
 function reject(
   { counters }: EntryInstanceParts,
   response: ServerResponse,
@@ -70,6 +74,7 @@
   sendJson(response, resolve(zone === null ? view : { ...view, zone }, random));
 }
 
+/** The primary of the slot of an idempotency key; undefined if it isn't a known member. */
 function ownerOfKey(
   { configuration, members }: EntryInstanceParts,
   account: string,
@@ -79,6 +84,7 @@
   return members.find(assignmentOf(configuration.slotMap(), slot).primary);
 }
 
+/** The entries of `GET /v1/models`: each service, and each of its models and adapters. */
 function modelsOf({ deployment, settings }: Caller): object[] {
   return settings.services.flatMap((name) => {
     const service = deployment.services[name];
@@ -92,6 +98,7 @@
   });
 }
 
+/** A validated chat completion request. */
 interface ChatCall {
   readonly submission: Submission;
   readonly chat: ChatRequest;
@@ -110,7 +117,7 @@
   }
   const { submission, chat, answer } = call;
   const ending = new AbortController();
-  response.on("close", () => ending.abort(new Error("The caller has gone.")));
+  response.on("close", () => ending.abort(new Error("The caller disconnected.")));
   const events = parts.requests.submit(submission, ending.signal);
   if (submission.detached) await answerDetached(response, events);
   else if (chat.stream === true) await streamChat(response, events, answer);
@@ -151,7 +158,7 @@
   if (refusal !== undefined) return refusal;
   const path = "/v1/chat/completions";
   const { account } = caller;
-  // The same key brings a caller back to its answer, which goes on from the token where it broke off.
+  // A caller that sends the same key again resumes its stream after the last token it received.
   const isResumable = chat.stream === true && wishes.key !== undefined;
   const fromToken = isResumable ? firstTokenWanted(request) : 0;
   const submission = { ...wishes, account, service, model, path, body, fromToken };
--- a/src/connection/caller_routes_test.ts
+++ b/src/connection/caller_routes_test.ts
@@ -39,7 +39,7 @@
 
 afterEach(() => listener.close());
 
-test("a whole answer has the OpenAI shape and its usage", async () => {
+test("a complete response has the OpenAI format and its usage", async () => {
   const answer = await post({ body: chatBody({}) });
   expect(answer.status).toBe(200);
   expect(await answer.json()).toMatchObject({
@@ -50,16 +50,16 @@
   });
 });
 
-test("a stream's event ids are the tokens' indexes, so that a caller can resume", async () => {
+test("event ids of a stream are token indexes, so that a caller can resume", async () => {
   const answer = await post({ body: chatBody({ stream: true }) });
   const text = await answer.text();
   expect([...text.matchAll(/^id: (\d+)$/gm)].map(([, id]) => id)).toEqual(["0", "1"]);
   expect(text.endsWith("data: [DONE]\n\n")).toBe(true);
 });
 
-test("the same key goes on with a stream from the token where it broke off", async () => {
-  // A caller's connection breaks in the middle of a script. It sends the same request and key again and says
-  // which token it had last; begun from the start, the cinema would get the first half twice.
+test("a request with the same key resumes the stream after the last token received", async () => {
+  // Guards against sending tokens twice: a caller whose connection broke in the middle of a stream repeats
+  // the request with its key and the id of the last event. Without a key the stream starts over.
   const headers = { "last-event-id": "240" };
   const body = chatBody({ stream: true });
   await post({ body, headers: { ...headers, "idempotency-key": "script-9" } });
@@ -67,7 +67,7 @@
   expect(submitted.map(({ fromToken }) => fromToken)).toEqual([241, 0]);
 });
 
-test("headers say how a request is to be treated", async () => {
+test("headers set the options of a request", async () => {
   const headers = {
     "idempotency-key": "entry-17",
     "x-samphireshore-repeat": "never",
@@ -81,7 +81,7 @@
   expect(submitted).toMatchObject([{ account: "club", ...wishes }]);
 });
 
-test("a plain service's answer comes with its own status", async () => {
+test("the response of a plain service keeps its own status", async () => {
   const detail = JSON.stringify({ status: 404, type: "text/plain", body: "no such reel" });
   outcome = [
     { kind: "accepted", id: ID },
@@ -94,7 +94,7 @@
   expect(submitted).toMatchObject([{ path: "GET /reels/7?x=1", repeatable: true }]);
 });
 
-test("a refusal says its reason, whether the request was not run, and when to come back", async () => {
+test("a rejection has its reason, whether the request was not run, and a retry time", async () => {
   const detail = "The queue is full.";
   const rejection = { reason: Refusal.QueueFull, notRun: true, retryAfter: 1_500, detail };
   outcome = [{ kind: "rejected", rejection }];
@@ -104,9 +104,9 @@
   expect(await answer.json()).toMatchObject({ error: { code: "queue-full", not_run: true } });
 });
 
-test("what may have run tells the client's library not to try again by itself", async () => {
-  // The answer of a billed summary was lost. The openai client tries a 502 again on its own: without the
-  // header the summary would be made, and billed, under a second id.
+test("a request that may have run tells the client library not to retry", async () => {
+  // Guards against running and billing a request twice after its response was lost: the openai client
+  // retries a 502 on its own, under a new id, unless the header forbids it.
   const lost = { state: RequestState.MayHaveRun, reason: Refusal.BackendLost };
   outcome = [
     { kind: "accepted", id: ID },
@@ -123,10 +123,20 @@
   ["wrong JSON", { body: '{"model":' }, 400, Refusal.BadRequest],
   ["no messages", { body: '{"model":"desk"}' }, 400, Refusal.BadRequest],
   ["an unknown service", { body: chatBody({ model: "none" }) }, 404, Refusal.UnknownService],
-  ["a name of Object", { body: chatBody({ model: "toString" }) }, 404, Refusal.UnknownService],
+  [
+    "the name of an Object method",
+    { body: chatBody({ model: "toString" }) },
+    404,
+    Refusal.UnknownService,
+  ],
   ["an unknown model", { body: chatBody({ model: "desk/none" }) }, 404, Refusal.UnknownModel],
-  ["another's service", { body: chatBody({ model: "scripts" }) }, 403, Refusal.Forbidden],
-  ["a body over the bound", { body: "x".repeat(4_000_001) }, 413, Refusal.TooLarge],
+  [
+    "a service of another account",
+    { body: chatBody({ model: "scripts" }) },
+    403,
+    Refusal.Forbidden,
+  ],
+  ["a body over the limit", { body: "x".repeat(4_000_001) }, 413, Refusal.TooLarge],
   [
     "a wrong deadline",
     { headers: { "x-samphireshore-deadline": "soon" } },
@@ -136,7 +146,7 @@
   ["a wrong repeat", { headers: { "x-samphireshore-repeat": "no" } }, 400, Refusal.BadRequest],
   ["a long key", { headers: { "idempotency-key": "k".repeat(256) } }, 400, Refusal.BadRequest],
 ])(
-  "bad input with %s is a typed error, counted, and runs nothing",
+  "bad input with %s is a typed error, is counted, and runs nothing",
   async (_, call, status, reason) => {
     const answer = await post(call);
     const body = (await answer.json()) as { error: { code: string; not_run: boolean } };
@@ -146,7 +156,7 @@
   },
 );
 
-test("any body and headers get an answer, and the instance goes on", async () => {
+test("arbitrary bodies and headers get a response, and the instance keeps running", async () => {
   const headerText = fc.string({ maxLength: 40 }).map((text) => text.replace(/[^ -~]/g, ""));
   await fc.assert(
     fc.asyncProperty(
@@ -167,9 +177,9 @@
   );
 });
 
-test("any request path gets an answer, and the instance goes on", async () => {
-  // A caller's broken URL must end its own request only. A thrown error in a route that nobody catches
-  // would end the process, with everybody's requests.
+test("arbitrary request paths get a response, and the instance keeps running", async () => {
+  // Guards against an invalid URL ending the process, and with it the requests of all callers, through an
+  // uncaught error in a route.
   await fc.assert(
     fc.asyncProperty(fc.webPath(), async (path) => {
       const status = await rawGet(`/v1/requests/${path.slice(1)}%zz`);
@@ -180,9 +190,9 @@
   expect((await post({ body: chatBody({}) })).status).toBe(200);
 });
 
-test("a body that comes drop by drop is given up, and the caller is told", async () => {
-  // Somebody opens many connections and sends a byte now and then. Each would hold memory and a place for
-  // as long as it likes, until no secretary gets through.
+test("a body that arrives too slowly is rejected", async () => {
+  // Guards against slow clients (slow-loris) that open many connections and each hold memory and a
+  // connection without limit, until no other caller is served.
   const [host, port] = splitAddress(listener.address);
   const socket = connect(port, host);
   let text = "";
@@ -210,7 +220,7 @@
   });
 }
 
-/** A request with a path that `fetch` would refuse to send. */
+/** Sends a request with a path that `fetch` would refuse to send; resolves with the status. */
 function rawGet(path: string): Promise<number> {
   const [host, port] = splitAddress(listener.address);
   return new Promise((resolve, reject) => {
--- a/src/connection/chat_answer.ts
+++ b/src/connection/chat_answer.ts
@@ -6,21 +6,24 @@
 import { errorBody, sendRejection } from "./caller_refusal.ts";
 import { sendJson } from "./http_body.ts";
 
-/** How an answer is written. */
+/** Options for the format of a chat completion response. */
 export interface ChatAnswer {
-  /** The model as the caller named it. */
+  /** The model, as named in the request. */
   readonly model: string;
-  /** Seconds since 1970. */
+  /** Creation time, in seconds since the Unix epoch. */
   readonly created: number;
-  /** Tokens of the prompt, for the usage. */
+  /** Number of tokens of the prompt, reported in the usage. */
   readonly promptTokens: number;
-  /** Whether a last chunk tells the usage. */
+  /** Whether the last chunk of a stream reports the usage. */
   readonly usage: boolean;
-  /** Whether the answer's beginning is to be told, with the role. */
+  /** Whether a stream starts with the chunk that has the role; false for a resumed stream. */
   readonly fromStart: boolean;
 }
 
-/** Writes an answer as server-sent events; the id of each event is the token's index. */
+/**
+ * Sends a chat completion as server-sent events. The id of each token's event is the token's index, so
+ * that a caller can resume with `Last-Event-ID`. Resolves when the stream has ended.
+ */
 export async function streamChat(
   response: ServerResponse,
   events: AsyncIterable<CallerEvent>,
@@ -63,7 +66,11 @@
   response.flushHeaders();
 }
 
-/** Gathers what is written in one turn of the event loop: one system call for many tokens. */
+/**
+ * Batches the writes of one event loop iteration into one system call.
+ *
+ * @returns False if the response's buffer is full.
+ */
 function writeSoon(response: ServerResponse, text: string): boolean {
   if (response.writableCorked === 0) {
     response.cork();
@@ -72,7 +79,7 @@
   return response.write(text);
 }
 
-/** A caller that reads slowly holds back its own stream only, not the memory of the instance. */
+/** Waits until the caller has read the buffered data or disconnected, so that a slow one uses little memory. */
 async function roomOrEnd(response: ServerResponse): Promise<void> {
   const ending = new AbortController();
   const { signal } = ending;
@@ -86,7 +93,7 @@
 
 type ChunkFormat = (delta: string, finish?: string) => string;
 
-/** Everything of a chunk but the token is the same in all of them, so it is formatted once. */
+/** Formats the constant part of the chunks once; only the token differs between them. */
 function chunkFormat(id: string, { model, created }: ChatAnswer): ChunkFormat {
   const head = JSON.stringify({ id, object: "chat.completion.chunk", created, model });
   const begin = `${head.slice(0, -1)},"choices":[{"index":0,"delta":`;
@@ -96,6 +103,7 @@
   };
 }
 
+/** Sends the final chunk, the usage if asked for, and `[DONE]`; or an error event. */
 function endStream(
   response: ServerResponse,
   record: RequestRecord,
@@ -116,7 +124,7 @@
   response.end("data: [DONE]\n\n");
 }
 
-/** Answers a request in one piece. */
+/** Sends a chat completion as one JSON response, once the request has ended. */
 export async function sendWholeChat(
   response: ServerResponse,
   events: AsyncIterable<CallerEvent>,
@@ -141,7 +149,7 @@
   }
 }
 
-/** A whole answer in the shape of the OpenAI API. */
+/** Returns a chat completion in the format of the OpenAI API. */
 export function wholeChat(record: RequestRecord, answer: ChatAnswer): object {
   const { created, model, promptTokens } = answer;
   const message = { role: "assistant", content: record.tokens.join(""), refusal: null };
@@ -163,13 +171,17 @@
   };
 }
 
-/** What a caller is told of a request that ended other than complete. */
+/**
+ * Returns the rejection for a request that ended without completing.
+ *
+ * @param retryAfter Milliseconds after which a retry may succeed, if known.
+ */
 export function rejectionOf(record: RequestRecord, retryAfter?: number): Rejection {
   const { id, reason, detail, state } = record;
   return {
     id,
     reason,
-    detail: detail === "" ? `The request ended as ${state}.` : detail,
+    detail: detail === "" ? `The request ended in the state "${state}".` : detail,
     notRun: state === RequestState.NotRun,
     ...(retryAfter === undefined ? {} : { retryAfter }),
   };
--- a/src/connection/connect_peers.ts
+++ b/src/connection/connect_peers.ts
@@ -16,34 +16,42 @@
 import { openReplicateStream } from "./replicate_stream.ts";
 import type { ReplicateStream } from "./replicate_stream.ts";
 
-/** How long a peer may take to answer a call, in milliseconds, before a new connection is tried. */
+/** Timeout of a call, in milliseconds, after which it is retried on a new connection. */
 const CALL_TIMEOUT = 500;
-/** Tries on a new connection after the first: something between the ends may have lost the old one. */
+/** Maximum retries on a new connection: a middlebox may have dropped the state of the old one. */
 const RENEWALS = 1;
 
-/** How often a connection with open relays is asked whether it still carries anything, in milliseconds. */
+/** Interval of the liveness check on a connection with open relays, in milliseconds. */
 const CHECK_PERIOD = 1_000;
-/** Names no object: a peer answers a pull of it at once, with nothing. */
+/** Key that names no object; the liveness check pulls it, and a peer replies at once without one. */
 const NO_OBJECT = "";
 
+/** The connection to one peer and the calls that are open on it. */
 interface Link {
   readonly channel: PeerChannel;
+  /** The stream of replications; undefined until it is opened on the current connection. */
   replicate: ReplicateStream | undefined;
-  /** Grows with each new connection. */
+  /** Incremented with each new connection. */
   generation: number;
-  /** Relays that are open on the connection; each is ended when it has gone silent. */
+  /** Abort controllers of the open relays; all are aborted if the connection is silent. */
   readonly relays: Set<AbortController>;
 }
 
-/** What the peers' calls are made with. */
+/** Options of {@linkcode createConnectPeers}. */
 export interface ConnectPeersOptions {
-  /** The member id of this instance. */
+  /** Member id of this instance. */
   readonly self: string;
   readonly clock: Clock;
   readonly security: PeerSecurity;
 }
 
-/** The calls between entry instances over Connect, one HTTP/2 connection a peer. */
+/**
+ * Creates the client for calls to other entry instances, using the Connect protocol over one HTTP/2
+ * connection per peer.
+ *
+ * A unary call or replication that fails or times out is retried once on a new connection, then rejects
+ * with a {@linkcode PeerFailure}. A relay isn't retried.
+ */
 export function createConnectPeers({ self, clock, security }: ConnectPeersOptions): Peers {
   const links = new Map<string, Link>();
   const linkTo = (address: string): Link => {
@@ -69,8 +77,8 @@
         return await withTimeout(clock, run(link));
       } catch (cause) {
         if (renewals >= RENEWALS) throw peerFailure(path, cause);
-        // Every call between instances is idempotent, so the same one may go over a new connection.
-        // The first call to run out of time renews the connection for all that waited on the same one.
+        // Calls between instances are idempotent, so a call can be repeated on a new connection. Only
+        // the first of the calls that failed on a connection replaces it; the others share the new one.
         if (link.generation === generation) renew(link);
       }
     }
@@ -83,8 +91,9 @@
     clock.after(CHECK_PERIOD, () => void check(link));
   };
   /**
-   * A relay waits for tokens, which may be long in coming. On a connection that has gone silent they never
-   * come, and the caller would wait until its deadline: one check for all relays of the connection tells.
+   * Checks that the connection still works, once for all of its relays. A relay has no timeout, because
+   * the next token may take long. Without the check, a caller whose tokens are relayed over a silent
+   * connection would wait until its deadline.
    */
   const check = async (link: Link): Promise<void> => {
     const relays = [...link.relays];
@@ -166,13 +175,13 @@
 function withTimeout<T>(clock: Clock, answer: Promise<T>): Promise<T> {
   return new Promise((resolve, reject) => {
     const timer = clock.after(CALL_TIMEOUT, () => {
-      reject(new Error(`No answer came within ${CALL_TIMEOUT} ms.`));
+      reject(new Error(`No response within ${CALL_TIMEOUT} ms.`));
     });
     answer.then(resolve, reject).finally(() => timer.close());
   });
 }
 
 function peerFailure({ to, step }: { to: Member; step: string }, cause: unknown): PeerFailure {
-  const message = `Calling ${to.id} at ${to.address} to ${step}: ${String(cause)}`;
+  const message = `The ${step} call to ${to.id} at ${to.address} failed: ${String(cause)}`;
   return Object.assign(new Error(message, { cause }), { step, peer: to.id });
 }
--- a/src/connection/connect_peers_test.ts
+++ b/src/connection/connect_peers_test.ts
@@ -93,7 +93,7 @@
   return { id: "e2#1", address, callerAddress: "", zone: "a" };
 }
 
-test("every call between instances arrives and is answered", async () => {
+test("every kind of call reaches the peer and returns its reply", async () => {
   const { handlers, replicated } = recordingHandlers();
   const to = memberAt((await startPeer(handlers)).address);
   const peers = peersWith("key-of-the-instances");
@@ -113,9 +113,9 @@
   expect(events).toEqual(["accepted", "token"]);
 });
 
-test("a call without the credential of the instances is refused and counted", async () => {
-  // Somebody in the network who is no entry instance calls one. If that were answered, a stranger could
-  // take over slots; a caller would see answers of others or none.
+test("a call without the peer key is rejected and counted", async () => {
+  // Guards against another process in the network calling an entry instance: it could take over slots,
+  // and callers would get the responses of others or none.
   const { handlers, replicated } = recordingHandlers();
   const { address, refused } = await startPeer(handlers);
   const peers = peersWith("a-key-that-was-guessed");
@@ -129,9 +129,9 @@
   expect(refused()).toBeGreaterThan(0);
 });
 
-test("a connection that went silent is replaced, and the peer is not blamed", async () => {
-  // Something between two instances loses track of their open connection: it stays open, and nothing comes
-  // through any more, while new connections work. Without a new one every accept on these slots would fail.
+test("a silent connection is replaced without reporting the peer as failed", async () => {
+  // A middlebox drops the state of an open connection: it stays open but carries nothing, while new
+  // connections work. Without a new connection, no request on the shared slots could be accepted.
   const { handlers, replicated } = recordingHandlers();
   const { address } = await startPeer(handlers);
   const path = await startPath(address);
@@ -145,10 +145,9 @@
   expect(replicated).toHaveLength(2);
 });
 
-test("many calls on a connection that went silent share one new one", async () => {
-  // Under load many calls wait on the connection when it falls silent, and all run out of time at once. If
-  // each gave up the connection that the one before had just opened, none would get through, and every
-  // caller of the instance would be told to come back.
+test("calls that time out on the same silent connection share one new connection", async () => {
+  // Under load, many calls on a silent connection time out at once. If each replaced the connection that
+  // the one before had just opened, none would succeed and the instance would reject all callers.
   const { handlers, replicated } = recordingHandlers();
   const { address } = await startPeer(handlers);
   const path = await startPath(address);
@@ -164,10 +163,10 @@
   expect(replicated).toHaveLength(51);
 });
 
-test("a relay on a connection that went silent ends with a failure", async () => {
-  // The owner streams a long script to the instance that the caller is connected to, and the connection
-  // between the two goes silent half way. Without a check the caller would wait for tokens until its
-  // deadline, though the owner has them and new connections work.
+test("a relay on a silent connection fails", async () => {
+  // An owner streams tokens to the instance that the caller is connected to, and the connection between the
+  // two goes silent. Without the liveness check the caller would wait until its deadline, although the
+  // owner has the tokens and new connections work.
   const { handlers } = recordingHandlers();
   const { address } = await startPeer({
     ...handlers,
@@ -192,10 +191,11 @@
 
 interface Path {
   readonly address: string;
+  /** Stops forwarding on all open connections without closing them. */
   silenceOpen(): void;
 }
 
-/** A path to an address that can lose track of the connections that are open on it. */
+/** Starts a TCP proxy to an address that can stop forwarding on its open connections. */
 async function startPath(target: string): Promise<Path> {
   const open = new Set<Socket>();
   const [host, port] = target.split(":");
--- a/src/connection/constant_time.ts
+++ b/src/connection/constant_time.ts
@@ -1,8 +1,8 @@
 import { createHash, timingSafeEqual } from "node:crypto";
 
 /**
- * Compares two secrets in a time that doesn't depend on how far they agree, so that a caller can't find a
- * credential one character after another by measuring.
+ * Returns whether two secrets are equal, in a time that doesn't depend on the length of their common
+ * prefix. A caller can't find a credential character by character by measuring the response time.
  */
 export function equalSecrets(found: string, expected: string): boolean {
   return timingSafeEqual(digest(found), digest(expected));
@@ -12,7 +12,7 @@
   return createHash("sha256").update(text).digest();
 }
 
-/** The credential in an `authorization: Bearer …` header, or an empty text. */
+/** Returns the token of an `Authorization: Bearer …` header, or an empty string without one. */
 export function bearerOf(header: string | null | undefined): string {
   return /^Bearer (.+)$/i.exec(header ?? "")?.[1] ?? "";
 }
--- a/src/connection/datagrams.ts
+++ b/src/connection/datagrams.ts
@@ -1,26 +1,28 @@
 import { createSocket } from "node:dgram";
 import { splitAddress } from "./http_listener.ts";
 
-/** A place where datagrams are sent and received. */
+/** A bound socket for sending and receiving datagrams. */
 export interface Datagrams {
-  /** Sends bytes to an `IP:PORT`. They may be lost, come twice or late. */
+  /** Sends a datagram to an `IP:PORT`. It may be lost, duplicated, delayed or reordered. */
   send(bytes: Uint8Array, address: string): void;
+  /** Closes the socket. */
   close(): void;
 }
 
-/** What datagrams are opened with. */
+/** Options of {@linkcode openDatagrams}. */
 export interface DatagramParts {
-  /** `IP:PORT` to receive at. */
+  /** Local address to bind, as `IP:PORT`. */
   readonly address: string;
+  /** Called with each datagram received. */
   readonly onMessage: (bytes: Uint8Array) => void;
-  /** Something couldn't be sent, or the socket failed. */
+  /** Called with an error message if a datagram couldn't be sent or the socket failed. */
   readonly onFault: (detail: string) => void;
 }
 
 /**
  * Opens a UDP socket.
  *
- * @returns A promise that rejects where the address can't be had.
+ * @returns The socket, once it is bound. Rejects if the address can't be bound.
  */
 export function openDatagrams(parts: DatagramParts): Promise<Datagrams> {
   const { address, onMessage, onFault } = parts;
@@ -36,7 +38,7 @@
         send: (bytes, target) => {
           const [to, at] = splitAddress(target);
           socket.send(bytes, at, to, (error) => {
-            if (error !== null) onFault(`A digest to ${target} wasn't sent: ${error.message}.`);
+            if (error !== null) onFault(`Sending a digest to ${target} failed: ${error.message}.`);
           });
         },
         close: () => void socket.close(),
--- a/src/connection/entry_parts.ts
+++ b/src/connection/entry_parts.ts
@@ -2,20 +2,21 @@
 import type { Environment, RequestService } from "../request/index.ts";
 import type { OperatorService } from "./operator_service.ts";
 
-/** What the routes of an entry instance work with. */
+/** The dependencies of the routes for callers. */
 export interface EntryInstanceParts extends Pick<
   Environment,
   "clock" | "configuration" | "members" | "workers" | "counters" | "random"
 > {
   readonly requests: RequestService;
+  /** Bearer token that authenticates operators. */
   readonly operatorKey: string;
 }
 
-/** What the routes of operators work with besides. */
+/** The dependencies of the routes for operators. */
 export interface OperatorParts extends EntryInstanceParts {
   readonly operators: OperatorService;
-  /** All members that are not dead, this one included. */
+  /** Returns all members that aren't dead, including this one. */
   readonly present: () => readonly Member[];
-  /** Whether callers' connections are encrypted. */
+  /** Whether callers connect over TLS. */
   readonly secure: boolean;
 }
--- a/src/connection/enum_code.ts
+++ b/src/connection/enum_code.ts
@@ -1,18 +1,22 @@
 /**
- * The number of an enum's value on the wire: its place among the values. New values go at the end, so that
- * instances of two versions understand each other while a release rolls out.
+ * Encodes an enum value as its index among all values. New values must be added at the end of the enum,
+ * so that instances of two releases can communicate during a rolling update.
  *
  * @param values All values of the enum, in order.
  * @param value The value to encode.
+ * @returns The index.
  */
 export function enumCode<T>(values: readonly T[], value: T): number {
   return values.indexOf(value);
 }
 
 /**
- * The enum's value for a number from the wire.
+ * Decodes an enum value from its index.
  *
- * @throws {RangeError} If no value has the number: the sender is of a version that this one doesn't know.
+ * @param values All values of the enum, in order.
+ * @param code The index received.
+ * @returns The value.
+ * @throws {RangeError} If no value has this index, which happens if the sender runs a newer release.
  */
 export function enumValue<T>(values: readonly T[], code: number): T {
   const value = values[code];
--- a/src/connection/event_stream.ts
+++ b/src/connection/event_stream.ts
@@ -1,12 +1,12 @@
 /**
- * Splits a server-sent event stream into the data of its events.
+ * Parses the data of each event of a server-sent event stream.
  *
- * The iteration is written out: a stream of tokens has one event every few microseconds, and an
- * asynchronous generator spends more than that on each.
+ * The iterator is implemented by hand: a token stream has one event every few microseconds, and an
+ * asynchronous generator takes longer than that per event.
  *
- * @param chunks The stream's bytes, cut anywhere.
- * @param parse Makes a value of each event's data; what it throws ends the iteration.
- * @param options Makes the error that a failure of the stream or of `parse` ends the iteration with.
+ * @param chunks The bytes of the stream, split at any position.
+ * @param parse Converts the data of an event into a value; an exception ends the iteration.
+ * @param options `failure` wraps an error of the stream or of `parse` into the error that is thrown.
  * @returns The values, in order.
  */
 export function eventValues<T>(
@@ -58,7 +58,7 @@
   return iterator;
 }
 
-/** The data of each event of a server-sent event stream, as text. */
+/** Returns the data of each event of a server-sent event stream as a string. */
 export function eventData(chunks: AsyncIterable<Uint8Array>): AsyncIterableIterator<string> {
   return eventValues(chunks, (data) => data);
 }
@@ -66,7 +66,7 @@
 const FIELD = "data:";
 
 function dataOf(event: string): string | undefined {
-  // Nearly every event is a single line.
+  // Fast path: nearly every event has a single line.
   if (event.startsWith(FIELD) && !event.includes("\n"))
     return event.slice(FIELD.length).trimStart();
   const lines = event.split("\n").filter((line) => line.startsWith(FIELD));
--- a/src/connection/guarded_route.ts
+++ b/src/connection/guarded_route.ts
@@ -5,7 +5,7 @@
 import type { EntryInstanceParts } from "./entry_parts.ts";
 import { BodyTooLarge, BodyTooSlow } from "./http_body.ts";
 
-/** A request with the parts of its route's path. */
+/** A request with the parameters of its route's path. */
 export type RoutedRequest = IncomingMessage & {
   params: Readonly<Record<string, string | string[]>>;
 };
@@ -13,8 +13,9 @@
 type Route = (request: RoutedRequest, response: ServerResponse) => Promise<void>;
 
 /**
- * A route whose failures reach the caller as a typed error. Without it a failure in an asynchronous route
- * would leave the caller without an answer and end the process.
+ * Wraps a route so that an error in it is counted and sent to the caller as a typed error response. If the
+ * headers were already sent, the connection is closed instead. Without the wrapper, an error in an
+ * asynchronous route would leave the caller without a response and end the process.
  */
 export function guarded(parts: Pick<EntryInstanceParts, "counters">, route: Route): Route {
   return async (request, response) => {
@@ -25,7 +26,7 @@
       parts.counters.refused(rejection.reason);
       if (response.headersSent) response.destroy();
       else sendRejection(response, rejection);
-      // What is left of a body that was given up is not waited for.
+      // The rest of a body that timed out is not read.
       if (error instanceof BodyTooSlow) response.on("finish", () => request.destroy());
     }
   };
@@ -36,7 +37,11 @@
   if (error instanceof BodyTooLarge) return { reason: Refusal.TooLarge, notRun: true, detail };
   if (error instanceof BodyTooSlow) return { reason: Refusal.BadRequest, notRun: true, detail };
   if (error instanceof SyntaxError) {
-    return { reason: Refusal.BadRequest, notRun: true, detail: `The body is no JSON: ${detail}.` };
+    return {
+      reason: Refusal.BadRequest,
+      notRun: true,
+      detail: `The body isn't valid JSON: ${detail}.`,
+    };
   }
   return { reason: Refusal.BackendFailed, notRun: false, detail };
 }
--- a/src/connection/guarded_sessions.ts
+++ b/src/connection/guarded_sessions.ts
@@ -1,18 +1,18 @@
 import type { ClientHttp2Session } from "node:http2";
 import type { ConnectTransportOptions, Http2SessionManager } from "@connectrpc/connect-node";
 
-/** What a transport asks of its session manager. */
+/** The session manager interface that a transport requires. */
 type SessionManager = NonNullable<
   Extract<ConnectTransportOptions, { httpVersion: "2" }>["sessionManager"]
 >;
 
 /**
- * A session manager whose sessions always have somebody to report an error to.
+ * Wraps a session manager so that its HTTP/2 sessions always have a listener for `error` events.
  *
- * A session that is destroyed reports its error a moment later. If its manager is aborted in that moment, it has taken
- * its own listener away by then, and the error ends the process: a peer that stops and an instance that gives the
- * connection to it up do so at the same time, since both wait equally long. What the error says is told to the calls
- * on the session; here it only has to be heard.
+ * A destroyed session emits its error shortly afterwards. If the manager is aborted in between, it has
+ * already removed its own listener, and the unhandled error ends the process. This occurs when a peer stops
+ * while this instance closes its connection to it; both wait equally long, so the two often coincide.
+ * The error itself can be ignored here, because the calls on the session report it.
  */
 export function guardSessions(manager: Http2SessionManager): SessionManager {
   const known = new WeakSet<ClientHttp2Session>();
--- a/src/connection/guarded_sessions_test.ts
+++ b/src/connection/guarded_sessions_test.ts
@@ -4,9 +4,9 @@
 import { expect, test } from "vitest";
 import { guardSessions } from "./guarded_sessions.ts";
 
-// A peer stops, and in the same moment this instance gives the connection to it up. The error that the session still
-// has to report would find nobody listening, and end the process.
-test("a session that ends while its manager is aborted ends without an uncaught error", async () => {
+// A peer stops while this instance closes its connection to it. The session then emits its error after the
+// manager has removed its listener, and the unhandled error would end the process.
+test("a session destroyed while its manager is aborted causes no uncaught error", async () => {
   const uncaught: unknown[] = [];
   const note = (error: unknown): void => void uncaught.push(error);
   const server = createServer();
@@ -23,7 +23,7 @@
   await new Promise((resolve) => stream.once("close", resolve));
   process.on("uncaughtException", note);
   session?.destroy(new Error("The peer has stopped."));
-  manager.abort(new Error("The connection was given up."));
+  manager.abort(new Error("The connection was closed."));
   await new Promise((resolve) => setTimeout(resolve, 50));
   process.off("uncaughtException", note);
   server.close();
--- a/src/connection/http_body.ts
+++ b/src/connection/http_body.ts
@@ -1,30 +1,30 @@
 import type { IncomingMessage, ServerResponse } from "node:http";
 import type { Clock, Timer } from "../interface/index.ts";
 
-/** Greatest body of a caller's request, in bytes. */
+/** Maximum size of the body of a caller's request, in bytes. */
 export const BODY_LIMIT = 4_000_000;
-/** Milliseconds that a caller may take over its body. */
+/** Timeout for receiving a whole request body, in milliseconds. */
 const BODY_TIME = 30_000;
 
-/** A body that is longer than its bound. */
+/** Thrown if a body exceeds its size limit. */
 export class BodyTooLarge extends Error {
   override readonly name = "BodyTooLarge";
 }
 
-/** A body that took longer than its bound (slow-loris). */
+/** Thrown if a body wasn't received within its timeout (slow-loris). */
 export class BodyTooSlow extends Error {
   override readonly name = "BodyTooSlow";
 }
 
 /**
- * Reads a request's body up to a bound.
+ * Reads the body of a request.
  *
  * @param message The request.
- * @param most Greatest number of bytes.
- * @param options With a clock, a body that takes longer than 30 s is given up.
- * @returns The body as text.
- * @throws {BodyTooLarge} As soon as more than `most` bytes have come.
- * @throws {BodyTooSlow} When the body takes too long.
+ * @param most Maximum size of the body, in bytes.
+ * @param options With a clock, reading times out after 30 seconds; without one, never.
+ * @returns The body, decoded as UTF-8.
+ * @throws {BodyTooLarge} As soon as more than the maximum number of bytes were received.
+ * @throws {BodyTooSlow} If the body wasn't received in time.
  */
 export async function readBody(
   message: IncomingMessage,
@@ -32,10 +32,10 @@
   options: { clock?: Clock } = {},
 ): Promise<string> {
   let timer: Timer | undefined;
-  // The connection stays open for the answer that says so; it is closed with it.
+  // The connection stays open so that the error response can be sent; it is closed after that.
   const tooSlow = new Promise<never>((_resolve, reject) => {
     timer = options.clock?.after(BODY_TIME, () => {
-      reject(new BodyTooSlow(`The body took longer than ${BODY_TIME} ms.`));
+      reject(new BodyTooSlow(`The body wasn't received within ${BODY_TIME} ms.`));
     });
   });
   try {
@@ -50,13 +50,13 @@
   let size = 0;
   for await (const chunk of message as AsyncIterable<Buffer>) {
     size += chunk.length;
-    if (size > most) throw new BodyTooLarge(`The body is longer than the bound of ${most} bytes.`);
+    if (size > most) throw new BodyTooLarge(`The body is larger than the limit of ${most} bytes.`);
     chunks.push(chunk);
   }
   return Buffer.concat(chunks).toString("utf8");
 }
 
-/** Answers with JSON. */
+/** Sends a JSON response and ends it; the status is 200 unless given. */
 export function sendJson(
   response: ServerResponse,
   value: unknown,
@@ -69,7 +69,7 @@
   response.end(JSON.stringify(value));
 }
 
-/** Sends one server-sent event. */
+/** Writes one server-sent event with a JSON value as its data. */
 export function sendEvent(response: ServerResponse, value: unknown): void {
   response.write(`data: ${JSON.stringify(value)}\n\n`);
 }
--- a/src/connection/http_cloud.ts
+++ b/src/connection/http_cloud.ts
@@ -10,10 +10,17 @@
 
 const notices = z.array(z.object({ instance: z.string(), within: z.number() }));
 
-/** How long a call may take before its answer counts as lost. */
+/** Timeout of a call, in milliseconds; after it the response counts as lost. */
 const CALL_TIMEOUT = 5_000;
 
-/** The cloud API by HTTP, as the stand-in serves it. */
+/**
+ * Creates an HTTP client for the cloud API that the stand-in serves.
+ *
+ * `launch` never rejects: a call without a valid response has the outcome `unknown`. The other calls
+ * reject if there is no valid response in time.
+ *
+ * @param address `IP:PORT` of the API.
+ */
 export function createHttpCloud(address: string): Cloud & { close(): void } {
   const pool = new Pool(`http://${address}`, { connections: 4 });
   const call = async (
@@ -34,8 +41,8 @@
     try {
       return launchOutcome.parse((await call("POST", "/cloud/instances", wanted)).body);
     } catch (error) {
-      // The instance may have been launched. The same token asks for the same one again.
-      const detail = `Launching ${wanted.token} got no answer: ${String(error)}.`;
+      // The instance may have been launched. A retry with the same token returns that instance.
+      const detail = `Launching ${wanted.token} failed without a response: ${String(error)}.`;
       return { kind: "unknown", detail };
     }
   };
@@ -44,7 +51,7 @@
     terminate: async (instance) => {
       const { status } = await call("DELETE", `/cloud/instances/${encodeURIComponent(instance)}`);
       if (status !== 200 && status !== 404) {
-        throw new Error(`Terminating ${instance} was answered with status ${status}.`);
+        throw new Error(`Terminating ${instance} failed with status ${status}.`);
       }
     },
     notices: async () => notices.parse((await call("GET", "/cloud/notices")).body),
--- a/src/connection/http_engine.ts
+++ b/src/connection/http_engine.ts
@@ -33,10 +33,14 @@
   loaded: z.array(z.string()),
 });
 
-/** How long a short call may take. */
+/** Timeout of a call without an event stream, in milliseconds. */
 const CALL_TIMEOUT = 2_000;
 
-/** Backend servers by HTTP; run and attach answer with server-sent events. */
+/**
+ * Creates an HTTP client for backend servers. `run` and `attach` return the server-sent events of the
+ * response; `run` of a plain service is an ordinary HTTP request. All failures are an
+ * {@linkcode EngineFailure}.
+ */
 export function createHttpEngine(): Engine & { close(): void } {
   const agent = new Agent({ connections: 256, headersTimeout: 0, bodyTimeout: 0 });
   const call = async (worker: Worker, path: string, body: unknown): Promise<unknown> => {
@@ -49,7 +53,7 @@
         signal: AbortSignal.timeout(CALL_TIMEOUT),
       });
       const answered: unknown = await answer.body.json();
-      // A refused order that is taken for an accepted one would leave a worker as it was, unnoticed.
+      // Otherwise a rejected order would count as accepted and the worker would silently stay unchanged.
       if (answer.statusCode >= 400) throw new Error(`Status ${answer.statusCode}`);
       return answered;
     } catch (error) {
@@ -81,7 +85,7 @@
   };
 }
 
-/** Nearly every event is a token: those are checked by hand, the others by their schema. */
+/** Parses an event. Nearly all are tokens, which are checked by hand; the others use the schema. */
 function parseEvent(data: string): EngineEvent {
   const found = JSON.parse(data) as Partial<EngineEvent> | null;
   if (found?.kind === "token") {
@@ -91,6 +95,7 @@
   return engineEvent.parse(found);
 }
 
+/** A call whose response is an event stream. */
 interface EventCall {
   readonly worker: Worker;
   readonly path: string;
@@ -98,7 +103,7 @@
   readonly signal: AbortSignal;
 }
 
-/** The events of one call; nothing is sent before the first is asked for. */
+/** Returns the events of a call; the request is sent when the first event is requested. */
 function events(agent: Agent, call: EventCall): AsyncIterableIterator<EngineEvent> {
   let stream: AsyncIterableIterator<EngineEvent> | undefined;
   const begin = async (): Promise<IteratorResult<EngineEvent>> => {
@@ -143,6 +148,7 @@
   yield { kind: "status", status, body };
 }
 
+/** A call to a plain service. */
 interface PlainCall {
   readonly worker: Worker;
   readonly dispatch: Dispatch;
@@ -150,8 +156,8 @@
 }
 
 /**
- * A call of a plain service, as ordinary HTTP. The service's own status is part of its answer; the request's
- * id goes with it for services that drop what they have had before.
+ * Calls a plain service with an ordinary HTTP request. The service's status is part of the result, even if
+ * it is an error. The request id is sent along, so that the service can discard duplicates.
  */
 async function* plainCall(
   agent: Agent,
@@ -181,8 +187,8 @@
 }
 
 function engineFailure(step: EngineFailure["step"], worker: Worker, cause: unknown): EngineFailure {
-  const message = `The call to ${worker.id} at ${worker.address} failed at ${step}: ${String(cause)}.`;
-  // Only a refused connection proves that no byte was sent.
+  const message = `The call to ${worker.id} at ${worker.address} failed at the step "${step}": ${String(cause)}.`;
+  // Only a refused connection proves that no byte of the request was sent.
   const notSent = step === "connect" && isRefusal(cause);
   return Object.assign(new Error(message, { cause }), { step, peer: worker.id, notSent });
 }
--- a/src/connection/http_instance_list.ts
+++ b/src/connection/http_instance_list.ts
@@ -1,7 +1,11 @@
 import { request } from "undici";
 import type { InstanceList, Worker } from "../interface/index.ts";
 
-/** The platform's list of workers by HTTP. */
+/**
+ * Creates an HTTP client for the platform's list of workers.
+ *
+ * @param address `IP:PORT` of the platform's API.
+ */
 export function createHttpInstanceList(address: string): InstanceList {
   return {
     workers: async () => {
--- a/src/connection/http_listener.ts
+++ b/src/connection/http_listener.ts
@@ -4,32 +4,32 @@
 
 /** A listening HTTP server. */
 export interface Listener {
-  /** `IP:PORT`, with the port that was bound. */
+  /** The bound address, as `IP:PORT`. */
   readonly address: string;
-  /** Stops listening; requests in progress go on to their end. */
+  /** Stops accepting connections; requests in progress continue until they end. */
   drain(): void;
-  /** Stops listening and ends every connection. */
+  /** Stops accepting connections and closes all open ones. */
   close(): Promise<void>;
 }
 
-/** A certificate and its key, both PEM. */
+/** A TLS certificate and its private key, both in PEM format. */
 export interface Certificate {
   readonly certificate: string;
   readonly key: string;
 }
 
-/** How long a client may take over its headers before the connection is ended (slow-loris). */
+/** Timeout for receiving request headers, in ms; then the connection is closed (slow-loris). */
 const HEADERS_TIMEOUT = 10_000;
-/** Bound on the size of all headers together, in bytes. */
+/** Maximum total size of the headers of a request, in bytes. */
 const MAX_HEADER_SIZE = 16_384;
 
 /**
- * Listens for HTTP.
+ * Listens for HTTP or HTTPS requests.
  *
- * @param address `IP:PORT`; port 0 binds a free one.
+ * @param address `IP:PORT`; port 0 binds a free port.
  * @param handle Called for each request.
- * @param options With `tls`, connections are encrypted.
- * @returns The listener, once it listens.
+ * @param options With `tls`, the server accepts only TLS connections.
+ * @returns The listener, once it accepts connections. Rejects if the address can't be bound.
  */
 export async function listenHttp(
   address: string,
@@ -52,7 +52,7 @@
   });
 }
 
-/** The modules of TLS are loaded only where they are used: they are a twentieth of a plain instance's start. */
+/** Creates an HTTPS server. The TLS modules are loaded on demand: they take 5% of the start of an instance without TLS. */
 async function secureServer(parts: {
   bounds: { headersTimeout: number; maxHeaderSize: number; requestTimeout: number };
   tls: Certificate;
@@ -63,7 +63,7 @@
   return createSecureServer({ ...bounds, cert: tls.certificate, key: tls.key }, handle);
 }
 
-/** A server that listens, as its owner closes it. */
+/** Returns the {@linkcode Listener} of a server that is already listening. */
 export function listenerOf(server: Server): Listener {
   const bound = server.address() as AddressInfo;
   return {
@@ -82,7 +82,7 @@
   };
 }
 
-/** Splits `IP:PORT`. */
+/** Splits an address of the form `IP:PORT`. */
 export function splitAddress(address: string): [host: string, port: number] {
   const colon = address.lastIndexOf(":");
   return [address.slice(0, colon), Number(address.slice(colon + 1))];
--- a/src/connection/http_listener_test.ts
+++ b/src/connection/http_listener_test.ts
@@ -4,7 +4,7 @@
 import { listenHttp, splitAddress } from "./http_listener.ts";
 import { LOOPBACK_TLS } from "./testing/loopback_tls.ts";
 
-test("a listener with a certificate answers over TLS, and to nobody without", async () => {
+test("a listener with a certificate accepts only TLS, from clients that trust it", async () => {
   const listener = await listenHttp("127.0.0.1:0", (_request, response) => response.end("yes"), {
     tls: LOOPBACK_TLS,
   });
@@ -17,9 +17,8 @@
   await listener.close();
 });
 
-test("headers beyond the bound are refused", async () => {
-  // A client sends headers without end. Unbounded, a few such clients would fill the memory of an entry
-  // instance and everybody's answers would stop.
+test("headers over the size limit are rejected", async () => {
+  // Guards against a few clients that send endless headers and exhaust the memory of an entry instance.
   const listener = await listenHttp("127.0.0.1:0", (_request, response) => response.end());
   const [host, port] = splitAddress(listener.address);
   const socket = connect({ host, port });
--- a/src/connection/http_object_store.ts
+++ b/src/connection/http_object_store.ts
@@ -5,12 +5,19 @@
 const stored = z.object({ key: z.string(), version: z.number().int(), value: z.string() });
 const written = z.object({ version: z.number().int() });
 
-/** How long a read or a write may take before its answer counts as lost. */
+/** Timeout of a read or a write, in milliseconds; after it the response counts as lost. */
 const CALL_TIMEOUT = 2_000;
-/** How long the store holds a watch before it answers that nothing changed. */
+/** Timeout of a watch, in milliseconds, within which the store responds even if nothing changed. */
 const WATCH_TIMEOUT = 35_000;
 
-/** The platform's object API by HTTP, as the stand-in serves it. */
+/**
+ * Creates an HTTP client for the platform's object store API that the stand-in serves.
+ *
+ * `get` and `put` never reject: their outcome says whether the store was unavailable or the result of a
+ * write is unknown. `watch` rejects if there is no response in time or the signal is aborted.
+ *
+ * @param address `IP:PORT` of the API.
+ */
 export function createHttpObjectStore(address: string): ObjectStore {
   const pool = new Pool(`http://${address}`, { connections: 8 });
   return {
@@ -34,10 +41,13 @@
     if (answer.statusCode === 200) return { kind: "found", object: stored.parse(JSON.parse(body)) };
     return {
       kind: "unavailable",
-      detail: `Reading ${key} was answered with status ${answer.statusCode}.`,
+      detail: `Reading ${key} failed with status ${answer.statusCode}.`,
     };
   } catch (error) {
-    return { kind: "unavailable", detail: `Reading ${key} got no answer: ${String(error)}.` };
+    return {
+      kind: "unavailable",
+      detail: `Reading ${key} failed without a response: ${String(error)}.`,
+    };
   }
 }
 
@@ -58,13 +68,16 @@
       return { kind: "written", version: written.parse(JSON.parse(body)).version };
     }
     if (answer.statusCode === 412) return conflictOf(body);
-    const detail = `Writing ${write.key} was answered with status ${answer.statusCode}.`;
+    const detail = `Writing ${write.key} failed with status ${answer.statusCode}.`;
     return answer.statusCode === 503 || answer.statusCode === 429
       ? { kind: "unavailable", detail }
       : { kind: "unknown", detail };
   } catch (error) {
-    // The write may have been applied although its answer never came: only reading back can tell.
-    return { kind: "unknown", detail: `Writing ${write.key} got no answer: ${String(error)}.` };
+    // The write may have been applied although its response was lost; only reading it back can tell.
+    return {
+      kind: "unknown",
+      detail: `Writing ${write.key} failed without a response: ${String(error)}.`,
+    };
   }
 }
 
--- a/src/connection/json_call.ts
+++ b/src/connection/json_call.ts
@@ -1,46 +1,50 @@
 import { Agent, request } from "node:http";
 import { splitAddress } from "./http_listener.ts";
 
-/** A call to a service that speaks JSON. */
+/** A request to a service with a JSON API. */
 export interface JsonCall {
   readonly method: "GET" | "POST" | "PUT" | "DELETE";
-  /** Path and query. */
+  /** Path with the query string. */
   readonly path: string;
   readonly headers?: Readonly<Record<string, string>>;
-  /** Sent as JSON; nothing is sent where it is undefined. */
+  /** Sent as JSON; if undefined, the request has no body. */
   readonly body?: unknown;
-  /** Milliseconds after which the answer counts as lost. */
+  /** Milliseconds after which the call fails, and its response counts as lost. */
   readonly timeout: number;
 }
 
-/** An answer that came whole. */
+/** A complete response. */
 export interface JsonAnswer {
   readonly status: number;
-  /** Undefined where it had no body. */
+  /** The parsed body; undefined if the response had none. */
   readonly body: unknown;
 }
 
-/** Calls one service. */
+/** An HTTP client for one service. */
 export interface JsonCaller {
   /**
-   * Makes a call.
+   * Sends a request.
    *
-   * @throws {Error} If no whole answer comes in time, or its body isn't JSON. The call may have had its effect.
+   * @returns The response, whatever its status.
+   * @throws {Error} If no complete response arrives in time, or its body isn't JSON. The service may have
+   *   processed the request all the same.
    */
   call(call: JsonCall): Promise<JsonAnswer>;
+  /** Closes all connections. */
   close(): void;
 }
 
-/** Bytes of an answer: a list of the store has a megabyte at most. */
+/** Maximum size of a response body, in bytes; a list of the store has at most one megabyte. */
 const GREATEST_ANSWER = 16_777_216;
 
 /**
- * Makes a caller for the service at `IP:PORT`.
+ * Creates a client for one service.
  *
- * It stands on Node's own client: the HTTP library's makes a process start later, and after a loss of power callers
- * wait for its start.
+ * It uses the client built into Node.js, because loading the HTTP library delays the start of the process,
+ * and after a power failure callers wait for that start.
  *
- * @param connections Connections at once; further calls wait for one.
+ * @param address `IP:PORT` of the service.
+ * @param connections Maximum number of connections; further calls wait for a free one.
  */
 export function createJsonCaller(address: string, connections: number): JsonCaller {
   const [host, port] = splitAddress(address);
@@ -63,10 +67,10 @@
         agent,
         headers: { ...headers, ...framing },
       });
-      // Whatever becomes of the connection, a call that isn't answered in time ends, and its connection with it:
-      // one that went silent must not be given to the next call.
+      // A call that times out also closes its connection, so that the next call doesn't get a connection
+      // that has gone silent.
       const timer = setTimeout(() => {
-        sent.destroy(new Error(`no answer within ${timeout} ms`));
+        sent.destroy(new Error(`no response within ${timeout} ms`));
       }, timeout);
       const end = (settle: () => void): void => {
         clearTimeout(timer);
@@ -79,11 +83,11 @@
         response.on("data", (chunk: Buffer) => {
           size += chunk.length;
           chunks.push(chunk);
-          if (size > GREATEST_ANSWER) sent.destroy(new Error("the answer is too large"));
+          if (size > GREATEST_ANSWER) sent.destroy(new Error("the response is too large"));
         });
         response.on("error", (error) => end(() => reject(error)));
         response.on("close", () => {
-          if (!response.complete) end(() => reject(new Error("the answer was cut")));
+          if (!response.complete) end(() => reject(new Error("the response is incomplete")));
           else end(() => settleWith({ response, chunks, resolve, reject }));
         });
       });
--- a/src/connection/operator_messages.ts
+++ b/src/connection/operator_messages.ts
@@ -8,53 +8,55 @@
   theirs: z.unknown().optional(),
 });
 
-/** What an operator is told of a change: exactly one of these, with the HTTP status of each. */
+/** The outcome of a configuration change, as sent to an operator; each kind has its own HTTP status. */
 export const changeOutcomeMessage = z.discriminatedUnion("kind", [
-  /** 200. In force from this revision at the latest. */
+  /** Status 200: the change is in force, at the latest from this revision on. */
   z.object({
     kind: z.literal("accepted"),
     change: z.string(),
     revision: z.number().int(),
-    /** Only with `?wait=1`: whether every live instance had it in force when the wait ended. */
+    /** Only with `?wait=1`: whether all live instances had the revision in force when the wait ended. */
     everywhere: z.boolean().optional(),
   }),
-  /** 422. Not in force, now or later. */
+  /** Status 422: the change was rejected and will not take effect. */
   z.object({ kind: z.literal("refused"), change: z.string(), reasons: z.array(z.string()) }),
-  /** 409. Another change touches the same places: ours is what was asked for, theirs is in force. */
+  /** Status 409: conflicts with another change; `ours` is the requested value, `theirs` the one in force. */
   z.object({
     kind: z.literal("conflict"),
     change: z.string(),
     revision: z.number().int(),
     conflicts: z.array(conflict),
   }),
-  /** 202. The answer was lost: `GET /v1/operator/changes/CHANGE` tells more. */
+  /** Status 202: the store's response was lost; `GET /v1/operator/changes/CHANGE` returns the outcome. */
   z.object({ kind: z.literal("unknown"), change: z.string(), detail: z.string() }),
 ]);
-/** What an operator is told of a change. */
+/** The outcome of a configuration change, as sent to an operator. */
 export type ChangeOutcomeMessage = z.infer<typeof changeOutcomeMessage>;
 
 /** Body of `PUT /v1/operator/deployment`. */
 export const deploymentMessage = z.strictObject({
-  /** The deployment document, as its file has it. */
+  /** The deployment document, with the content of its file. */
   source: z.unknown(),
-  /** The revision that the document was edited from; the one in force when absent. */
+  /** The revision on which the document is based; if absent, the one in force. */
   base: z.number().int().positive().exactOptional(),
-  /** A unique id of this change; drawn by the instance when absent. */
+  /** A unique id of this change; if absent, the instance generates one. */
   change: z.string().min(8).max(64).exactOptional(),
 });
 
-/** Body of `PUT /v1/operator/preset/NAME`; it may be empty. */
+/** Body of `PUT /v1/operator/preset/NAME`; the body may be empty. */
 export const presetMessage = deploymentMessage.omit({ source: true });
 
-/** Answer of `GET /v1/operator/status`. */
+/** Response to `GET /v1/operator/status`. */
 export const statusMessage = z.object({
-  /** Member id of the instance that answers. */
+  /** Member id of the responding instance. */
   instance: z.string(),
-  /** What is in force at it. */
+  /** The revision in force at the responding instance; 0 if it has none. */
   revision: z.number().int(),
   preset: z.string(),
   slotMap: z.number().int(),
+  /** Whether the instance has had no contact with the store or any peer for too long. */
   cutOff: z.boolean(),
+  /** Requests owned by the responding instance that haven't ended. */
   inProgress: z.number().int(),
   instances: z.array(
     z.object({
@@ -62,28 +64,30 @@
       zone: z.string(),
       callers: z.string(),
       state: z.enum(MemberState),
-      /** Versions in force there; absent where it didn't answer. */
+      /** Versions in force at that instance; absent if it didn't respond. */
       revision: z.number().int().optional(),
       slotMap: z.number().int().optional(),
+      /** Number of slots whose primary or backup the instance is. */
       primaryOf: z.number().int(),
       backupOf: z.number().int(),
     }),
   ),
+  /** Number of slots without a primary, without a backup, and with lost history. */
   slots: z.object({
     unassigned: z.number().int(),
     withoutBackup: z.number().int(),
     historyLost: z.number().int(),
   }),
-  /** Ids of backend servers that take nothing new. */
+  /** Ids of backend servers that accept no new requests. */
   leaving: z.array(z.string()),
-  /** Of the instance that answers, since its start. */
+  /** Rejections by reason and retries by cause, of the responding instance since its start. */
   refusals: z.record(z.string(), z.number()),
   retries: z.record(z.string(), z.number()),
 });
-/** Answer of `GET /v1/operator/status`. */
+/** Response to `GET /v1/operator/status`. */
 export type StatusMessage = z.infer<typeof statusMessage>;
 
-/** Answer of `GET /v1/operator/services`. */
+/** Response to `GET /v1/operator/services`. */
 export const servicesMessage = z.object({
   revision: z.number().int(),
   preset: z.string(),
@@ -94,25 +98,30 @@
       kind: z.enum(["model", "plain"]),
       models: z.array(z.string()),
       paused: z.boolean(),
+      /** Minimum and maximum number of workers, from the preset in force. */
       least: z.number().int(),
       most: z.number().int(),
+      /** Number of workers by state. */
       workers: z.partialRecord(z.enum(WorkerState), z.number().int()),
     }),
   ),
 });
-/** Answer of `GET /v1/operator/services`. */
+/** Response to `GET /v1/operator/services`. */
 export type ServicesMessage = z.infer<typeof servicesMessage>;
 
-/** Answer of `POST /v1/operator/drain/INSTANCE`: 202 when it drains, 404 where nobody knows it. */
+/**
+ * Response to `POST /v1/operator/drain/INSTANCE`: status 202 if the instance is draining, 404 if it is
+ * unknown, and 503 if it couldn't be reached or didn't accept the order.
+ */
 export const drainMessage = z.discriminatedUnion("kind", [
   z.object({ kind: z.literal("draining"), instance: z.string() }),
   z.object({ kind: z.literal("unknown-instance"), instance: z.string() }),
   z.object({ kind: z.literal("unreachable"), instance: z.string(), detail: z.string() }),
 ]);
-/** Answer of `POST /v1/operator/drain/INSTANCE`. */
+/** Response to `POST /v1/operator/drain/INSTANCE`. */
 export type DrainMessage = z.infer<typeof drainMessage>;
 
-/** Answer of `GET /v1/operator/requests/ID`. */
+/** Response to `GET /v1/operator/requests/ID`. */
 export const requestMessage = z.object({
   id: z.string(),
   account: z.string(),
@@ -121,14 +130,16 @@
   reason: z.string(),
   detail: z.string(),
   slot: z.number().int(),
-  /** Member ids by the slot map of the instance that answers. */
+  /** Member ids of the slot's primary and backup, by the slot map of the responding instance. */
   owner: z.string(),
   backup: z.string(),
   attempt: z.number().int(),
   worker: z.string(),
+  /** Number of tokens generated so far. */
   tokens: z.number().int(),
+  /** Calendar times, in milliseconds since the Unix epoch. */
   acceptedAt: z.number(),
   deadlineAt: z.number(),
 });
-/** Answer of `GET /v1/operator/requests/ID`. */
+/** Response to `GET /v1/operator/requests/ID`. */
 export type RequestMessage = z.infer<typeof requestMessage>;
--- a/src/connection/operator_routes.ts
+++ b/src/connection/operator_routes.ts
@@ -16,11 +16,12 @@
 import type { ChangeOutcomeMessage, DrainMessage } from "./operator_messages.ts";
 import { routeParameter } from "./route_parameter.ts";
 
-/** Bound on a deployment document, as the platform's on a value. */
+/** Maximum size of a deployment document, in bytes: the platform's limit for a stored value. */
 const DOCUMENT_LIMIT = 1_000_000;
-/** How long another instance may take to say that it drains. */
+/** Timeout for forwarding a drain order to another instance, in milliseconds. */
 const FORWARD_TIMEOUT = 2_000;
 
+/** The HTTP status for each outcome of a configuration change. */
 const STATUS_OF: Readonly<Record<ChangeOutcomeMessage["kind"], number>> = {
   accepted: 200,
   refused: 422,
@@ -30,7 +31,7 @@
 
 type Route = (request: RoutedRequest, response: ServerResponse) => Promise<void> | void;
 
-/** Adds the routes of operators; each needs their credential, but for health. */
+/** Adds the routes for operators. All but the health check require the operator key. */
 export function addOperatorRoutes(app: Polka, parts: OperatorParts): void {
   const { operators } = parts;
   const forOperators = (route: Route): ReturnType<typeof guarded> =>
@@ -93,7 +94,7 @@
       const found = await operators.request(id);
       if (found !== undefined) sendJson(response, found);
       else {
-        const detail = `No instance that could be asked knows the request ${id}.`;
+        const detail = `None of the instances that responded knows the request ${id}.`;
         sendRejection(response, { reason: Refusal.UnknownRequest, notRun: false, detail });
       }
     }),
@@ -107,11 +108,11 @@
 function refuse({ counters }: OperatorParts, response: ServerResponse): void {
   const reason = Refusal.Unauthenticated;
   counters.refused(reason);
-  const detail = "This route needs the credential of operators.";
+  const detail = "This route requires the operator key.";
   sendRejection(response, { reason, notRun: true, detail });
 }
 
-/** Whether this instance takes new work: for whoever watches it from outside, without a credential. */
+/** Reports whether this instance accepts new requests, for external health checks without a key. */
 function sendHealth({ configuration, members }: OperatorParts, response: ServerResponse): void {
   const isTaking =
     configuration.revision() !== undefined &&
@@ -120,6 +121,11 @@
   sendJson(response, { takesWork: isTaking }, { status: isTaking ? 200 : 503 });
 }
 
+/**
+ * Reads and validates a JSON body; an empty one counts as `{}`.
+ *
+ * @throws {SyntaxError} If the body isn't JSON or doesn't match the schema.
+ */
 async function bodyOf<T>(request: IncomingMessage, schema: z.ZodType<T>): Promise<T> {
   const body = await readBody(request, DOCUMENT_LIMIT);
   const parsed = schema.safeParse(JSON.parse(body === "" ? "{}" : body));
@@ -131,6 +137,7 @@
   return change ?? randomUUID();
 }
 
+/** Applies a change and sends its outcome; with `?wait=1`, waits until all instances have it in force. */
 async function apply(
   { operators }: OperatorParts,
   call: {
@@ -152,6 +159,7 @@
   sendJson(response, { ...outcome, everywhere }, { status });
 }
 
+/** Drains this instance, or forwards the order to the named one, by member id or name. */
 async function drain(parts: OperatorParts, instance: string): Promise<DrainMessage> {
   const { members, operators, present } = parts;
   const isNamed = ({ id }: Member): boolean =>
--- a/src/connection/operator_service.ts
+++ b/src/connection/operator_service.ts
@@ -1,20 +1,22 @@
 import type { Change, ChangeOutcome } from "../version/index.ts";
 import type { RequestMessage, ServicesMessage, StatusMessage } from "./operator_messages.ts";
 
-/** What the routes of operators ask of the entry instance behind them. */
+/** The operations that an entry instance provides to the routes for operators. */
 export interface OperatorService {
-  /** Puts a change in force; `base` is the revision that it began from. */
+  /** Applies a configuration change; `base` is the revision it is based on, by default the one in force. */
   apply(change: Change, base?: number): Promise<ChangeOutcome>;
-  /** What became of a change whose answer was lost. */
+  /** Returns the outcome of a change whose response was lost, by the id of the change. */
   ask(id: string): Promise<ChangeOutcome>;
-  /** Waits until every live instance has the revision in force; false where one hasn't in time. */
+  /** Waits until all live instances have the revision in force; resolves to false on timeout. */
   everywhere(revision: number): Promise<boolean>;
+  /** Returns the state of all instances and slots. */
   status(): Promise<StatusMessage>;
+  /** Returns the services and presets of the deployment in force. */
   services(): ServicesMessage;
-  /** Begins a planned stop of this instance. */
+  /** Starts a planned stop of this instance. */
   drain(): void;
-  /** A request of any account; undefined where no owner knows it. */
+  /** Finds a request of any account; undefined if no owner knows it. */
   request(id: string): Promise<RequestMessage | undefined>;
-  /** All counts and histograms as text. */
+  /** Returns all counters and histograms in the Prometheus text format. */
   metrics(): string;
 }
--- a/src/connection/peer_channel.ts
+++ b/src/connection/peer_channel.ts
@@ -6,41 +6,44 @@
 import { guardSessions } from "./guarded_sessions.ts";
 import type { Certificate } from "./http_listener.ts";
 
-/** How long a connection that was given up may take to report what ended it, in milliseconds. */
+/** Delay before a replaced connection is aborted, in milliseconds, so that it can report its error. */
 const CLOSING_TIME = 1_000;
-/** Bound on one message, in bytes: a cession may carry many records. */
+/** Maximum size of a message, in bytes; a slot handover may carry many records. */
 const MESSAGE_LIMIT = 64_000_000;
 
 /** Credentials and encryption of the connections between entry instances. */
 export interface PeerSecurity {
+  /** Bearer token that authenticates entry instances to each other. */
   readonly peerKey: string;
-  /** PEM; absent where connections are plain. The certificate is its own authority. */
+  /** In PEM format; absent for unencrypted connections. The certificate is its own CA. */
   readonly tls?: Certificate | undefined;
 }
 
 /**
- * One HTTP/2 connection to a peer, replaced when it has gone silent.
+ * One HTTP/2 connection to a peer, which can be replaced if it goes silent.
  *
- * Something between the two ends may lose track of an open connection while new ones work. Calls on it
- * then wait for ever. A call that timed out renews the connection before the peer is blamed. The pings of
- * the session manager stay off: it begins them again on a session that is destroyed, when the last stream
- * ends, and the ping then throws in a timer and ends the process.
+ * A middlebox may drop the state of an open connection while new connections still work. Calls on the old
+ * connection then never end. After a timeout, a call is therefore retried on a new connection before the
+ * peer is reported as failed. The pings of the session manager are disabled, because it restarts them when
+ * the last stream of a destroyed session ends; the ping then throws in a timer and ends the process.
  */
 export interface PeerChannel {
+  /** Returns the client for the current connection. */
   client(): Client<typeof Peer>;
-  /** Gives the connection up; the next call opens a new one. */
+  /** Drops the connection; the next call opens a new one. */
   renew(): void;
+  /** Drops the connection for good. */
   close(): void;
 }
 
-/** Makes a channel to `IP:PORT`; nothing is opened before the first call. */
+/** Creates a channel to an `IP:PORT`; the first call opens the connection. */
 export function createPeerChannel(address: string, security: PeerSecurity): PeerChannel {
   let open = openClient(address, security);
   const give = (): void => {
     const { manager } = open;
-    const reason = new Error(`The connection to ${address} was given up.`);
-    // A session that the peer has just closed still has an error to report, and aborting it takes away
-    // the listener for it: the process would end with an uncaught exception. It gets time to report.
+    const reason = new Error(`The connection to ${address} was dropped.`);
+    // A session that the peer has just closed may still emit an error. Aborting it at once would remove
+    // the listener, and the error would end the process as an uncaught exception.
     setTimeout(() => manager.abort(reason), CLOSING_TIME).unref();
   };
   return {
--- a/src/connection/peer_codec.ts
+++ b/src/connection/peer_codec.ts
@@ -1,3 +1,10 @@
+/**
+ * Converts the messages between entry instances to and from their protocol buffer types.
+ *
+ * Enums are encoded as the index of their value, epochs and versions as 64-bit integers.
+ *
+ * @module
+ */
 import { create } from "@bufbuild/protobuf";
 import {
   AskReplySchema,
@@ -36,9 +43,10 @@
 const REFUSALS = Object.values(Refusal);
 const MEMBER_STATES = Object.values(MemberState);
 const SLOT_OUTCOMES = Object.values(SlotOutcome);
+/** Kinds of relay events; the index is sent, so new ones must be added at the end. */
 const EVENT_KINDS: readonly RelayEvent["kind"][] = ["accepted", "token", "ended", "moved"];
 
-/** A record as it goes over the wire. */
+/** Encodes a request record. */
 export function encodeRecord(record: RequestRecord): wire.RequestRecord {
   return create(RequestRecordSchema, {
     ...record,
@@ -49,7 +57,11 @@
   });
 }
 
-/** A record from the wire; a number that no enum has is an error. */
+/**
+ * Decodes a request record.
+ *
+ * @throws {RangeError} If an enum has an unknown value.
+ */
 export function decodeRecord(message: wire.RequestRecord): RequestRecord {
   return {
     id: message.id,
@@ -75,7 +87,11 @@
   };
 }
 
-/** A replication as it goes over the stream that many share; `correlation` finds its answer. */
+/**
+ * Encodes a replication.
+ *
+ * @param correlation Identifies the reply on the stream that all replications to a peer share.
+ */
 export function encodeReplicate(
   message: ReplicateMessage,
   correlation: bigint,
@@ -89,7 +105,7 @@
   });
 }
 
-/** A replication from the wire. */
+/** Decodes a replication. */
 export function decodeReplicate(message: wire.ReplicateRequest): ReplicateMessage {
   return {
     from: message.from,
@@ -99,18 +115,23 @@
   };
 }
 
-/** A message that must carry a record and doesn't comes from a broken or hostile sender. */
+/**
+ * Returns a record that a message must have.
+ *
+ * @throws {TypeError} If it is missing, which happens only with a faulty or hostile sender.
+ */
 function requiredRecord(record: wire.RequestRecord | undefined): wire.RequestRecord {
-  if (record === undefined) throw new TypeError("Decoding a message of a peer: it has no record.");
+  if (record === undefined)
+    throw new TypeError("Decoding a message from a peer: the record is missing.");
   return record;
 }
 
-/** The answer to a replication. */
+/** Encodes the reply to a replication. */
 export function encodeReplicateReply(reply: SlotReply, correlation: bigint): wire.ReplicateReply {
   return create(ReplicateReplySchema, { correlation, ...encodedSlotReply(reply) });
 }
 
-/** The answer to a cession. */
+/** Encodes the reply to a slot handover. */
 export function encodeCedeReply(reply: SlotReply): wire.CedeReply {
   return create(CedeReplySchema, encodedSlotReply(reply));
 }
@@ -119,12 +140,12 @@
   return { outcome: enumCode(SLOT_OUTCOMES, reply.outcome), epoch: BigInt(reply.epoch) };
 }
 
-/** How a slot's message was taken, from the wire. */
+/** Decodes the reply to a replication or a slot handover. */
 export function decodeSlotReply(message: wire.ReplicateReply | wire.CedeReply): SlotReply {
   return { outcome: enumValue(SLOT_OUTCOMES, message.outcome), epoch: Number(message.epoch) };
 }
 
-/** A cession as it goes over the wire. */
+/** Encodes a slot handover. */
 export function encodeCede(message: CedeMessage): wire.CedeRequest {
   return create(CedeRequestSchema, {
     ...message,
@@ -133,7 +154,7 @@
   });
 }
 
-/** A cession from the wire. */
+/** Decodes a slot handover. */
 export function decodeCede(message: wire.CedeRequest): CedeMessage {
   return {
     from: message.from,
@@ -179,7 +200,7 @@
   return { key, version: Number(version) };
 }
 
-/** A probe as it goes over the wire. */
+/** Encodes a membership probe. */
 export function encodeProbe(message: ProbeMessage): wire.ProbeRequest {
   const { from, target, deltas, versions } = message;
   return create(ProbeRequestSchema, {
@@ -199,7 +220,7 @@
   });
 }
 
-/** A probe from the wire. */
+/** Decodes a membership probe. */
 export function decodeProbe(message: wire.ProbeRequest): ProbeMessage {
   const { from, target, deltas, versions } = message;
   return {
@@ -210,7 +231,7 @@
   };
 }
 
-/** The answer to a probe. */
+/** Encodes the reply to a membership probe. */
 export function encodeProbeReply({ from, reached, deltas, versions }: ProbeReply): wire.ProbeReply {
   return create(ProbeReplySchema, {
     from,
@@ -220,7 +241,7 @@
   });
 }
 
-/** The answer to a probe, from the wire. */
+/** Decodes the reply to a membership probe. */
 export function decodeProbeReply({ from, reached, deltas, versions }: wire.ProbeReply): ProbeReply {
   return {
     from,
@@ -230,7 +251,7 @@
   };
 }
 
-/** A relayed request as it goes over the wire. */
+/** Encodes a relayed request. */
 export function encodeRelay(message: RelayMessage): wire.RelayRequest {
   return create(RelayRequestSchema, {
     ...message,
@@ -239,7 +260,7 @@
   });
 }
 
-/** A relayed request from the wire. */
+/** Decodes a relayed request. */
 export function decodeRelay(message: wire.RelayRequest): RelayMessage {
   const { from, slot, epoch, hops, record, fromToken, follow } = message;
   return {
@@ -253,7 +274,7 @@
   };
 }
 
-/** One event of a relayed request. */
+/** Encodes an event of a relayed request. */
 export function encodeRelayEvent(event: RelayEvent): wire.RelayEvent {
   const kind = enumCode(EVENT_KINDS, event.kind);
   switch (event.kind) {
@@ -272,7 +293,7 @@
   }
 }
 
-/** One event of a relayed request, from the wire. */
+/** Decodes an event of a relayed request. */
 export function decodeRelayEvent(message: wire.RelayEvent): RelayEvent {
   const kind = enumValue(EVENT_KINDS, message.kind);
   switch (kind) {
@@ -291,18 +312,18 @@
   }
 }
 
-/** A question about a request. */
+/** Encodes an inquiry about a request. */
 export function encodeAsk(message: AskMessage): wire.AskRequest {
   return create(AskRequestSchema, { ...message, epoch: BigInt(message.epoch) });
 }
 
-/** A question about a request, from the wire. */
+/** Decodes an inquiry about a request. */
 export function decodeAsk(message: wire.AskRequest): AskMessage {
   const { from, id, account, slot, epoch, hops, cancel } = message;
   return { from, id, account, slot, epoch: Number(epoch), hops, cancel };
 }
 
-/** The answer to a question about a request. */
+/** Encodes the reply to an inquiry about a request. */
 export function encodeAskReply({ outcome, epoch, record }: AskReply): wire.AskReply {
   return create(AskReplySchema, {
     ...encodedSlotReply({ outcome, epoch }),
@@ -310,7 +331,7 @@
   });
 }
 
-/** The answer to a question about a request, from the wire. */
+/** Decodes the reply to an inquiry about a request. */
 export function decodeAskReply({ outcome, epoch, record }: wire.AskReply): AskReply {
   return {
     outcome: enumValue(SLOT_OUTCOMES, outcome),
--- a/src/connection/peer_codec_test.ts
+++ b/src/connection/peer_codec_test.ts
@@ -38,7 +38,7 @@
   fc.record({ kind: fc.constant("moved" as const), epoch: fc.nat() }),
 );
 
-test("every record reads the same after it went over the wire", () => {
+test("every record is equal after encoding and decoding", () => {
   fc.assert(
     fc.property(record, (sent) => {
       const bytes = toBinary(RequestRecordSchema, encodeRecord(sent));
@@ -48,7 +48,7 @@
   );
 });
 
-test("every event of a relayed request reads the same after it went over the wire", () => {
+test("every event of a relayed request is equal after encoding and decoding", () => {
   fc.assert(
     fc.property(event, (sent) => {
       const bytes = toBinary(RelayEventSchema, encodeRelayEvent(sent));
@@ -58,9 +58,9 @@
   );
 });
 
-test("bytes that are no message are refused, or read as a record, and never crash otherwise", () => {
-  // An instance of another version, or a stranger who has the credential, sends what we don't know. Nobody
-  // may notice more than an error on that one call.
+test("arbitrary bytes are either decoded as a record or rejected with an error", () => {
+  // Guards against more than one failed call when an instance of another release, or an attacker who has
+  // the peer key, sends an unknown message.
   fc.assert(
     fc.property(fc.uint8Array({ maxLength: 200 }), (bytes) => {
       try {
--- a/src/connection/peer_listener.ts
+++ b/src/connection/peer_listener.ts
@@ -24,17 +24,25 @@
   encodeReplicateReply,
 } from "./peer_codec.ts";
 
-/** Bound on one message, in bytes. */
+/** Maximum size of a message, in bytes; a slot handover may carry many records. */
 const MESSAGE_LIMIT = 64_000_000;
 
-/** What a listener for peers is made with. */
+/** Options of {@linkcode listenPeers}. */
 export interface PeerListenerOptions {
+  /** The key that callers must have, and the certificate of this listener. */
   readonly security: PeerSecurity;
-  /** Called when a call came without the credential of the instances. */
+  /** Called for each call that is rejected because it lacks the peer key. */
   readonly onUnauthenticated: () => void;
 }
 
-/** Listens for the calls of other entry instances. */
+/**
+ * Listens for calls of other entry instances over HTTP/2. Calls without the peer key fail as
+ * unauthenticated.
+ *
+ * @param address `IP:PORT`; port 0 binds a free port.
+ * @param handlers Handle the calls.
+ * @returns The listener, once it accepts connections. Rejects if the address can't be bound.
+ */
 export function listenPeers(
   address: string,
   handlers: PeerHandlers,
@@ -83,10 +91,7 @@
       return next(request);
     }
     onUnauthenticated();
-    throw new ConnectError(
-      "The call has no credential of the entry instances.",
-      Code.Unauthenticated,
-    );
+    throw new ConnectError("The call lacks the key of the entry instances.", Code.Unauthenticated);
   };
 }
 
--- a/src/connection/reach_worker.ts
+++ b/src/connection/reach_worker.ts
@@ -3,13 +3,14 @@
 import type { Clock } from "../interface/index.ts";
 import { splitAddress } from "./http_listener.ts";
 
-/** How long a worker may take to accept a connection, in milliseconds; the platform's own callers allow as much. */
+/** Timeout for opening a connection to a worker, in milliseconds; the platform's own clients use the same. */
 export const CONNECT_TIMEOUT = 1_000;
 
 /**
- * Finds out whether a process listens at an address, by a connection that carries nothing.
+ * Probes whether a process listens at an address by opening a connection and closing it again.
  *
  * @param address `IP:PORT`.
+ * @returns Whether the connection was accepted, was refused, or failed in another way or timed out.
  */
 export function reachWorker(address: string, clock: Clock): Promise<Reach> {
   const [host, port] = splitAddress(address);
@@ -28,7 +29,7 @@
   });
 }
 
-/** Whether a connection failed because nothing listens at the address. */
+/** Returns whether a connection failed because no process listens at the address. */
 export function isRefusal({ code }: NodeJS.ErrnoException): boolean {
   return code === "ECONNREFUSED";
 }
--- a/src/connection/reach_worker_test.ts
+++ b/src/connection/reach_worker_test.ts
@@ -5,7 +5,8 @@
 import { isRefusal, reachWorker } from "./reach_worker.ts";
 import { takeLoopbackAddress } from "./testing/loopback_address.ts";
 
-test("a process that listens is told from one that has ended", async () => {
+// Guards against keeping a worker whose process has ended, and against dropping one that still listens.
+test("a listening process is accepted and an ended one is refused", async () => {
   const server = createServer((socket) => socket.destroy());
   const address = takeLoopbackAddress();
   const [host, port] = address.split(":");
@@ -16,7 +17,7 @@
   expect(await reachWorker(address, clock)).toBe(Reach.Refused);
 });
 
-test("a connection that was reset is no refusal", () => {
+test("a connection reset does not count as a refusal", () => {
   expect(isRefusal(Object.assign(new Error("reset"), { code: "ECONNRESET" }))).toBe(false);
   expect(isRefusal(Object.assign(new Error("refused"), { code: "ECONNREFUSED" }))).toBe(true);
 });
--- a/src/connection/replicate_stream.ts
+++ b/src/connection/replicate_stream.ts
@@ -2,24 +2,26 @@
 import type { ReplicateMessage, SlotReply } from "../interface/index.ts";
 import { decodeSlotReply, encodeReplicate } from "./peer_codec.ts";
 
-/** The one stream that carries all replications to a peer, with answers found by number. */
+/** The stream that carries all replications to a peer. Replies are matched by correlation number. */
 export interface ReplicateStream {
-  /** Rejects when the stream breaks before the answer has come. */
+  /** Sends a replication and resolves with its reply. Rejects if the stream fails before the reply arrives. */
   send(message: ReplicateMessage): Promise<SlotReply>;
-  /** True once the stream has broken: it answers nothing any more. */
+  /** Returns true once the stream has failed or was closed; all later calls reject. */
   isBroken(): boolean;
+  /** Ends the stream and rejects all pending replies. */
   close(): void;
 }
 
+/** A replication whose reply is pending. */
 interface Waiting {
   readonly resolve: (reply: SlotReply) => void;
   readonly reject: (cause: Error) => void;
 }
 
 /**
- * Opens the stream.
+ * Opens a replication stream.
  *
- * @param open Opens the call: it is given the messages to send and yields the answers.
+ * @param open Starts the call with the messages to send and a signal that ends it; yields the replies.
  */
 export function openReplicateStream(
   open: (
@@ -47,7 +49,7 @@
         waiting.delete(reply.correlation);
         waiter?.resolve(decodeSlotReply(reply));
       }
-      fail(new Error("The peer ended the stream of replications."));
+      fail(new Error("The peer ended the replication stream."));
     } catch (cause) {
       fail(cause instanceof Error ? cause : new Error(String(cause)));
     }
@@ -57,7 +59,7 @@
     send: (message) =>
       new Promise((resolve, reject) => {
         if (broken) {
-          reject(new Error("The stream of replications has broken."));
+          reject(new Error("The replication stream has failed."));
           return;
         }
         correlation++;
@@ -65,16 +67,17 @@
         outgoing.push(encodeReplicate(message, correlation));
       }),
     isBroken: () => broken,
-    close: () => fail(new Error("The stream of replications was closed.")),
+    close: () => fail(new Error("The replication stream was closed.")),
   };
 }
 
+/** A queue of outgoing messages. */
 interface Outbox<T> extends AsyncIterable<T> {
   push(item: T): void;
   close(): void;
 }
 
-/** A queue that one reader empties as it can. */
+/** Creates an unbounded queue for one reader; it ends once closed, dropping what is still queued. */
 function createOutbox<T>(): Outbox<T> {
   const items: T[] = [];
   let wake: (() => void) | undefined;
--- a/src/connection/request_routes.ts
+++ b/src/connection/request_routes.ts
@@ -13,7 +13,7 @@
 
 const SECOND = 1_000;
 
-/** Adds the routes by which a caller asks for a request by its id. */
+/** Adds the routes with which a caller looks up, cancels or follows one of its requests by id. */
 export function addRequestRoutes(app: Polka, parts: EntryInstanceParts): void {
   const { requests, configuration, clock } = parts;
   const named = (request: RoutedRequest): { id: string; account: string } | undefined => {
@@ -68,7 +68,7 @@
         return;
       }
       const ending = new AbortController();
-      response.on("close", () => ending.abort(new Error("The caller has gone.")));
+      response.on("close", () => ending.abort(new Error("The caller disconnected.")));
       const fromToken = firstTokenWanted(request);
       const { account, id } = name;
       const events = requests.follow(id, { account, fromToken, signal: ending.signal });
@@ -79,7 +79,7 @@
   );
 }
 
-/** A request as its caller sees it: where it stands, and the answer once it is whole. */
+/** Returns the response body for a request: its state, and the result once it is complete. */
 function viewOf(record: RequestRecord): object {
   const { id, state, reason, detail, service, tokens, acceptedAt } = record;
   const view = { id, state, service, reason, not_run: state === RequestState.NotRun };
--- a/src/connection/route_parameter.ts
+++ b/src/connection/route_parameter.ts
@@ -1,7 +1,7 @@
 /**
- * A named part of a route's path.
+ * Returns a named parameter of a route's path.
  *
- * @returns The part, or an empty text where the path has none.
+ * @returns The first value of the parameter; an empty string if the path doesn't have it.
  */
 export function routeParameter(
   request: { params: Readonly<Record<string, string | string[]>> },
--- a/src/connection/service_routes.ts
+++ b/src/connection/service_routes.ts
@@ -13,19 +13,19 @@
 import { guarded } from "./guarded_route.ts";
 import { routeParameter } from "./route_parameter.ts";
 
-/** Methods whose calls may be sent again, as HTTP defines them, unless the caller says otherwise. */
+/** Methods that HTTP defines as idempotent: their requests are repeatable unless the caller opts out. */
 const IDEMPOTENT = new Set(["GET", "HEAD", "PUT", "DELETE", "OPTIONS"]);
 
 const METHODS = ["get", "head", "put", "delete", "post", "patch", "options"] as const;
 
-/** What a plain service answered, as the end's detail holds it. */
+/** The response of a plain service, stored as JSON in the `detail` of a completed record. */
 export const plainAnswer = z.object({
   status: z.number().int().min(100).max(599),
   type: z.string(),
   body: z.string(),
 });
 
-/** Adds the route of plain services: `/services/NAME/…` is sent to one of its backend servers. */
+/** Adds the route that forwards `/services/NAME/…` to a backend server of a plain service. */
 export function addServiceRoutes(app: Polka, parts: EntryInstanceParts): void {
   const handle = guarded(parts, async (request, response) => {
     await answerPlain(parts, { request, response, service: routeParameter(request, "service") });
@@ -45,7 +45,7 @@
     return;
   }
   const ending = new AbortController();
-  response.on("close", () => ending.abort(new Error("The caller has gone.")));
+  response.on("close", () => ending.abort(new Error("The caller disconnected.")));
   for await (const event of parts.requests.submit(submission, ending.signal)) {
     if (event.kind === "rejected") sendRejection(response, event.rejection);
     else if (event.kind === "ended") sendPlain(response, event.record);
@@ -94,7 +94,7 @@
   response.end(body);
 }
 
-/** Answers a detached request: it is accepted, and this is where to ask for it. */
+/** Sends status 202 with the id and the status URL of a request whose caller doesn't wait for it. */
 export function sendAccepted(response: ServerResponse, id: string): void {
   const url = `/v1/requests/${id}`;
   const headers = { location: url, "x-request-id": id, "preference-applied": "respond-async" };
--- a/src/connection/testing/loopback_address.ts
+++ b/src/connection/testing/loopback_address.ts
@@ -1,28 +1,32 @@
 /**
- * Loopback addresses for tests that have to know a port before anything listens there.
+ * Loopback addresses for tests that need to know a port before a process listens on it.
+ *
+ * A free port that the system picked may be taken by another process, or by an outgoing connection, before
+ * the test binds it. The test then fails because the address is in use. Here each process uses its own
+ * loopback address, so its ports are its own.
  *
  * @module
  */
 
-/** Bits of an address's part, and the greatest part. */
+/** Number of bits and maximum value of an octet of an IPv4 address. */
 const PART_BITS = 8;
 const GREATEST_PART = 255;
-/** Below the ports that the system gives to outgoing connections. */
+/** First port; it is below the range that the system uses for outgoing connections. */
 const FIRST_PORT = 10_000;
 
 let nextPort = FIRST_PORT;
 
 /**
- * Takes an `IP:PORT` where nothing listens, nor will, except what it is given to.
+ * Returns an `IP:PORT` that nothing else uses.
  *
- * Connections go out from 127.0.0.1, and no other process of the machine has this address: neither takes the port in the
- * meantime.
+ * Outgoing connections use 127.0.0.1, and no other process on the machine uses this address, so neither can
+ * take the port before the test binds it.
  */
 export function takeLoopbackAddress(): string {
   return `${loopbackOf(process.pid)}:${nextPort++}`;
 }
 
-/** The address in 127.0.0.0/8 whose other 24 bits hold the process's number, for which Linux uses up to 22. */
+/** Returns the address in 127.0.0.0/8 whose lower 24 bits are the process id, which has at most 22 on Linux. */
 function loopbackOf(processId: number): string {
   const parts = [processId >> (2 * PART_BITS), processId >> PART_BITS, processId];
   return [127, ...parts.map((part) => part & GREATEST_PART)].join(".");
--- a/src/connection/testing/loopback_address_test.ts
+++ b/src/connection/testing/loopback_address_test.ts
@@ -19,7 +19,8 @@
   return (server.address() as AddressInfo).port;
 }
 
-test("guards against an instance that can't listen, as another connection has gone out from its port", async () => {
+// Guards against a test instance that fails to bind its port because an outgoing connection already uses it.
+test("an address can be bound while an outgoing connection uses the same port", async () => {
   const target = await listen("127.0.0.1", 0);
   const [host = ""] = takeLoopbackAddress().split(":");
   for (let index = 0; index < 20; index++) {
@@ -31,7 +32,7 @@
   }
 });
 
-test("no address is given twice", () => {
+test("no address is returned twice", () => {
   const taken = Array.from({ length: 100 }, takeLoopbackAddress);
   expect(new Set(taken).size).toBe(taken.length);
 });
--- a/src/connection/testing/loopback_tls.ts
+++ b/src/connection/testing/loopback_tls.ts
@@ -1,6 +1,6 @@
 /**
- * A certificate for 127.0.0.1 that signed itself, with its key. It protects nothing: it only serves tests of
- * encrypted listeners.
+ * A self-signed certificate for 127.0.0.1 with its private key, for tests of TLS listeners only. The key is
+ * public, so it protects nothing.
  */
 export const LOOPBACK_TLS = {
   certificate: `-----BEGIN CERTIFICATE-----
--- a/src/connection/worker_connection.ts
+++ b/src/connection/worker_connection.ts
@@ -1,3 +1,12 @@
+/**
+ * A connection to a worker that carries one HTTP/1.1 exchange at a time.
+ *
+ * It distinguishes three ends of an exchange, because they decide whether a request may be sent again:
+ * complete, certainly not sent, and broken after the request may have run. A response that belongs to
+ * another request, or that is truncated by a reset, ends the exchange as broken.
+ *
+ * @module
+ */
 import { connect } from "node:net";
 import type { Socket } from "node:net";
 import type {
@@ -11,45 +20,55 @@
 import { splitAddress } from "./http_listener.ts";
 import { CONNECT_TIMEOUT, isRefusal } from "./reach_worker.ts";
 
-/** How answers are matched with requests. */
+/** The headers by which responses are matched with requests. */
 export interface AnswerMatching {
-  /** Lower-case name of the header that echoes the request's id. */
+  /** Lowercase name of the response header that echoes the request id. */
   readonly idHeader: string;
-  /** Lower-case name of the header that says that the request was not run; such an answer may lack the id. */
+  /** Lowercase name of the header that marks a request as not run; such a response may lack the id. */
   readonly notRunHeader: string;
 }
 
 /** One connection to a worker; it carries one exchange at a time. */
 export interface WorkerConnection {
-  /** Whether it can take a request now. */
+  /** Returns whether the connection can take a request now. */
   isIdle(): boolean;
-  /** Milliseconds for which it has been idle. */
+  /** Returns the milliseconds since the last exchange ended, or since the connection was opened. */
   idleFor(): number;
-  /** Milliseconds after which the worker closes it when idle, as far as the worker has said. */
+  /** The worker's idle timeout in milliseconds, from its `Keep-Alive` header; undefined if not announced. */
   readonly idleTimeout: number | undefined;
-  /** Requests that it has carried. */
+  /** Number of exchanges started on this connection. */
   readonly carried: number;
+  /**
+   * Sends a request; the connection must be idle.
+   *
+   * @param sink Receives the response and the end of the exchange.
+   */
   exchange(request: WorkerRequest, sink: ExchangeSink): Exchange;
+  /** Closes the connection; an exchange in progress ends as broken or not sent. */
   close(): void;
 }
 
-/** What a connection is made with. */
+/** Options of {@linkcode openWorkerConnection}. */
 export interface WorkerConnectionParts {
   readonly clock: Clock;
-  /** `IP:PORT`. */
+  /** Address of the worker, as `IP:PORT`. */
   readonly address: string;
   readonly matching: AnswerMatching;
-  /** Bytes came from the worker. */
+  /** Called when bytes arrive from the worker. */
   readonly heard: () => void;
-  /** An exchange is over and the connection can take another. */
+  /** Called when an exchange has ended and the connection can be reused. */
   readonly freed: () => void;
+  /** Called once, when the connection is closed. */
   readonly closed: () => void;
 }
 
 const TIMEOUT_PARAMETER = /timeout=(\d+)/;
 const MILLISECONDS = 1_000;
 
-/** Opens a connection. The first exchange may begin at once; it is written when the connection is there. */
+/**
+ * Opens a connection to a worker. The first exchange may start at once; its request is sent when the
+ * connection is established.
+ */
 export function openWorkerConnection(parts: WorkerConnectionParts): WorkerConnection {
   const { clock, matching } = parts;
   const [host, port] = splitAddress(parts.address);
@@ -77,13 +96,13 @@
     sink?.end(isConnected ? { kind: "broken", detail } : { kind: "not-sent", detail, isRefused });
   };
   const connecting = clock.after(CONNECT_TIMEOUT, () =>
-    fail(`The worker didn't accept a connection within ${CONNECT_TIMEOUT} ms.`),
+    fail(`The worker didn't accept the connection within ${CONNECT_TIMEOUT} ms.`),
   );
   const finished = (): void => {
     const sink = current;
     current = undefined;
     idleSince = clock.now();
-    // What is left of a body that the worker answered early would stand where its next request is due.
+    // If the worker responded before it read the whole body, the rest would be parsed as the next request.
     if (!mayKeep || socket.writableLength > 0) close();
     else parts.freed();
     sink?.end({ kind: "complete" });
@@ -103,7 +122,7 @@
     if (isClosed) return;
     parts.heard();
     const fault = parser.feed(bytes);
-    if (fault !== undefined) fail(`The worker sent what is no answer to the request: ${fault}.`);
+    if (fault !== undefined) fail(`The worker sent an invalid response: ${fault}.`);
   });
   socket.on("end", () => {
     if (isClosed) return;
@@ -113,7 +132,8 @@
       return;
     }
     const fault = parser.finish();
-    if (fault !== undefined) fail("The worker closed the connection before the answer was whole.");
+    if (fault !== undefined)
+      fail("The worker closed the connection before the response was complete.");
     else close();
   });
   socket.on("error", (error: NodeJS.ErrnoException) =>
@@ -127,7 +147,7 @@
     parser.expect(request.method, {
       head: (head) => {
         if (noteHead(head, request.id)) sink.head(head);
-        else fail("The worker sent the answer of another request.");
+        else fail("The worker sent the response to another request.");
       },
       data: (chunk) => {
         if (!isClosed) sink.data(chunk);
@@ -161,15 +181,15 @@
 }
 
 /**
- * Says whether a connection whose end was reported has been reset. Where the last bytes and a reset come at once,
- * Node.js reports the bytes and then an orderly end, and the reset is lost: an answer without a length would look
- * whole. The system knows better: a connection that was reset has no peer any more.
+ * Returns whether a connection for which Node.js reported an orderly end was in fact reset. If the last
+ * bytes and a reset arrive together, Node.js reports the bytes and then an orderly end. A response without a
+ * length would then look complete. The operating system reports no peer address for a reset connection.
  */
 function wasReset(socket: Socket): boolean {
   return socket.remoteAddress === undefined;
 }
 
-/** Says whether an answer belongs to the request: an answer of an earlier one may come late in its place. */
+/** Returns whether a response belongs to the request; a late one may belong to an earlier request. */
 function isAnswerTo(
   { byName }: AnswerHead,
   { id, matching }: { id: string | undefined; matching: AnswerMatching },
@@ -179,6 +199,7 @@
   return echoed === undefined ? byName.has(matching.notRunHeader) : echoed === id;
 }
 
+/** Encodes a request, with `Content-Length` if it has a body or its method usually has one. */
 function requestBytes({ method, target, headers, body }: WorkerRequest): Buffer {
   let head = `${method} ${target} HTTP/1.1\r\n`;
   for (let index = 0; index + 1 < headers.length; index += 2) {
--- a/src/connection/worker_connection_test.ts
+++ b/src/connection/worker_connection_test.ts
@@ -12,7 +12,7 @@
   for (const close of closers.splice(0)) await close();
 });
 
-/** A worker that does with each connection what the test says. */
+/** Starts a worker that handles each connection with the given function; resolves with its address. */
 function startWorker(serve: (socket: Socket) => void): Promise<string> {
   const sockets = new Set<Socket>();
   const server: Server = createServer((socket) => {
@@ -67,7 +67,7 @@
   });
 }
 
-test("an answer without a length is whole when the worker closes in an orderly way", async () => {
+test("a response without a length is complete if the worker closes in an orderly way", async () => {
   const address = await startWorker((socket) => {
     socket.once("data", () => socket.end("HTTP/1.1 200 OK\r\nX-Id: r1\r\n\r\nwhole"));
   });
@@ -76,9 +76,9 @@
   expect(body).toBe("whole");
 });
 
-// A worker crashes while it sends an answer without a length. The last bytes and the reset reach a busy instance at
-// once, and are reported to it as bytes and an orderly end. The caller would take the half for the whole.
-test("an answer without a length that is reset on the way isn't whole", async () => {
+// Guards against reporting a truncated response as complete. A worker crashes while it sends a response without
+// a length. If the last bytes and the reset reach a busy instance together, Node.js reports an orderly end.
+test("a response without a length is broken if the connection is reset", async () => {
   const thread = new Worker(
     `const { createServer } = require("node:net");
      const { parentPort } = require("node:worker_threads");
@@ -94,7 +94,7 @@
   const port = await new Promise<number>((resolve) => thread.once("message", resolve));
   const connection = connectTo(`127.0.0.1:${port}`);
   const asked = ask(connection);
-  // The instance is busy until both the bytes and the reset have come.
+  // Blocks the event loop until both the bytes and the reset have arrived.
   await new Promise((resolve) => setTimeout(resolve, 40));
   const until = performance.now() + 250;
   while (performance.now() < until);
@@ -102,7 +102,7 @@
   expect(end.kind).toBe("broken");
 });
 
-test("an answer that is cut is broken, not whole", async () => {
+test("a truncated response is broken, not complete", async () => {
   const address = await startWorker((socket) => {
     socket.once("data", () =>
       socket.end("HTTP/1.1 200 OK\r\nX-Id: r1\r\nContent-Length: 10\r\n\r\nhalf"),
@@ -111,8 +111,8 @@
   expect((await ask(connectTo(address))).end.kind).toBe("broken");
 });
 
-// The answer to an earlier request comes late, where the answer to this one is due.
-test("the answer of another request is nobody's", async () => {
+// Guards against returning the late response to an earlier request as the response to this one.
+test("the response to another request is discarded", async () => {
   const address = await startWorker((socket) => {
     socket.once("data", () =>
       socket.write("HTTP/1.1 200 OK\r\nX-Id: other\r\nContent-Length: 2\r\n\r\nno"),
@@ -123,8 +123,8 @@
   expect(status).toBeUndefined();
 });
 
-// A worker sends a second answer after a whole one. Reused, the connection would give it to the next request.
-test("a connection with bytes after a whole answer isn't used again", async () => {
+// Guards against reusing a connection on which a worker sent a second response: the next request would get it.
+test("a connection with bytes after a complete response isn't reused", async () => {
   const answer = "HTTP/1.1 200 OK\r\nX-Id: r1\r\nContent-Length: 2\r\n\r\nok";
   const address = await startWorker((socket) => {
     socket.once("data", () => socket.write(answer + answer));
@@ -137,12 +137,12 @@
   expect(connection.isIdle()).toBe(false);
 });
 
-test("a refused connection has taken no byte", async () => {
+test("an exchange on a refused connection ends as not sent", async () => {
   const { end } = await ask(connectTo("127.0.0.1:9"));
   expect(end.kind).toBe("not-sent");
 });
 
-test("an answer that says it wasn't run needs no id", async () => {
+test("a response that marks the request as not run needs no id", async () => {
   const address = await startWorker((socket) => {
     socket.once("data", () =>
       socket.write("HTTP/1.1 503 Busy\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"),
--- a/src/connection/worker_connections.ts
+++ b/src/connection/worker_connections.ts
@@ -3,27 +3,37 @@
 import { openWorkerConnection } from "./worker_connection.ts";
 import type { AnswerMatching, WorkerConnection } from "./worker_connection.ts";
 
-/** The part of the announced idle time for which a connection is reused: the rest is the way and its delay. */
+/** Fraction of the announced idle timeout within which a connection is reused; the rest allows for network delay. */
 const IDLE_PART = 0.6;
-/** The same for a request that may not run again: a close that crosses it would leave its end unknown. */
+/**
+ * The same fraction for a request that must not run twice. If the worker closes the connection while such a
+ * request is on its way, it is unknown whether the request ran.
+ */
 const IDLE_PART_ONCE = 0.3;
-/** Idle time in milliseconds that is trusted where the worker has announced none. */
+/** Maximum idle time in milliseconds for reuse if the worker announced no idle timeout. */
 const UNANNOUNCED_IDLE = 700;
+/** The same for a request that must not run twice. */
 const UNANNOUNCED_IDLE_ONCE = 200;
 /**
- * The longest idle time in milliseconds after which a connection is used for a request that may not run again,
- * whatever the worker has announced. An idle connection can go silent, or be dropped sooner than announced, and only
- * the next request on it finds out; a new connection costs a round trip.
+ * Maximum idle time in milliseconds after which a connection is reused for a request that must not run twice,
+ * whatever timeout the worker announced. An idle connection may go silent or be closed earlier than
+ * announced, and only the next request detects that. A new connection costs one round trip.
  */
 const GREATEST_IDLE_ONCE = 500;
 
+/** The connections to one worker. */
 interface Line {
-  /** The most recently used last. */
+  /** All open connections, the most recently used last. */
   readonly connections: WorkerConnection[];
+  /** When bytes last arrived from the worker, in the clock's milliseconds. */
   heardAt: number | undefined;
 }
 
-/** Makes an empty table of connections. */
+/**
+ * Creates an empty set of connection pools, one per worker.
+ *
+ * @param parts `matching` names the headers by which responses are matched with requests.
+ */
 export function createWorkerConnections(parts: {
   readonly clock: Clock;
   readonly matching: AnswerMatching;
@@ -34,7 +44,7 @@
 
   const open = ({ id, address }: WorkerPlace, line: Line): WorkerConnection => {
     opened++;
-    // Closing the last connection has taken the line out.
+    // The pool was removed if its last connection was closed before.
     lines.set(id, line);
     const connection = openWorkerConnection({
       clock,
@@ -42,7 +52,7 @@
       matching,
       heard: () => (line.heardAt = clock.now()),
       freed: () => {
-        // Most recently used last, so that it is the first to be used again and the others may age out.
+        // The most recently used connection is last and is reused first, so that the others can expire.
         remove(line.connections, connection);
         line.connections.push(connection);
       },
@@ -91,6 +101,7 @@
   };
 }
 
+/** Returns whether an idle connection may be reused, depending on whether the request is repeatable. */
 function isFresh(connection: WorkerConnection, repeatable: boolean): boolean {
   const { idleTimeout } = connection;
   const part = repeatable ? IDLE_PART : IDLE_PART_ONCE;
