--- a/src/connection/connect_peers.ts
+++ b/src/connection/connect_peers.ts
@@ -182,6 +182,6 @@
 }
 
 function peerFailure({ to, step }: { to: Member; step: string }, cause: unknown): PeerFailure {
-  const message = `The ${step} call to ${to.id} at ${to.address} failed: ${String(cause)}`;
+  const message = `Calling ${to.id} at ${to.address} failed in the ${step} call: ${String(cause)}`;
   return Object.assign(new Error(message, { cause }), { step, peer: to.id });
 }
