--- a/src/connection/datagrams.ts
+++ b/src/connection/datagrams.ts
@@ -9,7 +9,7 @@
   close(): void;
 }
 
-/** Options of {@linkcode openDatagrams}. */
+/** Options for opening a datagram socket. */
 export interface DatagramParts {
   /** Local address to bind, as `IP:PORT`. */
   readonly address: string;
