--- a/src/connection/caller_account.ts
+++ b/src/connection/caller_authentication.ts
@@ -3,7 +3,7 @@
 import { Refusal } from "../interface/index.ts";
 import type { Rejection } from "../request/index.ts";
 import type { Account, Deployment, Revision } from "../version/index.ts";
-import { bearerOf } from "./constant_time.ts";
+import { bearerToken } from "./credentials.ts";
 
 /** An authenticated caller: its request carried the key of a client account. */
 export interface Caller {
@@ -29,7 +29,7 @@
  * @param revision The configuration in force; undefined if this instance doesn't have one yet.
  * @returns The caller, or a rejection if there is no configuration or no account has the key.
  */
-export function callerOf(
+export function authenticateCaller(
   request: IncomingMessage,
   revision: Revision | undefined,
 ): Caller | Rejection {
@@ -37,13 +37,13 @@
     const detail = "This entry instance hasn't received the configuration in force yet.";
     return { reason: Refusal.CutOff, notRun: true, retryAfter: 1_000, detail };
   }
-  const key = bearerOf(request.headers.authorization);
+  const key = bearerToken(request.headers.authorization);
   const found = createHash("sha256").update(key).digest();
   const { deployment } = revision;
   let caller: Caller | undefined;
   for (const [account, settings] of Object.entries(deployment.accounts)) {
-    const same = timingSafeEqual(found, Buffer.from(settings.keySha256, "hex"));
-    if (same) caller = { account, settings, deployment };
+    const isEqual = timingSafeEqual(found, Buffer.from(settings.keySha256, "hex"));
+    if (isEqual) caller = { account, settings, deployment };
   }
   if (caller !== undefined) return caller;
   const detail =
@@ -60,7 +60,7 @@
  * @param model `MODEL` or `MODEL+ADAPTER`; empty to skip the check of the model.
  * @returns Undefined if all checks pass, otherwise the rejection.
  */
-export function serviceRefusal(
+export function checkServiceAccess(
   { account, settings, deployment }: Caller,
   { service, model, kind }: { service: string; model: string; kind: "model" | "plain" },
 ): Rejection | undefined {
@@ -76,10 +76,10 @@
     return { reason: Refusal.Forbidden, notRun: true, detail };
   }
   if (found.kind === "plain" || model === "") return undefined;
-  const known = found.models.some(({ name, adapters }) =>
+  const isKnown = found.models.some(({ name, adapters }) =>
     [name, ...adapters.map((adapter) => `${name}+${adapter}`)].includes(model),
   );
-  if (known) return undefined;
+  if (isKnown) return undefined;
   const detail = `The service ${service} has no model "${model}".`;
   return { reason: Refusal.UnknownModel, notRun: true, detail };
 }
--- a/src/connection/caller_listener.ts
+++ b/src/connection/caller_listener.ts
@@ -12,7 +12,7 @@
 }
 
 /** Limits used until a configuration was received: the platform's usual ones. */
-const FIRST_LIMITS: CallerLimits = {
+const DEFAULT_LIMITS: CallerLimits = {
   headerBytes: 16_384,
   bodyBytes: 4_194_304,
   headerTimeout: 3_000,
@@ -22,16 +22,16 @@
  * Maximum total size of the headers that Node's parser accepts, in bytes. It can't change while the
  * server listens, so it is above every configurable limit; the limit in force is checked per request.
  */
-const GREATEST_HEADER_BYTES = 131_072;
+const MAX_HEADER_BYTES = 131_072;
 /** Interval of the check for connections that exceed the header timeout, in milliseconds. */
-const CONNECTION_LOOK = 500;
+const CONNECTION_CHECK_INTERVAL = 500;
 /** HTTP status 431 (Request Header Fields Too Large). */
 const HEADERS_TOO_LARGE = 431;
 /**
  * Maximum number of connections waiting to be accepted. It is sized for a burst, because a client whose
  * connection attempt was refused comes back only seconds later.
  */
-const BACKLOG = 1_024;
+const MAX_PENDING_CONNECTIONS = 1_024;
 
 /**
  * Listens for HTTP requests of callers. The header and timeout limits follow the configuration in force.
@@ -40,13 +40,13 @@
  * @returns The listener, once it accepts connections. Rejects if the address can't be bound.
  */
 export function listenCallers(address: string, handler: CallerHandler): Promise<Listener> {
-  const limits = (): CallerLimits => handler.routing()?.limits ?? FIRST_LIMITS;
+  const limits = (): CallerLimits => handler.routing()?.limits ?? DEFAULT_LIMITS;
   const server = createServer(
     {
-      connectionsCheckingInterval: CONNECTION_LOOK,
-      headersTimeout: FIRST_LIMITS.headerTimeout,
-      keepAliveTimeout: FIRST_LIMITS.idleTimeout,
-      maxHeaderSize: GREATEST_HEADER_BYTES,
+      connectionsCheckingInterval: CONNECTION_CHECK_INTERVAL,
+      headersTimeout: DEFAULT_LIMITS.headerTimeout,
+      keepAliveTimeout: DEFAULT_LIMITS.idleTimeout,
+      maxHeaderSize: MAX_HEADER_BYTES,
       requestTimeout: 0,
       noDelay: true,
     },
@@ -65,7 +65,9 @@
   const [host, port] = splitAddress(address);
   return new Promise((resolve, reject) => {
     server.once("error", reject);
-    server.listen({ host, port, backlog: BACKLOG }, () => resolve(listenerOf(server)));
+    server.listen({ host, port, backlog: MAX_PENDING_CONNECTIONS }, () =>
+      resolve(listenerOf(server)),
+    );
   });
 }
 
--- a/src/connection/caller_refusal.ts
+++ b/src/connection/caller_refusal.ts
@@ -4,7 +4,7 @@
 import { sendJson } from "./http_body.ts";
 
 /** The HTTP status for each reason for which a request is rejected. */
-const STATUS: Readonly<Record<Refusal, number>> = {
+const HTTP_STATUSES: Readonly<Record<Refusal, number>> = {
   [Refusal.None]: 500,
   [Refusal.Unauthenticated]: 401,
   [Refusal.Forbidden]: 403,
@@ -33,14 +33,14 @@
   [Refusal.CancelledByCaller]: 409,
 };
 
-const CLIENT_FAULT = 400;
-const TOO_MANY = 429;
-const SERVER_FAULT = 500;
+const MIN_CLIENT_ERROR = 400;
+const TOO_MANY_REQUESTS = 429;
+const MIN_SERVER_ERROR = 500;
 const SECOND = 1_000;
 
 /** Returns the HTTP status for a reason. */
-export function statusOf(reason: Refusal): number {
-  return STATUS[reason];
+export function httpStatusOf(reason: Refusal): number {
+  return HTTP_STATUSES[reason];
 }
 
 /**
@@ -50,7 +50,7 @@
  * present if the request has an id.
  */
 export function errorBody(rejection: Rejection): object {
-  const status = statusOf(rejection.reason);
+  const status = httpStatusOf(rejection.reason);
   return {
     error: {
       message: rejection.detail,
@@ -64,9 +64,9 @@
 }
 
 function errorType(status: number): string {
-  if (status === TOO_MANY) return "rate_limit_error";
-  const clientFault = status >= CLIENT_FAULT && status < SERVER_FAULT;
-  return clientFault ? "invalid_request_error" : "server_error";
+  if (status === TOO_MANY_REQUESTS) return "rate_limit_error";
+  const isClientError = status >= MIN_CLIENT_ERROR && status < MIN_SERVER_ERROR;
+  return isClientError ? "invalid_request_error" : "server_error";
 }
 
 /**
@@ -83,5 +83,5 @@
   // The OpenAI clients retry on their own; a retry would run the request again under another id.
   if (!notRun) headers["x-should-retry"] = "false";
   if (reason === Refusal.TooLarge || reason === Refusal.Draining) headers["connection"] = "close";
-  sendJson(response, errorBody(rejection), { status: statusOf(reason), headers });
+  sendJson(response, errorBody(rejection), { status: httpStatusOf(reason), headers });
 }
--- a/src/connection/caller_routes.ts
+++ b/src/connection/caller_routes.ts
@@ -6,46 +6,46 @@
 import { chatRequestSchema, keyedId, splitModel } from "../request/index.ts";
 import type { ChatRequest, Rejection, Submission } from "../request/index.ts";
 import { assignmentOf } from "../version/index.ts";
-import { callerOf, isRejection, serviceRefusal } from "./caller_account.ts";
-import type { Caller } from "./caller_account.ts";
-import { callerWishes, firstTokenWanted } from "./caller_headers.ts";
+import { authenticateCaller, isRejection, checkServiceAccess } from "./caller_authentication.ts";
+import type { Caller } from "./caller_authentication.ts";
+import { parseCallerOptions, firstRequestedToken } from "./caller_headers.ts";
 import { sendRejection } from "./caller_refusal.ts";
-import { sendWholeChat, streamChat } from "./chat_answer.ts";
-import type { ChatAnswer } from "./chat_answer.ts";
-import type { EntryInstanceParts } from "./entry_parts.ts";
-import { guarded } from "./guarded_route.ts";
-import { BODY_LIMIT, readBody, sendJson } from "./http_body.ts";
+import { sendChat, streamChat } from "./chat_response.ts";
+import type { ChatFormat } from "./chat_response.ts";
+import type { CallerRouteContext } from "./route_context.ts";
+import { guardRoute } from "./guarded_route.ts";
+import { MAX_BODY_BYTES, readBody, sendJson } from "./http_body.ts";
 import { addRequestRoutes } from "./request_routes.ts";
 import { addServiceRoutes, sendAccepted } from "./service_routes.ts";
 
 const SECOND = 1_000;
 /** Characters per token, to estimate the prompt's tokens, which the engine doesn't report. */
-const TOKEN_CHARACTERS = 4;
+const CHARACTERS_PER_TOKEN = 4;
 
 /**
  * Adds the routes for callers: address resolution, the list of models, chat completions, the requests
  * of an account, and plain services.
  */
-export function addCallerRoutes(app: Polka, parts: EntryInstanceParts): void {
+export function addCallerRoutes(app: Polka, context: CallerRouteContext): void {
   app.get("/v1/resolve", (request, response) => {
-    answerResolve(parts, request, response);
+    handleResolve(context, request, response);
   });
   app.get("/v1/models", (request, response) => {
-    const caller = callerOf(request, parts.configuration.revision());
-    if (isRejection(caller)) reject(parts, response, caller);
-    else sendJson(response, { object: "list", data: modelsOf(caller) });
+    const caller = authenticateCaller(request, context.configuration.revision());
+    if (isRejection(caller)) countAndReject(context, response, caller);
+    else sendJson(response, { object: "list", data: listModels(caller) });
   });
   app.post(
     "/v1/chat/completions",
-    guarded(parts, (request, response) => answerChat(parts, request, response)),
+    guardRoute(context, (request, response) => handleChat(context, request, response)),
   );
-  addRequestRoutes(app, parts);
-  addServiceRoutes(app, parts);
+  addRequestRoutes(app, context);
+  addServiceRoutes(app, context);
 }
 
 /** Counts a rejection and sends it. */
-function reject(
-  { counters }: EntryInstanceParts,
+function countAndReject(
+  { counters }: CallerRouteContext,
   response: ServerResponse,
   rejection: Rejection,
 ): void {
@@ -53,21 +53,21 @@
   sendRejection(response, rejection);
 }
 
-function answerResolve(
-  parts: EntryInstanceParts,
+function handleResolve(
+  context: CallerRouteContext,
   request: IncomingMessage,
   response: ServerResponse,
 ): void {
-  const { members, random, requests } = parts;
+  const { members, random, requests } = context;
   const query = new URL(request.url ?? "/", "http://localhost").searchParams;
-  const caller = callerOf(request, parts.configuration.revision());
+  const caller = authenticateCaller(request, context.configuration.revision());
   const key = query.get("key");
   if (key !== null && isRejection(caller)) {
-    reject(parts, response, caller);
+    countAndReject(context, response, caller);
     return;
   }
   const account = isRejection(caller) ? "" : caller.account;
-  const owner = key === null ? undefined : ownerOfKey(parts, account, key);
+  const owner = key === null ? undefined : ownerOfKey(context, account, key);
   const load = new Map([[members.self.id, requests.inProgress()]]);
   const zone = query.get("zone");
   const view = { alive: members.alive(), owner, load, account };
@@ -76,7 +76,7 @@
 
 /** The primary of the slot of an idempotency key; undefined if it isn't a known member. */
 function ownerOfKey(
-  { configuration, members }: EntryInstanceParts,
+  { configuration, members }: CallerRouteContext,
   account: string,
   key: string,
 ): Member | undefined {
@@ -85,7 +85,7 @@
 }
 
 /** The entries of `GET /v1/models`: each service, and each of its models and adapters. */
-function modelsOf({ deployment, settings }: Caller): object[] {
+function listModels({ deployment, settings }: Caller): object[] {
   return settings.services.flatMap((name) => {
     const service = deployment.services[name];
     if (service?.kind !== "model") return [];
@@ -99,34 +99,34 @@
 }
 
 /** A validated chat completion request. */
-interface ChatCall {
+interface ParsedChatRequest {
   readonly submission: Submission;
   readonly chat: ChatRequest;
-  readonly answer: ChatAnswer;
+  readonly format: ChatFormat;
 }
 
-async function answerChat(
-  parts: EntryInstanceParts,
+async function handleChat(
+  context: CallerRouteContext,
   request: IncomingMessage,
   response: ServerResponse,
 ): Promise<void> {
-  const call = await chatCall(parts, request);
+  const call = await parseChatRequest(context, request);
   if (isRejection(call)) {
-    reject(parts, response, call);
+    countAndReject(context, response, call);
     return;
   }
-  const { submission, chat, answer } = call;
-  const ending = new AbortController();
-  response.on("close", () => ending.abort(new Error("The caller disconnected.")));
-  const events = parts.requests.submit(submission, ending.signal);
-  if (submission.detached) await answerDetached(response, events);
+  const { submission, chat, format: answer } = call;
+  const abortController = new AbortController();
+  response.on("close", () => abortController.abort(new Error("The caller disconnected.")));
+  const events = context.requests.submit(submission, abortController.signal);
+  if (submission.detached) await sendDetached(response, events);
   else if (chat.stream === true) await streamChat(response, events, answer);
-  else await sendWholeChat(response, events, answer);
+  else await sendChat(response, events, answer);
 }
 
-async function answerDetached(
+async function sendDetached(
   response: ServerResponse,
-  events: ReturnType<EntryInstanceParts["requests"]["submit"]>,
+  events: ReturnType<CallerRouteContext["requests"]["submit"]>,
 ): Promise<void> {
   for await (const event of events) {
     if (event.kind === "accepted") sendAccepted(response, event.id);
@@ -135,16 +135,16 @@
   }
 }
 
-async function chatCall(
-  parts: EntryInstanceParts,
+async function parseChatRequest(
+  context: CallerRouteContext,
   request: IncomingMessage,
-): Promise<ChatCall | Rejection> {
-  const { clock, configuration } = parts;
-  const caller = callerOf(request, configuration.revision());
+): Promise<ParsedChatRequest | Rejection> {
+  const { clock, configuration } = context;
+  const caller = authenticateCaller(request, configuration.revision());
   if (isRejection(caller)) return caller;
-  const wishes = callerWishes(request);
-  if (isRejection(wishes)) return wishes;
-  const body = await readBody(request, BODY_LIMIT, { clock });
+  const options = parseCallerOptions(request);
+  if (isRejection(options)) return options;
+  const body = await readBody(request, MAX_BODY_BYTES, { clock });
   const parsed = chatRequestSchema.safeParse(JSON.parse(body));
   if (!parsed.success) {
     const detail = parsed.error.issues
@@ -154,20 +154,20 @@
   }
   const chat = parsed.data;
   const { service, model } = splitModel(chat.model);
-  const refusal = serviceRefusal(caller, { service, model, kind: "model" });
+  const refusal = checkServiceAccess(caller, { service, model, kind: "model" });
   if (refusal !== undefined) return refusal;
   const path = "/v1/chat/completions";
   const { account } = caller;
   // A caller that sends the same key again resumes its stream after the last token it received.
-  const isResumable = chat.stream === true && wishes.key !== undefined;
-  const fromToken = isResumable ? firstTokenWanted(request) : 0;
-  const submission = { ...wishes, account, service, model, path, body, fromToken };
-  const answer: ChatAnswer = {
+  const isResumable = chat.stream === true && options.key !== undefined;
+  const fromToken = isResumable ? firstRequestedToken(request) : 0;
+  const submission = { ...options, account, service, model, path, body, fromToken };
+  const answer: ChatFormat = {
     model: chat.model,
     created: Math.floor(clock.date().getTime() / SECOND),
-    promptTokens: Math.ceil(body.length / TOKEN_CHARACTERS),
-    usage: chat.stream_options?.include_usage === true,
-    fromStart: fromToken === 0,
+    promptTokens: Math.ceil(body.length / CHARACTERS_PER_TOKEN),
+    includeUsage: chat.stream_options?.include_usage === true,
+    isFromStart: fromToken === 0,
   };
-  return { submission, chat, answer };
+  return { submission, chat, format: answer };
 }
--- a/src/connection/caller_routes_test.ts
+++ b/src/connection/caller_routes_test.ts
@@ -11,7 +11,7 @@
 import { EMPTY_SLOT_MAP } from "../version/index.ts";
 import type { Revision } from "../version/index.ts";
 import { addCallerRoutes } from "./caller_routes.ts";
-import type { EntryInstanceParts } from "./entry_parts.ts";
+import type { CallerRouteContext } from "./route_context.ts";
 import { listenHttp, splitAddress } from "./http_listener.ts";
 import type { Listener } from "./http_listener.ts";
 
@@ -22,16 +22,16 @@
 let listener: Listener;
 let clock: VirtualClock;
 let submitted: Submission[];
-let outcome: CallerEvent[];
+let events: CallerEvent[];
 let refused: Refusal[];
 
 beforeEach(async () => {
   clock = createVirtualClock();
   submitted = [];
   refused = [];
-  outcome = answerEvents(["a", "b"]);
+  events = completedEvents(["a", "b"]);
   const app = polka();
-  addCallerRoutes(app, partsOfTest());
+  addCallerRoutes(app, createTestContext());
   listener = await listenHttp("127.0.0.1:0", (request, response) => {
     app.handler(request as polka.Request, response);
   });
@@ -77,15 +77,15 @@
   const answer = await post({ body: chatBody({}), headers });
   expect(answer.status).toBe(202);
   expect(await answer.json()).toMatchObject({ id: ID, url: `/v1/requests/${ID}` });
-  const wishes = { key: "entry-17", repeatable: false, deadline: 30_000, detached: true };
-  expect(submitted).toMatchObject([{ account: "club", ...wishes }]);
+  const options = { key: "entry-17", repeatable: false, deadline: 30_000, detached: true };
+  expect(submitted).toMatchObject([{ account: "club", ...options }]);
 });
 
 test("the response of a plain service keeps its own status", async () => {
   const detail = JSON.stringify({ status: 404, type: "text/plain", body: "no such reel" });
-  outcome = [
+  events = [
     { kind: "accepted", id: ID },
-    { kind: "ended", record: record({ detail }) },
+    { kind: "ended", record: testRecord({ detail }) },
   ];
   const answer = await fetch(`http://${listener.address}/services/booking/reels/7?x=1`, {
     headers: { authorization: `Bearer ${KEY}` },
@@ -97,7 +97,7 @@
 test("a rejection has its reason, whether the request was not run, and a retry time", async () => {
   const detail = "The queue is full.";
   const rejection = { reason: Refusal.QueueFull, notRun: true, retryAfter: 1_500, detail };
-  outcome = [{ kind: "rejected", rejection }];
+  events = [{ kind: "rejected", rejection }];
   const answer = await post({ body: chatBody({}) });
   expect(answer.status).toBe(429);
   expect(answer.headers.get("retry-after")).toBe("2");
@@ -108,9 +108,9 @@
   // Guards against running and billing a request twice after its response was lost: the openai client
   // retries a 502 on its own, under a new id, unless the header forbids it.
   const lost = { state: RequestState.MayHaveRun, reason: Refusal.BackendLost };
-  outcome = [
+  events = [
     { kind: "accepted", id: ID },
-    { kind: "ended", record: record(lost) },
+    { kind: "ended", record: testRecord(lost) },
   ];
   const answer = await post({ body: chatBody({}) });
   expect(answer.status).toBe(502);
@@ -207,12 +207,12 @@
   socket.destroy();
 });
 
-interface Call {
+interface TestCall {
   readonly body?: string;
   readonly headers?: Readonly<Record<string, string>>;
 }
 
-function post({ body = chatBody({}), headers = {} }: Call): Promise<Response> {
+function post({ body = chatBody({}), headers = {} }: TestCall): Promise<Response> {
   return fetch(`http://${listener.address}/v1/chat/completions`, {
     method: "POST",
     headers: { authorization: `Bearer ${KEY}`, "content-type": "application/json", ...headers },
@@ -243,7 +243,7 @@
   });
 }
 
-function record(more: Partial<RequestRecord>): RequestRecord {
+function testRecord(more: Partial<RequestRecord>): RequestRecord {
   return {
     id: ID,
     slot: 1,
@@ -269,21 +269,21 @@
   };
 }
 
-function answerEvents(tokens: readonly string[]): CallerEvent[] {
+function completedEvents(tokens: readonly string[]): CallerEvent[] {
   return [
     { kind: "accepted", id: ID },
     ...tokens.map((text, index) => ({ kind: "token" as const, index, text })),
-    { kind: "ended", record: record({}) },
+    { kind: "ended", record: testRecord({}) },
   ];
 }
 
-function partsOfTest(): EntryInstanceParts {
+function createTestContext(): CallerRouteContext {
   const unknown = { reason: Refusal.UnknownRequest, notRun: false, detail: "none" };
   const requests = {
     submit: async function* (submission: Submission) {
       submitted.push(submission);
       await Promise.resolve();
-      yield* outcome;
+      yield* events;
     },
     find: () => Promise.resolve(unknown),
     inProgress: () => 0,
@@ -304,11 +304,11 @@
       self: SELF,
       alive: () => [SELF],
       find: () => SELF,
-    } as unknown as EntryInstanceParts["members"],
-    workers: {} as EntryInstanceParts["workers"],
+    } as unknown as CallerRouteContext["members"],
+    workers: {} as CallerRouteContext["workers"],
     counters: {
       refused: (reason: Refusal) => refused.push(reason),
-    } as unknown as EntryInstanceParts["counters"],
+    } as unknown as CallerRouteContext["counters"],
     operatorKey: "",
   };
 }
--- a/src/connection/chat_answer.ts
+++ b/src/connection/chat_response.ts
@@ -7,7 +7,7 @@
 import { sendJson } from "./http_body.ts";
 
 /** Options for the format of a chat completion response. */
-export interface ChatAnswer {
+export interface ChatFormat {
   /** The model, as named in the request. */
   readonly model: string;
   /** Creation time, in seconds since the Unix epoch. */
@@ -15,9 +15,9 @@
   /** Number of tokens of the prompt, reported in the usage. */
   readonly promptTokens: number;
   /** Whether the last chunk of a stream reports the usage. */
-  readonly usage: boolean;
+  readonly includeUsage: boolean;
   /** Whether a stream starts with the chunk that has the role; false for a resumed stream. */
-  readonly fromStart: boolean;
+  readonly isFromStart: boolean;
 }
 
 /**
@@ -27,9 +27,9 @@
 export async function streamChat(
   response: ServerResponse,
   events: AsyncIterable<CallerEvent>,
-  answer: ChatAnswer,
+  format: ChatFormat,
 ): Promise<void> {
-  let chunk = chunkFormat("", answer);
+  let formatChunk = createChunkFormatter("", format);
   let tokens = 0;
   for await (const event of events) {
     switch (event.kind) {
@@ -38,26 +38,26 @@
         else response.end(`data: ${JSON.stringify(errorBody(event.rejection))}\n\n`);
         return;
       case "accepted":
-        chunk = chunkFormat(event.id, answer);
-        beginStream(response, event.id);
-        if (answer.fromStart)
-          response.write(`data: ${chunk('{"role":"assistant","content":""}')}\n\n`);
+        formatChunk = createChunkFormatter(event.id, format);
+        startStream(response, event.id);
+        if (format.isFromStart)
+          response.write(`data: ${formatChunk('{"role":"assistant","content":""}')}\n\n`);
         break;
       case "token": {
         tokens = event.index + 1;
-        const data = chunk(`{"content":${JSON.stringify(event.text)}}`);
-        const room = writeSoon(response, `id: ${event.index}\ndata: ${data}\n\n`);
-        if (!room && !response.destroyed) await roomOrEnd(response);
+        const data = formatChunk(`{"content":${JSON.stringify(event.text)}}`);
+        const hasRoom = writeBatched(response, `id: ${event.index}\ndata: ${data}\n\n`);
+        if (!hasRoom && !response.destroyed) await waitForDrain(response);
         break;
       }
       case "ended":
-        endStream(response, event.record, { chunk, answer, tokens });
+        endStream(response, event.record, { formatChunk, format, tokens });
         return;
     }
   }
 }
 
-function beginStream(response: ServerResponse, id: string): void {
+function startStream(response: ServerResponse, id: string): void {
   response.writeHead(200, {
     "content-type": "text/event-stream",
     "cache-control": "no-store",
@@ -71,7 +71,7 @@
  *
  * @returns False if the response's buffer is full.
  */
-function writeSoon(response: ServerResponse, text: string): boolean {
+function writeBatched(response: ServerResponse, text: string): boolean {
   if (response.writableCorked === 0) {
     response.cork();
     setImmediate(() => response.uncork());
@@ -80,26 +80,26 @@
 }
 
 /** Waits until the caller has read the buffered data or disconnected, so that a slow one uses little memory. */
-async function roomOrEnd(response: ServerResponse): Promise<void> {
-  const ending = new AbortController();
-  const { signal } = ending;
+async function waitForDrain(response: ServerResponse): Promise<void> {
+  const abortController = new AbortController();
+  const { signal } = abortController;
   response.uncork();
   await Promise.race([
     once(response, "drain", { signal }),
     once(response, "close", { signal }),
   ]).catch(() => undefined);
-  ending.abort();
+  abortController.abort();
 }
 
-type ChunkFormat = (delta: string, finish?: string) => string;
+type ChunkFormatter = (delta: string, finish?: string) => string;
 
 /** Formats the constant part of the chunks once; only the token differs between them. */
-function chunkFormat(id: string, { model, created }: ChatAnswer): ChunkFormat {
+function createChunkFormatter(id: string, { model, created }: ChatFormat): ChunkFormatter {
   const head = JSON.stringify({ id, object: "chat.completion.chunk", created, model });
-  const begin = `${head.slice(0, -1)},"choices":[{"index":0,"delta":`;
+  const prefix = `${head.slice(0, -1)},"choices":[{"index":0,"delta":`;
   return (delta, finish) => {
     const reason = finish === undefined ? "null" : JSON.stringify(finish);
-    return `${begin}${delta},"finish_reason":${reason}}]}`;
+    return `${prefix}${delta},"finish_reason":${reason}}]}`;
   };
 }
 
@@ -107,28 +107,32 @@
 function endStream(
   response: ServerResponse,
   record: RequestRecord,
-  { chunk, answer, tokens }: { chunk: ChunkFormat; answer: ChatAnswer; tokens: number },
+  {
+    formatChunk,
+    format,
+    tokens,
+  }: { formatChunk: ChunkFormatter; format: ChatFormat; tokens: number },
 ): void {
   if (record.state !== RequestState.Complete) {
-    response.end(`data: ${JSON.stringify(errorBody(rejectionOf(record)))}\n\n`);
+    response.end(`data: ${JSON.stringify(errorBody(rejectionFromRecord(record)))}\n\n`);
     return;
   }
-  response.write(`data: ${chunk("{}", record.detail)}\n\n`);
-  if (answer.usage) {
-    const { created, model, promptTokens } = answer;
-    const usage = usageOf(promptTokens, tokens);
+  response.write(`data: ${formatChunk("{}", record.detail)}\n\n`);
+  if (format.includeUsage) {
+    const { created, model, promptTokens } = format;
+    const usage = usageBody(promptTokens, tokens);
     const object = "chat.completion.chunk";
-    const last = { id: record.id, object, created, model, choices: [], usage };
-    response.write(`data: ${JSON.stringify(last)}\n\n`);
+    const lastChunk = { id: record.id, object, created, model, choices: [], usage };
+    response.write(`data: ${JSON.stringify(lastChunk)}\n\n`);
   }
   response.end("data: [DONE]\n\n");
 }
 
 /** Sends a chat completion as one JSON response, once the request has ended. */
-export async function sendWholeChat(
+export async function sendChat(
   response: ServerResponse,
   events: AsyncIterable<CallerEvent>,
-  answer: ChatAnswer,
+  format: ChatFormat,
 ): Promise<void> {
   const tokens: string[] = [];
   for await (const event of events) {
@@ -140,18 +144,18 @@
     if (event.kind !== "ended") continue;
     const { record, retryAfter } = event;
     if (record.state !== RequestState.Complete) {
-      sendRejection(response, rejectionOf(record, retryAfter));
+      sendRejection(response, rejectionFromRecord(record, retryAfter));
       return;
     }
     const headers = { "x-request-id": record.id };
-    sendJson(response, wholeChat({ ...record, tokens }, answer), { headers });
+    sendJson(response, completionBody({ ...record, tokens }, format), { headers });
     return;
   }
 }
 
 /** Returns a chat completion in the format of the OpenAI API. */
-export function wholeChat(record: RequestRecord, answer: ChatAnswer): object {
-  const { created, model, promptTokens } = answer;
+export function completionBody(record: RequestRecord, format: ChatFormat): object {
+  const { created, model, promptTokens } = format;
   const message = { role: "assistant", content: record.tokens.join(""), refusal: null };
   return {
     id: record.id,
@@ -159,11 +163,11 @@
     created,
     model,
     choices: [{ index: 0, message, finish_reason: record.detail, logprobs: null }],
-    usage: usageOf(promptTokens, record.tokens.length),
+    usage: usageBody(promptTokens, record.tokens.length),
   };
 }
 
-function usageOf(prompt: number, completion: number): object {
+function usageBody(prompt: number, completion: number): object {
   return {
     prompt_tokens: prompt,
     completion_tokens: completion,
@@ -176,7 +180,7 @@
  *
  * @param retryAfter Milliseconds after which a retry may succeed, if known.
  */
-export function rejectionOf(record: RequestRecord, retryAfter?: number): Rejection {
+export function rejectionFromRecord(record: RequestRecord, retryAfter?: number): Rejection {
   const { id, reason, detail, state } = record;
   return {
     id,
--- a/src/connection/constant_time.ts
+++ b/src/connection/credentials.ts
@@ -13,6 +13,6 @@
 }
 
 /** Returns the token of an `Authorization: Bearer …` header, or an empty string without one. */
-export function bearerOf(header: string | null | undefined): string {
+export function bearerToken(header: string | null | undefined): string {
   return /^Bearer (.+)$/i.exec(header ?? "")?.[1] ?? "";
 }
--- a/src/connection/enum_code.ts
+++ b/src/connection/enum_codec.ts
@@ -6,7 +6,7 @@
  * @param value The value to encode.
  * @returns The index.
  */
-export function enumCode<T>(values: readonly T[], value: T): number {
+export function encodeEnum<T>(values: readonly T[], value: T): number {
   return values.indexOf(value);
 }
 
@@ -18,7 +18,7 @@
  * @returns The value.
  * @throws {RangeError} If no value has this index, which happens if the sender runs a newer release.
  */
-export function enumValue<T>(values: readonly T[], code: number): T {
+export function decodeEnum<T>(values: readonly T[], code: number): T {
   const value = values[code];
   if (value === undefined) {
     throw new RangeError(`Decoding an enum: found ${code}, expected less than ${values.length}.`);
--- a/src/connection/event_stream.ts
+++ b/src/connection/event_stream.ts
@@ -9,27 +9,27 @@
  * @param options `failure` wraps an error of the stream or of `parse` into the error that is thrown.
  * @returns The values, in order.
  */
-export function eventValues<T>(
+export function parseEvents<T>(
   chunks: AsyncIterable<Uint8Array>,
   parse: (data: string) => T,
   options: { failure?: (cause: unknown) => Error } = {},
 ): AsyncIterableIterator<T> {
   const decoder = new TextDecoder();
   const source = chunks[Symbol.asyncIterator]();
-  let ready: T[] = [];
-  let taken = 0;
-  let rest = "";
-  const take = (chunk: Uint8Array): void => {
-    const events = (rest + decoder.decode(chunk, { stream: true })).split("\n\n");
-    rest = events.pop() ?? "";
-    ready = [];
-    taken = 0;
+  let values: T[] = [];
+  let nextIndex = 0;
+  let partial = "";
+  const parseChunk = (chunk: Uint8Array): void => {
+    const events = (partial + decoder.decode(chunk, { stream: true })).split("\n\n");
+    partial = events.pop() ?? "";
+    values = [];
+    nextIndex = 0;
     for (const event of events) {
-      const data = dataOf(event);
-      if (data !== undefined) ready.push(parse(data));
+      const data = dataOfEvent(event);
+      if (data !== undefined) values.push(parse(data));
     }
   };
-  const more = async (): Promise<IteratorResult<T>> => {
+  const readMore = async (): Promise<IteratorResult<T>> => {
     try {
       return await nextChunk();
     } catch (error) {
@@ -40,14 +40,14 @@
     for (;;) {
       const next = await source.next();
       if (next.done === true) return { value: undefined, done: true };
-      take(next.value);
-      if (ready.length > 0) return { value: ready[taken++] as T, done: false };
+      parseChunk(next.value);
+      if (values.length > 0) return { value: values[nextIndex++] as T, done: false };
     }
   };
   const iterator: AsyncIterableIterator<T> = {
     next: () => {
-      if (taken === ready.length) return more();
-      return Promise.resolve({ value: ready[taken++] as T, done: false });
+      if (nextIndex === values.length) return readMore();
+      return Promise.resolve({ value: values[nextIndex++] as T, done: false });
     },
     return: async () => {
       await source.return?.();
@@ -60,16 +60,16 @@
 
 /** Returns the data of each event of a server-sent event stream as a string. */
 export function eventData(chunks: AsyncIterable<Uint8Array>): AsyncIterableIterator<string> {
-  return eventValues(chunks, (data) => data);
+  return parseEvents(chunks, (data) => data);
 }
 
-const FIELD = "data:";
+const DATA_PREFIX = "data:";
 
-function dataOf(event: string): string | undefined {
+function dataOfEvent(event: string): string | undefined {
   // Fast path: nearly every event has a single line.
-  if (event.startsWith(FIELD) && !event.includes("\n"))
-    return event.slice(FIELD.length).trimStart();
-  const lines = event.split("\n").filter((line) => line.startsWith(FIELD));
+  if (event.startsWith(DATA_PREFIX) && !event.includes("\n"))
+    return event.slice(DATA_PREFIX.length).trimStart();
+  const lines = event.split("\n").filter((line) => line.startsWith(DATA_PREFIX));
   if (lines.length === 0) return undefined;
-  return lines.map((line) => line.slice(FIELD.length).trimStart()).join("\n");
+  return lines.map((line) => line.slice(DATA_PREFIX.length).trimStart()).join("\n");
 }
--- a/src/connection/guarded_route.ts
+++ b/src/connection/guarded_route.ts
@@ -2,28 +2,28 @@
 import { Refusal } from "../interface/index.ts";
 import type { Rejection } from "../request/index.ts";
 import { sendRejection } from "./caller_refusal.ts";
-import type { EntryInstanceParts } from "./entry_parts.ts";
+import type { CallerRouteContext } from "./route_context.ts";
 import { BodyTooLarge, BodyTooSlow } from "./http_body.ts";
 
 /** A request with the parameters of its route's path. */
-export type RoutedRequest = IncomingMessage & {
+export type ParameterizedRequest = IncomingMessage & {
   params: Readonly<Record<string, string | string[]>>;
 };
 
-type Route = (request: RoutedRequest, response: ServerResponse) => Promise<void>;
+type Route = (request: ParameterizedRequest, response: ServerResponse) => Promise<void>;
 
 /**
  * Wraps a route so that an error in it is counted and sent to the caller as a typed error response. If the
  * headers were already sent, the connection is closed instead. Without the wrapper, an error in an
  * asynchronous route would leave the caller without a response and end the process.
  */
-export function guarded(parts: Pick<EntryInstanceParts, "counters">, route: Route): Route {
+export function guardRoute(context: Pick<CallerRouteContext, "counters">, route: Route): Route {
   return async (request, response) => {
     try {
       await route(request, response);
     } catch (error) {
-      const rejection = rejectionFor(error);
-      parts.counters.refused(rejection.reason);
+      const rejection = rejectionFromError(error);
+      context.counters.refused(rejection.reason);
       if (response.headersSent) response.destroy();
       else sendRejection(response, rejection);
       // The rest of a body that timed out is not read.
@@ -32,7 +32,7 @@
   };
 }
 
-function rejectionFor(error: unknown): Rejection {
+function rejectionFromError(error: unknown): Rejection {
   const detail = error instanceof Error ? error.message : String(error);
   if (error instanceof BodyTooLarge) return { reason: Refusal.TooLarge, notRun: true, detail };
   if (error instanceof BodyTooSlow) return { reason: Refusal.BadRequest, notRun: true, detail };
--- a/src/connection/http_body.ts
+++ b/src/connection/http_body.ts
@@ -2,9 +2,9 @@
 import type { Clock, Timer } from "../interface/index.ts";
 
 /** Maximum size of the body of a caller's request, in bytes. */
-export const BODY_LIMIT = 4_000_000;
+export const MAX_BODY_BYTES = 4_000_000;
 /** Timeout for receiving a whole request body, in milliseconds. */
-const BODY_TIME = 30_000;
+const BODY_TIMEOUT = 30_000;
 
 /** Thrown if a body exceeds its size limit. */
 export class BodyTooLarge extends Error {
@@ -20,7 +20,7 @@
  * Reads the body of a request.
  *
  * @param message The request.
- * @param most Maximum size of the body, in bytes.
+ * @param maxBytes Maximum size of the body, in bytes.
  * @param options With a clock, reading times out after 30 seconds; without one, never.
  * @returns The body, decoded as UTF-8.
  * @throws {BodyTooLarge} As soon as more than the maximum number of bytes were received.
@@ -28,29 +28,30 @@
  */
 export async function readBody(
   message: IncomingMessage,
-  most: number,
+  maxBytes: number,
   options: { clock?: Clock } = {},
 ): Promise<string> {
   let timer: Timer | undefined;
   // The connection stays open so that the error response can be sent; it is closed after that.
-  const tooSlow = new Promise<never>((_resolve, reject) => {
-    timer = options.clock?.after(BODY_TIME, () => {
-      reject(new BodyTooSlow(`The body wasn't received within ${BODY_TIME} ms.`));
+  const timeout = new Promise<never>((_resolve, reject) => {
+    timer = options.clock?.after(BODY_TIMEOUT, () => {
+      reject(new BodyTooSlow(`The body wasn't received within ${BODY_TIMEOUT} ms.`));
     });
   });
   try {
-    return await Promise.race([readAll(message, most), tooSlow]);
+    return await Promise.race([readAll(message, maxBytes), timeout]);
   } finally {
     timer?.close();
   }
 }
 
-async function readAll(message: IncomingMessage, most: number): Promise<string> {
+async function readAll(message: IncomingMessage, maxBytes: number): Promise<string> {
   const chunks: Buffer[] = [];
   let size = 0;
   for await (const chunk of message as AsyncIterable<Buffer>) {
     size += chunk.length;
-    if (size > most) throw new BodyTooLarge(`The body is larger than the limit of ${most} bytes.`);
+    if (size > maxBytes)
+      throw new BodyTooLarge(`The body is larger than the limit of ${maxBytes} bytes.`);
     chunks.push(chunk);
   }
   return Buffer.concat(chunks).toString("utf8");
--- a/src/connection/http_cloud.ts
+++ b/src/connection/http_cloud.ts
@@ -2,13 +2,13 @@
 import { z } from "zod";
 import type { Cloud, Launch, LaunchOutcome } from "../interface/index.ts";
 
-const launchOutcome: z.ZodType<LaunchOutcome> = z.discriminatedUnion("kind", [
+const launchOutcomeSchema: z.ZodType<LaunchOutcome> = z.discriminatedUnion("kind", [
   z.object({ kind: z.literal("launched"), instance: z.string() }),
   z.object({ kind: z.literal("refused"), reason: z.string() }),
   z.object({ kind: z.literal("unknown"), detail: z.string() }),
 ]);
 
-const notices = z.array(z.object({ instance: z.string(), within: z.number() }));
+const noticesSchema = z.array(z.object({ instance: z.string(), within: z.number() }));
 
 /** Timeout of a call, in milliseconds; after it the response counts as lost. */
 const CALL_TIMEOUT = 5_000;
@@ -28,21 +28,23 @@
     path: string,
     body?: unknown,
   ): Promise<{ status: number; body: unknown }> => {
-    const answer = await pool.request({
+    const response = await pool.request({
       method,
       path,
       headers: { "content-type": "application/json" },
       ...(body === undefined ? {} : { body: JSON.stringify(body) }),
       signal: AbortSignal.timeout(CALL_TIMEOUT),
     });
-    return { status: answer.statusCode, body: await answer.body.json() };
+    return { status: response.statusCode, body: await response.body.json() };
   };
-  const launch = async (wanted: Launch): Promise<LaunchOutcome> => {
+  const launch = async (launchRequest: Launch): Promise<LaunchOutcome> => {
     try {
-      return launchOutcome.parse((await call("POST", "/cloud/instances", wanted)).body);
+      return launchOutcomeSchema.parse(
+        (await call("POST", "/cloud/instances", launchRequest)).body,
+      );
     } catch (error) {
       // The instance may have been launched. A retry with the same token returns that instance.
-      const detail = `Launching ${wanted.token} failed without a response: ${String(error)}.`;
+      const detail = `Launching ${launchRequest.token} failed without a response: ${String(error)}.`;
       return { kind: "unknown", detail };
     }
   };
@@ -54,7 +56,7 @@
         throw new Error(`Terminating ${instance} failed with status ${status}.`);
       }
     },
-    notices: async () => notices.parse((await call("GET", "/cloud/notices")).body),
+    notices: async () => noticesSchema.parse((await call("GET", "/cloud/notices")).body),
     close: () => void pool.destroy(),
   };
 }
--- a/src/connection/http_engine.ts
+++ b/src/connection/http_engine.ts
@@ -10,9 +10,9 @@
   Order,
   Worker,
 } from "../interface/index.ts";
-import { eventValues } from "./event_stream.ts";
+import { parseEvents } from "./event_stream.ts";
 
-const engineEvent: z.ZodType<EngineEvent> = z.discriminatedUnion("kind", [
+const engineEventSchema: z.ZodType<EngineEvent> = z.discriminatedUnion("kind", [
   z.object({ kind: z.literal("started"), recomputed: z.number(), cached: z.number() }),
   z.object({ kind: z.literal("token"), index: z.number().int(), text: z.string() }),
   z.object({
@@ -23,7 +23,7 @@
   z.object({ kind: z.literal("status"), status: z.number(), body: z.string() }),
 ]);
 
-const loadReport = z.object({
+const loadReportSchema = z.object({
   worker: z.string(),
   takenAt: z.number(),
   running: z.number(),
@@ -45,28 +45,33 @@
   const agent = new Agent({ connections: 256, headersTimeout: 0, bodyTimeout: 0 });
   const call = async (worker: Worker, path: string, body: unknown): Promise<unknown> => {
     try {
-      const answer = await request(`${worker.address}${path}`, {
+      const response = await request(`${worker.address}${path}`, {
         method: "POST",
         dispatcher: agent,
         headers: { "content-type": "application/json" },
         body: JSON.stringify(body),
         signal: AbortSignal.timeout(CALL_TIMEOUT),
       });
-      const answered: unknown = await answer.body.json();
+      const result: unknown = await response.body.json();
       // Otherwise a rejected order would count as accepted and the worker would silently stay unchanged.
-      if (answer.statusCode >= 400) throw new Error(`Status ${answer.statusCode}`);
-      return answered;
+      if (response.statusCode >= 400) throw new Error(`Status ${response.statusCode}`);
+      return result;
     } catch (error) {
-      throw engineFailure("order", worker, error);
+      throw createEngineFailure("order", worker, error);
     }
   };
   return {
     run: (worker, dispatch, signal) =>
       dispatch.path.startsWith("/")
-        ? events(agent, { worker, path: "/engine/run", body: dispatch, signal })
-        : plainCall(agent, { worker, dispatch, signal }),
+        ? createEventIterator(agent, { worker, path: "/engine/run", body: dispatch, signal })
+        : callPlainService(agent, { worker, dispatch, signal }),
     attach: (worker, id, { fromToken, signal }) =>
-      events(agent, { worker, path: "/engine/attach", body: { id, fromToken }, signal }),
+      createEventIterator(agent, {
+        worker,
+        path: "/engine/attach",
+        body: { id, fromToken },
+        signal,
+      }),
     cancel: async (worker, id) => {
       await call(worker, "/engine/cancel", { id });
     },
@@ -77,7 +82,7 @@
     exportCache: async (worker, id) =>
       z.object({ cache: z.string() }).parse(await call(worker, "/engine/export", { id })).cache,
     report: async (worker): Promise<LoadReport> =>
-      loadReport.parse(await call(worker, "/engine/report", {})),
+      loadReportSchema.parse(await call(worker, "/engine/report", {})),
     order: async (worker, order: Order) => {
       await call(worker, "/engine/order", order);
     },
@@ -87,12 +92,12 @@
 
 /** Parses an event. Nearly all are tokens, which are checked by hand; the others use the schema. */
 function parseEvent(data: string): EngineEvent {
-  const found = JSON.parse(data) as Partial<EngineEvent> | null;
-  if (found?.kind === "token") {
-    const { index, text } = found;
-    if (typeof text === "string" && Number.isSafeInteger(index)) return found as EngineEvent;
+  const parsed = JSON.parse(data) as Partial<EngineEvent> | null;
+  if (parsed?.kind === "token") {
+    const { index, text } = parsed;
+    if (typeof text === "string" && Number.isSafeInteger(index)) return parsed as EngineEvent;
   }
-  return engineEvent.parse(found);
+  return engineEventSchema.parse(parsed);
 }
 
 /** A call whose response is an event stream. */
@@ -104,14 +109,14 @@
 }
 
 /** Returns the events of a call; the request is sent when the first event is requested. */
-function events(agent: Agent, call: EventCall): AsyncIterableIterator<EngineEvent> {
+function createEventIterator(agent: Agent, call: EventCall): AsyncIterableIterator<EngineEvent> {
   let stream: AsyncIterableIterator<EngineEvent> | undefined;
-  const begin = async (): Promise<IteratorResult<EngineEvent>> => {
+  const open = async (): Promise<IteratorResult<EngineEvent>> => {
     stream = await openEvents(agent, call);
     return stream.next();
   };
   const iterator: AsyncIterableIterator<EngineEvent> = {
-    next: () => stream?.next() ?? begin(),
+    next: () => stream?.next() ?? open(),
     return: async () => {
       await stream?.return?.();
       return { value: undefined, done: true };
@@ -126,24 +131,24 @@
   { worker, path, body, signal }: EventCall,
 ): Promise<AsyncIterableIterator<EngineEvent>> {
   try {
-    const answer = await request(`${worker.address}${path}`, {
+    const response = await request(`${worker.address}${path}`, {
       method: "POST",
       dispatcher: agent,
       headers: { "content-type": "application/json" },
       body: JSON.stringify(body),
       signal,
     });
-    if (answer.statusCode !== 200) {
-      return statusOnly(answer.statusCode, await answer.body.text());
+    if (response.statusCode !== 200) {
+      return statusEvent(response.statusCode, await response.body.text());
     }
-    const failure = (cause: unknown): EngineFailure => engineFailure("stream", worker, cause);
-    return eventValues(answer.body, parseEvent, { failure });
+    const failure = (cause: unknown): EngineFailure => createEngineFailure("stream", worker, cause);
+    return parseEvents(response.body, parseEvent, { failure });
   } catch (error) {
-    throw engineFailure("connect", worker, error);
+    throw createEngineFailure("connect", worker, error);
   }
 }
 
-async function* statusOnly(status: number, body: string): AsyncGenerator<EngineEvent> {
+async function* statusEvent(status: number, body: string): AsyncGenerator<EngineEvent> {
   await Promise.resolve();
   yield { kind: "status", status, body };
 }
@@ -159,14 +164,14 @@
  * Calls a plain service with an ordinary HTTP request. The service's status is part of the result, even if
  * it is an error. The request id is sent along, so that the service can discard duplicates.
  */
-async function* plainCall(
+async function* callPlainService(
   agent: Agent,
   { worker, dispatch, signal }: PlainCall,
 ): AsyncGenerator<EngineEvent> {
   const [method = "GET", path = "/"] = dispatch.path.split(" ", 2);
   yield { kind: "started", recomputed: 0, cached: 0 };
   try {
-    const answer = await request(`${worker.address}${path}`, {
+    const response = await request(`${worker.address}${path}`, {
       method: method,
       dispatcher: agent,
       headers: {
@@ -177,22 +182,26 @@
       ...(dispatch.body === "" ? {} : { body: dispatch.body }),
       signal,
     });
-    const type = answer.headers["content-type"];
-    const found = { status: answer.statusCode, type: typeof type === "string" ? type : "" };
-    const body = JSON.stringify({ ...found, body: await answer.body.text() });
+    const type = response.headers["content-type"];
+    const head = { status: response.statusCode, type: typeof type === "string" ? type : "" };
+    const body = JSON.stringify({ ...head, body: await response.body.text() });
     yield { kind: "finished", reason: "stop", body };
   } catch (error) {
-    throw engineFailure("connect", worker, error);
+    throw createEngineFailure("connect", worker, error);
   }
 }
 
-function engineFailure(step: EngineFailure["step"], worker: Worker, cause: unknown): EngineFailure {
+function createEngineFailure(
+  step: EngineFailure["step"],
+  worker: Worker,
+  cause: unknown,
+): EngineFailure {
   const message = `The call to ${worker.id} at ${worker.address} failed at the step "${step}": ${String(cause)}.`;
   // Only a refused connection proves that no byte of the request was sent.
-  const notSent = step === "connect" && isRefusal(cause);
+  const notSent = step === "connect" && isConnectionRefused(cause);
   return Object.assign(new Error(message, { cause }), { step, peer: worker.id, notSent });
 }
 
-function isRefusal(cause: unknown): boolean {
+function isConnectionRefused(cause: unknown): boolean {
   return cause instanceof Error && "code" in cause && cause.code === "ECONNREFUSED";
 }
--- a/src/connection/http_instance_list.ts
+++ b/src/connection/http_instance_list.ts
@@ -9,8 +9,8 @@
 export function createHttpInstanceList(address: string): InstanceList {
   return {
     workers: async () => {
-      const answer = await request(`http://${address}/instances`);
-      return (await answer.body.json()) as readonly Worker[];
+      const response = await request(`http://${address}/instances`);
+      return (await response.body.json()) as readonly Worker[];
     },
   };
 }
--- a/src/connection/http_listener.ts
+++ b/src/connection/http_listener.ts
@@ -36,13 +36,13 @@
   handle: RequestListener,
   { tls }: { tls?: Certificate | undefined } = {},
 ): Promise<Listener> {
-  const bounds = {
+  const limits = {
     headersTimeout: HEADERS_TIMEOUT,
     maxHeaderSize: MAX_HEADER_SIZE,
     requestTimeout: 0,
   };
   const server =
-    tls === undefined ? createServer(bounds, handle) : await secureServer({ bounds, tls, handle });
+    tls === undefined ? createServer(limits, handle) : await secureServer({ limits, tls, handle });
   const [host, port] = splitAddress(address);
   return new Promise((resolve, reject) => {
     server.once("error", reject);
@@ -54,13 +54,13 @@
 
 /** Creates an HTTPS server. The TLS modules are loaded on demand: they take 5% of the start of an instance without TLS. */
 async function secureServer(parts: {
-  bounds: { headersTimeout: number; maxHeaderSize: number; requestTimeout: number };
+  limits: { headersTimeout: number; maxHeaderSize: number; requestTimeout: number };
   tls: Certificate;
   handle: RequestListener;
 }): Promise<Server> {
   const { createServer: createSecureServer } = await import("node:https");
-  const { bounds, tls, handle } = parts;
-  return createSecureServer({ ...bounds, cert: tls.certificate, key: tls.key }, handle);
+  const { limits, tls, handle } = parts;
+  return createSecureServer({ ...limits, cert: tls.certificate, key: tls.key }, handle);
 }
 
 /** Returns the {@linkcode Listener} of a server that is already listening. */
--- a/src/connection/http_object_store.ts
+++ b/src/connection/http_object_store.ts
@@ -2,8 +2,12 @@
 import { z } from "zod";
 import type { GetOutcome, ObjectStore, PutOutcome, StoredObject } from "../interface/index.ts";
 
-const stored = z.object({ key: z.string(), version: z.number().int(), value: z.string() });
-const written = z.object({ version: z.number().int() });
+const storedObjectSchema = z.object({
+  key: z.string(),
+  version: z.number().int(),
+  value: z.string(),
+});
+const writeResultSchema = z.object({ version: z.number().int() });
 
 /** Timeout of a read or a write, in milliseconds; after it the response counts as lost. */
 const CALL_TIMEOUT = 2_000;
@@ -31,17 +35,18 @@
 async function getObject(pool: Pool, key: string): Promise<GetOutcome> {
   try {
     const path = `/objects/${encodeURIComponent(key)}`;
-    const answer = await pool.request({
+    const response = await pool.request({
       method: "GET",
       path,
       signal: AbortSignal.timeout(CALL_TIMEOUT),
     });
-    const body = await answer.body.text();
-    if (answer.statusCode === 404) return { kind: "absent" };
-    if (answer.statusCode === 200) return { kind: "found", object: stored.parse(JSON.parse(body)) };
+    const body = await response.body.text();
+    if (response.statusCode === 404) return { kind: "absent" };
+    if (response.statusCode === 200)
+      return { kind: "found", object: storedObjectSchema.parse(JSON.parse(body)) };
     return {
       kind: "unavailable",
-      detail: `Reading ${key} failed with status ${answer.statusCode}.`,
+      detail: `Reading ${key} failed with status ${response.statusCode}.`,
     };
   } catch (error) {
     return {
@@ -56,20 +61,20 @@
   write: { key: string; value: string; expect: number },
 ): Promise<PutOutcome> {
   try {
-    const answer = await pool.request({
+    const response = await pool.request({
       method: "PUT",
       path: `/objects/${encodeURIComponent(write.key)}`,
       headers: { "if-match": String(write.expect) },
       body: write.value,
       signal: AbortSignal.timeout(CALL_TIMEOUT),
     });
-    const body = await answer.body.text();
-    if (answer.statusCode === 200) {
-      return { kind: "written", version: written.parse(JSON.parse(body)).version };
+    const body = await response.body.text();
+    if (response.statusCode === 200) {
+      return { kind: "written", version: writeResultSchema.parse(JSON.parse(body)).version };
     }
-    if (answer.statusCode === 412) return conflictOf(body);
-    const detail = `Writing ${write.key} failed with status ${answer.statusCode}.`;
-    return answer.statusCode === 503 || answer.statusCode === 429
+    if (response.statusCode === 412) return parseConflict(body);
+    const detail = `Writing ${write.key} failed with status ${response.statusCode}.`;
+    return response.statusCode === 503 || response.statusCode === 429
       ? { kind: "unavailable", detail }
       : { kind: "unknown", detail };
   } catch (error) {
@@ -81,8 +86,8 @@
   }
 }
 
-function conflictOf(body: string): PutOutcome {
-  const parsed = stored.safeParse(JSON.parse(body));
+function parseConflict(body: string): PutOutcome {
+  const parsed = storedObjectSchema.safeParse(JSON.parse(body));
   return parsed.success ? { kind: "conflict", current: parsed.data } : { kind: "conflict" };
 }
 
@@ -90,12 +95,12 @@
   pool: Pool,
   watch: { key: string; after: number; signal: AbortSignal },
 ): Promise<StoredObject | undefined> {
-  const answer = await pool.request({
+  const response = await pool.request({
     method: "GET",
     path: `/objects/${encodeURIComponent(watch.key)}?after=${watch.after}`,
     signal: AbortSignal.any([watch.signal, AbortSignal.timeout(WATCH_TIMEOUT)]),
     headersTimeout: WATCH_TIMEOUT,
   });
-  const body = await answer.body.text();
-  return answer.statusCode === 200 ? stored.parse(JSON.parse(body)) : undefined;
+  const body = await response.body.text();
+  return response.statusCode === 200 ? storedObjectSchema.parse(JSON.parse(body)) : undefined;
 }
--- a/src/connection/json_call.ts
+++ b/src/connection/json_call.ts
@@ -2,7 +2,7 @@
 import { splitAddress } from "./http_listener.ts";
 
 /** A request to a service with a JSON API. */
-export interface JsonCall {
+export interface JsonRequest {
   readonly method: "GET" | "POST" | "PUT" | "DELETE";
   /** Path with the query string. */
   readonly path: string;
@@ -21,7 +21,7 @@
 }
 
 /** An HTTP client for one service. */
-export interface JsonCaller {
+export interface JsonClient {
   /**
    * Sends a request.
    *
@@ -29,13 +29,13 @@
    * @throws {Error} If no complete response arrives in time, or its body isn't JSON. The service may have
    *   processed the request all the same.
    */
-  call(call: JsonCall): Promise<JsonAnswer>;
+  call(call: JsonRequest): Promise<JsonAnswer>;
   /** Closes all connections. */
   close(): void;
 }
 
 /** Maximum size of a response body, in bytes; a list of the store has at most one megabyte. */
-const GREATEST_ANSWER = 16_777_216;
+const MAX_RESPONSE_BYTES = 16_777_216;
 
 /**
  * Creates a client for one service.
@@ -46,10 +46,10 @@
  * @param address `IP:PORT` of the service.
  * @param connections Maximum number of connections; further calls wait for a free one.
  */
-export function createJsonCaller(address: string, connections: number): JsonCaller {
+export function createJsonCaller(address: string, connections: number): JsonClient {
   const [host, port] = splitAddress(address);
   const agent = new Agent({ keepAlive: true, maxSockets: connections, noDelay: true });
-  const call = ({ method, path, headers = {}, body, timeout }: JsonCall): Promise<JsonAnswer> =>
+  const call = ({ method, path, headers = {}, body, timeout }: JsonRequest): Promise<JsonAnswer> =>
     new Promise((resolve, reject) => {
       const text = body === undefined ? undefined : JSON.stringify(body);
       const framing =
@@ -59,7 +59,7 @@
               "content-type": "application/json",
               "content-length": String(Buffer.byteLength(text)),
             };
-      const sent = request({
+      const outgoing = request({
         host,
         port,
         method,
@@ -70,43 +70,43 @@
       // A call that times out also closes its connection, so that the next call doesn't get a connection
       // that has gone silent.
       const timer = setTimeout(() => {
-        sent.destroy(new Error(`no response within ${timeout} ms`));
+        outgoing.destroy(new Error(`no response within ${timeout} ms`));
       }, timeout);
       const end = (settle: () => void): void => {
         clearTimeout(timer);
         settle();
       };
-      sent.on("error", (error) => end(() => reject(error)));
-      sent.on("response", (response) => {
+      outgoing.on("error", (error) => end(() => reject(error)));
+      outgoing.on("response", (response) => {
         const chunks: Buffer[] = [];
         let size = 0;
         response.on("data", (chunk: Buffer) => {
           size += chunk.length;
           chunks.push(chunk);
-          if (size > GREATEST_ANSWER) sent.destroy(new Error("the response is too large"));
+          if (size > MAX_RESPONSE_BYTES) outgoing.destroy(new Error("the response is too large"));
         });
         response.on("error", (error) => end(() => reject(error)));
         response.on("close", () => {
           if (!response.complete) end(() => reject(new Error("the response is incomplete")));
-          else end(() => settleWith({ response, chunks, resolve, reject }));
+          else end(() => settleCall({ response, chunks, resolve, reject }));
         });
       });
-      sent.end(text);
+      outgoing.end(text);
     });
   return { call, close: () => agent.destroy() };
 }
 
-function settleWith(answer: {
+function settleCall(call: {
   response: { statusCode?: number | undefined };
   chunks: readonly Buffer[];
-  resolve: (answer: JsonAnswer) => void;
+  resolve: (response: JsonAnswer) => void;
   reject: (error: Error) => void;
 }): void {
-  const text = Buffer.concat(answer.chunks).toString("utf8");
+  const text = Buffer.concat(call.chunks).toString("utf8");
   try {
     const body: unknown = text === "" ? undefined : JSON.parse(text);
-    answer.resolve({ status: answer.response.statusCode ?? 0, body });
+    call.resolve({ status: call.response.statusCode ?? 0, body });
   } catch (error) {
-    answer.reject(error instanceof Error ? error : new Error(String(error)));
+    call.reject(error instanceof Error ? error : new Error(String(error)));
   }
 }
--- a/src/connection/operator_messages.ts
+++ b/src/connection/operator_messages.ts
@@ -34,7 +34,7 @@
 export type ChangeOutcomeMessage = z.infer<typeof changeOutcomeMessage>;
 
 /** Body of `PUT /v1/operator/deployment`. */
-export const deploymentMessage = z.strictObject({
+export const deploymentRequestMessage = z.strictObject({
   /** The deployment document, with the content of its file. */
   source: z.unknown(),
   /** The revision on which the document is based; if absent, the one in force. */
@@ -44,7 +44,7 @@
 });
 
 /** Body of `PUT /v1/operator/preset/NAME`; the body may be empty. */
-export const presetMessage = deploymentMessage.omit({ source: true });
+export const presetRequestMessage = deploymentRequestMessage.omit({ source: true });
 
 /** Response to `GET /v1/operator/status`. */
 export const statusMessage = z.object({
--- a/src/connection/operator_routes.ts
+++ b/src/connection/operator_routes.ts
@@ -7,89 +7,93 @@
 import type { Member } from "../interface/index.ts";
 import type { Change } from "../version/index.ts";
 import { sendRejection } from "./caller_refusal.ts";
-import { bearerOf, equalSecrets } from "./constant_time.ts";
-import type { OperatorParts } from "./entry_parts.ts";
-import { guarded } from "./guarded_route.ts";
-import type { RoutedRequest } from "./guarded_route.ts";
+import { bearerToken, equalSecrets } from "./credentials.ts";
+import type { OperatorRouteContext } from "./route_context.ts";
+import { guardRoute } from "./guarded_route.ts";
+import type { ParameterizedRequest } from "./guarded_route.ts";
 import { readBody, sendJson } from "./http_body.ts";
-import { deploymentMessage, presetMessage } from "./operator_messages.ts";
+import { deploymentRequestMessage, presetRequestMessage } from "./operator_messages.ts";
 import type { ChangeOutcomeMessage, DrainMessage } from "./operator_messages.ts";
 import { routeParameter } from "./route_parameter.ts";
 
 /** Maximum size of a deployment document, in bytes: the platform's limit for a stored value. */
-const DOCUMENT_LIMIT = 1_000_000;
+const MAX_DOCUMENT_BYTES = 1_000_000;
 /** Timeout for forwarding a drain order to another instance, in milliseconds. */
 const FORWARD_TIMEOUT = 2_000;
 
 /** The HTTP status for each outcome of a configuration change. */
-const STATUS_OF: Readonly<Record<ChangeOutcomeMessage["kind"], number>> = {
+const HTTP_STATUSES: Readonly<Record<ChangeOutcomeMessage["kind"], number>> = {
   accepted: 200,
   refused: 422,
   conflict: 409,
   unknown: 202,
 };
 
-type Route = (request: RoutedRequest, response: ServerResponse) => Promise<void> | void;
+type Route = (request: ParameterizedRequest, response: ServerResponse) => Promise<void> | void;
 
 /** Adds the routes for operators. All but the health check require the operator key. */
-export function addOperatorRoutes(app: Polka, parts: OperatorParts): void {
-  const { operators } = parts;
-  const forOperators = (route: Route): ReturnType<typeof guarded> =>
-    guarded(parts, async (request, response) => {
-      if (isOperator(request, parts)) await route(request, response);
-      else refuse(parts, response);
+export function addOperatorRoutes(app: Polka, context: OperatorRouteContext): void {
+  const { operators } = context;
+  const operatorRoute = (route: Route): ReturnType<typeof guardRoute> =>
+    guardRoute(context, async (request, response) => {
+      if (isOperator(request, context)) await route(request, response);
+      else rejectUnauthenticated(context, response);
     });
-  app.get("/v1/health", (_request, response) => sendHealth(parts, response));
+  app.get("/v1/health", (_request, response) => sendHealth(context, response));
   app.get(
     "/metrics",
-    forOperators((_request, response) => {
+    operatorRoute((_request, response) => {
       response.writeHead(200, { "content-type": "text/plain; version=0.0.4" });
       response.end(operators.metrics());
     }),
   );
   app.put(
     "/v1/operator/deployment",
-    forOperators(async (request, response) => {
-      const message = await bodyOf(request, deploymentMessage);
-      const change = { kind: "deployment", id: idOf(message), source: message.source } as const;
-      await apply(parts, { change, base: message.base, request, response });
+    operatorRoute(async (request, response) => {
+      const message = await parseBody(request, deploymentRequestMessage);
+      const change = {
+        kind: "deployment",
+        id: changeIdOf(message),
+        source: message.source,
+      } as const;
+      await applyChange(context, { change, base: message.base, request, response });
     }),
   );
   app.put(
     "/v1/operator/preset/:name",
-    forOperators(async (request, response) => {
-      const message = await bodyOf(request, presetMessage);
+    operatorRoute(async (request, response) => {
+      const message = await parseBody(request, presetRequestMessage);
       const preset = routeParameter(request, "name");
-      const change = { kind: "preset", id: idOf(message), preset } as const;
-      await apply(parts, { change, base: message.base, request, response });
+      const change = { kind: "preset", id: changeIdOf(message), preset } as const;
+      await applyChange(context, { change, base: message.base, request, response });
     }),
   );
   app.get(
     "/v1/operator/changes/:id",
-    forOperators(async (request, response) => {
+    operatorRoute(async (request, response) => {
       const outcome = await operators.ask(routeParameter(request, "id"));
-      sendJson(response, outcome, { status: STATUS_OF[outcome.kind] });
+      sendJson(response, outcome, { status: HTTP_STATUSES[outcome.kind] });
     }),
   );
   app.get(
     "/v1/operator/status",
-    forOperators(async (_request, response) => sendJson(response, await operators.status())),
+    operatorRoute(async (_request, response) => sendJson(response, await operators.status())),
   );
   app.get(
     "/v1/operator/services",
-    forOperators((_request, response) => sendJson(response, operators.services())),
+    operatorRoute((_request, response) => sendJson(response, operators.services())),
   );
   app.post(
     "/v1/operator/drain/:instance",
-    forOperators(async (request, response) => {
-      const message = await drain(parts, decodeURIComponent(routeParameter(request, "instance")));
+    operatorRoute(async (request, response) => {
+      const message = await drain(context, decodeURIComponent(routeParameter(request, "instance")));
       const status = { draining: 202, "unknown-instance": 404, unreachable: 503 }[message.kind];
       sendJson(response, message, { status });
     }),
   );
   app.get(
     "/v1/operator/requests/:id",
-    forOperators(async (request, response) => {
+    operatorRoute(async (request, response) => {
       const id = routeParameter(request, "id");
       const found = await operators.request(id);
       if (found !== undefined) sendJson(response, found);
@@ -101,11 +105,11 @@
   );
 }
 
-function isOperator(request: IncomingMessage, { operatorKey }: OperatorParts): boolean {
-  return equalSecrets(bearerOf(request.headers.authorization), operatorKey);
+function isOperator(request: IncomingMessage, { operatorKey }: OperatorRouteContext): boolean {
+  return equalSecrets(bearerToken(request.headers.authorization), operatorKey);
 }
 
-function refuse({ counters }: OperatorParts, response: ServerResponse): void {
+function rejectUnauthenticated({ counters }: OperatorRouteContext, response: ServerResponse): void {
   const reason = Refusal.Unauthenticated;
   counters.refused(reason);
   const detail = "This route requires the operator key.";
@@ -113,12 +117,15 @@
 }
 
 /** Reports whether this instance accepts new requests, for external health checks without a key. */
-function sendHealth({ configuration, members }: OperatorParts, response: ServerResponse): void {
-  const isTaking =
+function sendHealth(
+  { configuration, members }: OperatorRouteContext,
+  response: ServerResponse,
+): void {
+  const isAccepting =
     configuration.revision() !== undefined &&
     !configuration.isCutOff() &&
     members.alive().some(({ id }) => id === members.self.id);
-  sendJson(response, { takesWork: isTaking }, { status: isTaking ? 200 : 503 });
+  sendJson(response, { takesWork: isAccepting }, { status: isAccepting ? 200 : 503 });
 }
 
 /**
@@ -126,20 +133,20 @@
  *
  * @throws {SyntaxError} If the body isn't JSON or doesn't match the schema.
  */
-async function bodyOf<T>(request: IncomingMessage, schema: z.ZodType<T>): Promise<T> {
-  const body = await readBody(request, DOCUMENT_LIMIT);
+async function parseBody<T>(request: IncomingMessage, schema: z.ZodType<T>): Promise<T> {
+  const body = await readBody(request, MAX_DOCUMENT_BYTES);
   const parsed = schema.safeParse(JSON.parse(body === "" ? "{}" : body));
   if (parsed.success) return parsed.data;
   throw new SyntaxError(parsed.error.issues.map(({ message }) => message).join("; "));
 }
 
-function idOf({ change }: { readonly change?: string }): string {
+function changeIdOf({ change }: { readonly change?: string }): string {
   return change ?? randomUUID();
 }
 
 /** Applies a change and sends its outcome; with `?wait=1`, waits until all instances have it in force. */
-async function apply(
-  { operators }: OperatorParts,
+async function applyChange(
+  { operators }: OperatorRouteContext,
   call: {
     readonly change: Change;
     readonly base: number | undefined;
@@ -149,7 +156,7 @@
 ): Promise<void> {
   const { change, base, request, response } = call;
   const outcome = await operators.apply(change, base);
-  const status = STATUS_OF[outcome.kind];
+  const status = HTTP_STATUSES[outcome.kind];
   const query = new URL(request.url ?? "/", "http://localhost").searchParams;
   if (outcome.kind !== "accepted" || query.get("wait") !== "1") {
     sendJson(response, outcome, { status });
@@ -160,8 +167,8 @@
 }
 
 /** Drains this instance, or forwards the order to the named one, by member id or name. */
-async function drain(parts: OperatorParts, instance: string): Promise<DrainMessage> {
-  const { members, operators, present } = parts;
+async function drain(context: OperatorRouteContext, instance: string): Promise<DrainMessage> {
+  const { members, operators, present } = context;
   const isNamed = ({ id }: Member): boolean =>
     id === instance || id.slice(0, id.lastIndexOf("#")) === instance;
   if (isNamed(members.self)) {
@@ -171,20 +178,20 @@
   const member = present().find(isNamed);
   if (member === undefined) return { kind: "unknown-instance", instance };
   try {
-    const answer = await send(drainAddress(parts, member), {
+    const reply = await send(drainUrl(context, member), {
       method: "POST",
-      headers: { authorization: `Bearer ${parts.operatorKey}` },
+      headers: { authorization: `Bearer ${context.operatorKey}` },
       signal: AbortSignal.timeout(FORWARD_TIMEOUT),
     });
-    const detail = await answer.body.text();
-    if (answer.statusCode === 202) return { kind: "draining", instance: member.id };
+    const detail = await reply.body.text();
+    if (reply.statusCode === 202) return { kind: "draining", instance: member.id };
     return { kind: "unreachable", instance: member.id, detail };
   } catch (error) {
     return { kind: "unreachable", instance: member.id, detail: String(error) };
   }
 }
 
-function drainAddress({ secure }: OperatorParts, member: Member): string {
+function drainUrl({ secure }: OperatorRouteContext, member: Member): string {
   const scheme = secure ? "https" : "http";
   return `${scheme}://${member.callerAddress}/v1/operator/drain/${encodeURIComponent(member.id)}`;
 }
--- a/src/connection/peer_channel.ts
+++ b/src/connection/peer_channel.ts
@@ -3,13 +3,13 @@
 import { createConnectTransport, Http2SessionManager } from "@connectrpc/connect-node";
 import type { ConnectTransportOptions } from "@connectrpc/connect-node";
 import { Peer } from "../gen/peer_pb.ts";
-import { guardSessions } from "./guarded_sessions.ts";
+import { addErrorListeners } from "./session_error_listener.ts";
 import type { Certificate } from "./http_listener.ts";
 
 /** Delay before a replaced connection is aborted, in milliseconds, so that it can report its error. */
-const CLOSING_TIME = 1_000;
+const ABORT_DELAY = 1_000;
 /** Maximum size of a message, in bytes; a slot handover may carry many records. */
-const MESSAGE_LIMIT = 64_000_000;
+const MAX_MESSAGE_BYTES = 64_000_000;
 
 /** Credentials and encryption of the connections between entry instances. */
 export interface PeerSecurity {
@@ -31,28 +31,28 @@
   /** Returns the client for the current connection. */
   client(): Client<typeof Peer>;
   /** Drops the connection; the next call opens a new one. */
-  renew(): void;
+  reconnect(): void;
   /** Drops the connection for good. */
   close(): void;
 }
 
 /** Creates a channel to an `IP:PORT`; the first call opens the connection. */
 export function createPeerChannel(address: string, security: PeerSecurity): PeerChannel {
-  let open = openClient(address, security);
-  const give = (): void => {
-    const { manager } = open;
+  let current = openClient(address, security);
+  const dropConnection = (): void => {
+    const { manager } = current;
     const reason = new Error(`The connection to ${address} was dropped.`);
     // A session that the peer has just closed may still emit an error. Aborting it at once would remove
     // the listener, and the error would end the process as an uncaught exception.
-    setTimeout(() => manager.abort(reason), CLOSING_TIME).unref();
+    setTimeout(() => manager.abort(reason), ABORT_DELAY).unref();
   };
   return {
-    client: () => open.client,
-    renew: () => {
-      give();
-      open = openClient(address, security);
+    client: () => current.client,
+    reconnect: () => {
+      dropConnection();
+      current = openClient(address, security);
     },
-    close: give,
+    close: dropConnection,
   };
 }
 
@@ -71,8 +71,8 @@
   const options: ConnectTransportOptions = {
     httpVersion: "2",
     baseUrl,
-    sessionManager: guardSessions(manager),
-    readMaxBytes: MESSAGE_LIMIT,
+    sessionManager: addErrorListeners(manager),
+    readMaxBytes: MAX_MESSAGE_BYTES,
     interceptors: [
       (next) => (request) => {
         request.header.set("authorization", `Bearer ${peerKey}`);
--- a/src/connection/connect_peers.ts
+++ b/src/connection/peer_client.ts
@@ -19,26 +19,26 @@
 /** Timeout of a call, in milliseconds, after which it is retried on a new connection. */
 const CALL_TIMEOUT = 500;
 /** Maximum retries on a new connection: a middlebox may have dropped the state of the old one. */
-const RENEWALS = 1;
+const MAX_RECONNECTS = 1;
 
 /** Interval of the liveness check on a connection with open relays, in milliseconds. */
-const CHECK_PERIOD = 1_000;
+const CHECK_INTERVAL = 1_000;
 /** Key that names no object; the liveness check pulls it, and a peer replies at once without one. */
-const NO_OBJECT = "";
+const CHECK_KEY = "";
 
 /** The connection to one peer and the calls that are open on it. */
-interface Link {
+interface PeerConnection {
   readonly channel: PeerChannel;
   /** The stream of replications; undefined until it is opened on the current connection. */
-  replicate: ReplicateStream | undefined;
+  replicateStream: ReplicateStream | undefined;
   /** Incremented with each new connection. */
   generation: number;
   /** Abort controllers of the open relays; all are aborted if the connection is silent. */
   readonly relays: Set<AbortController>;
 }
 
-/** Options of {@linkcode createConnectPeers}. */
-export interface ConnectPeersOptions {
+/** Options for creating the client for calls to peers. */
+export interface PeerClientOptions {
   /** Member id of this instance. */
   readonly self: string;
   readonly clock: Clock;
@@ -52,69 +52,69 @@
  * A unary call or replication that fails or times out is retried once on a new connection, then rejects
  * with a {@linkcode PeerFailure}. A relay isn't retried.
  */
-export function createConnectPeers({ self, clock, security }: ConnectPeersOptions): Peers {
-  const links = new Map<string, Link>();
-  const linkTo = (address: string): Link => {
-    const known = links.get(address);
-    if (known !== undefined) return known;
-    const link = {
+export function createConnectPeers({ self, clock, security }: PeerClientOptions): Peers {
+  const connections = new Map<string, PeerConnection>();
+  const connectionTo = (address: string): PeerConnection => {
+    const existing = connections.get(address);
+    if (existing !== undefined) return existing;
+    const connection = {
       channel: createPeerChannel(address, security),
-      replicate: undefined,
+      replicateStream: undefined,
       generation: 0,
       relays: new Set<AbortController>(),
     };
-    links.set(address, link);
-    return link;
+    connections.set(address, connection);
+    return connection;
   };
   const call = async <T>(
-    path: { to: Member; step: string },
-    run: (link: Link) => Promise<T>,
+    target: { to: Member; step: string },
+    run: (connection: PeerConnection) => Promise<T>,
   ): Promise<T> => {
-    const link = linkTo(path.to.address);
-    for (let renewals = 0; ; renewals++) {
-      const { generation } = link;
+    const connection = connectionTo(target.to.address);
+    for (let attempts = 0; ; attempts++) {
+      const { generation } = connection;
       try {
-        return await withTimeout(clock, run(link));
+        return await withTimeout(clock, run(connection));
       } catch (cause) {
-        if (renewals >= RENEWALS) throw peerFailure(path, cause);
+        if (attempts >= MAX_RECONNECTS) throw createPeerFailure(target, cause);
         // Calls between instances are idempotent, so a call can be repeated on a new connection. Only
         // the first of the calls that failed on a connection replaces it; the others share the new one.
-        if (link.generation === generation) renew(link);
+        if (connection.generation === generation) reconnect(connection);
       }
     }
   };
-  const openRelay = (link: Link, silence: AbortController): void => {
-    link.relays.add(silence);
-    if (link.relays.size === 1) checkLater(link);
+  const addRelay = (connection: PeerConnection, abortController: AbortController): void => {
+    connection.relays.add(abortController);
+    if (connection.relays.size === 1) scheduleCheck(connection);
   };
-  const checkLater = (link: Link): void => {
-    clock.after(CHECK_PERIOD, () => void check(link));
+  const scheduleCheck = (connection: PeerConnection): void => {
+    clock.after(CHECK_INTERVAL, () => void check(connection));
   };
   /**
    * Checks that the connection still works, once for all of its relays. A relay has no timeout, because
    * the next token may take long. Without the check, a caller whose tokens are relayed over a silent
    * connection would wait until its deadline.
    */
-  const check = async (link: Link): Promise<void> => {
-    const relays = [...link.relays];
+  const check = async (connection: PeerConnection): Promise<void> => {
+    const relays = [...connection.relays];
     if (relays.length === 0) return;
     try {
-      await withTimeout(clock, link.channel.client().pull({ from: self, key: NO_OBJECT }));
+      await withTimeout(clock, connection.channel.client().pull({ from: self, key: CHECK_KEY }));
     } catch (cause) {
-      for (const silence of relays) silence.abort(cause);
-      for (const silence of relays) link.relays.delete(silence);
-      renew(link);
+      for (const abortController of relays) abortController.abort(cause);
+      for (const abortController of relays) connection.relays.delete(abortController);
+      reconnect(connection);
     }
-    if (link.relays.size > 0) checkLater(link);
+    if (connection.relays.size > 0) scheduleCheck(connection);
   };
   const unary = <T>(
-    path: { to: Member; step: string },
+    target: { to: Member; step: string },
     run: (client: Client<typeof Peer>) => Promise<T>,
-  ): Promise<T> => call(path, (link) => run(link.channel.client()));
+  ): Promise<T> => call(target, (connection) => run(connection.channel.client()));
 
   return {
     replicate: (to, message) =>
-      call({ to, step: "replicate" }, (link) => replicateStreamOf(link).send(message)),
+      call({ to, step: "replicate" }, (connection) => replicateStreamOf(connection).send(message)),
     cede: (to, message): Promise<SlotReply> =>
       unary({ to, step: "cede" }, async (client) =>
         decodeSlotReply(await client.cede(encodeCede(message))),
@@ -133,55 +133,59 @@
         decodeAskReply(await client.ask(encodeAsk(message))),
       ),
     relay: async function* (to, message, signal) {
-      const link = linkTo(to.address);
-      const silence = new AbortController();
-      openRelay(link, silence);
+      const connection = connectionTo(to.address);
+      const abortController = new AbortController();
+      addRelay(connection, abortController);
       try {
-        const client = link.channel.client();
-        const ending = AbortSignal.any([signal, silence.signal]);
-        for await (const event of client.relay(encodeRelay(message), { signal: ending })) {
+        const client = connection.channel.client();
+        const relaySignal = AbortSignal.any([signal, abortController.signal]);
+        for await (const event of client.relay(encodeRelay(message), { signal: relaySignal })) {
           yield decodeRelayEvent(event);
         }
       } catch (cause) {
-        throw peerFailure({ to, step: "relay" }, cause);
+        throw createPeerFailure({ to, step: "relay" }, cause);
       } finally {
-        link.relays.delete(silence);
+        connection.relays.delete(abortController);
       }
     },
     close: () => {
-      for (const link of links.values()) {
-        link.replicate?.close();
-        link.channel.close();
+      for (const connection of connections.values()) {
+        connection.replicateStream?.close();
+        connection.channel.close();
       }
     },
   };
 }
 
-function replicateStreamOf(link: Link): ReplicateStream {
-  if (link.replicate !== undefined && !link.replicate.isBroken()) return link.replicate;
-  const client = link.channel.client();
+function replicateStreamOf(connection: PeerConnection): ReplicateStream {
+  if (connection.replicateStream !== undefined && !connection.replicateStream.hasFailed())
+    return connection.replicateStream;
+  const client = connection.channel.client();
   const stream = openReplicateStream((messages, signal) => client.replicate(messages, { signal }));
-  link.replicate = stream;
+  connection.replicateStream = stream;
   return stream;
 }
 
-function renew(link: Link): void {
-  link.generation++;
-  link.replicate?.close();
-  link.replicate = undefined;
-  link.channel.renew();
+function reconnect(connection: PeerConnection): void {
+  connection.generation++;
+  connection.replicateStream?.close();
+  connection.replicateStream = undefined;
+  connection.channel.reconnect();
 }
 
-function withTimeout<T>(clock: Clock, answer: Promise<T>): Promise<T> {
+function withTimeout<T>(clock: Clock, reply: Promise<T>): Promise<T> {
   return new Promise((resolve, reject) => {
     const timer = clock.after(CALL_TIMEOUT, () => {
       reject(new Error(`No response within ${CALL_TIMEOUT} ms.`));
     });
-    answer.then(resolve, reject).finally(() => timer.close());
+    reply.then(resolve, reject).finally(() => timer.close());
   });
 }
 
-function peerFailure({ to, step }: { to: Member; step: string }, cause: unknown): PeerFailure {
+function createPeerFailure(
+  { to, step }: { to: Member; step: string },
+  cause: unknown,
+): PeerFailure {
   const message = `Calling ${to.id} at ${to.address} failed in the ${step} call: ${String(cause)}`;
   return Object.assign(new Error(message, { cause }), { step, peer: to.id });
 }
--- a/src/connection/connect_peers_test.ts
+++ b/src/connection/peer_client_test.ts
@@ -3,7 +3,7 @@
 import { afterEach, expect, test } from "vitest";
 import { Refusal, RequestState, SlotOutcome } from "../interface/index.ts";
 import type { Clock, Member, PeerHandlers, RequestRecord } from "../interface/index.ts";
-import { createConnectPeers } from "./connect_peers.ts";
+import { createConnectPeers } from "./peer_client.ts";
 import { listenPeers } from "./peer_listener.ts";
 
 const CLOCK: Clock = {
@@ -43,12 +43,12 @@
   for (const close of closers.splice(0).reverse()) await close();
 });
 
-interface Recorded {
+interface RecordingHandlers {
   readonly handlers: PeerHandlers;
   readonly replicated: string[];
 }
 
-function recordingHandlers(): Recorded {
+function recordingHandlers(): RecordingHandlers {
   const replicated: string[] = [];
   return {
     replicated,
@@ -134,12 +134,12 @@
   // connections work. Without a new connection, no request on the shared slots could be accepted.
   const { handlers, replicated } = recordingHandlers();
   const { address } = await startPeer(handlers);
-  const path = await startPath(address);
+  const proxy = await startProxy(address);
   const peers = peersWith("key-of-the-instances");
-  const to = memberAt(path.address);
+  const to = memberAt(proxy.address);
   const message = { from: "e1#1", slot: 1, epoch: 3, record: RECORD };
   await peers.replicate(to, message);
-  path.silenceOpen();
+  proxy.silenceConnections();
   const reply = await peers.replicate(to, message);
   expect(reply.outcome).toBe(SlotOutcome.Acknowledged);
   expect(replicated).toHaveLength(2);
@@ -150,12 +150,12 @@
   // the one before had just opened, none would succeed and the instance would reject all callers.
   const { handlers, replicated } = recordingHandlers();
   const { address } = await startPeer(handlers);
-  const path = await startPath(address);
+  const proxy = await startProxy(address);
   const peers = peersWith("key-of-the-instances");
-  const to = memberAt(path.address);
+  const to = memberAt(proxy.address);
   const message = { from: "e1#1", slot: 1, epoch: 3, record: RECORD };
   await peers.replicate(to, message);
-  path.silenceOpen();
+  proxy.silenceConnections();
   const replies = await Promise.all(
     Array.from({ length: 50 }, () => peers.replicate(to, message).catch(() => undefined)),
   );
@@ -175,37 +175,37 @@
       await new Promise((resolve) => signal.addEventListener("abort", resolve));
     },
   });
-  const path = await startPath(address);
+  const proxy = await startProxy(address);
   const peers = peersWith("key-of-the-instances");
   const relayed = { from: "e1#1", slot: 1, epoch: 3, record: RECORD };
   const events = peers.relay(
-    memberAt(path.address),
+    memberAt(proxy.address),
     { ...relayed, hops: 0, fromToken: 0, follow: false },
     new AbortController().signal,
   );
   const iterator = events[Symbol.asyncIterator]();
   expect(await iterator.next()).toMatchObject({ value: { kind: "token" } });
-  path.silenceOpen();
+  proxy.silenceConnections();
   await expect(iterator.next()).rejects.toMatchObject({ step: "relay" });
 });
 
-interface Path {
+interface TestProxy {
   readonly address: string;
   /** Stops forwarding on all open connections without closing them. */
-  silenceOpen(): void;
+  silenceConnections(): void;
 }
 
 /** Starts a TCP proxy to an address that can stop forwarding on its open connections. */
-async function startPath(target: string): Promise<Path> {
+async function startProxy(target: string): Promise<TestProxy> {
   const open = new Set<Socket>();
   const [host, port] = target.split(":");
-  const server: Server = createServer((near) => {
-    const far = connect({ host: host ?? "", port: Number(port) });
-    for (const socket of [near, far]) {
+  const server: Server = createServer((client) => {
+    const upstream = connect({ host: host ?? "", port: Number(port) });
+    for (const socket of [client, upstream]) {
       open.add(socket);
       socket.on("error", () => socket.destroy());
     }
-    near.pipe(far).pipe(near);
+    client.pipe(upstream).pipe(client);
   });
   await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
   closers.push(() => {
@@ -214,7 +214,7 @@
   });
   return {
     address: `127.0.0.1:${(server.address() as AddressInfo).port}`,
-    silenceOpen: () => {
+    silenceConnections: () => {
       for (const socket of open) {
         socket.unpipe();
         socket.pause();
--- a/src/connection/peer_codec.ts
+++ b/src/connection/peer_codec.ts
@@ -37,7 +37,7 @@
   SlotReply,
   VersionMark,
 } from "../interface/index.ts";
-import { enumCode, enumValue } from "./enum_code.ts";
+import { encodeEnum, decodeEnum } from "./enum_codec.ts";
 
 const REQUEST_STATES = Object.values(RequestState);
 const REFUSALS = Object.values(Refusal);
@@ -50,8 +50,8 @@
 export function encodeRecord(record: RequestRecord): wire.RequestRecord {
   return create(RequestRecordSchema, {
     ...record,
-    state: enumCode(REQUEST_STATES, record.state),
-    reason: enumCode(REFUSALS, record.reason),
+    state: encodeEnum(REQUEST_STATES, record.state),
+    reason: encodeEnum(REFUSALS, record.reason),
     tokens: [...record.tokens],
     endDetail: record.detail,
   });
@@ -68,7 +68,7 @@
     slot: message.slot,
     account: message.account,
     service: message.service,
-    state: enumValue(REQUEST_STATES, message.state),
+    state: decodeEnum(REQUEST_STATES, message.state),
     repeatable: message.repeatable,
     detached: message.detached,
     keyed: message.keyed,
@@ -79,7 +79,7 @@
     worker: message.worker,
     tokens: message.tokens,
     tokensFrom: message.tokensFrom,
-    reason: enumValue(REFUSALS, message.reason),
+    reason: decodeEnum(REFUSALS, message.reason),
     detail: message.endDetail,
     acceptedAt: message.acceptedAt,
     deadlineAt: message.deadlineAt,
@@ -111,7 +111,7 @@
     from: message.from,
     slot: message.slot,
     epoch: Number(message.epoch),
-    record: decodeRecord(requiredRecord(message.record)),
+    record: decodeRecord(requireRecord(message.record)),
   };
 }
 
@@ -120,7 +120,7 @@
  *
  * @throws {TypeError} If it is missing, which happens only with a faulty or hostile sender.
  */
-function requiredRecord(record: wire.RequestRecord | undefined): wire.RequestRecord {
+function requireRecord(record: wire.RequestRecord | undefined): wire.RequestRecord {
   if (record === undefined)
     throw new TypeError("Decoding a message from a peer: the record is missing.");
   return record;
@@ -128,21 +128,21 @@
 
 /** Encodes the reply to a replication. */
 export function encodeReplicateReply(reply: SlotReply, correlation: bigint): wire.ReplicateReply {
-  return create(ReplicateReplySchema, { correlation, ...encodedSlotReply(reply) });
+  return create(ReplicateReplySchema, { correlation, ...slotReplyFields(reply) });
 }
 
 /** Encodes the reply to a slot handover. */
 export function encodeCedeReply(reply: SlotReply): wire.CedeReply {
-  return create(CedeReplySchema, encodedSlotReply(reply));
+  return create(CedeReplySchema, slotReplyFields(reply));
 }
 
-function encodedSlotReply(reply: SlotReply): { outcome: number; epoch: bigint } {
-  return { outcome: enumCode(SLOT_OUTCOMES, reply.outcome), epoch: BigInt(reply.epoch) };
+function slotReplyFields(reply: SlotReply): { outcome: number; epoch: bigint } {
+  return { outcome: encodeEnum(SLOT_OUTCOMES, reply.outcome), epoch: BigInt(reply.epoch) };
 }
 
 /** Decodes the reply to a replication or a slot handover. */
 export function decodeSlotReply(message: wire.ReplicateReply | wire.CedeReply): SlotReply {
-  return { outcome: enumValue(SLOT_OUTCOMES, message.outcome), epoch: Number(message.epoch) };
+  return { outcome: decodeEnum(SLOT_OUTCOMES, message.outcome), epoch: Number(message.epoch) };
 }
 
 /** Encodes a slot handover. */
@@ -166,19 +166,19 @@
   };
 }
 
-function encodeDelta({ member, state, rise, backend }: MemberDelta): wire.MemberDelta {
+function encodeMemberDelta({ member, state, rise, backend }: MemberDelta): wire.MemberDelta {
   return create(MemberDeltaSchema, {
     instance: member.id,
     address: member.address,
     callerAddress: member.callerAddress,
     zone: member.zone,
-    state: enumCode(MEMBER_STATES, state),
+    state: encodeEnum(MEMBER_STATES, state),
     rise: BigInt(rise),
     backend,
   });
 }
 
-function decodeDelta(message: wire.MemberDelta): MemberDelta {
+function decodeMemberDelta(message: wire.MemberDelta): MemberDelta {
   return {
     member: {
       id: message.instance,
@@ -186,17 +186,17 @@
       callerAddress: message.callerAddress,
       zone: message.zone,
     },
-    state: enumValue(MEMBER_STATES, message.state),
+    state: decodeEnum(MEMBER_STATES, message.state),
     rise: Number(message.rise),
     backend: message.backend,
   };
 }
 
-function encodeMark({ key, version }: VersionMark): wire.VersionMark {
+function encodeVersionMark({ key, version }: VersionMark): wire.VersionMark {
   return create(VersionMarkSchema, { key, version: BigInt(version) });
 }
 
-function decodeMark({ key, version }: wire.VersionMark): VersionMark {
+function decodeVersionMark({ key, version }: wire.VersionMark): VersionMark {
   return { key, version: Number(version) };
 }
 
@@ -208,15 +208,15 @@
     ...(target === undefined
       ? {}
       : {
-          target: encodeDelta({
+          target: encodeMemberDelta({
             member: target,
             state: MemberState.Alive,
             rise: 0,
             backend: false,
           }),
         }),
-    deltas: deltas.map(encodeDelta),
-    versions: versions.map(encodeMark),
+    deltas: deltas.map(encodeMemberDelta),
+    versions: versions.map(encodeVersionMark),
   });
 }
 
@@ -225,9 +225,9 @@
   const { from, target, deltas, versions } = message;
   return {
     from,
-    ...(target === undefined ? {} : { target: decodeDelta(target).member }),
-    deltas: deltas.map(decodeDelta),
-    versions: versions.map(decodeMark),
+    ...(target === undefined ? {} : { target: decodeMemberDelta(target).member }),
+    deltas: deltas.map(decodeMemberDelta),
+    versions: versions.map(decodeVersionMark),
   };
 }
 
@@ -236,8 +236,8 @@
   return create(ProbeReplySchema, {
     from,
     reached,
-    deltas: deltas.map(encodeDelta),
-    versions: versions.map(encodeMark),
+    deltas: deltas.map(encodeMemberDelta),
+    versions: versions.map(encodeVersionMark),
   });
 }
 
@@ -246,8 +246,8 @@
   return {
     from,
     reached,
-    deltas: deltas.map(decodeDelta),
-    versions: versions.map(decodeMark),
+    deltas: deltas.map(decodeMemberDelta),
+    versions: versions.map(decodeVersionMark),
   };
 }
 
@@ -268,7 +268,7 @@
     slot,
     epoch: Number(epoch),
     hops,
-    record: decodeRecord(requiredRecord(record)),
+    record: decodeRecord(requireRecord(record)),
     fromToken,
     follow,
   };
@@ -276,7 +276,7 @@
 
 /** Encodes an event of a relayed request. */
 export function encodeRelayEvent(event: RelayEvent): wire.RelayEvent {
-  const kind = enumCode(EVENT_KINDS, event.kind);
+  const kind = encodeEnum(EVENT_KINDS, event.kind);
   switch (event.kind) {
     case "accepted":
       return create(RelayEventSchema, { kind, id: event.id });
@@ -295,7 +295,7 @@
 
 /** Decodes an event of a relayed request. */
 export function decodeRelayEvent(message: wire.RelayEvent): RelayEvent {
-  const kind = enumValue(EVENT_KINDS, message.kind);
+  const kind = decodeEnum(EVENT_KINDS, message.kind);
   switch (kind) {
     case "accepted":
       return { kind, id: message.id };
@@ -304,7 +304,7 @@
     case "ended":
       return {
         kind,
-        record: decodeRecord(requiredRecord(message.record)),
+        record: decodeRecord(requireRecord(message.record)),
         ...(message.retryAfter === 0 ? {} : { retryAfter: message.retryAfter }),
       };
     case "moved":
@@ -326,7 +326,7 @@
 /** Encodes the reply to an inquiry about a request. */
 export function encodeAskReply({ outcome, epoch, record }: AskReply): wire.AskReply {
   return create(AskReplySchema, {
-    ...encodedSlotReply({ outcome, epoch }),
+    ...slotReplyFields({ outcome, epoch }),
     ...(record === undefined ? {} : { record: encodeRecord(record) }),
   });
 }
@@ -334,7 +334,7 @@
 /** Decodes the reply to an inquiry about a request. */
 export function decodeAskReply({ outcome, epoch, record }: wire.AskReply): AskReply {
   return {
-    outcome: enumValue(SLOT_OUTCOMES, outcome),
+    outcome: decodeEnum(SLOT_OUTCOMES, outcome),
     epoch: Number(epoch),
     ...(record === undefined ? {} : { record: decodeRecord(record) }),
   };
--- a/src/connection/peer_listener.ts
+++ b/src/connection/peer_listener.ts
@@ -7,7 +7,7 @@
 import { connectNodeAdapter } from "@connectrpc/connect-node";
 import { Peer, PullReplySchema } from "../gen/peer_pb.ts";
 import type { PeerHandlers } from "../interface/index.ts";
-import { bearerOf, equalSecrets } from "./constant_time.ts";
+import { bearerToken, equalSecrets } from "./credentials.ts";
 import { splitAddress } from "./http_listener.ts";
 import type { Listener } from "./http_listener.ts";
 import type { PeerSecurity } from "./peer_channel.ts";
@@ -25,7 +25,7 @@
 } from "./peer_codec.ts";
 
 /** Maximum size of a message, in bytes; a slot handover may carry many records. */
-const MESSAGE_LIMIT = 64_000_000;
+const MAX_MESSAGE_BYTES = 64_000_000;
 
 /** Options of {@linkcode listenPeers}. */
 export interface PeerListenerOptions {
@@ -50,8 +50,8 @@
 ): Promise<Listener> {
   const adapter = connectNodeAdapter({
     routes: (router) => addPeerRoutes(router, handlers),
-    interceptors: [authentication(options)],
-    readMaxBytes: MESSAGE_LIMIT,
+    interceptors: [createAuthInterceptor(options)],
+    readMaxBytes: MAX_MESSAGE_BYTES,
   });
   const { tls } = options.security;
   const server =
@@ -85,9 +85,9 @@
   });
 }
 
-function authentication({ security, onUnauthenticated }: PeerListenerOptions): Interceptor {
+function createAuthInterceptor({ security, onUnauthenticated }: PeerListenerOptions): Interceptor {
   return (next) => (request) => {
-    if (equalSecrets(bearerOf(request.header.get("authorization")), security.peerKey)) {
+    if (equalSecrets(bearerToken(request.header.get("authorization")), security.peerKey)) {
       return next(request);
     }
     onUnauthenticated();
--- a/src/connection/reach_worker.ts
+++ b/src/connection/probe_worker.ts
@@ -12,24 +12,24 @@
  * @param address `IP:PORT`.
  * @returns Whether the connection was accepted, was refused, or failed in another way or timed out.
  */
-export function reachWorker(address: string, clock: Clock): Promise<Reach> {
+export function probeWorker(address: string, clock: Clock): Promise<Reach> {
   const [host, port] = splitAddress(address);
   return new Promise((resolve) => {
     const socket = connect({ host, port });
-    const finish = (found: Reach): void => {
+    const finish = (result: Reach): void => {
       timeout.close();
       socket.destroy();
-      resolve(found);
+      resolve(result);
     };
     const timeout = clock.after(CONNECT_TIMEOUT, () => finish(Reach.Unanswered));
     socket.on("connect", () => finish(Reach.Accepted));
     socket.on("error", (error: NodeJS.ErrnoException) =>
-      finish(isRefusal(error) ? Reach.Refused : Reach.Unanswered),
+      finish(isConnectionRefused(error) ? Reach.Refused : Reach.Unanswered),
     );
   });
 }
 
 /** Returns whether a connection failed because no process listens at the address. */
-export function isRefusal({ code }: NodeJS.ErrnoException): boolean {
+export function isConnectionRefused({ code }: NodeJS.ErrnoException): boolean {
   return code === "ECONNREFUSED";
 }
--- a/src/connection/reach_worker_test.ts
+++ b/src/connection/probe_worker_test.ts
@@ -2,7 +2,7 @@
 import { expect, test } from "vitest";
 import { Reach } from "../interface/index.ts";
 import { createVirtualClock } from "../standin/memory/index.ts";
-import { isRefusal, reachWorker } from "./reach_worker.ts";
+import { isConnectionRefused, probeWorker } from "./probe_worker.ts";
 import { takeLoopbackAddress } from "./testing/loopback_address.ts";
 
 // Guards against keeping a worker whose process has ended, and against dropping one that still listens.
@@ -12,12 +12,16 @@
   const [host, port] = address.split(":");
   await new Promise<void>((resolve) => server.listen(Number(port), host, resolve));
   const clock = createVirtualClock();
-  expect(await reachWorker(address, clock)).toBe(Reach.Accepted);
+  expect(await probeWorker(address, clock)).toBe(Reach.Accepted);
   await new Promise((resolve) => server.close(resolve));
-  expect(await reachWorker(address, clock)).toBe(Reach.Refused);
+  expect(await probeWorker(address, clock)).toBe(Reach.Refused);
 });
 
 test("a connection reset does not count as a refusal", () => {
-  expect(isRefusal(Object.assign(new Error("reset"), { code: "ECONNRESET" }))).toBe(false);
-  expect(isRefusal(Object.assign(new Error("refused"), { code: "ECONNREFUSED" }))).toBe(true);
+  expect(isConnectionRefused(Object.assign(new Error("reset"), { code: "ECONNRESET" }))).toBe(
+    false,
+  );
+  expect(isConnectionRefused(Object.assign(new Error("refused"), { code: "ECONNREFUSED" }))).toBe(
+    true,
+  );
 });
--- a/src/connection/replicate_stream.ts
+++ b/src/connection/replicate_stream.ts
@@ -7,13 +7,13 @@
   /** Sends a replication and resolves with its reply. Rejects if the stream fails before the reply arrives. */
   send(message: ReplicateMessage): Promise<SlotReply>;
   /** Returns true once the stream has failed or was closed; all later calls reject. */
-  isBroken(): boolean;
+  hasFailed(): boolean;
   /** Ends the stream and rejects all pending replies. */
   close(): void;
 }
 
 /** A replication whose reply is pending. */
-interface Waiting {
+interface PendingReply {
   readonly resolve: (reply: SlotReply) => void;
   readonly reject: (cause: Error) => void;
 }
@@ -29,25 +29,25 @@
     signal: AbortSignal,
   ) => AsyncIterable<ReplicateReply>,
 ): ReplicateStream {
-  const waiting = new Map<bigint, Waiting>();
-  const outgoing = createOutbox<ReplicateRequest>();
-  const ending = new AbortController();
+  const pending = new Map<bigint, PendingReply>();
+  const outgoing = createMessageQueue<ReplicateRequest>();
+  const abortController = new AbortController();
   let correlation = 0n;
-  let broken = false;
+  let isBroken = false;
 
   const fail = (cause: Error): void => {
-    broken = true;
+    isBroken = true;
     outgoing.close();
-    ending.abort(cause);
-    for (const { reject } of waiting.values()) reject(cause);
-    waiting.clear();
+    abortController.abort(cause);
+    for (const { reject } of pending.values()) reject(cause);
+    pending.clear();
   };
   const receive = async (): Promise<void> => {
     try {
-      for await (const reply of open(outgoing, ending.signal)) {
-        const waiter = waiting.get(reply.correlation);
-        waiting.delete(reply.correlation);
-        waiter?.resolve(decodeSlotReply(reply));
+      for await (const reply of open(outgoing, abortController.signal)) {
+        const pendingReply = pending.get(reply.correlation);
+        pending.delete(reply.correlation);
+        pendingReply?.resolve(decodeSlotReply(reply));
       }
       fail(new Error("The peer ended the replication stream."));
     } catch (cause) {
@@ -58,39 +58,39 @@
   return {
     send: (message) =>
       new Promise((resolve, reject) => {
-        if (broken) {
+        if (isBroken) {
           reject(new Error("The replication stream has failed."));
           return;
         }
         correlation++;
-        waiting.set(correlation, { resolve, reject });
+        pending.set(correlation, { resolve, reject });
         outgoing.push(encodeReplicate(message, correlation));
       }),
-    isBroken: () => broken,
+    hasFailed: () => isBroken,
     close: () => fail(new Error("The replication stream was closed.")),
   };
 }
 
 /** A queue of outgoing messages. */
-interface Outbox<T> extends AsyncIterable<T> {
+interface MessageQueue<T> extends AsyncIterable<T> {
   push(item: T): void;
   close(): void;
 }
 
 /** Creates an unbounded queue for one reader; it ends once closed, dropping what is still queued. */
-function createOutbox<T>(): Outbox<T> {
+function createMessageQueue<T>(): MessageQueue<T> {
   const items: T[] = [];
-  let wake: (() => void) | undefined;
+  let wakeReader: (() => void) | undefined;
   const state = { closed: false };
   const isClosed = (): boolean => state.closed;
   return {
     push: (item) => {
       items.push(item);
-      wake?.();
+      wakeReader?.();
     },
     close: () => {
       state.closed = true;
-      wake?.();
+      wakeReader?.();
     },
     [Symbol.asyncIterator]: async function* () {
       while (!isClosed()) {
@@ -98,7 +98,7 @@
         yield* batch;
         if (batch.length > 0 || isClosed()) continue;
         await new Promise<void>((resolve) => {
-          wake = resolve;
+          wakeReader = resolve;
         });
       }
     },
--- a/src/connection/answer_parser.ts
+++ b/src/connection/response_parser.ts
@@ -12,7 +12,7 @@
 import type { AnswerHead } from "../interface/index.ts";
 
 /** Receives the parsed parts of a response, in order. */
-export interface AnswerSink {
+export interface ResponseSink {
   /** Called once, with the head of the final response; interim (1xx) responses are skipped. */
   head(head: AnswerHead): void;
   /** Called with each piece of the body, without chunk framing. */
@@ -22,31 +22,31 @@
 }
 
 /** Parses the responses of one connection, one after the other. */
-export interface AnswerParser {
+export interface ResponseParser {
   /**
    * Parses the next bytes from the connection.
    *
    * @param bytes The bytes, split at any position.
    * @returns Undefined, or a fault if the bytes aren't a valid response or no response is expected.
    */
-  feed(bytes: Buffer): AnswerFault | undefined;
+  feed(bytes: Buffer): ParseFault | undefined;
   /**
    * Signals that the peer closed its side of the connection in an orderly way (TCP FIN).
    *
    * @returns Undefined, or a fault if the response was incomplete.
    */
-  finish(): AnswerFault | undefined;
+  finish(): ParseFault | undefined;
   /**
    * Prepares for the response to a request that is about to be sent.
    *
    * @param method The request's method: a response to `HEAD` has no body.
    * @param sink Receives the response.
    */
-  expect(method: string, sink: AnswerSink): void;
+  expectResponse(method: string, sink: ResponseSink): void;
 }
 
 /** Why the bytes of a connection can't be parsed as a response. */
-export enum AnswerFault {
+export enum ParseFault {
   /** Bytes arrived while no request was waiting for a response. */
   Unexpected = "unexpected bytes",
   /** The status line, a header line or the body framing is invalid or ambiguous. */
@@ -58,126 +58,127 @@
 }
 
 /** Maximum size of a response head, in bytes; the engines' heads are under 1000 bytes. */
-const GREATEST_HEAD = 65_536;
+const MAX_HEAD_BYTES = 65_536;
 /** Maximum length of a chunk size line with its extensions, in characters. */
-const GREATEST_SIZE_LINE = 256;
+const MAX_SIZE_LINE_LENGTH = 256;
 const STATUS_LINE = /^HTTP\/1\.[01] (\d{3})(?: |$)/;
 const TOKEN = /^[!#$%&'*+\-.^_`|~0-9A-Za-z]+$/;
 const SIZE_LINE = /^([0-9a-fA-F]{1,12})[ \t]*(?:;.*)?$/;
 const NO_CONTENT = 204;
 const NOT_MODIFIED = 304;
-const FIRST_FINAL = 200;
-const SWITCHING = 101;
+const MIN_FINAL_STATUS = 200;
+const SWITCHING_PROTOCOLS = 101;
 
 /** The part of a response that the parser expects next. */
-enum Phase {
+enum ParserState {
   Idle,
   Head,
-  Length,
+  FixedLengthBody,
   ChunkSize,
   ChunkData,
   ChunkEnd,
   Trailer,
-  UntilClose,
+  BodyUntilClose,
 }
 
 /** Creates a parser for a newly opened connection. */
-export function createAnswerParser(): AnswerParser {
-  let phase = Phase.Idle;
-  let sink: AnswerSink | undefined;
+export function createResponseParser(): ResponseParser {
+  let state = ParserState.Idle;
+  let sink: ResponseSink | undefined;
   let method = "";
-  let held: Buffer = Buffer.alloc(0);
-  let left = 0;
+  let buffered: Buffer = Buffer.alloc(0);
+  let remaining = 0;
 
   const complete = (): void => {
-    phase = Phase.Idle;
-    const done = sink;
+    state = ParserState.Idle;
+    const completed = sink;
     sink = undefined;
-    done?.end();
+    completed?.end();
   };
   /** Removes a line ending in CR LF from the buffer; undefined if it is incomplete. */
   const takeLine = (): string | undefined => {
-    const end = held.indexOf("\r\n");
+    const end = buffered.indexOf("\r\n");
     if (end < 0) return undefined;
-    const line = held.toString("latin1", 0, end);
-    held = held.subarray(end + 2);
+    const line = buffered.toString("latin1", 0, end);
+    buffered = buffered.subarray(end + 2);
     return line;
   };
-  const takeHead = (): AnswerFault | boolean => {
-    const end = held.indexOf("\r\n\r\n");
-    if (end < 0) return held.length > GREATEST_HEAD ? AnswerFault.TooLarge : false;
-    const head = parseHead(held.toString("latin1", 0, end));
-    held = held.subarray(end + 4);
-    if (head === undefined) return AnswerFault.Malformed;
-    if (head.status === SWITCHING) return AnswerFault.Malformed;
+  const takeHead = (): ParseFault | boolean => {
+    const end = buffered.indexOf("\r\n\r\n");
+    if (end < 0) return buffered.length > MAX_HEAD_BYTES ? ParseFault.TooLarge : false;
+    const head = parseHead(buffered.toString("latin1", 0, end));
+    buffered = buffered.subarray(end + 4);
+    if (head === undefined) return ParseFault.Malformed;
+    if (head.status === SWITCHING_PROTOCOLS) return ParseFault.Malformed;
     // An interim (1xx) response is followed by the final one.
-    if (head.status < FIRST_FINAL) return true;
-    const framing = framingOf(head, method);
-    if (framing === undefined) return AnswerFault.Malformed;
-    phase = framing.phase;
-    left = framing.length;
+    if (head.status < MIN_FINAL_STATUS) return true;
+    const framing = responseFraming(head, method);
+    if (framing === undefined) return ParseFault.Malformed;
+    state = framing.state;
+    remaining = framing.length;
     sink?.head(head);
-    if (phase === Phase.Length && left === 0) complete();
+    if (state === ParserState.FixedLengthBody && remaining === 0) complete();
     return true;
   };
-  const takeData = (next: Phase): boolean => {
-    if (held.length === 0) return false;
-    const chunk = held.subarray(0, left);
-    held = held.subarray(chunk.length);
-    left -= chunk.length;
+  const takeBody = (next: ParserState): boolean => {
+    if (buffered.length === 0) return false;
+    const chunk = buffered.subarray(0, remaining);
+    buffered = buffered.subarray(chunk.length);
+    remaining -= chunk.length;
     sink?.data(chunk);
-    if (left > 0) return true;
-    if (next === Phase.Idle) complete();
-    else phase = next;
+    if (remaining > 0) return true;
+    if (next === ParserState.Idle) complete();
+    else state = next;
     return true;
   };
-  const takeChunkSize = (): AnswerFault | boolean => {
+  const takeChunkSize = (): ParseFault | boolean => {
     const line = takeLine();
-    if (line === undefined) return held.length > GREATEST_SIZE_LINE ? AnswerFault.Malformed : false;
+    if (line === undefined)
+      return buffered.length > MAX_SIZE_LINE_LENGTH ? ParseFault.Malformed : false;
     const size = SIZE_LINE.exec(line)?.[1];
-    if (size === undefined) return AnswerFault.Malformed;
-    left = Number.parseInt(size, 16);
-    phase = left === 0 ? Phase.Trailer : Phase.ChunkData;
+    if (size === undefined) return ParseFault.Malformed;
+    remaining = Number.parseInt(size, 16);
+    state = remaining === 0 ? ParserState.Trailer : ParserState.ChunkData;
     return true;
   };
-  const takeChunkEnd = (): AnswerFault | boolean => {
+  const takeChunkEnd = (): ParseFault | boolean => {
     const line = takeLine();
-    if (line === undefined) return held.length > 1 ? AnswerFault.Malformed : false;
-    if (line !== "") return AnswerFault.Malformed;
-    phase = Phase.ChunkSize;
+    if (line === undefined) return buffered.length > 1 ? ParseFault.Malformed : false;
+    if (line !== "") return ParseFault.Malformed;
+    state = ParserState.ChunkSize;
     return true;
   };
-  const takeTrailer = (): AnswerFault | boolean => {
+  const takeTrailer = (): ParseFault | boolean => {
     const line = takeLine();
-    if (line === undefined) return held.length > GREATEST_HEAD ? AnswerFault.TooLarge : false;
+    if (line === undefined) return buffered.length > MAX_HEAD_BYTES ? ParseFault.TooLarge : false;
     if (line === "") complete();
     return true;
   };
   /** Parses the next element; returns false if more bytes are needed. */
-  const step = (): AnswerFault | boolean => {
-    switch (phase) {
-      case Phase.Idle:
-        return held.length > 0 ? AnswerFault.Unexpected : false;
-      case Phase.Head:
+  const step = (): ParseFault | boolean => {
+    switch (state) {
+      case ParserState.Idle:
+        return buffered.length > 0 ? ParseFault.Unexpected : false;
+      case ParserState.Head:
         return takeHead();
-      case Phase.Length:
-        return takeData(Phase.Idle);
-      case Phase.ChunkSize:
+      case ParserState.FixedLengthBody:
+        return takeBody(ParserState.Idle);
+      case ParserState.ChunkSize:
         return takeChunkSize();
-      case Phase.ChunkData:
-        return takeData(Phase.ChunkEnd);
-      case Phase.ChunkEnd:
+      case ParserState.ChunkData:
+        return takeBody(ParserState.ChunkEnd);
+      case ParserState.ChunkEnd:
         return takeChunkEnd();
-      case Phase.Trailer:
+      case ParserState.Trailer:
         return takeTrailer();
-      case Phase.UntilClose:
-        left = held.length;
-        return held.length > 0 && takeData(Phase.UntilClose);
+      case ParserState.BodyUntilClose:
+        remaining = buffered.length;
+        return buffered.length > 0 && takeBody(ParserState.BodyUntilClose);
     }
   };
   return {
     feed: (bytes) => {
-      held = held.length === 0 ? bytes : Buffer.concat([held, bytes]);
+      buffered = buffered.length === 0 ? bytes : Buffer.concat([buffered, bytes]);
       for (;;) {
         const result = step();
         if (result === true) continue;
@@ -185,15 +186,15 @@
       }
     },
     finish: () => {
-      if (phase === Phase.Idle) return undefined;
-      if (phase !== Phase.UntilClose) return AnswerFault.Truncated;
+      if (state === ParserState.Idle) return undefined;
+      if (state !== ParserState.BodyUntilClose) return ParseFault.Truncated;
       complete();
       return undefined;
     },
-    expect: (of, to) => {
-      method = of;
-      sink = to;
-      phase = Phase.Head;
+    expectResponse: (requestMethod, responseSink) => {
+      method = requestMethod;
+      sink = responseSink;
+      state = ParserState.Head;
     },
   };
 }
@@ -220,19 +221,21 @@
   return { status: Number(status), headers, byName };
 }
 
-function framingOf(
+function responseFraming(
   { status, byName }: AnswerHead,
   method: string,
-): { phase: Phase; length: number } | undefined {
+): { state: ParserState; length: number } | undefined {
   if (method === "HEAD" || status === NO_CONTENT || status === NOT_MODIFIED) {
-    return { phase: Phase.Length, length: 0 };
+    return { state: ParserState.FixedLengthBody, length: 0 };
   }
   const coding = byName.get("transfer-encoding");
   const length = byName.get("content-length");
   if (coding !== undefined) {
     if (coding.toLowerCase() !== "chunked" || length !== undefined) return undefined;
-    return { phase: Phase.ChunkSize, length: 0 };
+    return { state: ParserState.ChunkSize, length: 0 };
   }
-  if (length === undefined) return { phase: Phase.UntilClose, length: 0 };
-  return /^\d{1,15}$/.test(length) ? { phase: Phase.Length, length: Number(length) } : undefined;
+  if (length === undefined) return { state: ParserState.BodyUntilClose, length: 0 };
+  return /^\d{1,15}$/.test(length)
+    ? { state: ParserState.FixedLengthBody, length: Number(length) }
+    : undefined;
 }
--- a/src/connection/entry_parts.ts
+++ b/src/connection/route_context.ts
@@ -3,7 +3,7 @@
 import type { OperatorService } from "./operator_service.ts";
 
 /** The dependencies of the routes for callers. */
-export interface EntryInstanceParts extends Pick<
+export interface CallerRouteContext extends Pick<
   Environment,
   "clock" | "configuration" | "members" | "workers" | "counters" | "random"
 > {
@@ -13,7 +13,7 @@
 }
 
 /** The dependencies of the routes for operators. */
-export interface OperatorParts extends EntryInstanceParts {
+export interface OperatorRouteContext extends CallerRouteContext {
   readonly operators: OperatorService;
   /** Returns all members that aren't dead, including this one. */
   readonly present: () => readonly Member[];
--- a/src/connection/service_routes.ts
+++ b/src/connection/service_routes.ts
@@ -4,51 +4,55 @@
 import { RequestState } from "../interface/index.ts";
 import type { RequestRecord } from "../interface/index.ts";
 import type { Submission } from "../request/index.ts";
-import { callerOf, isRejection, serviceRefusal } from "./caller_account.ts";
-import { callerWishes } from "./caller_headers.ts";
+import { authenticateCaller, isRejection, checkServiceAccess } from "./caller_authentication.ts";
+import { parseCallerOptions } from "./caller_headers.ts";
 import { sendRejection } from "./caller_refusal.ts";
-import { rejectionOf } from "./chat_answer.ts";
-import type { EntryInstanceParts } from "./entry_parts.ts";
-import { BODY_LIMIT, readBody, sendJson } from "./http_body.ts";
-import { guarded } from "./guarded_route.ts";
+import { rejectionFromRecord } from "./chat_response.ts";
+import type { CallerRouteContext } from "./route_context.ts";
+import { MAX_BODY_BYTES, readBody, sendJson } from "./http_body.ts";
+import { guardRoute } from "./guarded_route.ts";
 import { routeParameter } from "./route_parameter.ts";
 
 /** Methods that HTTP defines as idempotent: their requests are repeatable unless the caller opts out. */
-const IDEMPOTENT = new Set(["GET", "HEAD", "PUT", "DELETE", "OPTIONS"]);
+const IDEMPOTENT_METHODS = new Set(["GET", "HEAD", "PUT", "DELETE", "OPTIONS"]);
 
 const METHODS = ["get", "head", "put", "delete", "post", "patch", "options"] as const;
 
 /** The response of a plain service, stored as JSON in the `detail` of a completed record. */
-export const plainAnswer = z.object({
+export const plainResponseSchema = z.object({
   status: z.number().int().min(100).max(599),
   type: z.string(),
   body: z.string(),
 });
 
 /** Adds the route that forwards `/services/NAME/…` to a backend server of a plain service. */
-export function addServiceRoutes(app: Polka, parts: EntryInstanceParts): void {
-  const handle = guarded(parts, async (request, response) => {
-    await answerPlain(parts, { request, response, service: routeParameter(request, "service") });
+export function addServiceRoutes(app: Polka, context: CallerRouteContext): void {
+  const handle = guardRoute(context, async (request, response) => {
+    await handlePlainRequest(context, {
+      request,
+      response,
+      service: routeParameter(request, "service"),
+    });
   });
   for (const method of METHODS) app[method]("/services/:service/*", handle);
 }
 
-async function answerPlain(
-  parts: EntryInstanceParts,
+async function handlePlainRequest(
+  context: CallerRouteContext,
   call: { request: IncomingMessage; response: ServerResponse; service: string },
 ): Promise<void> {
   const { request, response, service } = call;
-  const submission = await plainSubmission(parts, request, service);
+  const submission = await parsePlainRequest(context, request, service);
   if (isRejection(submission)) {
-    parts.counters.refused(submission.reason);
+    context.counters.refused(submission.reason);
     sendRejection(response, submission);
     return;
   }
-  const ending = new AbortController();
-  response.on("close", () => ending.abort(new Error("The caller disconnected.")));
-  for await (const event of parts.requests.submit(submission, ending.signal)) {
+  const abortController = new AbortController();
+  response.on("close", () => abortController.abort(new Error("The caller disconnected.")));
+  for await (const event of context.requests.submit(submission, abortController.signal)) {
     if (event.kind === "rejected") sendRejection(response, event.rejection);
-    else if (event.kind === "ended") sendPlain(response, event.record);
+    else if (event.kind === "ended") sendPlainResponse(response, event.record);
     else if (event.kind === "accepted" && submission.detached) {
       sendAccepted(response, event.id);
       return;
@@ -56,25 +60,25 @@
   }
 }
 
-async function plainSubmission(
-  parts: EntryInstanceParts,
+async function parsePlainRequest(
+  context: CallerRouteContext,
   request: IncomingMessage,
   service: string,
 ): Promise<Submission | Parameters<typeof sendRejection>[1]> {
-  const caller = callerOf(request, parts.configuration.revision());
+  const caller = authenticateCaller(request, context.configuration.revision());
   if (isRejection(caller)) return caller;
-  const refusal = serviceRefusal(caller, { service, model: "", kind: "plain" });
-  if (refusal !== undefined) return refusal;
-  const wishes = callerWishes(request);
-  if (isRejection(wishes)) return wishes;
+  const rejection = checkServiceAccess(caller, { service, model: "", kind: "plain" });
+  if (rejection !== undefined) return rejection;
+  const options = parseCallerOptions(request);
+  if (isRejection(options)) return options;
   const method = request.method ?? "GET";
   const rest = (request.url ?? "").slice(`/services/${service}`.length);
-  const body = await readBody(request, BODY_LIMIT, { clock: parts.clock });
-  const asMethod = IDEMPOTENT.has(method) ? { repeatable: true } : {};
+  const body = await readBody(request, MAX_BODY_BYTES, { clock: context.clock });
+  const methodDefaults = IDEMPOTENT_METHODS.has(method) ? { repeatable: true } : {};
   const { account } = caller;
   return {
-    ...asMethod,
-    ...wishes,
+    ...methodDefaults,
+    ...options,
     account,
     service,
     model: "",
@@ -84,12 +88,12 @@
   };
 }
 
-function sendPlain(response: ServerResponse, record: RequestRecord): void {
+function sendPlainResponse(response: ServerResponse, record: RequestRecord): void {
   if (record.state !== RequestState.Complete) {
-    sendRejection(response, rejectionOf(record));
+    sendRejection(response, rejectionFromRecord(record));
     return;
   }
-  const { status, type, body } = plainAnswer.parse(JSON.parse(record.detail));
+  const { status, type, body } = plainResponseSchema.parse(JSON.parse(record.detail));
   response.writeHead(status, { "content-type": type, "x-request-id": record.id });
   response.end(body);
 }
--- a/src/connection/guarded_sessions.ts
+++ b/src/connection/session_error_listener.ts
@@ -14,18 +14,18 @@
  * while this instance closes its connection to it; both wait equally long, so the two often coincide.
  * The error itself can be ignored here, because the calls on the session report it.
  */
-export function guardSessions(manager: Http2SessionManager): SessionManager {
-  const known = new WeakSet<ClientHttp2Session>();
-  const guard = (session: ClientHttp2Session | undefined): void => {
-    if (session === undefined || known.has(session)) return;
-    known.add(session);
+export function addErrorListeners(manager: Http2SessionManager): SessionManager {
+  const seen = new WeakSet<ClientHttp2Session>();
+  const addListener = (session: ClientHttp2Session | undefined): void => {
+    if (session === undefined || seen.has(session)) return;
+    seen.add(session);
     session.on("error", () => undefined);
   };
   return {
     authority: manager.authority,
     request: async (method, path, headers, options) => {
       const stream = await manager.request(method, path, headers, options);
-      guard(stream.session as ClientHttp2Session | undefined);
+      addListener(stream.session as ClientHttp2Session | undefined);
       return stream;
     },
     notifyResponseByteRead: (stream) => manager.notifyResponseByteRead(stream),
--- a/src/connection/testing/loopback_address.ts
+++ b/src/connection/testing/loopback_address.ts
@@ -9,8 +9,8 @@
  */
 
 /** Number of bits and maximum value of an octet of an IPv4 address. */
-const PART_BITS = 8;
-const GREATEST_PART = 255;
+const OCTET_BITS = 8;
+const MAX_OCTET = 255;
 /** First port; it is below the range that the system uses for outgoing connections. */
 const FIRST_PORT = 10_000;
 
@@ -23,11 +23,11 @@
  * take the port before the test binds it.
  */
 export function takeLoopbackAddress(): string {
-  return `${loopbackOf(process.pid)}:${nextPort++}`;
+  return `${loopbackAddressOf(process.pid)}:${nextPort++}`;
 }
 
 /** Returns the address in 127.0.0.0/8 whose lower 24 bits are the process id, which has at most 22 on Linux. */
-function loopbackOf(processId: number): string {
-  const parts = [processId >> (2 * PART_BITS), processId >> PART_BITS, processId];
-  return [127, ...parts.map((part) => part & GREATEST_PART)].join(".");
+function loopbackAddressOf(processId: number): string {
+  const octets = [processId >> (2 * OCTET_BITS), processId >> OCTET_BITS, processId];
+  return [127, ...octets.map((octet) => octet & MAX_OCTET)].join(".");
 }
--- a/src/connection/worker_connection.ts
+++ b/src/connection/worker_connection.ts
@@ -16,12 +16,12 @@
   ExchangeSink,
   WorkerRequest,
 } from "../interface/index.ts";
-import { createAnswerParser } from "./answer_parser.ts";
+import { createResponseParser } from "./response_parser.ts";
 import { splitAddress } from "./http_listener.ts";
-import { CONNECT_TIMEOUT, isRefusal } from "./reach_worker.ts";
+import { CONNECT_TIMEOUT, isConnectionRefused } from "./probe_worker.ts";
 
 /** The headers by which responses are matched with requests. */
-export interface AnswerMatching {
+export interface ResponseMatching {
   /** Lowercase name of the response header that echoes the request id. */
   readonly idHeader: string;
   /** Lowercase name of the header that marks a request as not run; such a response may lack the id. */
@@ -37,7 +37,7 @@
   /** The worker's idle timeout in milliseconds, from its `Keep-Alive` header; undefined if not announced. */
   readonly idleTimeout: number | undefined;
   /** Number of exchanges started on this connection. */
-  readonly carried: number;
+  readonly exchangeCount: number;
   /**
    * Sends a request; the connection must be idle.
    *
@@ -49,45 +49,45 @@
 }
 
 /** Options of {@linkcode openWorkerConnection}. */
-export interface WorkerConnectionParts {
+export interface WorkerConnectionOptions {
   readonly clock: Clock;
   /** Address of the worker, as `IP:PORT`. */
   readonly address: string;
-  readonly matching: AnswerMatching;
+  readonly matching: ResponseMatching;
   /** Called when bytes arrive from the worker. */
-  readonly heard: () => void;
+  readonly onReceived: () => void;
   /** Called when an exchange has ended and the connection can be reused. */
-  readonly freed: () => void;
+  readonly onIdle: () => void;
   /** Called once, when the connection is closed. */
-  readonly closed: () => void;
+  readonly onClosed: () => void;
 }
 
-const TIMEOUT_PARAMETER = /timeout=(\d+)/;
-const MILLISECONDS = 1_000;
+const KEEP_ALIVE_TIMEOUT = /timeout=(\d+)/;
+const MILLISECONDS_PER_SECOND = 1_000;
 
 /**
  * Opens a connection to a worker. The first exchange may start at once; its request is sent when the
  * connection is established.
  */
-export function openWorkerConnection(parts: WorkerConnectionParts): WorkerConnection {
-  const { clock, matching } = parts;
-  const [host, port] = splitAddress(parts.address);
+export function openWorkerConnection(options: WorkerConnectionOptions): WorkerConnection {
+  const { clock, matching } = options;
+  const [host, port] = splitAddress(options.address);
   const socket: Socket = connect({ host, port, noDelay: true });
-  const parser = createAnswerParser();
+  const parser = createResponseParser();
   let current: ExchangeSink | undefined;
   let isConnected = false;
   let isClosed = false;
-  let mayKeep = true;
+  let canReuse = true;
   let idleSince = clock.now();
   let idleTimeout: number | undefined;
-  let carried = 0;
+  let exchangeCount = 0;
 
   const close = (): void => {
     if (isClosed) return;
     isClosed = true;
-    connecting.close();
+    connectTimer.close();
     socket.destroy();
-    parts.closed();
+    options.onClosed();
   };
   const fail = (detail: string, isRefused = false): void => {
     const sink = current;
@@ -95,38 +95,38 @@
     close();
     sink?.end(isConnected ? { kind: "broken", detail } : { kind: "not-sent", detail, isRefused });
   };
-  const connecting = clock.after(CONNECT_TIMEOUT, () =>
+  const connectTimer = clock.after(CONNECT_TIMEOUT, () =>
     fail(`The worker didn't accept the connection within ${CONNECT_TIMEOUT} ms.`),
   );
-  const finished = (): void => {
+  const completeExchange = (): void => {
     const sink = current;
     current = undefined;
     idleSince = clock.now();
     // If the worker responded before it read the whole body, the rest would be parsed as the next request.
-    if (!mayKeep || socket.writableLength > 0) close();
-    else parts.freed();
+    if (!canReuse || socket.writableLength > 0) close();
+    else options.onIdle();
     sink?.end({ kind: "complete" });
   };
-  const noteHead = (head: AnswerHead, id: string | undefined): boolean => {
-    if (!isAnswerTo(head, { id, matching })) return false;
-    const keepAlive = TIMEOUT_PARAMETER.exec(head.byName.get("keep-alive") ?? "")?.[1];
-    if (keepAlive !== undefined) idleTimeout = Number(keepAlive) * MILLISECONDS;
-    if (/\bclose\b/i.test(head.byName.get("connection") ?? "")) mayKeep = false;
+  const acceptHead = (head: AnswerHead, id: string | undefined): boolean => {
+    if (!isResponseTo(head, { id, matching })) return false;
+    const keepAlive = KEEP_ALIVE_TIMEOUT.exec(head.byName.get("keep-alive") ?? "")?.[1];
+    if (keepAlive !== undefined) idleTimeout = Number(keepAlive) * MILLISECONDS_PER_SECOND;
+    if (/\bclose\b/i.test(head.byName.get("connection") ?? "")) canReuse = false;
     return true;
   };
   socket.on("connect", () => {
     isConnected = true;
-    connecting.close();
+    connectTimer.close();
   });
   socket.on("data", (bytes) => {
     if (isClosed) return;
-    parts.heard();
+    options.onReceived();
     const fault = parser.feed(bytes);
     if (fault !== undefined) fail(`The worker sent an invalid response: ${fault}.`);
   });
   socket.on("end", () => {
     if (isClosed) return;
-    mayKeep = false;
+    canReuse = false;
     if (wasReset(socket)) {
       fail("The worker reset the connection.");
       return;
@@ -137,26 +137,26 @@
     else close();
   });
   socket.on("error", (error: NodeJS.ErrnoException) =>
-    fail(`The connection to the worker failed: ${error.message}.`, isRefusal(error)),
+    fail(`The connection to the worker failed: ${error.message}.`, isConnectionRefused(error)),
   );
   socket.on("close", () => fail("The connection to the worker was closed."));
 
   const exchange = (request: WorkerRequest, sink: ExchangeSink): Exchange => {
     current = sink;
-    carried++;
-    parser.expect(request.method, {
+    exchangeCount++;
+    parser.expectResponse(request.method, {
       head: (head) => {
-        if (noteHead(head, request.id)) sink.head(head);
+        if (acceptHead(head, request.id)) sink.head(head);
         else fail("The worker sent the response to another request.");
       },
       data: (chunk) => {
         if (!isClosed) sink.data(chunk);
       },
       end: () => {
-        if (!isClosed) finished();
+        if (!isClosed) completeExchange();
       },
     });
-    socket.write(requestBytes(request));
+    socket.write(encodeRequest(request));
     return {
       pause: () => void socket.pause(),
       resume: () => void socket.resume(),
@@ -172,8 +172,8 @@
     get idleTimeout() {
       return idleTimeout;
     },
-    get carried() {
-      return carried;
+    get exchangeCount() {
+      return exchangeCount;
     },
     exchange,
     close,
@@ -190,9 +190,9 @@
 }
 
 /** Returns whether a response belongs to the request; a late one may belong to an earlier request. */
-function isAnswerTo(
+function isResponseTo(
   { byName }: AnswerHead,
-  { id, matching }: { id: string | undefined; matching: AnswerMatching },
+  { id, matching }: { id: string | undefined; matching: ResponseMatching },
 ): boolean {
   if (id === undefined) return true;
   const echoed = byName.get(matching.idHeader);
@@ -200,7 +200,7 @@
 }
 
 /** Encodes a request, with `Content-Length` if it has a body or its method usually has one. */
-function requestBytes({ method, target, headers, body }: WorkerRequest): Buffer {
+function encodeRequest({ method, target, headers, body }: WorkerRequest): Buffer {
   let head = `${method} ${target} HTTP/1.1\r\n`;
   for (let index = 0; index + 1 < headers.length; index += 2) {
     head += `${headers[index] ?? ""}: ${headers[index + 1] ?? ""}\r\n`;
--- a/src/connection/worker_connection_test.ts
+++ b/src/connection/worker_connection_test.ts
@@ -38,9 +38,9 @@
     clock: systemClock,
     address,
     matching: { idHeader: "x-id", notRunHeader: "x-not-run" },
-    heard: () => undefined,
-    freed: () => undefined,
-    closed: () => undefined,
+    onReceived: () => undefined,
+    onIdle: () => undefined,
+    onClosed: () => undefined,
   });
   closers.push(() => connection.close());
   return connection;
@@ -52,7 +52,7 @@
   readonly body: string;
 }
 
-function ask(connection: WorkerConnection, id = "r1"): Promise<Outcome> {
+function sendRequest(connection: WorkerConnection, id = "r1"): Promise<Outcome> {
   return new Promise((resolve) => {
     let status: number | undefined;
     let body = "";
@@ -71,7 +71,7 @@
   const address = await startWorker((socket) => {
     socket.once("data", () => socket.end("HTTP/1.1 200 OK\r\nX-Id: r1\r\n\r\nwhole"));
   });
-  const { end, body } = await ask(connectTo(address));
+  const { end, body } = await sendRequest(connectTo(address));
   expect(end.kind).toBe("complete");
   expect(body).toBe("whole");
 });
@@ -93,12 +93,12 @@
   closers.push(() => thread.terminate());
   const port = await new Promise<number>((resolve) => thread.once("message", resolve));
   const connection = connectTo(`127.0.0.1:${port}`);
-  const asked = ask(connection);
+  const outcome = sendRequest(connection);
   // Blocks the event loop until both the bytes and the reset have arrived.
   await new Promise((resolve) => setTimeout(resolve, 40));
   const until = performance.now() + 250;
   while (performance.now() < until);
-  const { end } = await asked;
+  const { end } = await outcome;
   expect(end.kind).toBe("broken");
 });
 
@@ -108,7 +108,7 @@
       socket.end("HTTP/1.1 200 OK\r\nX-Id: r1\r\nContent-Length: 10\r\n\r\nhalf"),
     );
   });
-  expect((await ask(connectTo(address))).end.kind).toBe("broken");
+  expect((await sendRequest(connectTo(address))).end.kind).toBe("broken");
 });
 
 // Guards against returning the late response to an earlier request as the response to this one.
@@ -118,7 +118,7 @@
       socket.write("HTTP/1.1 200 OK\r\nX-Id: other\r\nContent-Length: 2\r\n\r\nno"),
     );
   });
-  const { end, status } = await ask(connectTo(address));
+  const { end, status } = await sendRequest(connectTo(address));
   expect(end.kind).toBe("broken");
   expect(status).toBeUndefined();
 });
@@ -130,7 +130,7 @@
     socket.once("data", () => socket.write(answer + answer));
   });
   const connection = connectTo(address);
-  const { end, body } = await ask(connection);
+  const { end, body } = await sendRequest(connection);
   expect(end.kind).toBe("complete");
   expect(body).toBe("ok");
   await new Promise((resolve) => setTimeout(resolve, 20));
@@ -138,7 +138,7 @@
 });
 
 test("an exchange on a refused connection ends as not sent", async () => {
-  const { end } = await ask(connectTo("127.0.0.1:9"));
+  const { end } = await sendRequest(connectTo("127.0.0.1:9"));
   expect(end.kind).toBe("not-sent");
 });
 
@@ -148,7 +148,7 @@
       socket.write("HTTP/1.1 503 Busy\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"),
     );
   });
-  const { end, status } = await ask(connectTo(address));
+  const { end, status } = await sendRequest(connectTo(address));
   expect(end.kind).toBe("complete");
   expect(status).toBe(503);
 });
--- a/src/connection/worker_connections.ts
+++ b/src/connection/worker_connections.ts
@@ -1,32 +1,32 @@
 import type { Clock, WorkerConnections, WorkerPlace } from "../interface/index.ts";
-import { reachWorker } from "./reach_worker.ts";
+import { probeWorker } from "./probe_worker.ts";
 import { openWorkerConnection } from "./worker_connection.ts";
-import type { AnswerMatching, WorkerConnection } from "./worker_connection.ts";
+import type { ResponseMatching, WorkerConnection } from "./worker_connection.ts";
 
 /** Fraction of the announced idle timeout within which a connection is reused; the rest allows for network delay. */
-const IDLE_PART = 0.6;
+const IDLE_FRACTION = 0.6;
 /**
  * The same fraction for a request that must not run twice. If the worker closes the connection while such a
  * request is on its way, it is unknown whether the request ran.
  */
-const IDLE_PART_ONCE = 0.3;
+const UNREPEATABLE_IDLE_FRACTION = 0.3;
 /** Maximum idle time in milliseconds for reuse if the worker announced no idle timeout. */
-const UNANNOUNCED_IDLE = 700;
+const DEFAULT_MAX_IDLE = 700;
 /** The same for a request that must not run twice. */
-const UNANNOUNCED_IDLE_ONCE = 200;
+const UNREPEATABLE_DEFAULT_MAX_IDLE = 200;
 /**
  * Maximum idle time in milliseconds after which a connection is reused for a request that must not run twice,
  * whatever timeout the worker announced. An idle connection may go silent or be closed earlier than
  * announced, and only the next request detects that. A new connection costs one round trip.
  */
-const GREATEST_IDLE_ONCE = 500;
+const UNREPEATABLE_MAX_IDLE = 500;
 
 /** The connections to one worker. */
-interface Line {
+interface ConnectionPool {
   /** All open connections, the most recently used last. */
   readonly connections: WorkerConnection[];
   /** When bytes last arrived from the worker, in the clock's milliseconds. */
-  heardAt: number | undefined;
+  lastReceivedAt: number | undefined;
 }
 
 /**
@@ -34,83 +34,88 @@
  *
  * @param parts `matching` names the headers by which responses are matched with requests.
  */
-export function createWorkerConnections(parts: {
+export function createWorkerConnections(options: {
   readonly clock: Clock;
-  readonly matching: AnswerMatching;
+  readonly matching: ResponseMatching;
 }): WorkerConnections {
-  const { clock, matching } = parts;
-  const lines = new Map<string, Line>();
+  const { clock, matching } = options;
+  const pools = new Map<string, ConnectionPool>();
   let opened = 0;
 
-  const open = ({ id, address }: WorkerPlace, line: Line): WorkerConnection => {
+  const open = ({ id, address }: WorkerPlace, pool: ConnectionPool): WorkerConnection => {
     opened++;
     // The pool was removed if its last connection was closed before.
-    lines.set(id, line);
+    pools.set(id, pool);
     const connection = openWorkerConnection({
       clock,
       address,
       matching,
-      heard: () => (line.heardAt = clock.now()),
-      freed: () => {
+      onReceived: () => (pool.lastReceivedAt = clock.now()),
+      onIdle: () => {
         // The most recently used connection is last and is reused first, so that the others can expire.
-        remove(line.connections, connection);
-        line.connections.push(connection);
+        removeElement(pool.connections, connection);
+        pool.connections.push(connection);
       },
-      closed: () => {
-        remove(line.connections, connection);
-        if (line.connections.length === 0 && lines.get(id) === line) lines.delete(id);
+      onClosed: () => {
+        removeElement(pool.connections, connection);
+        if (pool.connections.length === 0 && pools.get(id) === pool) pools.delete(id);
       },
     });
-    line.connections.push(connection);
+    pool.connections.push(connection);
     return connection;
   };
   return {
     exchange: (place, request, { sink, repeatable, most }) => {
-      const line = lines.get(place.id) ?? { connections: [], heardAt: undefined };
-      for (const stale of line.connections.filter((one) => one.isIdle() && !isFresh(one, true))) {
+      const pool = pools.get(place.id) ?? { connections: [], lastReceivedAt: undefined };
+      for (const stale of pool.connections.filter(
+        (connection) => connection.isIdle() && !canReuse(connection, true),
+      )) {
         stale.close();
       }
-      const idle = line.connections.findLast((one) => one.isIdle() && isFresh(one, repeatable));
-      if (idle !== undefined) return idle.exchange(request, sink);
-      if (line.connections.length >= most) {
-        const spare = line.connections.find((one) => one.isIdle());
+      const reusable = pool.connections.findLast(
+        (connection) => connection.isIdle() && canReuse(connection, repeatable),
+      );
+      if (reusable !== undefined) return reusable.exchange(request, sink);
+      if (pool.connections.length >= most) {
+        const spare = pool.connections.find((connection) => connection.isIdle());
         if (spare === undefined) return undefined;
         spare.close();
       }
-      return open(place, line).exchange(request, sink);
+      return open(place, pool).exchange(request, sink);
     },
     reach: ({ address }) => {
       opened++;
-      return reachWorker(address, clock);
+      return probeWorker(address, clock);
     },
     keepOnly: (ids) => {
-      for (const [id, line] of lines) {
+      for (const [id, pool] of pools) {
         if (ids.has(id)) continue;
-        for (const idle of line.connections.filter((one) => one.isIdle())) idle.close();
+        for (const idle of pool.connections.filter((connection) => connection.isIdle()))
+          idle.close();
       }
     },
-    heardAt: (id) => lines.get(id)?.heardAt,
+    heardAt: (id) => pools.get(id)?.lastReceivedAt,
     get opened() {
       return opened;
     },
     close: () => {
-      for (const line of [...lines.values()]) {
-        for (const connection of [...line.connections]) connection.close();
+      for (const pool of [...pools.values()]) {
+        for (const connection of [...pool.connections]) connection.close();
       }
     },
   };
 }
 
 /** Returns whether an idle connection may be reused, depending on whether the request is repeatable. */
-function isFresh(connection: WorkerConnection, repeatable: boolean): boolean {
+function canReuse(connection: WorkerConnection, repeatable: boolean): boolean {
   const { idleTimeout } = connection;
-  const part = repeatable ? IDLE_PART : IDLE_PART_ONCE;
-  const unannounced = repeatable ? UNANNOUNCED_IDLE : UNANNOUNCED_IDLE_ONCE;
-  const longest = idleTimeout === undefined ? unannounced : idleTimeout * part;
-  return connection.idleFor() < (repeatable ? longest : Math.min(longest, GREATEST_IDLE_ONCE));
+  const fraction = repeatable ? IDLE_FRACTION : UNREPEATABLE_IDLE_FRACTION;
+  const defaultMaxIdle = repeatable ? DEFAULT_MAX_IDLE : UNREPEATABLE_DEFAULT_MAX_IDLE;
+  const maxIdle = idleTimeout === undefined ? defaultMaxIdle : idleTimeout * fraction;
+  return connection.idleFor() < (repeatable ? maxIdle : Math.min(maxIdle, UNREPEATABLE_MAX_IDLE));
 }
 
-function remove<Element>(elements: Element[], element: Element): void {
+function removeElement<Element>(elements: Element[], element: Element): void {
   const index = elements.indexOf(element);
   if (index >= 0) elements.splice(index, 1);
 }
