--- a/src/connection/caller_authentication.ts
+++ b/src/connection/caller_authentication.ts
@@ -16,8 +16,8 @@
 }
 
 /** Returns whether a result is a {@linkcode Rejection} rather than the expected value. */
-export function isRejection(found: object): found is Rejection {
-  return "notRun" in found;
+export function isRejection(result: object): result is Rejection {
+  return "notRun" in result;
 }
 
 /**
@@ -38,11 +38,11 @@
     return { reason: Refusal.CutOff, notRun: true, retryAfter: 1_000, detail };
   }
   const key = bearerToken(request.headers.authorization);
-  const found = createHash("sha256").update(key).digest();
+  const keyDigest = createHash("sha256").update(key).digest();
   const { deployment } = revision;
   let caller: Caller | undefined;
   for (const [account, settings] of Object.entries(deployment.accounts)) {
-    const isEqual = timingSafeEqual(found, Buffer.from(settings.keySha256, "hex"));
+    const isEqual = timingSafeEqual(keyDigest, Buffer.from(settings.keySha256, "hex"));
     if (isEqual) caller = { account, settings, deployment };
   }
   if (caller !== undefined) return caller;
@@ -64,10 +64,10 @@
   { account, settings, deployment }: Caller,
   { service, model, kind }: { service: string; model: string; kind: "model" | "plain" },
 ): Rejection | undefined {
-  const found = Object.hasOwn(deployment.services, service)
+  const entry = Object.hasOwn(deployment.services, service)
     ? deployment.services[service]
     : undefined;
-  if (found?.kind !== kind) {
+  if (entry?.kind !== kind) {
     const detail = `The deployment has no ${kind} service "${service}".`;
     return { reason: Refusal.UnknownService, notRun: true, detail };
   }
@@ -75,8 +75,8 @@
     const detail = `The account ${account} is not allowed to use the service ${service}.`;
     return { reason: Refusal.Forbidden, notRun: true, detail };
   }
-  if (found.kind === "plain" || model === "") return undefined;
-  const isKnown = found.models.some(({ name, adapters }) =>
+  if (entry.kind === "plain" || model === "") return undefined;
+  const isKnown = entry.models.some(({ name, adapters }) =>
     [name, ...adapters.map((adapter) => `${name}+${adapter}`)].includes(model),
   );
   if (isKnown) return undefined;
--- a/src/connection/caller_routes.ts
+++ b/src/connection/caller_routes.ts
@@ -115,13 +115,13 @@
     countAndReject(context, response, call);
     return;
   }
-  const { submission, chat, format: answer } = call;
+  const { submission, chat, format } = call;
   const abortController = new AbortController();
   response.on("close", () => abortController.abort(new Error("The caller disconnected.")));
   const events = context.requests.submit(submission, abortController.signal);
   if (submission.detached) await sendDetached(response, events);
-  else if (chat.stream === true) await streamChat(response, events, answer);
-  else await sendChat(response, events, answer);
+  else if (chat.stream === true) await streamChat(response, events, format);
+  else await sendChat(response, events, format);
 }
 
 async function sendDetached(
@@ -154,20 +154,20 @@
   }
   const chat = parsed.data;
   const { service, model } = splitModel(chat.model);
-  const refusal = checkServiceAccess(caller, { service, model, kind: "model" });
-  if (refusal !== undefined) return refusal;
+  const rejection = checkServiceAccess(caller, { service, model, kind: "model" });
+  if (rejection !== undefined) return rejection;
   const path = "/v1/chat/completions";
   const { account } = caller;
   // A caller that sends the same key again resumes its stream after the last token it received.
   const isResumable = chat.stream === true && options.key !== undefined;
   const fromToken = isResumable ? firstRequestedToken(request) : 0;
   const submission = { ...options, account, service, model, path, body, fromToken };
-  const answer: ChatFormat = {
+  const format: ChatFormat = {
     model: chat.model,
     created: Math.floor(clock.date().getTime() / SECOND),
     promptTokens: Math.ceil(body.length / CHARACTERS_PER_TOKEN),
     includeUsage: chat.stream_options?.include_usage === true,
     isFromStart: fromToken === 0,
   };
-  return { submission, chat, format: answer };
+  return { submission, chat, format };
 }
--- a/src/connection/caller_routes_test.ts
+++ b/src/connection/caller_routes_test.ts
@@ -40,9 +40,9 @@
 afterEach(() => listener.close());
 
 test("a complete response has the OpenAI format and its usage", async () => {
-  const answer = await post({ body: chatBody({}) });
-  expect(answer.status).toBe(200);
-  expect(await answer.json()).toMatchObject({
+  const response = await post({ body: chatBody({}) });
+  expect(response.status).toBe(200);
+  expect(await response.json()).toMatchObject({
     id: ID,
     object: "chat.completion",
     choices: [{ message: { role: "assistant", content: "ab" }, finish_reason: "stop" }],
@@ -51,8 +51,8 @@
 });
 
 test("event ids of a stream are token indexes, so that a caller can resume", async () => {
-  const answer = await post({ body: chatBody({ stream: true }) });
-  const text = await answer.text();
+  const response = await post({ body: chatBody({ stream: true }) });
+  const text = await response.text();
   expect([...text.matchAll(/^id: (\d+)$/gm)].map(([, id]) => id)).toEqual(["0", "1"]);
   expect(text.endsWith("data: [DONE]\n\n")).toBe(true);
 });
@@ -74,9 +74,9 @@
     "x-samphireshore-deadline": "30s",
     prefer: "respond-async",
   };
-  const answer = await post({ body: chatBody({}), headers });
-  expect(answer.status).toBe(202);
-  expect(await answer.json()).toMatchObject({ id: ID, url: `/v1/requests/${ID}` });
+  const response = await post({ body: chatBody({}), headers });
+  expect(response.status).toBe(202);
+  expect(await response.json()).toMatchObject({ id: ID, url: `/v1/requests/${ID}` });
   const options = { key: "entry-17", repeatable: false, deadline: 30_000, detached: true };
   expect(submitted).toMatchObject([{ account: "club", ...options }]);
 });
@@ -87,10 +87,10 @@
     { kind: "accepted", id: ID },
     { kind: "ended", record: testRecord({ detail }) },
   ];
-  const answer = await fetch(`http://${listener.address}/services/booking/reels/7?x=1`, {
+  const response = await fetch(`http://${listener.address}/services/booking/reels/7?x=1`, {
     headers: { authorization: `Bearer ${KEY}` },
   });
-  expect([answer.status, await answer.text()]).toEqual([404, "no such reel"]);
+  expect([response.status, await response.text()]).toEqual([404, "no such reel"]);
   expect(submitted).toMatchObject([{ path: "GET /reels/7?x=1", repeatable: true }]);
 });
 
@@ -98,10 +98,10 @@
   const detail = "The queue is full.";
   const rejection = { reason: Refusal.QueueFull, notRun: true, retryAfter: 1_500, detail };
   events = [{ kind: "rejected", rejection }];
-  const answer = await post({ body: chatBody({}) });
-  expect(answer.status).toBe(429);
-  expect(answer.headers.get("retry-after")).toBe("2");
-  expect(await answer.json()).toMatchObject({ error: { code: "queue-full", not_run: true } });
+  const response = await post({ body: chatBody({}) });
+  expect(response.status).toBe(429);
+  expect(response.headers.get("retry-after")).toBe("2");
+  expect(await response.json()).toMatchObject({ error: { code: "queue-full", not_run: true } });
 });
 
 test("a request that may have run tells the client library not to retry", async () => {
@@ -112,9 +112,9 @@
     { kind: "accepted", id: ID },
     { kind: "ended", record: testRecord(lost) },
   ];
-  const answer = await post({ body: chatBody({}) });
-  expect(answer.status).toBe(502);
-  expect(answer.headers.get("x-should-retry")).toBe("false");
+  const response = await post({ body: chatBody({}) });
+  expect(response.status).toBe(502);
+  expect(response.headers.get("x-should-retry")).toBe("false");
 });
 
 test.each([
@@ -148,9 +148,9 @@
 ])(
   "bad input with %s is a typed error, is counted, and runs nothing",
   async (_, call, status, reason) => {
-    const answer = await post(call);
-    const body = (await answer.json()) as { error: { code: string; not_run: boolean } };
-    expect([answer.status, body.error.code, body.error.not_run]).toEqual([status, reason, true]);
+    const response = await post(call);
+    const body = (await response.json()) as { error: { code: string; not_run: boolean } };
+    expect([response.status, body.error.code, body.error.not_run]).toEqual([status, reason, true]);
     expect(refused).toEqual([reason]);
     expect(submitted).toEqual([]);
   },
@@ -168,9 +168,9 @@
         prefer: headerText,
       }),
       async (body, headers) => {
-        const answer = await post({ body, headers });
-        await answer.text();
-        expect([200, 202, 400, 404, 403]).toContain(answer.status);
+        const response = await post({ body, headers });
+        await response.text();
+        expect([200, 202, 400, 404, 403]).toContain(response.status);
       },
     ),
     { seed: 7, numRuns: 100 },
--- a/src/connection/credentials.ts
+++ b/src/connection/credentials.ts
@@ -4,8 +4,8 @@
  * Returns whether two secrets are equal, in a time that doesn't depend on the length of their common
  * prefix. A caller can't find a credential character by character by measuring the response time.
  */
-export function equalSecrets(found: string, expected: string): boolean {
-  return timingSafeEqual(digest(found), digest(expected));
+export function equalSecrets(received: string, expected: string): boolean {
+  return timingSafeEqual(digest(received), digest(expected));
 }
 
 function digest(text: string): Buffer {
--- a/src/connection/datagrams.ts
+++ b/src/connection/datagrams.ts
@@ -24,8 +24,8 @@
  *
  * @returns The socket, once it is bound. Rejects if the address can't be bound.
  */
-export function openDatagrams(parts: DatagramParts): Promise<Datagrams> {
-  const { address, onMessage, onFault } = parts;
+export function openDatagrams(options: DatagramParts): Promise<Datagrams> {
+  const { address, onMessage, onFault } = options;
   const [host, port] = splitAddress(address);
   return new Promise((resolve, reject) => {
     const socket = createSocket("udp4");
@@ -36,8 +36,8 @@
       socket.on("error", (error) => onFault(`The digest socket failed: ${error.message}.`));
       resolve({
         send: (bytes, target) => {
-          const [to, at] = splitAddress(target);
-          socket.send(bytes, at, to, (error) => {
+          const [targetHost, targetPort] = splitAddress(target);
+          socket.send(bytes, targetPort, targetHost, (error) => {
             if (error !== null) onFault(`Sending a digest to ${target} failed: ${error.message}.`);
           });
         },
--- a/src/connection/guarded_route.ts
+++ b/src/connection/guarded_route.ts
@@ -26,7 +26,7 @@
       context.counters.refused(rejection.reason);
       if (response.headersSent) response.destroy();
       else sendRejection(response, rejection);
-      // The rest of a body that timed out is not read.
+      // The rest of a body that timed out isn't read: the connection closes after the response.
       if (error instanceof BodyTooSlow) response.on("finish", () => request.destroy());
     }
   };
--- a/src/connection/http_cloud.ts
+++ b/src/connection/http_cloud.ts
@@ -44,7 +44,7 @@
       );
     } catch (error) {
       // The instance may have been launched. A retry with the same token returns that instance.
-      const detail = `Launching ${launchRequest.token} failed without a response: ${String(error)}.`;
+      const detail = `Launching ${launchRequest.token} got no valid response: ${String(error)}.`;
       return { kind: "unknown", detail };
     }
   };
--- a/src/connection/http_engine.ts
+++ b/src/connection/http_engine.ts
@@ -38,8 +38,10 @@
 
 /**
  * Creates an HTTP client for backend servers. `run` and `attach` return the server-sent events of the
- * response; `run` of a plain service is an ordinary HTTP request. All failures are an
- * {@linkcode EngineFailure}.
+ * response; `run` of a plain service is an ordinary HTTP request.
+ *
+ * A call that fails rejects with an {@linkcode EngineFailure}. A successful response with an unexpected
+ * format rejects with a `ZodError` in `ask`, `exportCache` and `report`.
  */
 export function createHttpEngine(): Engine & { close(): void } {
   const agent = new Agent({ connections: 256, headersTimeout: 0, bodyTimeout: 0 });
@@ -126,6 +128,7 @@
   return iterator;
 }
 
+/** Sends the request of a call; a status other than 200 becomes a single `status` event. */
 async function openEvents(
   agent: Agent,
   { worker, path, body, signal }: EventCall,
--- a/src/connection/http_object_store.ts
+++ b/src/connection/http_object_store.ts
@@ -11,7 +11,7 @@
 
 /** Timeout of a read or a write, in milliseconds; after it the response counts as lost. */
 const CALL_TIMEOUT = 2_000;
-/** Timeout of a watch, in milliseconds, within which the store responds even if nothing changed. */
+/** Timeout of a watch, in milliseconds; the store responds earlier even if nothing changed. */
 const WATCH_TIMEOUT = 35_000;
 
 /**
@@ -51,7 +51,7 @@
   } catch (error) {
     return {
       kind: "unavailable",
-      detail: `Reading ${key} failed without a response: ${String(error)}.`,
+      detail: `Reading ${key} got no valid response: ${String(error)}.`,
     };
   }
 }
@@ -81,7 +81,7 @@
     // The write may have been applied although its response was lost; only reading it back can tell.
     return {
       kind: "unknown",
-      detail: `Writing ${write.key} failed without a response: ${String(error)}.`,
+      detail: `Writing ${write.key} got no valid response: ${String(error)}.`,
     };
   }
 }
--- a/src/connection/json_call.ts
+++ b/src/connection/json_call.ts
@@ -29,7 +29,7 @@
    * @throws {Error} If no complete response arrives in time, or its body isn't JSON. The service may have
    *   processed the request all the same.
    */
-  call(call: JsonRequest): Promise<JsonAnswer>;
+  call(request: JsonRequest): Promise<JsonAnswer>;
   /** Closes all connections. */
   close(): void;
 }
--- a/src/connection/peer_channel.ts
+++ b/src/connection/peer_channel.ts
@@ -56,6 +56,7 @@
   };
 }
 
+/** A client with the session manager of its connection. */
 interface OpenClient {
   readonly client: Client<typeof Peer>;
   readonly manager: Http2SessionManager;
--- a/src/connection/peer_client.ts
+++ b/src/connection/peer_client.ts
@@ -71,12 +71,12 @@
     run: (connection: PeerConnection) => Promise<T>,
   ): Promise<T> => {
     const connection = connectionTo(target.to.address);
-    for (let attempts = 0; ; attempts++) {
+    for (let retries = 0; ; retries++) {
       const { generation } = connection;
       try {
         return await withTimeout(clock, run(connection));
       } catch (cause) {
-        if (attempts >= MAX_RECONNECTS) throw createPeerFailure(target, cause);
+        if (retries >= MAX_RECONNECTS) throw createPeerFailure(target, cause);
         // Calls between instances are idempotent, so a call can be repeated on a new connection. Only
         // the first of the calls that failed on a connection replaces it; the others share the new one.
         if (connection.generation === generation) reconnect(connection);
--- a/src/connection/peer_listener.ts
+++ b/src/connection/peer_listener.ts
@@ -61,6 +61,7 @@
   return listen(server, address);
 }
 
+/** Listens and keeps track of the HTTP/2 sessions, so that `close` can end them. */
 function listen(server: Http2Server, address: string): Promise<Listener> {
   const sessions = new Set<ServerHttp2Session>();
   server.on("session", (session) => {
--- a/src/connection/replicate_stream.ts
+++ b/src/connection/replicate_stream.ts
@@ -6,7 +6,7 @@
 export interface ReplicateStream {
   /** Sends a replication and resolves with its reply. Rejects if the stream fails before the reply arrives. */
   send(message: ReplicateMessage): Promise<SlotReply>;
-  /** Returns true once the stream has failed or was closed; all later calls reject. */
+  /** Returns true once the stream has failed or was closed; `send` then rejects. */
   hasFailed(): boolean;
   /** Ends the stream and rejects all pending replies. */
   close(): void;
@@ -77,7 +77,7 @@
   close(): void;
 }
 
-/** Creates an unbounded queue for one reader; it ends once closed, dropping what is still queued. */
+/** Creates an unbounded queue for one reader, which reads in batches until the queue is closed. */
 function createMessageQueue<T>(): MessageQueue<T> {
   const items: T[] = [];
   let wakeReader: (() => void) | undefined;
--- a/src/connection/request_routes.ts
+++ b/src/connection/request_routes.ts
@@ -30,6 +30,7 @@
     context.counters.refused(caller.reason);
     sendRejection(response, caller);
   };
+  /** Returns a route that authenticates the caller and sends the request that `lookUp` finds. */
   const respondWith =
     (lookUp: (id: string, account: string) => ReturnType<CallerRouteContext["requests"]["find"]>) =>
     async (
--- a/src/connection/response_parser_test.ts
+++ b/src/connection/response_parser_test.ts
@@ -59,8 +59,8 @@
       fc.nat(),
       CHUNK_SIZES,
       ({ text }, offset, sizes) => {
-        const cut = Buffer.from(text).subarray(0, offset % text.length);
-        const result = parse(cut, sizes);
+        const truncated = Buffer.from(text).subarray(0, offset % text.length);
+        const result = parse(truncated, sizes);
         expect(result.endCount).toBe(0);
         expect(result.fault).toBe(ParseFault.Truncated);
       },
@@ -88,10 +88,10 @@
 
 // A second response after a complete one belongs to no request and must not reach the next one.
 test("bytes after a complete response are a fault", () => {
-  const answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+  const response = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
   fc.assert(
-    fc.property(CHUNK_SIZES, fc.string({ minLength: 1 }), (sizes, more) => {
-      const result = parse(Buffer.from(answer + more), sizes);
+    fc.property(CHUNK_SIZES, fc.string({ minLength: 1 }), (sizes, extra) => {
+      const result = parse(Buffer.from(response + extra), sizes);
       expect(result.fault).toBe(ParseFault.Unexpected);
       expect(result.body).toBe("ok");
     }),
--- a/src/connection/worker_connection.ts
+++ b/src/connection/worker_connection.ts
@@ -102,7 +102,7 @@
     const sink = current;
     current = undefined;
     idleSince = clock.now();
-    // If the worker responded before it read the whole body, the rest would be parsed as the next request.
+    // If the worker responded before it read the whole body, the rest of the body would be parsed as the next request.
     if (!canReuse || socket.writableLength > 0) close();
     else options.onIdle();
     sink?.end({ kind: "complete" });
--- a/src/connection/worker_connection_test.ts
+++ b/src/connection/worker_connection_test.ts
@@ -125,9 +125,9 @@
 
 // Guards against reusing a connection on which a worker sent a second response: the next request would get it.
 test("a connection with bytes after a complete response isn't reused", async () => {
-  const answer = "HTTP/1.1 200 OK\r\nX-Id: r1\r\nContent-Length: 2\r\n\r\nok";
+  const response = "HTTP/1.1 200 OK\r\nX-Id: r1\r\nContent-Length: 2\r\n\r\nok";
   const address = await startWorker((socket) => {
-    socket.once("data", () => socket.write(answer + answer));
+    socket.once("data", () => socket.write(response + response));
   });
   const connection = connectTo(address);
   const { end, body } = await sendRequest(connection);
--- a/src/connection/worker_connections.ts
+++ b/src/connection/worker_connections.ts
@@ -32,7 +32,7 @@
 /**
  * Creates an empty set of connection pools, one per worker.
  *
- * @param parts `matching` names the headers by which responses are matched with requests.
+ * @param options `matching` names the headers by which responses are matched with requests.
  */
 export function createWorkerConnections(options: {
   readonly clock: Clock;
