--- a/src/connection/caller_routes_test.ts
+++ b/src/connection/caller_routes_test.ts
@@ -39,6 +39,7 @@
 
 afterEach(() => listener.close());
 
+// Guards against a response that OpenAI client libraries can't parse.
 test("a complete response has the OpenAI format and its usage", async () => {
   const response = await post({ body: chatBody({}) });
   expect(response.status).toBe(200);
@@ -50,6 +51,7 @@
   });
 });
 
+// Guards against a resumed stream that repeats or skips tokens because its event ids aren't token indexes.
 test("event ids of a stream are token indexes, so that a caller can resume", async () => {
   const response = await post({ body: chatBody({ stream: true }) });
   const text = await response.text();
@@ -67,6 +69,7 @@
   expect(submitted.map(({ fromToken }) => fromToken)).toEqual([241, 0]);
 });
 
+// Guards against ignored headers: a request would run twice, or longer than the caller waits.
 test("headers set the options of a request", async () => {
   const headers = {
     "idempotency-key": "entry-17",
@@ -81,6 +84,7 @@
   expect(submitted).toMatchObject([{ account: "club", ...options }]);
 });
 
+// Guards against replacing the status or the type of the service's own response, such as a 404.
 test("the response of a plain service keeps its own status", async () => {
   const detail = JSON.stringify({ status: 404, type: "text/plain", body: "no such reel" });
   events = [
@@ -94,6 +98,7 @@
   expect(submitted).toMatchObject([{ path: "GET /reels/7?x=1", repeatable: true }]);
 });
 
+// Guards against clients that can't tell whether to retry, or that retry too early.
 test("a rejection has its reason, whether the request was not run, and a retry time", async () => {
   const detail = "The queue is full.";
   const rejection = { reason: Refusal.QueueFull, notRun: true, retryAfter: 1_500, detail };
@@ -117,6 +122,7 @@
   expect(response.headers.get("x-should-retry")).toBe("false");
 });
 
+// Guards against invalid input that reaches a backend server, or that fails without a reason or a count.
 test.each([
   ["no key", { body: chatBody({}), headers: { authorization: "" } }, 401, Refusal.Unauthenticated],
   ["a wrong key", { headers: { authorization: "Bearer x" } }, 401, Refusal.Unauthenticated],
@@ -156,6 +162,7 @@
   },
 );
 
+// Guards against input that ends the process or leaves a caller without a response.
 test("arbitrary bodies and headers get a response, and the instance keeps running", async () => {
   const headerText = fc.string({ maxLength: 40 }).map((text) => text.replace(/[^ -~]/g, ""));
   await fc.assert(
--- a/src/connection/http_listener.ts
+++ b/src/connection/http_listener.ts
@@ -52,7 +52,10 @@
   });
 }
 
-/** Creates an HTTPS server. The TLS modules are loaded on demand: they take 5% of the start of an instance without TLS. */
+/**
+ * Creates an HTTPS server. The TLS modules are loaded on demand, because loading them makes up 5% of the
+ * start time of an instance without TLS.
+ */
 async function secureServer(parts: {
   limits: { headersTimeout: number; maxHeaderSize: number; requestTimeout: number };
   tls: Certificate;
--- a/src/connection/peer_client_test.ts
+++ b/src/connection/peer_client_test.ts
@@ -83,7 +83,7 @@
   return { address: listener.address, refused: () => refused };
 }
 
-function peersWith(peerKey: string): ReturnType<typeof createConnectPeers> {
+function createPeers(peerKey: string): ReturnType<typeof createConnectPeers> {
   const peers = createConnectPeers({ self: "e1#1", clock: CLOCK, security: { peerKey } });
   closers.push(() => peers.close());
   return peers;
@@ -93,16 +93,17 @@
   return { id: "e2#1", address, callerAddress: "", zone: "a" };
 }
 
+// Guards against a call whose encoding, route or decoding doesn't match on the two sides.
 test("every kind of call reaches the peer and returns its reply", async () => {
   const { handlers, replicated } = recordingHandlers();
   const to = memberAt((await startPeer(handlers)).address);
-  const peers = peersWith("key-of-the-instances");
+  const peers = createPeers("key-of-the-instances");
   const message = { from: "e1#1", slot: 1, epoch: 3, record: RECORD };
   const replies = await Promise.all([1, 2, 3].map(() => peers.replicate(to, message)));
   expect(replies.map((reply) => reply.outcome)).toEqual(Array(3).fill(SlotOutcome.Acknowledged));
   expect(replicated).toHaveLength(3);
-  const cession = { from: "e1#1", slot: 1, epoch: 3, custody: false, records: [RECORD] };
-  expect(await peers.cede(to, cession)).toEqual({ outcome: SlotOutcome.NotNamed, epoch: 3 });
+  const handover = { from: "e1#1", slot: 1, epoch: 3, custody: false, records: [RECORD] };
+  expect(await peers.cede(to, handover)).toEqual({ outcome: SlotOutcome.NotNamed, epoch: 3 });
   expect(await peers.pull(to, "known")).toEqual({ version: 7, value: "v" });
   expect(await peers.pull(to, "unknown")).toBeUndefined();
   const events = [];
@@ -118,7 +119,7 @@
   // and callers would get the responses of others or none.
   const { handlers, replicated } = recordingHandlers();
   const { address, refused } = await startPeer(handlers);
-  const peers = peersWith("a-key-that-was-guessed");
+  const peers = createPeers("a-key-that-was-guessed");
   const message = { from: "e9#1", slot: 1, epoch: 3, record: RECORD };
   await expect(peers.replicate(memberAt(address), message)).rejects.toMatchObject({
     step: "replicate",
@@ -135,7 +136,7 @@
   const { handlers, replicated } = recordingHandlers();
   const { address } = await startPeer(handlers);
   const proxy = await startProxy(address);
-  const peers = peersWith("key-of-the-instances");
+  const peers = createPeers("key-of-the-instances");
   const to = memberAt(proxy.address);
   const message = { from: "e1#1", slot: 1, epoch: 3, record: RECORD };
   await peers.replicate(to, message);
@@ -151,7 +152,7 @@
   const { handlers, replicated } = recordingHandlers();
   const { address } = await startPeer(handlers);
   const proxy = await startProxy(address);
-  const peers = peersWith("key-of-the-instances");
+  const peers = createPeers("key-of-the-instances");
   const to = memberAt(proxy.address);
   const message = { from: "e1#1", slot: 1, epoch: 3, record: RECORD };
   await peers.replicate(to, message);
@@ -176,7 +177,7 @@
     },
   });
   const proxy = await startProxy(address);
-  const peers = peersWith("key-of-the-instances");
+  const peers = createPeers("key-of-the-instances");
   const relayed = { from: "e1#1", slot: 1, epoch: 3, record: RECORD };
   const events = peers.relay(
     memberAt(proxy.address),
--- a/src/connection/peer_codec_test.ts
+++ b/src/connection/peer_codec_test.ts
@@ -38,6 +38,7 @@
   fc.record({ kind: fc.constant("moved" as const), epoch: fc.nat() }),
 );
 
+// Guards against a record field that is lost or changed when a request is copied to another instance.
 test("every record is equal after encoding and decoding", () => {
   fc.assert(
     fc.property(record, (sent) => {
@@ -48,6 +49,7 @@
   );
 });
 
+// Guards against a caller that gets a different event than the owner of its request sent.
 test("every event of a relayed request is equal after encoding and decoding", () => {
   fc.assert(
     fc.property(event, (sent) => {
--- a/src/connection/probe_worker_test.ts
+++ b/src/connection/probe_worker_test.ts
@@ -17,6 +17,7 @@
   expect(await probeWorker(address, clock)).toBe(Reach.Refused);
 });
 
+// Guards against taking a reset for proof that no process listens: the worker may still be running.
 test("a connection reset does not count as a refusal", () => {
   expect(isConnectionRefused(Object.assign(new Error("reset"), { code: "ECONNRESET" }))).toBe(
     false,
--- a/src/connection/response_parser_test.ts
+++ b/src/connection/response_parser_test.ts
@@ -42,6 +42,7 @@
   { text: "HTTP/1.1 204 No Content\r\n\r\n", body: "" },
 ];
 
+// Guards against a parser that depends on how TCP splits the bytes.
 test("complete responses are parsed regardless of how their bytes are split", () => {
   fc.assert(
     fc.property(CHUNK_SIZES, fc.constantFrom(...COMPLETE_RESPONSES), (sizes, { text, body }) => {
@@ -68,6 +69,7 @@
   );
 });
 
+// Guards against a faulty worker whose bytes make the parser throw or end a response twice.
 test("arbitrary bytes are parsed or rejected, and end a response at most once", () => {
   const noise = fc.uint8Array({ maxLength: 300 }).map((bytes) => Buffer.from(bytes));
   const corrupted = fc
--- a/src/connection/testing/loopback_address_test.ts
+++ b/src/connection/testing/loopback_address_test.ts
@@ -32,6 +32,7 @@
   }
 });
 
+// Guards against two listeners of one test on the same address.
 test("no address is returned twice", () => {
   const taken = Array.from({ length: 100 }, takeLoopbackAddress);
   expect(new Set(taken).size).toBe(taken.length);
--- a/src/connection/worker_connection_test.ts
+++ b/src/connection/worker_connection_test.ts
@@ -67,6 +67,7 @@
   });
 }
 
+// Guards against reporting a valid response as broken because its end is marked by the close alone.
 test("a response without a length is complete if the worker closes in an orderly way", async () => {
   const address = await startWorker((socket) => {
     socket.once("data", () => socket.end("HTTP/1.1 200 OK\r\nX-Id: r1\r\n\r\nwhole"));
@@ -102,6 +103,7 @@
   expect(end.kind).toBe("broken");
 });
 
+// Guards against passing on half a response when a worker closes the connection early.
 test("a truncated response is broken, not complete", async () => {
   const address = await startWorker((socket) => {
     socket.once("data", () =>
@@ -137,11 +139,13 @@
   expect(connection.isIdle()).toBe(false);
 });
 
+// Guards against treating a request that was certainly not sent as one that may have run.
 test("an exchange on a refused connection ends as not sent", async () => {
   const { end } = await sendRequest(connectTo("127.0.0.1:9"));
   expect(end.kind).toBe("not-sent");
 });
 
+// Guards against discarding a worker's own rejection, which may lack the id, as another request's response.
 test("a response that marks the request as not run needs no id", async () => {
   const address = await startWorker((socket) => {
     socket.once("data", () =>
