--- a/src/process/entry_core.ts
+++ b/src/process/entry_core.ts
@@ -30,8 +30,8 @@
 import { createWorkerDirectory } from "./worker_directory.ts";
 import type { WorkerDirectory } from "./worker_directory.ts";
 
-/** All that is outside an entry instance: real clients in the binary, fakes in the failure runs. */
-export interface Outside {
+/** External services of an entry instance: real clients in the binary, fakes in the failure tests. */
+export interface EntryDependencies {
   readonly clock: Clock;
   readonly random: Random;
   readonly store: ObjectStore;
@@ -41,23 +41,24 @@
   readonly peers: Peers;
 }
 
-/** What an entry instance is told at its start. */
+/** Settings of {@linkcode createEntryCore}. */
 export interface CoreSettings {
+  /** This instance as its peers see it. */
   readonly self: Member;
   readonly region: string;
-  /** Addresses of a few other entry instances, to join by. */
+  /** Peer addresses of a few other entry instances, contacted to join the fleet. */
   readonly seeds: readonly string[];
-  /** Takes the lines of a recording of the traffic; nothing is recorded where it is absent. */
+  /** Receives the lines of the traffic recording. Nothing is recorded if absent. */
   readonly record?: (line: string) => void;
-  /** Milliseconds between slow rereads of the store. */
+  /** Interval of the periodic fallback reads of the store, in milliseconds. */
   readonly reread?: number;
-  /** Reads the instance's own load; absent where it protects itself from nothing, as in tests. */
+  /** Reads the instance's own load. Overload protection is off if absent, as in tests. */
   readonly readLoad?: () => EntryLoad;
-  /** Where counts go besides the table. */
+  /** Also receives every count, besides the counter table. */
   readonly sink?: CounterSink;
 }
 
-/** An entry instance without its sockets: the tasks and the requests that they serve. */
+/** An entry instance without its sockets: its background tasks and its request service. */
 export interface EntryCore {
   readonly requests: RequestService;
   readonly configuration: Configuration;
@@ -65,63 +66,68 @@
   readonly workers: WorkerDirectory;
   readonly counters: CounterTable;
   readonly operators: OperatorService;
+  /** Handlers for all peer messages. */
   readonly handlers: PeerHandlers;
-  /** Resolves once a revision is known. */
+  /** Starts all tasks. Resolves once a revision is known. */
   start(): Promise<void>;
   /**
-   * A planned stop: takes nothing new, lets what is in progress end, hands over, and resolves when this
-   * instance may go.
+   * Performs a planned stop: refuses new requests, waits for requests in progress, hands over its slots, and resolves
+   * when the process may exit. Further calls return the same promise.
    */
   drain(): Promise<void>;
-  /** Resolves when a drain, whoever asked for it, is over. */
+  /** Resolves when a drain has finished, whether a signal or an operator started it. */
   whenDrained(): Promise<void>;
-  /** A notice that this instance is taken in the given number of milliseconds: hands over at once. */
+  /** Hands over immediately, because the cloud takes this instance back in the given number of milliseconds. */
   reclaim(within: number): Promise<void>;
+  /** Stops all tasks and the request service. */
   close(): void;
 }
 
-/** Puts an entry instance together. */
-export function createEntryCore(settings: CoreSettings, outside: Outside): EntryCore {
+/** Creates an entry instance. It does nothing until `start` is called. */
+export function createEntryCore(
+  settings: CoreSettings,
+  dependencies: EntryDependencies,
+): EntryCore {
   const counters = createCounters(settings.sink);
   const count = (name: string): void => counters.count(name);
-  const control = createControl({ ...settings, ...outside, requests: () => requests, count });
+  const control = createControl({ ...settings, ...dependencies, requests: () => requests, count });
   const { configuration, members } = control;
-  const workers = createWorkerDirectory({ ...outside, members, count });
-  const scheduler = schedulerOf(settings, { clock: outside.clock, configuration });
-  const environment = { ...outside, configuration, members, workers, scheduler, counters };
+  const workers = createWorkerDirectory({ ...dependencies, members, count });
+  const scheduler = schedulerFor(settings, { clock: dependencies.clock, configuration });
+  const environment = { ...dependencies, configuration, members, workers, scheduler, counters };
   const requests: RequestService = createRequestService(environment);
-  const reports = createLoadReports({ ...outside, workers, scheduler, counters });
-  workers.onChange(() => scheduler.setWorkers(workers.list(), outside.clock.now()));
+  const reports = createLoadReports({ ...dependencies, workers, scheduler, counters });
+  workers.onChange(() => scheduler.setWorkers(workers.list(), dependencies.clock.now()));
   members.onChange(() => {
-    scheduler.setInstances(Math.max(1, members.alive().length), outside.clock.now());
+    scheduler.setInstances(Math.max(1, members.alive().length), dependencies.clock.now());
   });
   configuration.onChange(() => {
     const revision = configuration.revision();
-    if (revision !== undefined) scheduler.configure(revision.deployment, outside.clock.now());
+    if (revision !== undefined) scheduler.configure(revision.deployment, dependencies.clock.now());
   });
-  const stopTaking = (): void => {
+  const stopAccepting = (): void => {
     members.leave();
     void leases.release();
     requests.stopTaking();
   };
   const handOver = async (): Promise<void> => {
-    stopTaking();
+    stopAccepting();
     await requests.cedeAll();
   };
-  // A second signal to stop, or a notice during the drain, joins the drain that goes on.
+  // A second stop signal or a reclaim notice during the drain joins the drain in progress.
   let draining: Promise<void> | undefined;
   const drain = async (): Promise<void> => {
-    stopTaking();
+    stopAccepting();
     await requests.whenIdle();
     await requests.cedeAll();
   };
   const { readLoad } = settings;
-  const onStance = (stance: EntryStance): void => requests.setStance(stance);
+  const onStanceChange = (stance: EntryStance): void => requests.setStance(stance);
   const overload =
     readLoad === undefined
       ? undefined
-      : createOverloadTask({ clock: outside.clock, readLoad, onStance, count });
-  const tasks = { ...outside, configuration, members, workers, count };
+      : createOverloadTask({ clock: dependencies.clock, readLoad, onStanceChange, count });
+  const tasks = { ...dependencies, configuration, members, workers, count };
   const leases = createLeaseTask({
     ...tasks,
     pace: configuration.pace,
@@ -131,11 +137,11 @@
   const orders = createOrderTask({ ...tasks, leases });
   const notices = createNoticeTask(tasks);
   members.onOwnNotice(() => void handOver());
-  const changes = createOperatorChanges({ ...outside, configuration });
-  const drained = new Set<() => void>();
+  const changes = createOperatorChanges({ ...dependencies, configuration });
+  const drainListeners = new Set<() => void>();
   const drainOnce = (): Promise<void> =>
     (draining ??= drain().then(() => {
-      for (const resolve of drained) resolve();
+      for (const resolve of drainListeners) resolve();
     }));
   const operators = createOperatorService({
     ...environment,
@@ -166,7 +172,7 @@
     drain: drainOnce,
     whenDrained: () =>
       new Promise((resolve) => {
-        drained.add(resolve);
+        drainListeners.add(resolve);
       }),
     reclaim: handOver,
     close: () => {
@@ -183,7 +189,7 @@
   };
 }
 
-function schedulerOf(
+function schedulerFor(
   { self, record }: CoreSettings,
   { clock, configuration }: { clock: Clock; configuration: ConfigurationView },
 ): Scheduler {
--- a/src/process/fleet_roster.ts
+++ b/src/process/fleet_roster.ts
@@ -1,74 +1,85 @@
 import type { Roster, RosterEntry } from "./digest.ts";
 
-/** Instances that are there, as others tell it. */
+/** Instances that other instances report as live. */
 export interface FleetRoster {
   /**
-   * Takes in what an instance tells of others.
+   * Applies a roster from a digest.
    *
-   * @param by The teller's session; `isFirm` says whether it hears them itself or is told by those that do.
+   * @param by The reporter's session. `isAuthoritative` is set if the reporter receives
+   * digests from the listed instances itself, or from relays that do.
    */
-  told(by: { readonly session: number; readonly isFirm: boolean }, roster: Roster): void;
-  /** Whoever isn't among these doesn't tell any more; says whether anything has changed by that. */
-  keepTellers(sessions: ReadonlySet<number>, now: number): boolean;
-  /** What an instance has told holds no longer. */
-  forget(teller: number): void;
+  receive(
+    by: { readonly session: number; readonly isAuthoritative: boolean },
+    roster: Roster,
+  ): void;
   /**
-   * All that somebody tells of, by address.
+   * Starts the expiry of reporters that are not among `sessions`. Returns whether the roster has
+   * changed.
+   */
+  retainReporters(sessions: ReadonlySet<number>, now: number): boolean;
+  /** Discards everything that a reporter has sent. */
+  forget(reporter: number): void;
+  /**
+   * Returns all reported instances by address.
    *
-   * Only what is firm may be told on: two that tell each other what they were told would keep alive whoever is gone.
+   * Only authoritative entries may be forwarded. If two instances forwarded what they had received
+   * from each other, they would keep failed instances in the roster.
    */
   list(options: {
-    /** Whether this instance itself knows of an address that nobody is there any more. */
+    /** Reports whether this instance has itself lost contact with the instance at an address. */
     readonly isLost: (address: string) => boolean;
-    readonly onlyFirm: boolean;
+    readonly onlyAuthoritative: boolean;
   }): ReadonlyMap<string, RosterEntry>;
 }
 
 /**
- * How long the word of one that tells no more is kept, in milliseconds. Where all that told a zone of the others end at
- * once, it has to know its instances to find those that take their place.
+ * Milliseconds for which a lost reporter's entries are kept. If all reporters of a zone fail at
+ * once, the zone needs the entries to select new relays.
  */
-const KEPT_WORD = 3_000;
+const LOST_REPORTER_TTL = 3_000;
 
-interface Teller {
-  readonly isFirm: boolean;
-  readonly told: Map<number, RosterEntry>;
+interface Reporter {
+  readonly isAuthoritative: boolean;
+  readonly entries: Map<number, RosterEntry>;
   lostAt: number | undefined;
 }
 
-/** Makes a roster that names nobody. */
+/** Creates an empty roster. */
 export function createFleetRoster(): FleetRoster {
-  /** By session. */
-  const tellers = new Map<number, Teller>();
+  /** Reporters by session. */
+  const reporters = new Map<number, Reporter>();
   return {
-    told: ({ session: by, isFirm }, { isWhole, there, gone }) => {
-      const known = isWhole ? undefined : tellers.get(by)?.told;
-      const told = known ?? new Map<number, RosterEntry>();
-      for (const entry of there) told.set(entry.session, entry);
-      for (const session of gone) told.delete(session);
-      tellers.set(by, { isFirm, told, lostAt: undefined });
+    receive: (
+      { session: reporterSession, isAuthoritative },
+      { isSnapshot, live, removedSessions },
+    ) => {
+      const previous = isSnapshot ? undefined : reporters.get(reporterSession)?.entries;
+      const entries = previous ?? new Map<number, RosterEntry>();
+      for (const entry of live) entries.set(entry.session, entry);
+      for (const session of removedSessions) entries.delete(session);
+      reporters.set(reporterSession, { isAuthoritative, entries, lostAt: undefined });
     },
-    keepTellers: (sessions, now) => {
+    retainReporters: (sessions, now) => {
       let changed = false;
-      for (const [session, teller] of tellers) {
+      for (const [session, reporter] of reporters) {
         if (sessions.has(session)) {
-          teller.lostAt = undefined;
+          reporter.lostAt = undefined;
           continue;
         }
-        changed ||= teller.lostAt === undefined;
-        teller.lostAt ??= now;
-        if (now - teller.lostAt <= KEPT_WORD) continue;
-        tellers.delete(session);
+        changed ||= reporter.lostAt === undefined;
+        reporter.lostAt ??= now;
+        if (now - reporter.lostAt <= LOST_REPORTER_TTL) continue;
+        reporters.delete(session);
         changed = true;
       }
       return changed;
     },
-    forget: (teller) => void tellers.delete(teller),
-    list: ({ isLost, onlyFirm }) => {
+    forget: (reporter) => void reporters.delete(reporter),
+    list: ({ isLost, onlyAuthoritative }) => {
       const found = new Map<string, RosterEntry>();
-      for (const { told, lostAt, isFirm } of tellers.values()) {
-        if (onlyFirm && !isFirm) continue;
-        for (const entry of told.values()) {
+      for (const { entries, lostAt, isAuthoritative } of reporters.values()) {
+        if (onlyAuthoritative && !isAuthoritative) continue;
+        for (const entry of entries.values()) {
           if (lostAt === undefined || !isLost(entry.peers)) found.set(entry.peers, entry);
         }
       }
--- a/src/process/mix_task.ts
+++ b/src/process/mix_task.ts
@@ -4,101 +4,119 @@
 import type { CallOutcome, Clock, Platform, RoutedWorker } from "../interface/index.ts";
 import type { RoutedService } from "../version/index.ts";
 
-/** What the task is made with. */
+/** Dependencies of {@linkcode createMixTask}. */
 export interface MixTaskParts {
   readonly clock: Clock;
   readonly platform: Platform;
+  /** The services of the active configuration. */
   readonly services: () => readonly RoutedService[];
   readonly workers: () => readonly RoutedWorker[];
   /**
-   * Workers that a service's load keeps busy.
+   * Returns the number of workers that a service's load keeps busy.
    *
-   * @param first What is reckoned with until there was any load.
+   * @param first Value assumed until load has been observed.
    */
   readonly inUse: (service: RoutedService, first: number) => DemandLevel;
-  /** The fence for a call that may take so many milliseconds; undefined where this instance may not make it. */
+  /**
+   * Returns the fencing token for a call that may take this many milliseconds. Undefined if this instance doesn't hold
+   * the lease for that long.
+   */
   readonly fence: (callTime: number) => number | undefined;
+  /** Name of this instance, sent with each order. */
   readonly holder: string;
+  /** Logs a state change. */
   readonly log: (step: string, fields: Record<string, string | number>) => void;
 }
 
-/** The task that orders workers while this instance has the duty. */
+/** A task that orders workers from the platform while this instance holds the lease. */
 export interface MixTask {
   start(): void;
-  /** Workers have come or begun to leave: the next plan is made soon. */
+  /** Schedules the next plan soon, because workers were added or began to leave. */
   workersChanged(): void;
   close(): void;
 }
 
-/** Milliseconds between two plans. */
-const PLAN_PERIOD = 500;
+/** Interval between two plans, in milliseconds. */
+const PLAN_INTERVAL = 500;
 /**
- * Milliseconds from a change of the workers to the plan that it asks for: those of a zone that is taken are heard of
- * within a few. Each second that a worker on demand comes sooner after its zone was taken is one of late first tokens
- * less.
+ * Delay from a change of the workers to the next plan, in milliseconds. The removals of all workers of a reclaimed zone
+ * arrive within a few milliseconds of each other. Each second by which a replacement on-demand worker starts earlier
+ * avoids one second of late first tokens.
  */
 const CHANGE_DELAY = 30;
-/** Milliseconds after which an order that isn't met is sent again: the market may have workers again. */
-const REPEAT_PERIOD = 1_000;
-/** How long a market that gave none is taken to be dry, in milliseconds: orders are repeated more often. */
-const DRY_TIME = 3_000;
-/** How long workers on demand are wanted after the last moment at which they were, in milliseconds. */
+/** Interval at which an unmet order is sent again, in milliseconds: the market may have capacity again. */
+const RESEND_INTERVAL = 1_000;
+/**
+ * Time for which a market that refused an order counts as having no capacity, in milliseconds. Longer than the interval
+ * of repeated orders, so that each new refusal extends it.
+ */
+const EXHAUSTED_TIME = 3_000;
+/** Time for which on-demand workers stay wanted after the plan last asked for them, in milliseconds. */
 const HOLD_TIME = 6_000;
 /**
- * How long the workers of a start have to stay the same before they are planned by, in milliseconds: each is in the
+ * Time for which the set of workers must be stable before the first plan, in milliseconds. Each worker registers in the
  * store within about one of its heartbeats.
  */
 const SETTLE_TIME = 1_500;
-/** An ordered worker may take so much longer than usual to come, in milliseconds. */
+/** Time by which an ordered worker may exceed the usual start-up time, in milliseconds. */
 const TAKEOVER_MARGIN = 1_500;
 
-interface Sent {
+/** The latest order for a service, zone and kind of purchase. */
+interface SentOrder {
   readonly count: number;
   readonly at: number;
   readonly outcome: CallOutcome["kind"];
 }
 
-/** Makes the task. Orders are absolute, so one that is sent again changes nothing. */
+/**
+ * Creates the task.
+ *
+ * It regularly plans how many reclaimable and on-demand workers each service needs in each availability zone, and
+ * orders the counts that differ from the previous order. Orders state absolute counts, so repeating an order has no
+ * effect.
+ */
 export function createMixTask(parts: MixTaskParts): MixTask {
   const { clock, platform } = parts;
-  const sent = new Map<string, Sent>();
-  /** By service and zone, until when its market is taken to be dry. */
-  const dryUntil = new Map<string, number>();
-  /** By service, the workers on demand that were wanted lately. */
-  const wished = new Map<string, { onDemand: number; at: number }[]>();
-  /** By service, what was there when this instance planned for it first. */
-  const firstOf = new Map<string, number>();
-  /** By service, what the looks before the first plan gave, and since when they have given the same. */
-  const seenFirst = new Map<string, { first: number; since: number }>();
+  const sent = new Map<string, SentOrder>();
+  /** By service and zone, the time until which its market counts as having no reclaimable capacity. */
+  const exhaustedUntil = new Map<string, number>();
+  /** By service, the recently wanted counts of on-demand workers. */
+  const recentOnDemand = new Map<string, { onDemand: number; at: number }[]>();
+  /** By service, the demand assumed before any load, derived from the workers present at the first plan. */
+  const initialDemand = new Map<string, number>();
+  /** By service, the demand derived before the first plan, and the time since which it has been unchanged. */
+  const observedDemand = new Map<string, { first: number; since: number }>();
   const losses = createZoneLosses();
-  let holderSince: number | undefined;
+  let leaseHeldSince: number | undefined;
   let closed = false;
-  let wake = (): void => undefined;
+  let wakeUp = (): void => undefined;
   const isClosed = (): boolean => closed;
 
-  /** Says whether the market has shown itself dry: what the plan reckoned with is not to be had. */
+  /**
+   * Sends one order. Returns whether the market has newly run out of capacity, which makes the plan's assumption wrong.
+   */
   const order = async (
     service: string,
     { zone, purchase, count }: MixOrder,
-    { there, inputs }: { there: ReadyCount; inputs: PlanInputs },
+    { readyCount, inputs }: { readyCount: ReadyCount; inputs: PlanInputs },
   ): Promise<boolean> => {
     const fence = parts.fence(DUTY_CALL_TIME);
     if (fence === undefined) return false;
-    let hasRunDry = false;
+    let isNewlyExhausted = false;
     const by = { holder: parts.holder, fence };
     const outcome = await platform.orderWorkers({ service, zone, purchase, count }, by);
-    const key = keyOf(service, zone, purchase);
+    const key = orderKey(service, zone, purchase);
     if (purchase === Purchase.Reclaimable) {
-      const market = `${service} ${zone}`;
+      const marketKey = `${service} ${zone}`;
       if (outcome.kind === "none-available") {
-        hasRunDry = (dryUntil.get(market) ?? 0) <= clock.now();
-        dryUntil.set(market, clock.now() + DRY_TIME);
-      } else if (outcome.kind === "accepted" && count > there(zone, purchase))
-        dryUntil.delete(market);
+        isNewlyExhausted = (exhaustedUntil.get(marketKey) ?? 0) <= clock.now();
+        exhaustedUntil.set(marketKey, clock.now() + EXHAUSTED_TIME);
+      } else if (outcome.kind === "accepted" && count > readyCount(zone, purchase))
+        exhaustedUntil.delete(marketKey);
     }
-    const before = sent.get(key);
+    const previous = sent.get(key);
     sent.set(key, { count, at: clock.now(), outcome: outcome.kind });
-    if (before?.count !== count || before.outcome !== outcome.kind) {
+    if (previous?.count !== count || previous.outcome !== outcome.kind) {
       parts.log("workers-ordered", {
         service,
         zone,
@@ -109,50 +127,51 @@
         ...inputs,
       });
     }
-    return hasRunDry;
+    return isNewlyExhausted;
   };
-  const isDue = (service: string, there: ReadyCount, wanted: MixOrder): boolean => {
-    const before = sent.get(keyOf(service, wanted.zone, wanted.purchase));
-    if (before?.count !== wanted.count) return true;
-    const isThere = there(wanted.zone, wanted.purchase) === wanted.count;
-    const isMet = before.outcome === "accepted" && isThere;
-    return !isMet && clock.now() - before.at >= REPEAT_PERIOD;
+  const isDue = (service: string, readyCount: ReadyCount, wanted: MixOrder): boolean => {
+    const previous = sent.get(orderKey(service, wanted.zone, wanted.purchase));
+    if (previous?.count !== wanted.count) return true;
+    const isThere = readyCount(wanted.zone, wanted.purchase) === wanted.count;
+    const isMet = previous.outcome === "accepted" && isThere;
+    return !isMet && clock.now() - previous.at >= RESEND_INTERVAL;
   };
-  /** Plans and orders; says whether a market has shown itself dry that wasn't known to be. */
+  /** Plans a service and sends its due orders. Returns whether any market has newly run out of capacity. */
   const plan = async (service: RoutedService): Promise<boolean> => {
     const { scaling, name } = service;
     if (scaling === undefined) return false;
-    const there = readyIn(parts.workers(), service);
+    const readyCount = countReady(parts.workers(), service);
     const now = clock.now();
     const stock = [...scaling.zonePrices.keys()].map((zone) => ({
       zone,
-      reclaimable: there(zone, Purchase.Reclaimable),
+      reclaimable: readyCount(zone, Purchase.Reclaimable),
       ordered:
-        sent.get(keyOf(name, zone, Purchase.OnDemand))?.count ?? there(zone, Purchase.OnDemand),
-      isDry: now < (dryUntil.get(`${name} ${zone}`) ?? 0),
+        sent.get(orderKey(name, zone, Purchase.OnDemand))?.count ??
+        readyCount(zone, Purchase.OnDemand),
+      isDry: now < (exhaustedUntil.get(`${name} ${zone}`) ?? 0),
     }));
     const lossGap = losses.observe(name, { stock, now });
-    const wishes = (wished.get(name) ?? []).filter(({ at }) => now - at < HOLD_TIME);
-    const held = Math.max(0, ...wishes.map(({ onDemand }) => onDemand));
+    const recent = (recentOnDemand.get(name) ?? []).filter(({ at }) => now - at < HOLD_TIME);
+    const held = Math.max(0, ...recent.map(({ onDemand }) => onDemand));
     const counts = (purchase: Purchase): number =>
-      sum([...scaling.zonePrices.keys()].map((zone) => there(zone, purchase)));
+      sum([...scaling.zonePrices.keys()].map((zone) => readyCount(zone, purchase)));
     const first = firstInUse(scaling, {
       reclaimable: counts(Purchase.Reclaimable),
       onDemand: counts(Purchase.OnDemand),
     });
-    const inUse = parts.inUse(service, firstOf.get(name) ?? first);
-    if (!firstOf.has(name)) {
-      // Workers enter the store one after the other when a deployment starts: planned by the first few, most would
-      // be sent away and too few ordered.
-      const before = seenFirst.get(name);
-      const seen = before?.first === first ? before : { first, since: now };
-      seenFirst.set(name, seen);
+    const inUse = parts.inUse(service, initialDemand.get(name) ?? first);
+    if (!initialDemand.has(name)) {
+      // When a deployment starts, its workers register one after another. A plan based on the first few would release
+      // most of the others and order too few.
+      const previous = observedDemand.get(name);
+      const seen = previous?.first === first ? previous : { first, since: now };
+      observedDemand.set(name, seen);
       if (!inUse.hasBegun && now - seen.since < SETTLE_TIME) return false;
-      firstOf.set(name, first);
+      initialDemand.set(name, first);
     }
-    const since = (holderSince ??= now);
+    const since = (leaseHeldSince ??= now);
     const { orders, onDemand } = planMix({ scaling, stock, inUse, held, lossGap });
-    wished.set(name, [...wishes, { onDemand, at: now }]);
+    recentOnDemand.set(name, [...recent, { onDemand, at: now }]);
     const inputs = {
       inUse: inUse.now,
       inUseLately: inUse.lately,
@@ -161,52 +180,53 @@
       ready: counts(Purchase.Reclaimable) + counts(Purchase.OnDemand),
       dry: stock.filter(({ isDry }) => isDry).length,
     };
-    // What the holder before ordered and isn't there yet can't be seen: until it would be, nothing is given back.
+    // Workers ordered by the previous lease holder that haven't started yet are not visible. Until they must have
+    // started, no on-demand worker is released.
     const isNew = inUse.hasBegun && now - since < scaling.startUp + TAKEOVER_MARGIN;
-    let hasRunDry = false;
+    let isNewlyExhausted = false;
     for (const wanted of orders) {
-      const isLess = wanted.count <= there(wanted.zone, wanted.purchase);
+      const isLess = wanted.count <= readyCount(wanted.zone, wanted.purchase);
       if (isNew && isLess && wanted.purchase === Purchase.OnDemand) continue;
-      if (!isDue(name, there, wanted)) continue;
-      const ranDry = await order(name, wanted, { there, inputs });
-      hasRunDry ||= ranDry;
+      if (!isDue(name, readyCount, wanted)) continue;
+      const isMarketExhausted = await order(name, wanted, { readyCount, inputs });
+      isNewlyExhausted ||= isMarketExhausted;
     }
-    return hasRunDry;
+    return isNewlyExhausted;
   };
   const run = async (): Promise<void> => {
     while (!isClosed()) {
       if (parts.fence(DUTY_CALL_TIME) === undefined) {
         sent.clear();
-        firstOf.clear();
-        seenFirst.clear();
-        holderSince = undefined;
-      } else for (const service of parts.services()) await planTwice(service);
+        initialDemand.clear();
+        observedDemand.clear();
+        leaseHeldSince = undefined;
+      } else for (const service of parts.services()) await planWithRetry(service);
       await pause();
     }
   };
-  /** Plans once more at once where the plan's own orders have shown that a market is dry. */
-  const planTwice = async (service: RoutedService): Promise<void> => {
+  /** Plans a second time immediately if the first plan's orders showed that a market has run out of capacity. */
+  const planWithRetry = async (service: RoutedService): Promise<void> => {
     if (await plan(service)) await plan(service);
   };
   const pause = (): Promise<void> =>
     new Promise((resolve) => {
-      let timer = clock.after(PLAN_PERIOD, resolve);
-      wake = () => {
+      let timer = clock.after(PLAN_INTERVAL, resolve);
+      wakeUp = () => {
         timer.close();
         timer = clock.after(CHANGE_DELAY, resolve);
-        wake = () => undefined;
+        wakeUp = () => undefined;
       };
     });
   return {
     start: () => void run(),
-    workersChanged: () => wake(),
+    workersChanged: () => wakeUp(),
     close: () => {
       closed = true;
     },
   };
 }
 
-/** What decided an order, for the log: workers, but for the dry zones. */
+/** The inputs of a plan, for the log. All are numbers of workers, except `dry`, a number of zones. */
 interface PlanInputs {
   readonly inUse: number;
   readonly inUseLately: number;
@@ -216,15 +236,15 @@
   readonly dry: number;
 }
 
-/** Workers that take requests, by zone and purchase. */
+/** Returns the number of workers that accept requests, by zone and purchase. */
 type ReadyCount = (zone: string, purchase: Purchase) => number;
 
-function readyIn(workers: readonly RoutedWorker[], service: RoutedService): ReadyCount {
-  const there = workers.filter((worker) => worker.service === service.name && !worker.isLeaving);
+function countReady(workers: readonly RoutedWorker[], service: RoutedService): ReadyCount {
+  const ready = workers.filter((worker) => worker.service === service.name && !worker.isLeaving);
   return (zone, purchase) =>
-    there.filter((worker) => worker.zone === zone && worker.purchase === purchase).length;
+    ready.filter((worker) => worker.zone === zone && worker.purchase === purchase).length;
 }
 
-function keyOf(service: string, zone: string, purchase: Purchase): string {
+function orderKey(service: string, zone: string, purchase: Purchase): string {
   return `${service} ${zone} ${purchase}`;
 }
--- a/src/process/mix_task_test.ts
+++ b/src/process/mix_task_test.ts
@@ -22,26 +22,26 @@
 interface Market {
   readonly orders: (WorkerOrder & { at: number })[];
   workers: RoutedWorker[];
-  isDry: boolean;
+  isExhausted: boolean;
   inUse: number;
-  mayOrder: boolean;
-  /** The rest of the workers enters the store. */
-  enterAll(): void;
+  holdsLease: boolean;
+  /** Registers the remaining workers. */
+  registerAll(): void;
   advance(milliseconds: number): Promise<void>;
-  /** The task is told that workers have come or gone. */
-  changed(): void;
+  /** Notifies the task that workers were added or removed. */
+  notifyChanged(): void;
 }
 
 /**
- * A platform whose ordered workers are there a start-up later.
+ * Starts the task with a fake platform whose ordered workers are ready after the start-up time.
  *
- * @param entered Workers on demand that have entered the store at the start.
+ * @param entered Number of on-demand workers registered at the start.
  */
 function startMarket(entered = 12): Market {
   const clock = createVirtualClock();
-  let made = 0;
+  let created = 0;
   const worker = (zone: string, purchase: Purchase): RoutedWorker => ({
-    id: `w${made++}`,
+    id: `w${created++}`,
     born: 1,
     service: SERVICE.name,
     address: "10.0.0.1:80",
@@ -56,19 +56,19 @@
   const market: Market = {
     orders: [],
     workers: [],
-    isDry: false,
+    isExhausted: false,
     inUse: 0,
-    mayOrder: true,
-    enterAll: () => {
+    holdsLease: true,
+    registerAll: () => {
       const gone = new Set(all.slice(0, entered));
       market.workers = [...market.workers, ...all.filter((one) => !gone.has(one))];
     },
     advance: (milliseconds) => clock.advance(milliseconds),
-    changed: () => task.workersChanged(),
+    notifyChanged: () => task.workersChanged(),
   };
   const all = ZONES.flatMap((zone) => [0, 1, 2].map(() => worker(zone, Purchase.OnDemand)));
   market.workers = all.slice(0, entered);
-  const meet = ({ zone, purchase, count }: WorkerOrder): void => {
+  const fulfill = ({ zone, purchase, count }: WorkerOrder): void => {
     const here = market.workers.filter((one) => one.zone === zone && one.purchase === purchase);
     const gone = new Set(here.slice(count));
     market.workers = market.workers.filter((one) => !gone.has(one));
@@ -77,12 +77,12 @@
   const platform: Platform = {
     orderWorkers: (order): Promise<CallOutcome> => {
       market.orders.push({ ...order, at: clock.now() });
-      const there = market.workers.filter(
+      const readyCount = market.workers.filter(
         (one) => one.zone === order.zone && one.purchase === order.purchase,
       ).length;
-      const wantsMore = order.purchase === Purchase.Reclaimable && order.count > there;
-      if (market.isDry && wantsMore) return Promise.resolve({ kind: "none-available" });
-      clock.after(order.count > there ? 4_000 : 0, () => meet(order));
+      const wantsMore = order.purchase === Purchase.Reclaimable && order.count > readyCount;
+      if (market.isExhausted && wantsMore) return Promise.resolve({ kind: "none-available" });
+      clock.after(order.count > readyCount ? 4_000 : 0, () => fulfill(order));
       return Promise.resolve({ kind: "accepted" });
     },
     reportUsage: () => Promise.resolve({ kind: "accepted" }),
@@ -96,7 +96,7 @@
       market.inUse === 0
         ? { now: 0, lately: first, reading: 0, hasBegun: false }
         : { now: market.inUse, lately: market.inUse, reading: market.inUse, hasBegun: true },
-    fence: () => (market.mayOrder ? 7 : undefined),
+    fence: () => (market.holdsLease ? 7 : undefined),
     holder: "e1",
     log: () => undefined,
   });
@@ -108,42 +108,42 @@
   return market.workers.filter((worker) => worker.purchase === purchase).length;
 }
 
-test("on-demand workers are replaced by reclaimable ones before any load", async () => {
+test("replaces on-demand workers by reclaimable ones before any load", async () => {
   const market = startMarket();
   await market.advance(10_000);
   expect(count(market, Purchase.OnDemand)).toBe(0);
   expect(count(market, Purchase.Reclaimable)).toBeGreaterThanOrEqual(12);
 });
 
-// A deployment starts, and its workers enter the store within a second. Planned by the first of them, a few would be
-// ordered and all the others sent away just before the callers come.
-test("nothing is planned before all workers of a start are there", async () => {
+// When a deployment starts, its workers register within a second. A plan based on the first of them would order a few
+// and release all others just before callers arrive.
+test("plans nothing before all workers of a starting deployment have registered", async () => {
   const market = startMarket(3);
   await market.advance(300);
-  market.enterAll();
+  market.registerAll();
   await market.advance(10_000);
   expect(count(market, Purchase.Reclaimable)).toBeGreaterThanOrEqual(12);
 });
 
-// Entries come to the store one after the other for up to a second and a half, with pauses. A pause isn't the end.
-test("a pause between entries isn't taken for the last of them", async () => {
+// Workers register one after another for up to 1.5 s, with pauses. A plan made during a pause would see only some.
+test("does not mistake a pause between registrations for the last one", async () => {
   const market = startMarket(2);
   await market.advance(1_200);
   expect(market.orders).toEqual([]);
-  market.enterAll();
+  market.registerAll();
   await market.advance(10_000);
   expect(count(market, Purchase.Reclaimable)).toBeGreaterThanOrEqual(12);
 });
 
-// A zone is taken and the market gives none. Each half second until workers on demand are ordered is one more of late
-// answers four seconds later.
-test("what a dry market doesn't give is ordered on demand at once when workers are taken", async () => {
+// A zone is reclaimed and the market has no capacity. Each half second of delay until on-demand workers are ordered
+// causes another half second of late answers four seconds later.
+test("orders on-demand workers immediately if a reclaimed zone can't be replaced by reclaimable ones", async () => {
   const market = startMarket();
   market.inUse = 12;
   await market.advance(12_000);
-  market.isDry = true;
+  market.isExhausted = true;
   market.workers = market.workers.filter(({ zone }) => zone === "a");
-  market.changed();
+  market.notifyChanged();
   await market.advance(60);
   const bought = market.orders.filter(
     ({ purchase, count: ordered }) => purchase === Purchase.OnDemand && ordered > 0,
@@ -151,13 +151,13 @@
   expect(bought.length).toBeGreaterThan(0);
 });
 
-// Two zones' reclaimable workers are taken, and for a while the market gives none anywhere. Orders of workers on
-// demand that come and go every half second would be paid for and never serve.
-test("in a dry market workers on demand come once and stay until it gives again", async () => {
+// The reclaimable workers of two zones are reclaimed, and for a while no zone's market has capacity. On-demand orders
+// that rise and fall every half second would be paid for without ever serving.
+test("keeps on-demand workers until the market has capacity again", async () => {
   const market = startMarket();
   market.inUse = 8;
   await market.advance(12_000);
-  market.isDry = true;
+  market.isExhausted = true;
   market.inUse = 10;
   market.workers = market.workers.filter(({ zone }) => zone === "a" || zone === "b");
   const before = market.orders.length;
@@ -171,15 +171,15 @@
     return counts.some((one, index) => one < (counts[index - 1] ?? 0));
   });
   expect(lowered).toEqual([]);
-  market.isDry = false;
+  market.isExhausted = false;
   market.inUse = 6;
   await market.advance(20_000);
   expect(count(market, Purchase.OnDemand)).toBe(0);
 });
 
-test("without the lease nothing is ordered", async () => {
+test("orders nothing without the lease", async () => {
   const market = startMarket();
-  market.mayOrder = false;
+  market.holdsLease = false;
   await market.advance(600);
   const before = market.orders.length;
   await market.advance(10_000);
--- a/src/process/request_quarantine.ts
+++ b/src/process/request_quarantine.ts
@@ -13,112 +13,123 @@
 import type { CrashRecord } from "./crash_record.ts";
 import type { RoutedLog } from "./routed_log.ts";
 
-/** Keeps requests that crash workers from them. */
+/** Quarantines requests that crash workers, so that no worker receives them. */
 export interface RequestQuarantine extends Quarantine {
-  /** Workers ended while they ran these requests. */
-  crashed(prints: readonly RequestPrint[]): void;
-  /** The objects as the store has them. */
+  /** Records that a worker crashed while it ran these requests. */
+  recordCrash(fingerprints: readonly RequestPrint[]): void;
+  /** Replaces the local view of the store's quarantine objects. */
   setObjects(objects: Iterable<FeedObject>): void;
-  /** What this instance has counted, for the others. */
+  /** Returns this instance's crash and answer counts, to be sent to the other instances. */
   counts(): ReadonlyMap<number, RunCounts>;
-  /** The store's version of what this instance wrote last; 0 where it has written nothing. */
+  /** Store version of this instance's latest write; 0 if it has written nothing. */
   readonly writtenVersion: number;
-  /** All that are kept from workers, for operators. */
+  /** Lists all quarantined requests recorded in the store, for operators. */
   list(): CrashRecord[];
+  /** Starts the periodic writes to the store. */
   start(): void;
   close(): void;
 }
 
-/** What it is made with. */
+/** Dependencies of {@linkcode createRequestQuarantine}. */
 export interface RequestQuarantineParts {
   readonly clock: Clock;
-  /** The time of day that the instances agree on, in milliseconds since 1970. */
+  /** Returns the time synchronized across instances, in milliseconds since the Unix epoch. */
   readonly time: () => number;
   readonly store: Pick<ObjectStore, "put"> & ErasableStore;
-  /** Milliseconds for which a request is kept from workers. */
-  readonly lasts: number;
-  /** What all other instances have counted under a key. */
-  readonly othersOf: (key: number) => RunCounts | undefined;
-  /** How many instances write to the store. */
-  readonly members: () => number;
-  /** Whether it is this instance that takes out what has lasted long enough. */
-  readonly tidies: () => boolean;
+  /** Duration of a quarantine, in milliseconds. */
+  readonly duration: number;
+  /** Returns the total counts of all other instances for a key. */
+  readonly peerCounts: (key: number) => RunCounts | undefined;
+  /** Returns the number of entry instances, all of which may write to the store. */
+  readonly instanceCount: () => number;
+  /** Whether this instance erases expired records from the store. */
+  readonly canErase: () => boolean;
   readonly log: Pick<RoutedLog, "changed">;
 }
 
-/** The keys in the store of requests that no worker gets, or that are suspected. */
+/** Key prefix in the store of the records of quarantined and suspected requests. */
 export const QUARANTINE_KEY = "samphireshore/quarantine";
 
-/** Milliseconds between two looks for what has to be written. */
-const LOOK_PERIOD = 250;
+/** Interval between two checks for records to be written, in milliseconds. */
+const POLL_INTERVAL = 250;
 /**
- * How long a request has to be proven before that is written, in milliseconds: until then, others may tell of its answers.
- * Instances that have lost no worker with it wait longer, so that mostly one writes.
+ * Delay from the finding that a request crashes workers to its write to the store, in milliseconds. Until then, other
+ * instances may report answers to the request. Instances that have lost no worker to it wait longer, so that usually
+ * only one instance writes.
  */
-const WRITE_AFTER = { own: 1_000, heard: 2_500 };
-/** The same for a request that is only suspected: what an answer takes at the next worker, mostly. */
-const WRITE_SUSPECT_AFTER = 300;
-/** Milliseconds between two suspects that an instance writes, for each instance: many workers may end at once. */
-const SUSPECT_GAP = 10;
-/** Milliseconds after which all that instances had counted when a suspect was written is known to all that go on. */
-const SETTLED_AFTER = 1_000;
-/** Milliseconds after a write that may have failed until the next one. */
-const WRITE_AGAIN = 1_000;
+const WRITE_DELAY = { own: 1_000, remote: 2_500 };
+/** Write delay of a suspected request, in milliseconds: usually enough for an answer from the next worker. */
+const SUSPECT_WRITE_DELAY = 300;
+/**
+ * Minimum gap between two writes of suspects by one instance, in milliseconds per instance of the fleet. It limits the
+ * total rate of writes when many workers crash at once.
+ */
+const SUSPECT_WRITE_GAP = 10;
+/** Time after which the counts that preceded the write of a suspect have reached all instances, in milliseconds. */
+const PROPAGATION_TIME = 1_000;
+/** Delay before a write that may have failed is retried, in milliseconds. */
+const WRITE_RETRY_DELAY = 1_000;
 
-/** Milliseconds until nobody tells any more what was counted before a request was taken out of the store. */
+/** Time after which no instance sends counts from before a record's removal any more, in milliseconds. */
 const RELEASE_TIME = 5_000;
 
-/** A write of a record that was tried. */
-interface Tried {
+/** The latest attempt to write a record. */
+interface WriteAttempt {
   readonly at: number;
   readonly crashes: number;
-  /** Whether the store has what was written, or more. */
+  /** Whether the store has this record, or one with stronger evidence. */
   readonly isDone: boolean;
-  /** The record's version as the store told it; undefined where it told nothing. */
+  /** Version of the record in the store's response; undefined without a response. */
   readonly version: number | undefined;
 }
 
-/** Makes a quarantine of nothing. */
+/**
+ * Creates a quarantine without records.
+ *
+ * The instances exchange their counts of crashes and answers. A request proven to crash workers is refused by all of
+ * them and recorded in the store, so that its quarantine survives restarts. A suspect, which is one crash short of the
+ * proof, is recorded for the same reason.
+ */
 export function createRequestQuarantine(parts: RequestQuarantineParts): RequestQuarantine {
-  const { clock, time, store, lasts, log } = parts;
-  const evidence: CrashEvidence = createCrashEvidence(parts.othersOf);
-  /** What the store has, by name. */
-  let stored: ReadonlyMap<string, CrashRecord> = new Map();
+  const { clock, time, store, duration, log } = parts;
+  const evidence: CrashEvidence = createCrashEvidence(parts.peerCounts);
+  /** Records in the store, by fingerprint name. */
+  let storedRecords: ReadonlyMap<string, CrashRecord> = new Map();
   let writtenVersion = 0;
-  /** By name, when it was taken out of the store: what others still tell of it is from before. */
-  const released = new Map<string, number>();
-  /** By name, when this instance last tried to write it. */
-  const written = new Map<string, Tried>();
+  /** Removal times by name. Counts that other instances still send for these requests are outdated. */
+  const releaseTimes = new Map<string, number>();
+  /** The latest write attempt by name. */
+  const writeAttempts = new Map<string, WriteAttempt>();
   let suspectWrittenAt = -Infinity;
-  const logged = new Set<string>();
+  const loggedNames = new Set<string>();
   let closed = false;
   const isClosed = (): boolean => closed;
 
-  const leftOf = ({ crashes, since }: CrashRecord): number =>
-    isQuarantined(crashes) ? since + lasts - time() : 0;
-  const note = (name: string, fields: { crashes: number; way: string }): void => {
-    if (logged.has(name)) return;
-    logged.add(name);
+  const remainingTime = ({ crashes, since }: CrashRecord): number =>
+    isQuarantined(crashes) ? since + duration - time() : 0;
+  const logOnce = (name: string, fields: { crashes: number; way: string }): void => {
+    if (loggedNames.has(name)) return;
+    loggedNames.add(name);
     log.changed("request-quarantined", { print: name, ...fields });
   };
-  const waitFor: Quarantine["waitFor"] = (print) => {
-    const entry = stored.get(print.name);
-    const left = entry === undefined ? 0 : leftOf(entry);
+  const waitFor: Quarantine["waitFor"] = (fingerprint) => {
+    const entry = storedRecords.get(fingerprint.name);
+    const left = entry === undefined ? 0 : remainingTime(entry);
     if (left > 0) return left;
-    const releasedAt = released.get(print.name);
+    const releasedAt = releaseTimes.get(fingerprint.name);
     if (releasedAt !== undefined && clock.now() - releasedAt < RELEASE_TIME) return 0;
-    return evidence.isProven(print, clock.now()) ? lasts : 0;
+    return evidence.isProven(fingerprint, clock.now()) ? duration : 0;
   };
-  const read = (object: FeedObject): CrashRecord | undefined => {
+  const parseRecord = (object: FeedObject): CrashRecord | undefined => {
     const record = readCrashRecord(object);
     if (record === undefined) {
       log.changed("quarantine-unreadable", { print: object.name });
       return undefined;
     }
-    // A writer's time may be ahead: nobody is told to wait longer than it lasts.
+    // The writer's clock may be ahead. Without the limit, the reported wait could exceed the quarantine's duration.
     return { ...record, since: Math.min(record.since, time()) };
   };
-  /** What the store has after a write, as far as it told; a conflict says that another instance has written. */
+  /** Returns the store's record after a write, as far as known. A conflict shows another instance's record. */
   const afterWrite = (outcome: PutOutcome, name: string): Partial<CrashRecord> => {
     if (outcome.kind === "written") return { version: outcome.version };
     if (outcome.kind !== "conflict") return {};
@@ -127,110 +138,111 @@
   };
   const write = async ({ suspect: { name }, crashes }: CrashFinding): Promise<void> => {
     const at = clock.now();
-    const expect = written.get(name)?.version ?? stored.get(name)?.version ?? 0;
-    written.set(name, { at, crashes, isDone: false, version: undefined });
+    const expect = writeAttempts.get(name)?.version ?? storedRecords.get(name)?.version ?? 0;
+    writeAttempts.set(name, { at, crashes, isDone: false, version: undefined });
     const text = crashRecordText({ crashes, since: time() });
     const outcome = await store.put(`${QUARANTINE_KEY}/${name}`, text, { expect });
     const { version, crashes: there = 0 } = afterWrite(outcome, name);
     const isThere = isQuarantined(there) || (there > 0 && !isQuarantined(crashes));
     const isDone = outcome.kind === "written" || isThere;
-    written.set(name, { at: clock.now(), crashes, isDone, version });
+    writeAttempts.set(name, { at: clock.now(), crashes, isDone, version });
     writtenVersion = Math.max(writtenVersion, version ?? 0);
     const step = isQuarantined(crashes) ? "quarantine-written" : "suspect-written";
     log.changed(step, { print: name, crashes, outcome: outcome.kind });
   };
-  /** Whether the store lacks what was found, and it is time to write it. */
+  /** Whether the store lacks this finding and its write delay has passed. */
   const isDue = ({ suspect: { name }, crashes, since }: CrashFinding, after: number): boolean => {
-    const has = (there: number): boolean => isQuarantined(there) || !isQuarantined(crashes);
-    const record = stored.get(name);
-    if (record !== undefined && has(record.crashes)) return false;
+    const isCovered = (there: number): boolean => isQuarantined(there) || !isQuarantined(crashes);
+    const record = storedRecords.get(name);
+    if (record !== undefined && isCovered(record.crashes)) return false;
     const now = clock.now();
-    const tried = written.get(name);
-    if (tried?.isDone === true && has(tried.crashes)) return false;
-    if (tried?.isDone === false && now - tried.at < WRITE_AGAIN) return false;
+    const attempt = writeAttempts.get(name);
+    if (attempt?.isDone === true && isCovered(attempt.crashes)) return false;
+    if (attempt?.isDone === false && now - attempt.at < WRITE_RETRY_DELAY) return false;
     return now - since >= after;
   };
   const writeProven = async (proven: readonly CrashFinding[]): Promise<void> => {
     for (const found of proven) {
-      if (isDue(found, found.isOwn ? WRITE_AFTER.own : WRITE_AFTER.heard)) await write(found);
+      if (isDue(found, found.isOwn ? WRITE_DELAY.own : WRITE_DELAY.remote)) await write(found);
     }
   };
-  /** Writes a suspect, so that the next crash proves it also where all instances are started anew before. */
+  /** Writes one suspect to the store, so that the next crash quarantines it even if all instances restart before. */
   const writeSuspect = async (suspected: readonly CrashFinding[]): Promise<void> => {
-    if (clock.now() - suspectWrittenAt < SUSPECT_GAP * parts.members()) return;
-    const found = suspected.find((each) => isDue(each, WRITE_SUSPECT_AFTER));
+    if (clock.now() - suspectWrittenAt < SUSPECT_WRITE_GAP * parts.instanceCount()) return;
+    const found = suspected.find((each) => isDue(each, SUSPECT_WRITE_DELAY));
     if (found === undefined) return;
     suspectWrittenAt = clock.now();
     await write(found);
   };
-  const recall = (): void => {
-    for (const { print, crashes, since } of stored.values()) {
-      if (isQuarantined(crashes) || time() - since < SETTLED_AFTER) continue;
-      evidence.recall(print, crashes);
+  /** Adds the crashes of stored suspects to the evidence, once their counts can no longer arrive from instances. */
+  const recallSuspects = (): void => {
+    for (const { fingerprint, crashes, since } of storedRecords.values()) {
+      if (isQuarantined(crashes) || time() - since < PROPAGATION_TIME) continue;
+      evidence.recall(fingerprint, crashes);
     }
   };
-  const isOver = (record: CrashRecord): boolean =>
+  const isExpired = (record: CrashRecord): boolean =>
     isQuarantined(record.crashes)
-      ? leftOf(record) <= 0
-      : time() - record.since > CRASH_LIFE || evidence.isAnswered(record.print);
-  const erase = async ({ print: { name }, crashes }: CrashRecord): Promise<void> => {
+      ? remainingTime(record) <= 0
+      : time() - record.since > CRASH_LIFE || evidence.isAnswered(record.fingerprint);
+  const erase = async ({ fingerprint: { name }, crashes }: CrashRecord): Promise<void> => {
     const isGone = await store.erase(`${QUARANTINE_KEY}/${name}`);
     const step = isQuarantined(crashes) ? "quarantine-ended" : "suspect-ended";
     log.changed(step, { print: name, isGone });
   };
-  /** What was in the store isn't there any more: what was counted before doesn't count again. */
-  const release = ({ print: { name }, crashes }: CrashRecord): void => {
+  /** Resets a request whose record was removed from the store, so that earlier crashes don't count again. */
+  const release = ({ fingerprint: { name }, crashes }: CrashRecord): void => {
     evidence.forget(name);
-    written.delete(name);
-    logged.delete(name);
-    if (isQuarantined(crashes)) released.set(name, clock.now());
+    writeAttempts.delete(name);
+    loggedNames.delete(name);
+    if (isQuarantined(crashes)) releaseTimes.set(name, clock.now());
   };
-  const look = async (): Promise<void> => {
+  const check = async (): Promise<void> => {
     const now = clock.now();
-    for (const [name, at] of released) if (now - at > RELEASE_TIME) released.delete(name);
-    recall();
+    for (const [name, at] of releaseTimes) if (now - at > RELEASE_TIME) releaseTimes.delete(name);
+    recallSuspects();
     const proven = evidence.proven(now);
     const suspected = evidence.suspected(now);
-    for (const { suspect, crashes } of proven) note(suspect.name, { crashes, way: "counted" });
+    for (const { suspect, crashes } of proven) logOnce(suspect.name, { crashes, way: "counted" });
     const found = [...proven, ...suspected].map(({ suspect }) => suspect.name);
-    const names = new Set([...found, ...stored.keys()]);
-    for (const name of [...logged, ...written.keys()]) {
+    const names = new Set([...found, ...storedRecords.keys()]);
+    for (const name of [...loggedNames, ...writeAttempts.keys()]) {
       if (names.has(name)) continue;
-      logged.delete(name);
-      written.delete(name);
+      loggedNames.delete(name);
+      writeAttempts.delete(name);
     }
     await writeProven(proven);
     await writeSuspect(suspected);
-    if (!parts.tidies()) return;
-    for (const record of stored.values()) if (isOver(record)) await erase(record);
+    if (!parts.canErase()) return;
+    for (const record of storedRecords.values()) if (isExpired(record)) await erase(record);
   };
   const run = async (): Promise<void> => {
     while (!isClosed()) {
-      await look();
-      await sleep(clock, LOOK_PERIOD);
+      await check();
+      await sleep(clock, POLL_INTERVAL);
     }
   };
   return {
     waitFor,
-    answered: (print) => evidence.answered(print, clock.now()),
-    crashed: (prints) => {
-      for (const print of prints) evidence.crashed(print, clock.now());
+    answered: (fingerprint) => evidence.answered(fingerprint, clock.now()),
+    recordCrash: (fingerprints) => {
+      for (const fingerprint of fingerprints) evidence.crashed(fingerprint, clock.now());
     },
     setObjects: (objects) => {
-      const before = stored;
-      const records = [...objects].flatMap((object) => read(object) ?? []);
-      stored = new Map(records.map((record) => [record.print.name, record]));
-      recall();
-      for (const { print, crashes } of records) {
-        if (isQuarantined(crashes)) note(print.name, { crashes, way: "store" });
+      const before = storedRecords;
+      const records = [...objects].flatMap((object) => parseRecord(object) ?? []);
+      storedRecords = new Map(records.map((record) => [record.fingerprint.name, record]));
+      recallSuspects();
+      for (const { fingerprint, crashes } of records) {
+        if (isQuarantined(crashes)) logOnce(fingerprint.name, { crashes, way: "store" });
       }
-      for (const [name, record] of before) if (!stored.has(name)) release(record);
+      for (const [name, record] of before) if (!storedRecords.has(name)) release(record);
     },
     counts: () => evidence.counts(clock.now()),
     get writtenVersion() {
       return writtenVersion;
     },
-    list: () => [...stored.values()].filter(({ crashes }) => isQuarantined(crashes)),
+    list: () => [...storedRecords.values()].filter(({ crashes }) => isQuarantined(crashes)),
     start: () => void run(),
     close: () => {
       closed = true;
--- a/src/process/slot_task.ts
+++ b/src/process/slot_task.ts
@@ -16,33 +16,46 @@
 import type { Configuration } from "./configuration.ts";
 import type { Membership } from "./membership.ts";
 
-/** Delay between two survivors of consecutive ranks, so that the second finds the first one's write. */
+/**
+ * Milliseconds between the writes of survivors with consecutive ranks, so that the second finds the
+ * first one's write.
+ */
 const RANK_DELAY = 150;
-/** Ranks beyond this act at the same time as it, with jitter. */
-const MOST_RANKS = 8;
-/** A fleet that forms is left to gather this long before the first assignment. */
-const GATHERING = 1_000;
-/** How often the plan is looked at without being woken, and the jitter before a primary's own writes. */
-const PERIOD = 2_000;
-const OWN_JITTER = 100;
-/** Slots of one primary that move at a time for balance's sake alone. */
-const MOST_MOVES = 32;
 /**
- * A member that believes most owners dead may itself be the one that is cut off, and two sides that take
- * the slots from each other serve nobody. So it writes a claim first, and takes over only when nobody has
- * answered it for this long by writing the map.
+ * Maximum rank that adds to the delay. Instances with higher ranks act at the same time, apart from
+ * jitter.
+ */
+const MAX_RANK = 8;
+/** Milliseconds for which a new fleet gathers members before the first assignment. */
+const GATHERING_TIME = 1_000;
+/**
+ * Average interval between checks of the plan, and maximum jitter before a write, both in
+ * milliseconds.
+ */
+const POLL_INTERVAL = 2_000;
+const WRITE_JITTER = 100;
+/** Maximum number of slots of one primary that move at the same time only to balance the load. */
+const MAX_MOVES = 32;
+/**
+ * Milliseconds for which a claim must stay unanswered before its author takes over slots. A member
+ * that considers most owners dead may itself be cut off, and if two sides took slots from each
+ * other, neither could serve callers. So the member first writes a claim to the map, and takes over
+ * only if no other instance answers it by writing the map.
+ */
+const CLAIM_TIMEOUT = 3_000;
+/**
+ * Milliseconds between an answered claim, or another instance's claim, and the next claim of this
+ * instance.
  */
-const CLAIM_TIME = 3_000;
-/** How long after an answer, or after another's claim, a member waits before it claims. */
-const CLAIM_PAUSE = 8_000;
+const CLAIM_INTERVAL = 8_000;
 
-/** The task that keeps the slot map in step with the members. */
+/** Keeps the assignment of slots up to date with the live members. */
 export interface SlotTask {
   start(): void;
   close(): void;
 }
 
-/** What the slot task is made with. */
+/** Dependencies of {@linkcode createSlotTask}. */
 export interface SlotTaskParts {
   readonly clock: Clock;
   readonly random: Random;
@@ -53,14 +66,14 @@
   readonly count: (name: string) => void;
 }
 
-/** Makes the task; it does nothing before it is started. */
+/** Creates the task. It does nothing until it is started. */
 export function createSlotTask(parts: SlotTaskParts): SlotTask {
   const { clock, random, configuration, members } = parts;
   const self = members.self.id;
   let timer: Timer | undefined;
   let dueAt = Number.POSITIVE_INFINITY;
-  let busy = false;
-  let wokenMeanwhile = false;
+  let isBusy = false;
+  let isWokenWhileBusy = false;
   let closed = false;
   let startedAt = 0;
   let map = configuration.slotMap();
@@ -76,36 +89,39 @@
       void step();
     });
   };
-  const noteMap = (): void => {
+  const refreshMap = (): void => {
     if (configuration.slotMap().version === map.version) return;
     map = configuration.slotMap();
     mapChangedAt = clock.now();
   };
   const step = async (): Promise<void> => {
     if (closed) return;
-    if (busy) {
-      wokenMeanwhile = true;
+    if (isBusy) {
+      isWokenWhileBusy = true;
       return;
     }
-    busy = true;
-    wokenMeanwhile = false;
-    noteMap();
+    isBusy = true;
+    isWokenWhileBusy = false;
+    refreshMap();
     try {
-      const acted = (await takeOver()) || (await tendOwn()) || wokenMeanwhile;
-      wakeIn(acted ? OWN_JITTER * random.next() : PERIOD * (0.75 + 0.5 * random.next()));
+      const hasActed = (await takeOver()) || (await maintainOwnSlots()) || isWokenWhileBusy;
+      wakeIn(
+        hasActed ? WRITE_JITTER * random.next() : POLL_INTERVAL * (0.75 + 0.5 * random.next()),
+      );
     } finally {
-      busy = false;
+      isBusy = false;
     }
   };
   const takeOver = async (): Promise<boolean> => {
     const { claim: claimant } = map;
     if (claimant !== undefined && claimant !== self && isWrong(claimant)) return answerClaim();
-    if (planned().length === 0 || clock.now() - startedAt < GATHERING) return false;
-    if (map.version > 0 && !isInTouch() && !isClaimed()) return claim();
-    // Those of a lower rank write first; who comes later reads what they wrote and finds nothing to do.
+    if (planned().length === 0 || clock.now() - startedAt < GATHERING_TIME) return false;
+    if (map.version > 0 && !hasMajorityContact() && !isClaimed()) return claim();
+    // Members of lower rank write first. Later ones read the written map and find nothing left to
+    // do.
     await waitForRank(rankOf(self, { map, members: members.alive() }));
     await configuration.refresh();
-    noteMap();
+    refreshMap();
     const changes = planned();
     if (closed || changes.length === 0) return false;
     const outcome = await write(changes);
@@ -116,30 +132,36 @@
     planTakeover(map, fleetOf(members), clock.date().getTime());
   const waitForRank = (rank: number): Promise<void> =>
     new Promise((resolve) => {
-      const delay = RANK_DELAY * Math.min(rank, MOST_RANKS) + OWN_JITTER * random.next();
+      const delay = RANK_DELAY * Math.min(rank, MAX_RANK) + WRITE_JITTER * random.next();
       clock.after(rank === 0 ? 0 : delay, resolve);
     });
-  /** With most owners, and with somebody to bear out that those it can't reach are dead. */
-  const isInTouch = (): boolean => {
-    const heardAt = members.heardAt();
-    const heard = heardAt !== undefined && clock.now() - heardAt < CLAIM_TIME;
-    return heard && seesMostOwners(map, members);
+  /**
+   * Whether most owners are live, and a recent message from a peer confirms that this instance is
+   * not cut off.
+   */
+  const hasMajorityContact = (): boolean => {
+    const lastMessageAt = members.heardAt();
+    const hasContact = lastMessageAt !== undefined && clock.now() - lastMessageAt < CLAIM_TIMEOUT;
+    return hasContact && seesMajorityOfOwners(map, members);
   };
   /**
-   * Whether the claimant is wrong about who is dead: it is if this member has touch with most owners, or is an
-   * owner that the claimant may take for dead. An owner that hears the claimant and would itself take slots over
-   * agrees with it: if the survivors of less than half a fleet answered each other's claims, the slots of the dead
-   * would never be assigned again.
+   * Whether the claimant is wrong to consider owners dead. This is so if this member is in touch
+   * with most owners, or if it is an owner that the claimant may consider dead. An owner that has
+   * contact with the claimant and plans a takeover itself agrees with the claim. If the survivors
+   * of less than half a fleet answered each other's claims, the dead instances' slots would never
+   * be reassigned.
    */
   const isWrong = (claimant: string): boolean => {
-    if (isInTouch()) return true;
+    if (hasMajorityContact()) return true;
     const agrees = members.stateOf(claimant) === MemberState.Alive && planned().length > 0;
     return ownersOf(map).has(self) && !agrees;
   };
-  const isClaimed = (): boolean => map.claim === self && clock.now() - mapChangedAt >= CLAIM_TIME;
+  const isClaimed = (): boolean =>
+    map.claim === self && clock.now() - mapChangedAt >= CLAIM_TIMEOUT;
   const claim = async (): Promise<boolean> => {
     if (map.claim === self) return false;
-    const pause = map.claim === undefined && claimedAt === undefined ? CLAIM_TIME : CLAIM_PAUSE;
+    const pause =
+      map.claim === undefined && claimedAt === undefined ? CLAIM_TIMEOUT : CLAIM_INTERVAL;
     const since = Math.max(startedAt, mapChangedAt, claimedAt ?? 0);
     if (clock.now() - since < pause) return false;
     claimedAt = clock.now();
@@ -149,32 +171,36 @@
   const answerClaim = async (): Promise<boolean> => {
     await waitForRank(rankOf(self, { map, members: members.alive() }));
     await configuration.refresh();
-    noteMap();
+    refreshMap();
     if (closed || map.claim === undefined) return false;
     return (await writeMap(map.slots)) === "written";
   };
-  const tendOwn = async (): Promise<boolean> => {
-    const options = { self, fleet: fleetOf(members), mostMoves: MOST_MOVES };
-    const changes = [...(await copied(planBackups(map, options)))];
+  const maintainOwnSlots = async (): Promise<boolean> => {
+    const options = { self, fleet: fleetOf(members), mostMoves: MAX_MOVES };
+    const changes = [...(await copyRecords(planBackups(map, options)))];
     if (closed) return false;
     const moving = new Set(changes.map(({ slot }) => slot));
     changes.push(...planSwaps(map, options).filter(({ slot }) => !moving.has(slot)));
     return changes.length > 0 && (await write(changes)) !== "unavailable";
   };
-  /** The records go first: a backup is named only once it holds them. */
-  const copied = async (
+  /**
+   * Copies the records and returns the resulting assignments. A backup is assigned only once it has
+   * the records.
+   */
+  const copyRecords = async (
     plan: ReadonlyMap<string, readonly number[]>,
   ): Promise<readonly SlotChange[]> => {
-    const basis = map;
+    const baseMap = map;
     const { present } = fleetOf(members);
     const isLeaving = (): boolean => members.stateOf(self) === MemberState.Leaving;
     const copies = [...plan].map(async ([backup, slots]) => {
       const member = members.find(backup);
-      const has = member !== undefined && (await copy(slots, member));
-      if (has) return changesTo(basis, slots, (before) => withBackup(before, backup));
-      // A leaving primary that has ceded copies no more: its backup acts already and gets the slot.
+      const hasRecords = member !== undefined && (await copy(slots, member));
+      if (hasRecords) return mapSlots(baseMap, slots, (before) => withBackup(before, backup));
+      // A leaving primary that has ceded its slots copies no more. Its backup already serves them
+      // and is promoted.
       return isLeaving()
-        ? changesTo(basis, slots, (before) => promotedBackup(before, present))
+        ? mapSlots(baseMap, slots, (before) => promotedBackup(before, present))
         : [];
     });
     return (await Promise.all(copies)).flat();
@@ -188,7 +214,7 @@
     }
   };
   const write = async (changes: readonly SlotChange[]): Promise<PutOutcome["kind"]> => {
-    noteMap();
+    refreshMap();
     const slots = applyChanges(map, changes);
     return slots === undefined ? "conflict" : writeMap(slots);
   };
@@ -202,31 +228,31 @@
       parts.store.put(SLOT_MAP_KEY, value, { expect }),
     );
     parts.count(`slots.write.${outcome.kind}`);
-    await hearOutcome(outcome, value);
+    await applyOutcome(outcome, value);
     return outcome.kind;
   };
-  const hearOutcome = async (outcome: PutOutcome, value: string): Promise<void> => {
+  const applyOutcome = async (outcome: PutOutcome, value: string): Promise<void> => {
     if (outcome.kind === "written") {
       configuration.hear(SLOT_MAP_KEY, { version: outcome.version, value });
     } else if (outcome.kind === "conflict") {
       if (outcome.current !== undefined) configuration.hear(SLOT_MAP_KEY, outcome.current);
     } else if (outcome.kind === "unknown") {
-      // The write may stand although its answer was lost. What the store holds now is read back and
-      // planned on: a change that stands is not planned again.
+      // The write may have succeeded although its response was lost. The map is read again before
+      // planning, so a change already made is not planned twice.
       await configuration.refresh();
     }
-    noteMap();
+    refreshMap();
   };
-  const onNews = (): void => {
-    noteMap();
-    wakeIn(OWN_JITTER * random.next());
+  const onChange = (): void => {
+    refreshMap();
+    wakeIn(WRITE_JITTER * random.next());
   };
-  const subscriptions = [members.onChange(onNews), configuration.onChange(onNews)];
+  const subscriptions = [members.onChange(onChange), configuration.onChange(onChange)];
   return {
     start: () => {
       startedAt = clock.now();
       mapChangedAt = startedAt;
-      clock.after(GATHERING, () => wakeIn(0));
+      clock.after(GATHERING_TIME, () => wakeIn(0));
     },
     close: () => {
       closed = true;
@@ -239,13 +265,16 @@
 function fleetOf(members: Membership): SlotFleet {
   const present = members.present();
   const able = members.alive();
-  const noticed = zonesUnderNotice(members, present);
-  const elsewhere = able.filter(({ zone }) => !noticed.has(zone));
+  const leavingZones = zonesUnderNotice(members, present);
+  const outsideLeavingZones = able.filter(({ zone }) => !leavingZones.has(zone));
   const ids = new Set(present.map(({ id }) => id));
-  return { able: elsewhere.length > 0 ? elsewhere : able, present: ids };
+  return { able: outsideLeavingZones.length > 0 ? outsideLeavingZones : able, present: ids };
 }
 
-/** Where most of a zone is leaving, the rest is about to: nothing is moved into it. */
+/**
+ * Returns the zones in which most instances are leaving. The rest is likely to follow, so no slots
+ * are moved there.
+ */
 function zonesUnderNotice(members: Membership, present: readonly Member[]): ReadonlySet<string> {
   const leaving = present.filter(({ id }) => members.stateOf(id) === MemberState.Leaving);
   const zones = new Set(leaving.map(({ zone }) => zone));
@@ -272,13 +301,13 @@
   return owners;
 }
 
-function seesMostOwners(map: SlotMap, members: Membership): boolean {
+function seesMajorityOfOwners(map: SlotMap, members: Membership): boolean {
   const owners = ownersOf(map);
   const seen = [...owners].filter((id) => members.stateOf(id) !== MemberState.Dead).length;
   return 2 * seen > owners.size;
 }
 
-function changesTo(
+function mapSlots(
   map: SlotMap,
   slots: readonly number[],
   change: (before: Assignment) => Assignment | undefined,
--- a/src/process/worker_limits_fleet_test.ts
+++ b/src/process/worker_limits_fleet_test.ts
@@ -11,11 +11,11 @@
   scaling: undefined,
 };
 const LIMITED = "w-0";
-/** Milliseconds after which no instance may send more than its part. */
-const CONTACT_TIME = 3_000;
+/** Time after which no instance may send more than its share, in milliseconds. */
+const PROPAGATION_TIME = 3_000;
 const WINDOW = 4_000;
-/** Milliseconds of real time: hundreds of instances in one process take half a minute on a busy machine. */
-const GREATEST_TIME = 240_000;
+/** Test timeout in real milliseconds: hundreds of instances in one process take half a minute on a busy machine. */
+const TEST_TIMEOUT = 240_000;
 const STEP = 100;
 
 const fleets: NewsFleet[] = [];
@@ -34,8 +34,8 @@
   return board.overview().find(({ id }) => id === LIMITED)?.limit;
 }
 
-/** The instance sends the worker a request where it may, and gets an answer with this limit. */
-function ask({ board }: NewsMember, limit: number | undefined): boolean {
+/** Sends the worker a request if allowed, which it answers with this limit. Returns whether it was sent. */
+function sendRequest({ board }: NewsMember, limit: number | undefined): boolean {
   const worker = board.candidates(SERVICE).find(({ id }) => id === LIMITED);
   if (worker === undefined) return false;
   const run = board.begin(worker, { reads: 0, route: "r" });
@@ -44,70 +44,73 @@
   return true;
 }
 
-/** Every instance has a request for the worker at any moment; returns the moments at which one was sent. */
-async function load(
+/** Offers every instance a request for the worker at every step. Returns the times at which requests were sent. */
+async function offerLoad(
   { clock, members }: NewsFleet,
   options: { milliseconds: number; limit: number | undefined },
 ): Promise<number[]> {
   const sent: number[] = [];
-  for (let passed = 0; passed < options.milliseconds; passed += STEP) {
+  for (let elapsed = 0; elapsed < options.milliseconds; elapsed += STEP) {
     for (const member of members) {
-      if (member.isLive && ask(member, options.limit)) sent.push(clock.now());
+      if (member.isLive && sendRequest(member, options.limit)) sent.push(clock.now());
     }
     await clock.advance(STEP);
   }
   return sent;
 }
 
-function mostInWindow(sent: readonly number[]): number {
+function maxInWindow(sent: readonly number[]): number {
   return Math.max(
     0,
     ...sent.map((at) => sent.filter((one) => one >= at && one < at + WINDOW).length),
   );
 }
 
+// If each instance applied the whole limit by itself, the worker would receive a multiple of it.
 test.each([6, 14, 60, 300])(
-  "guards against a worker that gets its limit once an instance, of %i",
+  "a fleet of %i instances stays within a worker's limit",
   async (size) => {
     const fleet = await start(size);
     const [first] = fleet.members;
     if (first === undefined) throw new Error("The fleet has no instance.");
-    ask(first, 1);
-    await fleet.clock.advance(CONTACT_TIME);
+    sendRequest(first, 1);
+    await fleet.clock.advance(PROPAGATION_TIME);
     for (const member of fleet.members) expect(limitAt(member)).toBe(1);
-    const sent = await load(fleet, { milliseconds: 6_000, limit: 1 });
-    expect(mostInWindow(sent)).toBeLessThanOrEqual(11);
+    const sent = await offerLoad(fleet, { milliseconds: 6_000, limit: 1 });
+    expect(maxInWindow(sent)).toBeLessThanOrEqual(11);
     expect(sent.length).toBeGreaterThanOrEqual(5);
   },
-  GREATEST_TIME,
+  TEST_TIMEOUT,
 );
 
-test("guards against a limit that rises over the fleet while instances end", async () => {
+// If the other instances took over the shares of stopped ones too early, the total would exceed the limit.
+test("the fleet stays within a worker's limit while instances stop", async () => {
   const fleet = await start(14);
   const [first] = fleet.members;
   if (first === undefined) throw new Error("The fleet has no instance.");
-  ask(first, 2.6);
-  await fleet.clock.advance(CONTACT_TIME);
+  sendRequest(first, 2.6);
+  await fleet.clock.advance(PROPAGATION_TIME);
   const sent: number[] = [];
   for (const member of fleet.members.slice(0, 6)) {
-    sent.push(...(await load(fleet, { milliseconds: 1_000, limit: 2.6 })));
+    sent.push(...(await offerLoad(fleet, { milliseconds: 1_000, limit: 2.6 })));
     member.isLive = false;
     member.news.close();
     member.feed.close();
   }
-  sent.push(...(await load(fleet, { milliseconds: 6_000, limit: 2.6 })));
-  expect(mostInWindow(sent)).toBeLessThanOrEqual(20);
+  sent.push(...(await offerLoad(fleet, { milliseconds: 6_000, limit: 2.6 })));
+  expect(maxInWindow(sent)).toBeLessThanOrEqual(20);
   expect(sent.length).toBeGreaterThanOrEqual(12 * 2.6 * 0.7);
 });
 
+// An instance that misses the end of a limit would keep sending too few requests to the worker.
 test.each([6, 60])(
-  "guards against a limit that some go on with after its end, of %i",
+  "all %i instances lift a limit after the worker stops stating it",
   async (size) => {
     const fleet = await start(size);
-    for (const member of fleet.members) ask(member, 2);
-    await fleet.clock.advance(CONTACT_TIME);
-    // Whoever sends to it next learns that its need is over.
-    await load(fleet, { milliseconds: 2_000, limit: undefined });
+    for (const member of fleet.members) sendRequest(member, 2);
+    await fleet.clock.advance(PROPAGATION_TIME);
+    // The next answer of the worker states no limit any more.
+    await offerLoad(fleet, { milliseconds: 2_000, limit: undefined });
     await fleet.clock.advance(2_000);
     for (const member of fleet.members) expect(limitAt(member)).toBeUndefined();
   },
--- a/src/process/worker_roster.ts
+++ b/src/process/worker_roster.ts
@@ -1,53 +1,55 @@
 import type { Clock, FeedChange, FeedObject, RoutedWorker } from "../interface/index.ts";
 
-/** The workers as the store's entries name them. */
+/** The workers according to their registrations in the store. */
 export interface WorkerRoster {
-  /** Takes in changes of the entries. */
+  /** Applies changes of registrations. */
   changed(changes: readonly FeedChange[]): void;
-  /** The store answers again after it was away. */
+  /** Records that the store responds again after an outage. */
   storeReturned(): void;
-  /** Whether entries may still be missing though their workers are there. */
+  /** Whether registrations of live workers may still be missing after an outage of the store. */
   isReturning(): boolean;
+  /** Lists the workers, including those whose removal is held back. */
   list(): RoutedWorker[];
 }
 
-/** What the roster is made with. */
+/** Dependencies of {@linkcode createWorkerRoster}. */
 export interface WorkerRosterParts {
   readonly clock: Clock;
-  /** Reads an entry; undefined where it names no worker that can be used. */
+  /** Parses a registration. Returns undefined if it describes no usable worker. */
   readonly decode: (object: FeedObject) => RoutedWorker | undefined;
-  /** Called when what `list` returns has changed by itself. */
+  /** Called when a held-back removal takes effect, which changes the result of `list`. */
   readonly onChange: () => void;
+  /** Called with the name of a registration that can't be parsed. */
   readonly onUnreadable: (name: string) => void;
 }
 
 /**
- * How long an entry that lapsed while the store was away may be missing after its return, in milliseconds: the
- * platform promises that a live worker's entry is back within about two seconds.
+ * Time for which a removal is held back after the store's recovery, in milliseconds. The platform guarantees that a
+ * live worker registers again within about two seconds.
  */
-const LAPSE_TIME = 2_000;
+const RECOVERY_TIME = 2_000;
 
 /**
- * Makes an empty roster.
+ * Creates an empty roster.
  *
- * An entry is removed after some silence, and workers can't renew theirs while the store is away. Taken at its
- * word, the store would say on its return that no worker is left, and every request would be refused until the
- * entries are back. So a removal that is heard just after the store's return is held back for that long.
+ * A registration expires unless it is renewed, and workers can't renew it while the store is unavailable. After the
+ * store's recovery the roster would therefore be empty, and every request would be refused until the workers have
+ * registered again. So removals received shortly after the recovery are held back.
  */
 export function createWorkerRoster(parts: WorkerRosterParts): WorkerRoster {
   const { clock } = parts;
   const workers = new Map<string, RoutedWorker>();
-  const lapsed = new Map<string, RoutedWorker>();
+  const heldBack = new Map<string, RoutedWorker>();
   let returnedAt = -Infinity;
-  const isReturning = (): boolean => clock.now() - returnedAt < LAPSE_TIME;
+  const isReturning = (): boolean => clock.now() - returnedAt < RECOVERY_TIME;
 
-  const drop = (name: string, isRecent: boolean): void => {
+  const remove = (name: string, isRecent: boolean): void => {
     const worker = workers.get(name);
     workers.delete(name);
     if (worker === undefined || worker.isLeaving || !isRecent) return;
-    lapsed.set(name, worker);
-    clock.after(returnedAt + LAPSE_TIME - clock.now(), () => {
-      if (lapsed.delete(name)) parts.onChange();
+    heldBack.set(name, worker);
+    clock.after(returnedAt + RECOVERY_TIME - clock.now(), () => {
+      if (heldBack.delete(name)) parts.onChange();
     });
   };
   return {
@@ -55,10 +57,10 @@
       const isRecent = isReturning();
       for (const { object, removed } of changes) {
         if (removed) {
-          drop(object.name, isRecent);
+          remove(object.name, isRecent);
           continue;
         }
-        lapsed.delete(object.name);
+        heldBack.delete(object.name);
         const worker = parts.decode(object);
         if (worker !== undefined) workers.set(object.name, worker);
         else {
@@ -71,6 +73,6 @@
       returnedAt = clock.now();
     },
     isReturning,
-    list: () => [...workers.values(), ...lapsed.values()],
+    list: () => [...workers.values(), ...heldBack.values()],
   };
 }
--- a/src/request/live_request.ts
+++ b/src/request/live_request.ts
@@ -1,100 +1,105 @@
 import { Refusal, RequestState } from "../interface/index.ts";
 import type { RelayEvent, RequestRecord, RetryCause } from "../interface/index.ts";
 
-/** Why a request in progress stops being worked on here. */
-export enum Stop {
-  /** The caller cancelled it. */
+/** Reason for which this instance stops working on a request in progress. */
+export enum StopReason {
+  /** The caller cancelled the request. */
   Cancelled = "cancelled",
-  /** Its deadline has passed. */
+  /** The deadline has passed. */
   Deadline = "deadline",
-  /** Another instance owns it now. */
+  /** Another instance owns the request now. */
   Moved = "moved",
-  /** Its worker is about to be taken: it goes on elsewhere. */
+  /** The worker is about to be reclaimed. The request continues at another worker. */
   Reclaimed = "reclaimed",
 }
 
-/** The last thing that readers of a request in progress are told. */
+/** The last event that readers of a request receive. */
 export type FinalEvent = Extract<RelayEvent, { kind: "ended" | "moved" }>;
 
 /**
- * A request in progress at its owner: the answer so far, and those who read it. One task writes it; any
- * number of readers follow, each from its own token on.
+ * A request in progress at its owner, with the answer so far and its readers. One task writes the
+ * answer; any number of readers follow it, each starting from its own token.
  */
 export class LiveRequest {
-  /** The record as last written, without the tokens that have come since. */
+  /** The record as last written, without the tokens received since. */
   record: RequestRecord;
-  /** The answer so far, each token once and in order. */
+  /** The answer so far: each token once and in order. */
   readonly tokens: string[];
-  /** Whether callers may be told that it is accepted. */
-  accepted = false;
-  /** What ends every reader's iteration. */
-  final: FinalEvent | undefined;
-  /** Whether a backend server may have been sent it, by this owner or an earlier one. */
-  sent = false;
-  /** Workers that have said that they refuse it from now on, because they had not begun it. */
-  readonly barredAt = new Set<string>();
-  /** Whether a server has run a part of it that is gone on from elsewhere. */
-  partlyRun = false;
-  /** Whether this owner has sent it. */
-  dispatched = false;
-  /** When this owner sent it last, in the clock's milliseconds. */
+  /** Whether the acceptance may be reported to callers. */
+  isAccepted = false;
+  /** The event that ends every reader's iteration. */
+  finalEvent: FinalEvent | undefined;
+  /** Whether this owner or a previous one may have sent the request to a backend server. */
+  isPossiblySent = false;
+  /**
+   * Ids of workers that had not started the request and have confirmed that they will refuse it.
+   */
+  readonly refusedBy = new Set<string>();
+  /** Whether a server has run part of the request and another server continues it. */
+  hasPartialRun = false;
+  /** Whether this owner has sent the request to a worker. */
+  isDispatched = false;
+  /** Time at which this owner last sent the request, in the clock's milliseconds. */
   dispatchedAt = 0;
-  /** Tokens that the answer is expected to come to. */
+  /** Estimated length of the answer in tokens. */
   expectedTokens = 0;
-  /** An export of its KV cache to go on from, as the engine named it. */
-  cache: string | undefined;
-  /** Why it is sent again, where an earlier owner has sent it. */
+  /** The engine's name for an export of the KV cache from which the run can continue. */
+  cacheExport: string | undefined;
+  /** Why the request is sent again, if a previous owner has sent it. */
   resumeCause: RetryCause | undefined;
-  /** Higher goes first in the engine's batch. */
+  /** Priority in the engine's batch; higher values go first. */
   priority = 0;
-  /** Set once by {@linkcode stop}. */
-  stopped: Stop | undefined;
+  /** Why work on the request was stopped. Set once, by {@linkcode stop}. */
+  stopReason: StopReason | undefined;
   readonly #readers = new Set<() => void>();
-  readonly #stopping = new Set<(cause: Stop) => void>();
+  readonly #stopListeners = new Set<(cause: StopReason) => void>();
 
   constructor(record: RequestRecord) {
     this.record = record;
     this.tokens = [...record.tokens];
   }
 
-  /** Appends a token and wakes the readers. */
-  add(token: string): void {
+  /** Appends a token and notifies the readers. */
+  addToken(token: string): void {
     this.tokens.push(token);
-    this.wake();
+    this.notifyReaders();
   }
 
   /** Ends every reader's iteration with the given event. */
-  finish(final: FinalEvent): void {
-    this.final = final;
-    this.wake();
+  finish(finalEvent: FinalEvent): void {
+    this.finalEvent = finalEvent;
+    this.notifyReaders();
   }
 
-  /** Wakes the readers to look again. */
-  wake(): void {
+  /** Notifies the readers that there may be something new to read. */
+  notifyReaders(): void {
     for (const reader of this.#readers) reader();
   }
 
-  /** Has the task stop working on the request, for good. */
-  stop(cause: Stop): void {
-    if (this.stopped !== undefined) return;
-    this.stopped = cause;
+  /** Stops work on the request permanently. Later calls have no effect. */
+  stop(cause: StopReason): void {
+    if (this.stopReason !== undefined) return;
+    this.stopReason = cause;
     this.interrupt(cause);
   }
 
-  /** Ends what the task waits for at present, without stopping the request. */
-  interrupt(cause: Stop): void {
-    for (const listener of [...this.#stopping]) listener(cause);
+  /** Ends the task's current wait without stopping the request. */
+  interrupt(cause: StopReason): void {
+    for (const listener of [...this.#stopListeners]) listener(cause);
   }
 
-  /** Calls the listener when the task is stopped or interrupted, until the returned function is called. */
-  onStop(listener: (cause: Stop) => void): () => void {
-    this.#stopping.add(listener);
+  /**
+   * Calls the listener when the task is stopped or interrupted, until the returned function is
+   * called.
+   */
+  onStop(listener: (cause: StopReason) => void): () => void {
+    this.#stopListeners.add(listener);
     return () => {
-      this.#stopping.delete(listener);
+      this.#stopListeners.delete(listener);
     };
   }
 
-  /** The record as it stands, with all tokens. */
+  /** Returns the current record with all tokens. */
   snapshot(): RequestRecord {
     return { ...this.record, tokens: [...this.tokens], tokensFrom: 0 };
   }
@@ -103,45 +108,53 @@
    * Follows the request.
    *
    * @param from Index of the first token wanted.
-   * @returns Accepted, the tokens, and one final event; ends early once the signal aborts.
+   * @returns The acceptance, the tokens and one final event. The iteration ends early if the signal
+   * aborts.
    */
   async *read(from: number, signal: AbortSignal): AsyncGenerator<RelayEvent> {
-    let woken: (() => void) | undefined;
-    const wake = (): void => woken?.();
-    this.#readers.add(wake);
-    signal.addEventListener("abort", wake);
+    let resolveWait: (() => void) | undefined;
+    const notify = (): void => resolveWait?.();
+    this.#readers.add(notify);
+    signal.addEventListener("abort", notify);
     try {
-      let next = from;
-      let told = false;
+      let nextToken = from;
+      let hasReportedAcceptance = false;
       while (!signal.aborted) {
-        if (this.accepted && !told) {
-          told = true;
+        if (this.isAccepted && !hasReportedAcceptance) {
+          hasReportedAcceptance = true;
           yield { kind: "accepted", id: this.record.id };
         }
-        while (told && next < this.tokens.length) {
-          yield { kind: "token", index: next, text: this.tokens[next] ?? "" };
-          next++;
+        while (hasReportedAcceptance && nextToken < this.tokens.length) {
+          yield { kind: "token", index: nextToken, text: this.tokens[nextToken] ?? "" };
+          nextToken++;
         }
-        if (this.final !== undefined) {
-          yield this.final;
+        if (this.finalEvent !== undefined) {
+          yield this.finalEvent;
           return;
         }
-        // Reading and waiting are one step of the event loop: no token can come between.
-        if (!this.#hasNews({ told, next }) && !isAborted(signal)) {
+        // The check and the start of the wait happen in one turn of the event loop, so no token can
+        // be missed.
+        if (!this.#hasUnread({ hasReportedAcceptance, nextToken }) && !isAborted(signal)) {
           await new Promise<void>((resolve) => {
-            woken = resolve;
+            resolveWait = resolve;
           });
         }
       }
     } finally {
-      this.#readers.delete(wake);
-      signal.removeEventListener("abort", wake);
+      this.#readers.delete(notify);
+      signal.removeEventListener("abort", notify);
     }
   }
 
-  #hasNews({ told, next }: { told: boolean; next: number }): boolean {
-    if (this.final !== undefined || (this.accepted && !told)) return true;
-    return told && next < this.tokens.length;
+  #hasUnread({
+    hasReportedAcceptance,
+    nextToken,
+  }: {
+    hasReportedAcceptance: boolean;
+    nextToken: number;
+  }): boolean {
+    if (this.finalEvent !== undefined || (this.isAccepted && !hasReportedAcceptance)) return true;
+    return hasReportedAcceptance && nextToken < this.tokens.length;
   }
 }
 
@@ -149,16 +162,19 @@
   return signal.aborted;
 }
 
-/** The final event that tells a record's end, or a refusal in its shape. */
-export function endedEvent(record: RequestRecord, retryAfter?: number): FinalEvent {
+/** Creates the final event for an ended record, or for a refusal represented as one. */
+export function createEndedEvent(record: RequestRecord, retryAfter?: number): FinalEvent {
   return retryAfter === undefined
     ? { kind: "ended", record }
     : { kind: "ended", record, retryAfter };
 }
 
-/** The final event for a request whose copy at the backup is in doubt: the caller asks again with the id. */
-export function notKnownYet(record: RequestRecord, retryAfter: number): FinalEvent {
+/**
+ * Creates the final event for a request whose copy at the backup is in doubt. The caller has to
+ * query the request by its id.
+ */
+export function createUnknownOutcomeEvent(record: RequestRecord, retryAfter: number): FinalEvent {
   const state = RequestState.Accepted;
   const open = { ...record, state, tokens: [], reason: Refusal.BackupUnavailable };
-  return endedEvent(open, retryAfter);
+  return createEndedEvent(open, retryAfter);
 }
--- a/src/request/routed_headers.ts
+++ b/src/request/routed_headers.ts
@@ -1,7 +1,10 @@
 import type { IncomingMessage } from "node:http";
 import type { AnswerHead, HeaderNames } from "../interface/index.ts";
 
-/** Headers that concern one connection only. The body's framing is set anew for the next connection. */
+/**
+ * Headers that apply to a single connection. The framing of the body is set again for the next
+ * connection.
+ */
 const CONNECTION_HEADERS: ReadonlySet<string> = new Set([
   "connection",
   "content-length",
@@ -16,93 +19,99 @@
   "upgrade",
 ]);
 
-/** Headers that an entry instance sets on the way to a worker, by name. */
+/** Headers that an entry instance adds to a request for a worker, by name. */
 export type AddedHeaders = Readonly<Record<string, string>>;
 
 /**
- * The headers of a request on its way to a worker: what the caller sent, in its order, without what concerns
- * the connection, the key, and what only the system may set; then what it sets.
+ * Returns the headers of a request for a worker: the caller's headers in their order, without
+ * connection headers, the key and headers reserved for the system, followed by the added headers.
  */
-export function requestHeaders(
+export function buildRequestHeaders(
   request: IncomingMessage,
   { names, added }: { names: HeaderNames; added: AddedHeaders },
 ): string[] {
   const dropped = new Set([
     ...CONNECTION_HEADERS,
-    ...listedIn(request.headers.connection),
+    ...parseConnectionHeader(request.headers.connection),
     ...names.reserved,
     ...Object.keys(added),
     names.key,
     names.account,
     names.deadline,
   ]);
-  const kept = without(request.rawHeaders, dropped);
-  for (const [name, value] of Object.entries(added)) kept.push(name, value);
-  return kept;
+  const retained = removeHeaders(request.rawHeaders, dropped);
+  for (const [name, value] of Object.entries(added)) retained.push(name, value);
+  return retained;
 }
 
-/** What an entry instance tells a worker of a request. */
-export interface Instructions {
-  /** Milliseconds that are left for it. */
-  readonly left: number;
-  /** Id of the worker that is meant. */
+/** Values from which the headers for a worker are made. */
+export interface WorkerInstructions {
+  /** Milliseconds left until the deadline. */
+  readonly timeLeft: number;
+  /** Id of the worker that the request is intended for. */
   readonly worker: string;
-  /** Name of the client account; undefined where the route is served without one. */
+  /** Name of the client account; undefined if the route requires none. */
   readonly account: string | undefined;
-  /** Undefined for services without engines. */
-  readonly rank: number | undefined;
-  /** The last event that the caller has, where a stream goes on. */
+  /** Priority of the request; undefined for services without engines. */
+  readonly priority: number | undefined;
+  /** Id of the last event that the caller has, if a stream is continued. */
   readonly lastEventId: string | undefined;
 }
 
-/** Least deadline that is passed on: a worker takes 0 for none at all. */
-const LEAST_DEADLINE = 1;
-/** Lowest priority that engines know. */
+/** Minimum deadline that is sent to a worker, because a worker treats 0 as no deadline. */
+const MIN_DEADLINE = 1;
+/** Lowest priority that engines support. */
 const LOWEST_PRIORITY = 9;
 
-/** The headers that an entry instance sets itself. */
-export function addedHeaders(names: HeaderNames, instructions: Instructions): AddedHeaders {
-  const { left, worker, account, rank, lastEventId } = instructions;
+/** Returns the headers that an entry instance adds itself. */
+export function buildAddedHeaders(
+  names: HeaderNames,
+  instructions: WorkerInstructions,
+): AddedHeaders {
+  const { timeLeft, worker, account, priority, lastEventId } = instructions;
   const added: Record<string, string> = {
-    [names.deadline]: String(Math.max(LEAST_DEADLINE, Math.floor(left))),
+    [names.deadline]: String(Math.max(MIN_DEADLINE, Math.floor(timeLeft))),
     [names.expectedWorker]: worker,
   };
   if (account !== undefined) added[names.account] = account;
-  if (rank !== undefined) added[names.priority] = String(Math.min(LOWEST_PRIORITY, rank));
+  if (priority !== undefined) added[names.priority] = String(Math.min(LOWEST_PRIORITY, priority));
   if (lastEventId !== undefined) added[names.lastEventId] = lastEventId;
   return added;
 }
 
-/** The headers of a worker's answer on its way to the caller. */
-export function answerHeaders({ headers, byName }: AnswerHead): string[] {
-  const dropped = new Set([...CONNECTION_HEADERS, ...listedIn(byName.get("connection"))]);
-  return without(headers, dropped);
+/** Returns the headers of a worker's response that are sent to the caller. */
+export function buildResponseHeaders({ headers, byName }: AnswerHead): string[] {
+  const dropped = new Set([
+    ...CONNECTION_HEADERS,
+    ...parseConnectionHeader(byName.get("connection")),
+  ]);
+  return removeHeaders(headers, dropped);
 }
 
-const DECIMAL = /^\s*\d{1,9}(\.\d{1,9})?\s*$/;
+const DECIMAL_PATTERN = /^\s*\d{1,9}(\.\d{1,9})?\s*$/;
 
 /**
- * The requests a second that a worker says in its answer it takes from all instances together; undefined where it says
- * nothing, or nothing that can be read.
+ * Parses the number of requests per second that a worker accepts from all instances together.
+ * Returns undefined if the header is missing or malformed.
  */
-export function workerLimit(
+export function parseWorkerLimit(
   { byName }: Pick<AnswerHead, "byName">,
   names: Pick<HeaderNames, "workerLimit">,
 ): number | undefined {
   const text = byName.get(names.workerLimit);
-  return text !== undefined && DECIMAL.test(text) ? Number(text) : undefined;
+  return text !== undefined && DECIMAL_PATTERN.test(text) ? Number(text) : undefined;
 }
 
-/** Names in a `Connection` header. */
-function listedIn(connection: string | undefined): string[] {
+/** Parses the names in a `Connection` header. */
+function parseConnectionHeader(connection: string | undefined): string[] {
   return (connection ?? "").split(",").map((name) => name.trim().toLowerCase());
 }
 
-function without(headers: readonly string[], dropped: ReadonlySet<string>): string[] {
-  const kept: string[] = [];
+function removeHeaders(headers: readonly string[], dropped: ReadonlySet<string>): string[] {
+  const retained: string[] = [];
   for (let index = 0; index + 1 < headers.length; index += 2) {
     const name = headers[index] ?? "";
-    if (!dropped.has(name.toLowerCase())) kept.push(name, headers[index + 1] ?? "");
+    if (!dropped.has(name.toLowerCase())) retained.push(name, headers[index + 1] ?? "");
   }
-  return kept;
+  return retained;
 }
--- a/src/request/slot_table.ts
+++ b/src/request/slot_table.ts
@@ -12,99 +12,107 @@
 } from "./slot_replica.ts";
 import type { SlotReplica } from "./slot_replica.ts";
 
-/** A slot whose stance or epoch has changed at this instance. */
+/** A change of a slot's role or epoch at this instance. */
 export interface SlotChange {
   readonly before: SlotReplica;
   readonly after: SlotReplica;
 }
 
-/** All slots as this instance sees them; it follows the slot map. */
+/** The states of all slots at this instance. The table follows the slot map. */
 export interface SlotTable {
+  /** Returns the state of a slot. */
   get(slot: number): SlotReplica;
-  /** Puts a replica in place that a transition of the protocol has made. */
+  /** Replaces the state of a slot with the result of a protocol transition. */
   set(replica: SlotReplica): void;
-  /** Puts a replica in place and hands its answer on. */
-  answer(answered: { replica: SlotReplica; reply: SlotReply }): SlotReply;
-  /** Writes a record as the owner; returns it with its sequence. */
+  /** Replaces the state of a slot and returns the reply. */
+  applyTransition(answered: { replica: SlotReplica; reply: SlotReply }): SlotReply;
+  /** Writes a record as the owner and returns it with its new sequence. */
   write(record: RequestRecord): RequestRecord;
+  /** Returns a record, or undefined if this instance doesn't have it. */
   find(slot: number, id: string): RequestRecord | undefined;
+  /** Removes a record. */
   forget(slot: number, id: string): void;
-  /** A slot of this instance with a live backup, in another availability zone where there is one. */
-  draw(random: Random): number | undefined;
   /**
-   * Whether the slot's records need no second holder, because there is none to be had.
+   * Picks a random slot of this instance that has a live backup, in another availability zone if
+   * there is one.
+   */
+  pickSlot(random: Random): number | undefined;
+  /**
+   * Whether the slot's records need no second holder, because none is available.
    *
-   * A lone instance acts alone: where the slot map names no backup, for every request, since whoever is
-   * given the slot without its records refuses keys that it doesn't know; and where the map names one but
-   * no other member lives, for what may be repeated only, since the backup may be alive on the other side
-   * of a partition and would run the same key again.
+   * A lone instance acts alone in two cases. If the slot map names no backup, it does so for every
+   * request: an instance that is assigned the slot without its records refuses unknown keys. If the
+   * map names a backup but no other member is alive, it does so for repeatable requests only: the
+   * backup may be alive on the other side of a partition and would run the same key again.
    */
-  actsAlone(replica: SlotReplica, repeatable: boolean): boolean;
-  /** Whether the backup that the map names can be asked. */
+  canActAlone(replica: SlotReplica, repeatable: boolean): boolean;
+  /** Whether the backup in the slot map is known and alive. */
   hasLiveBackup(replica: SlotReplica): boolean;
+  /** Returns the states of all slots, in the order of their numbers. */
   all(): readonly SlotReplica[];
+  /** Calls the listener after the role or epoch of a slot has changed. */
   onChange(listener: (change: SlotChange) => void): Subscription;
   close(): void;
 }
 
-/** Makes the table; it follows the slot map until it is closed. */
+/** Creates the table. It follows the slot map until it is closed. */
 export function createSlotTable(environment: Environment): SlotTable {
   const { configuration, members } = environment;
   const self = members.self.id;
   const replicas = Array.from({ length: SLOT_COUNT }, (_, slot) => emptyReplica(self, slot));
   const listeners = new Set<(change: SlotChange) => void>();
-  let drawable: readonly number[] | undefined;
+  let eligibleSlots: readonly number[] | undefined;
 
   const get = (slot: number): SlotReplica => replicas[slot] ?? emptyReplica(self, slot);
   const set = (after: SlotReplica): void => {
     const before = get(after.slot);
     if (before === after) return;
     replicas[after.slot] = after;
-    const same =
+    const isUnchanged =
       before.stance === after.stance && before.assignment.epoch === after.assignment.epoch;
-    if (same) return;
-    drawable = undefined;
+    if (isUnchanged) return;
+    eligibleSlots = undefined;
     for (const listener of listeners) listener({ before, after });
   };
-  const isLone = (): boolean => members.alive().every((member) => member.id === self);
-  const followMap = (): void => {
-    drawable = undefined;
+  const isAlone = (): boolean => members.alive().every((member) => member.id === self);
+  const applySlotMap = (): void => {
+    eligibleSlots = undefined;
     const map = configuration.slotMap();
-    const provisional = map.version === 0 && isLone();
+    const isProvisional = map.version === 0 && isAlone();
     for (const replica of [...replicas]) {
       const next = hearAssignment(replica, assignmentOf(map, replica.slot));
-      set(provisional ? provisionalOwner(next) : next);
+      set(isProvisional ? provisionalOwner(next) : next);
     }
   };
   const hasLiveBackup = ({ assignment }: SlotReplica): boolean =>
     assignment.backup !== "" &&
     members.find(assignment.backup) !== undefined &&
     members.stateOf(assignment.backup) === MemberState.Alive;
-  const actsAlone = (replica: SlotReplica, repeatable: boolean): boolean => {
+  const canActAlone = (replica: SlotReplica, repeatable: boolean): boolean => {
     if (replica.stance === Stance.Primary && replica.assignment.backup === "") return true;
-    return repeatable && ownsSlot(replica) && isLone();
+    return repeatable && ownsSlot(replica) && isAlone();
   };
-  const computeDrawable = (): readonly number[] => {
+  const findEligibleSlots = (): readonly number[] => {
     const primary = replicas.filter((replica) => replica.stance === Stance.Primary);
-    const backed = primary.filter(hasLiveBackup);
-    const apart = backed.filter(
+    const withBackup = primary.filter(hasLiveBackup);
+    const inOtherZone = withBackup.filter(
       ({ assignment }) => members.find(assignment.backup)?.zone !== members.self.zone,
     );
-    const alone = primary.filter((replica) => actsAlone(replica, true));
-    const chosen = [apart, backed, alone].find((slots) => slots.length > 0) ?? [];
+    const actingAlone = primary.filter((replica) => canActAlone(replica, true));
+    const chosen = [inOtherZone, withBackup, actingAlone].find((slots) => slots.length > 0) ?? [];
     return chosen.map((replica) => replica.slot);
   };
   const subscriptions = [
-    configuration.onChange(followMap),
+    configuration.onChange(applySlotMap),
     members.onChange(() => {
-      drawable = undefined;
+      eligibleSlots = undefined;
     }),
   ];
-  followMap();
+  applySlotMap();
   return {
     get,
     set,
-    answer: ({ replica, reply }) => {
+    applyTransition: ({ replica, reply }) => {
       set(replica);
       return reply;
     },
@@ -115,11 +123,11 @@
     },
     find: (slot, id) => get(slot).held.get(id)?.record,
     forget: (slot, id) => set(forgetRecord(get(slot), id)),
-    draw: (random) => {
-      drawable ??= computeDrawable();
-      return drawable[Math.floor(random.next() * drawable.length)];
+    pickSlot: (random) => {
+      eligibleSlots ??= findEligibleSlots();
+      return eligibleSlots[Math.floor(random.next() * eligibleSlots.length)];
     },
-    actsAlone,
+    canActAlone,
     hasLiveBackup,
     all: () => replicas,
     onChange: (listener) => {
@@ -134,8 +142,9 @@
 }
 
 /**
- * A slot before the map's first write, at an instance that knows no other: it may run what nobody else can
- * know of, which are requests whose ids it has drawn itself. Epoch 0 yields to every map that is written.
+ * Makes an instance that knows no other the owner of a slot before the slot map is first written.
+ * It may run only requests that no other instance can know, which are those whose ids it has
+ * generated itself. Epoch 0 is replaced by every slot map that is written.
  */
 function provisionalOwner(replica: SlotReplica): SlotReplica {
   if (replica.assignment.epoch > 0 || replica.stance === Stance.Primary) return replica;
