--- a/src/connection/caller_refusal.ts
+++ b/src/connection/caller_refusal.ts
@@ -3,8 +3,8 @@
 import type { Rejection } from "../request/index.ts";
 import { sendJson } from "./http_body.ts";
 
-/** The HTTP status of each reason for which a caller is turned away. */
-const STATUS: Readonly<Record<Refusal, number>> = {
+/** The HTTP status for each reason for which a request is rejected. */
+const HTTP_STATUSES: Readonly<Record<Refusal, number>> = {
   [Refusal.None]: 500,
   [Refusal.Unauthenticated]: 401,
   [Refusal.Forbidden]: 403,
@@ -33,19 +33,24 @@
   [Refusal.CancelledByCaller]: 409,
 };
 
-const CLIENT_FAULT = 400;
-const TOO_MANY = 429;
-const SERVER_FAULT = 500;
+const MIN_CLIENT_ERROR = 400;
+const TOO_MANY_REQUESTS = 429;
+const MIN_SERVER_ERROR = 500;
 const SECOND = 1_000;
 
-/** The HTTP status of a reason. */
-export function statusOf(reason: Refusal): number {
-  return STATUS[reason];
+/** Returns the HTTP status for a reason. */
+export function httpStatusOf(reason: Refusal): number {
+  return HTTP_STATUSES[reason];
 }
 
-/** An error body in the shape of the OpenAI API, with what a caller needs to act on it. */
+/**
+ * Returns an error body in the format of the OpenAI API.
+ *
+ * `code` is the reason, `not_run` is true only if the request was certainly not run, and `request_id` is
+ * present if the request has an id.
+ */
 export function errorBody(rejection: Rejection): object {
-  const status = statusOf(rejection.reason);
+  const status = httpStatusOf(rejection.reason);
   return {
     error: {
       message: rejection.detail,
@@ -59,12 +64,15 @@
 }
 
 function errorType(status: number): string {
-  if (status === TOO_MANY) return "rate_limit_error";
-  const clientFault = status >= CLIENT_FAULT && status < SERVER_FAULT;
-  return clientFault ? "invalid_request_error" : "server_error";
+  if (status === TOO_MANY_REQUESTS) return "rate_limit_error";
+  const isClientError = status >= MIN_CLIENT_ERROR && status < MIN_SERVER_ERROR;
+  return isClientError ? "invalid_request_error" : "server_error";
 }
 
-/** Turns a caller away, saying why, whether its request was not run, and when to come back. */
+/**
+ * Sends an error response with the reason, whether the request was certainly not run, and `Retry-After`
+ * if a later attempt may succeed.
+ */
 export function sendRejection(response: ServerResponse, rejection: Rejection): void {
   const { retryAfter, notRun, id, reason } = rejection;
   const headers: Record<string, string> = {};
@@ -72,8 +80,8 @@
     headers["retry-after"] = String(Math.max(1, Math.ceil(retryAfter / SECOND)));
   }
   if (id !== undefined) headers["x-request-id"] = id;
-  // A client that tries again by itself would run the request a second time under another id.
+  // The OpenAI clients retry on their own; a retry would run the request again under another id.
   if (!notRun) headers["x-should-retry"] = "false";
   if (reason === Refusal.TooLarge || reason === Refusal.Draining) headers["connection"] = "close";
-  sendJson(response, errorBody(rejection), { status: statusOf(reason), headers });
+  sendJson(response, errorBody(rejection), { status: httpStatusOf(reason), headers });
 }
--- a/src/connection/caller_routes_test.ts
+++ b/src/connection/caller_routes_test.ts
@@ -11,7 +11,7 @@
 import { EMPTY_SLOT_MAP } from "../version/index.ts";
 import type { Revision } from "../version/index.ts";
 import { addCallerRoutes } from "./caller_routes.ts";
-import type { EntryInstanceParts } from "./entry_parts.ts";
+import type { CallerRouteContext } from "./route_context.ts";
 import { listenHttp, splitAddress } from "./http_listener.ts";
 import type { Listener } from "./http_listener.ts";
 
@@ -22,16 +22,16 @@
 let listener: Listener;
 let clock: VirtualClock;
 let submitted: Submission[];
-let outcome: CallerEvent[];
+let events: CallerEvent[];
 let refused: Refusal[];
 
 beforeEach(async () => {
   clock = createVirtualClock();
   submitted = [];
   refused = [];
-  outcome = answerEvents(["a", "b"]);
+  events = completedEvents(["a", "b"]);
   const app = polka();
-  addCallerRoutes(app, partsOfTest());
+  addCallerRoutes(app, createTestContext());
   listener = await listenHttp("127.0.0.1:0", (request, response) => {
     app.handler(request as polka.Request, response);
   });
@@ -39,10 +39,11 @@
 
 afterEach(() => listener.close());
 
-test("a whole answer has the OpenAI shape and its usage", async () => {
-  const answer = await post({ body: chatBody({}) });
-  expect(answer.status).toBe(200);
-  expect(await answer.json()).toMatchObject({
+// Guards against a response that OpenAI client libraries can't parse.
+test("a complete response has the OpenAI format and its usage", async () => {
+  const response = await post({ body: chatBody({}) });
+  expect(response.status).toBe(200);
+  expect(await response.json()).toMatchObject({
     id: ID,
     object: "chat.completion",
     choices: [{ message: { role: "assistant", content: "ab" }, finish_reason: "stop" }],
@@ -50,16 +51,17 @@
   });
 });
 
-test("a stream's event ids are the tokens' indexes, so that a caller can resume", async () => {
-  const answer = await post({ body: chatBody({ stream: true }) });
-  const text = await answer.text();
+// Guards against a resumed stream that repeats or skips tokens because its event ids aren't token indexes.
+test("event ids of a stream are token indexes, so that a caller can resume", async () => {
+  const response = await post({ body: chatBody({ stream: true }) });
+  const text = await response.text();
   expect([...text.matchAll(/^id: (\d+)$/gm)].map(([, id]) => id)).toEqual(["0", "1"]);
   expect(text.endsWith("data: [DONE]\n\n")).toBe(true);
 });
 
-test("the same key goes on with a stream from the token where it broke off", async () => {
-  // A caller's connection breaks in the middle of a script. It sends the same request and key again and says
-  // which token it had last; begun from the start, the cinema would get the first half twice.
+test("a request with the same key resumes the stream after the last token received", async () => {
+  // Guards against sending tokens twice: a caller whose connection broke in the middle of a stream repeats
+  // the request with its key and the id of the last event. Without a key the stream starts over.
   const headers = { "last-event-id": "240" };
   const body = chatBody({ stream: true });
   await post({ body, headers: { ...headers, "idempotency-key": "script-9" } });
@@ -67,66 +69,80 @@
   expect(submitted.map(({ fromToken }) => fromToken)).toEqual([241, 0]);
 });
 
-test("headers say how a request is to be treated", async () => {
+// Guards against ignored headers: a request would run twice, or longer than the caller waits.
+test("headers set the options of a request", async () => {
   const headers = {
     "idempotency-key": "entry-17",
     "x-samphireshore-repeat": "never",
     "x-samphireshore-deadline": "30s",
     prefer: "respond-async",
   };
-  const answer = await post({ body: chatBody({}), headers });
-  expect(answer.status).toBe(202);
-  expect(await answer.json()).toMatchObject({ id: ID, url: `/v1/requests/${ID}` });
-  const wishes = { key: "entry-17", repeatable: false, deadline: 30_000, detached: true };
-  expect(submitted).toMatchObject([{ account: "club", ...wishes }]);
+  const response = await post({ body: chatBody({}), headers });
+  expect(response.status).toBe(202);
+  expect(await response.json()).toMatchObject({ id: ID, url: `/v1/requests/${ID}` });
+  const options = { key: "entry-17", repeatable: false, deadline: 30_000, detached: true };
+  expect(submitted).toMatchObject([{ account: "club", ...options }]);
 });
 
-test("a plain service's answer comes with its own status", async () => {
+// Guards against replacing the status or the type of the service's own response, such as a 404.
+test("the response of a plain service keeps its own status", async () => {
   const detail = JSON.stringify({ status: 404, type: "text/plain", body: "no such reel" });
-  outcome = [
+  events = [
     { kind: "accepted", id: ID },
-    { kind: "ended", record: record({ detail }) },
+    { kind: "ended", record: testRecord({ detail }) },
   ];
-  const answer = await fetch(`http://${listener.address}/services/booking/reels/7?x=1`, {
+  const response = await fetch(`http://${listener.address}/services/booking/reels/7?x=1`, {
     headers: { authorization: `Bearer ${KEY}` },
   });
-  expect([answer.status, await answer.text()]).toEqual([404, "no such reel"]);
+  expect([response.status, await response.text()]).toEqual([404, "no such reel"]);
   expect(submitted).toMatchObject([{ path: "GET /reels/7?x=1", repeatable: true }]);
 });
 
-test("a refusal says its reason, whether the request was not run, and when to come back", async () => {
+// Guards against clients that can't tell whether to retry, or that retry too early.
+test("a rejection has its reason, whether the request was not run, and a retry time", async () => {
   const detail = "The queue is full.";
   const rejection = { reason: Refusal.QueueFull, notRun: true, retryAfter: 1_500, detail };
-  outcome = [{ kind: "rejected", rejection }];
-  const answer = await post({ body: chatBody({}) });
-  expect(answer.status).toBe(429);
-  expect(answer.headers.get("retry-after")).toBe("2");
-  expect(await answer.json()).toMatchObject({ error: { code: "queue-full", not_run: true } });
+  events = [{ kind: "rejected", rejection }];
+  const response = await post({ body: chatBody({}) });
+  expect(response.status).toBe(429);
+  expect(response.headers.get("retry-after")).toBe("2");
+  expect(await response.json()).toMatchObject({ error: { code: "queue-full", not_run: true } });
 });
 
-test("what may have run tells the client's library not to try again by itself", async () => {
-  // The answer of a billed summary was lost. The openai client tries a 502 again on its own: without the
-  // header the summary would be made, and billed, under a second id.
+test("a request that may have run tells the client library not to retry", async () => {
+  // Guards against running and billing a request twice after its response was lost: the openai client
+  // retries a 502 on its own, under a new id, unless the header forbids it.
   const lost = { state: RequestState.MayHaveRun, reason: Refusal.BackendLost };
-  outcome = [
+  events = [
     { kind: "accepted", id: ID },
-    { kind: "ended", record: record(lost) },
+    { kind: "ended", record: testRecord(lost) },
   ];
-  const answer = await post({ body: chatBody({}) });
-  expect(answer.status).toBe(502);
-  expect(answer.headers.get("x-should-retry")).toBe("false");
+  const response = await post({ body: chatBody({}) });
+  expect(response.status).toBe(502);
+  expect(response.headers.get("x-should-retry")).toBe("false");
 });
 
+// Guards against invalid input that reaches a backend server, or that fails without a reason or a count.
 test.each([
   ["no key", { body: chatBody({}), headers: { authorization: "" } }, 401, Refusal.Unauthenticated],
   ["a wrong key", { headers: { authorization: "Bearer x" } }, 401, Refusal.Unauthenticated],
   ["wrong JSON", { body: '{"model":' }, 400, Refusal.BadRequest],
   ["no messages", { body: '{"model":"desk"}' }, 400, Refusal.BadRequest],
   ["an unknown service", { body: chatBody({ model: "none" }) }, 404, Refusal.UnknownService],
-  ["a name of Object", { body: chatBody({ model: "toString" }) }, 404, Refusal.UnknownService],
+  [
+    "the name of an Object method",
+    { body: chatBody({ model: "toString" }) },
+    404,
+    Refusal.UnknownService,
+  ],
   ["an unknown model", { body: chatBody({ model: "desk/none" }) }, 404, Refusal.UnknownModel],
-  ["another's service", { body: chatBody({ model: "scripts" }) }, 403, Refusal.Forbidden],
-  ["a body over the bound", { body: "x".repeat(4_000_001) }, 413, Refusal.TooLarge],
+  [
+    "a service of another account",
+    { body: chatBody({ model: "scripts" }) },
+    403,
+    Refusal.Forbidden,
+  ],
+  ["a body over the limit", { body: "x".repeat(4_000_001) }, 413, Refusal.TooLarge],
   [
     "a wrong deadline",
     { headers: { "x-samphireshore-deadline": "soon" } },
@@ -136,17 +152,18 @@
   ["a wrong repeat", { headers: { "x-samphireshore-repeat": "no" } }, 400, Refusal.BadRequest],
   ["a long key", { headers: { "idempotency-key": "k".repeat(256) } }, 400, Refusal.BadRequest],
 ])(
-  "bad input with %s is a typed error, counted, and runs nothing",
+  "bad input with %s is a typed error, is counted, and runs nothing",
   async (_, call, status, reason) => {
-    const answer = await post(call);
-    const body = (await answer.json()) as { error: { code: string; not_run: boolean } };
-    expect([answer.status, body.error.code, body.error.not_run]).toEqual([status, reason, true]);
+    const response = await post(call);
+    const body = (await response.json()) as { error: { code: string; not_run: boolean } };
+    expect([response.status, body.error.code, body.error.not_run]).toEqual([status, reason, true]);
     expect(refused).toEqual([reason]);
     expect(submitted).toEqual([]);
   },
 );
 
-test("any body and headers get an answer, and the instance goes on", async () => {
+// Guards against input that ends the process or leaves a caller without a response.
+test("arbitrary bodies and headers get a response, and the instance keeps running", async () => {
   const headerText = fc.string({ maxLength: 40 }).map((text) => text.replace(/[^ -~]/g, ""));
   await fc.assert(
     fc.asyncProperty(
@@ -158,18 +175,18 @@
         prefer: headerText,
       }),
       async (body, headers) => {
-        const answer = await post({ body, headers });
-        await answer.text();
-        expect([200, 202, 400, 404, 403]).toContain(answer.status);
+        const response = await post({ body, headers });
+        await response.text();
+        expect([200, 202, 400, 404, 403]).toContain(response.status);
       },
     ),
     { seed: 7, numRuns: 100 },
   );
 });
 
-test("any request path gets an answer, and the instance goes on", async () => {
-  // A caller's broken URL must end its own request only. A thrown error in a route that nobody catches
-  // would end the process, with everybody's requests.
+test("arbitrary request paths get a response, and the instance keeps running", async () => {
+  // Guards against an invalid URL ending the process, and with it the requests of all callers, through an
+  // uncaught error in a route.
   await fc.assert(
     fc.asyncProperty(fc.webPath(), async (path) => {
       const status = await rawGet(`/v1/requests/${path.slice(1)}%zz`);
@@ -180,9 +197,9 @@
   expect((await post({ body: chatBody({}) })).status).toBe(200);
 });
 
-test("a body that comes drop by drop is given up, and the caller is told", async () => {
-  // Somebody opens many connections and sends a byte now and then. Each would hold memory and a place for
-  // as long as it likes, until no secretary gets through.
+test("a body that arrives too slowly is rejected", async () => {
+  // Guards against slow clients (slow-loris) that open many connections and each hold memory and a
+  // connection without limit, until no other caller is served.
   const [host, port] = splitAddress(listener.address);
   const socket = connect(port, host);
   let text = "";
@@ -197,12 +214,12 @@
   socket.destroy();
 });
 
-interface Call {
+interface TestCall {
   readonly body?: string;
   readonly headers?: Readonly<Record<string, string>>;
 }
 
-function post({ body = chatBody({}), headers = {} }: Call): Promise<Response> {
+function post({ body = chatBody({}), headers = {} }: TestCall): Promise<Response> {
   return fetch(`http://${listener.address}/v1/chat/completions`, {
     method: "POST",
     headers: { authorization: `Bearer ${KEY}`, "content-type": "application/json", ...headers },
@@ -210,7 +227,7 @@
   });
 }
 
-/** A request with a path that `fetch` would refuse to send. */
+/** Sends a request with a path that `fetch` would refuse to send; resolves with the status. */
 function rawGet(path: string): Promise<number> {
   const [host, port] = splitAddress(listener.address);
   return new Promise((resolve, reject) => {
@@ -233,7 +250,7 @@
   });
 }
 
-function record(more: Partial<RequestRecord>): RequestRecord {
+function testRecord(more: Partial<RequestRecord>): RequestRecord {
   return {
     id: ID,
     slot: 1,
@@ -259,21 +276,21 @@
   };
 }
 
-function answerEvents(tokens: readonly string[]): CallerEvent[] {
+function completedEvents(tokens: readonly string[]): CallerEvent[] {
   return [
     { kind: "accepted", id: ID },
     ...tokens.map((text, index) => ({ kind: "token" as const, index, text })),
-    { kind: "ended", record: record({}) },
+    { kind: "ended", record: testRecord({}) },
   ];
 }
 
-function partsOfTest(): EntryInstanceParts {
+function createTestContext(): CallerRouteContext {
   const unknown = { reason: Refusal.UnknownRequest, notRun: false, detail: "none" };
   const requests = {
     submit: async function* (submission: Submission) {
       submitted.push(submission);
       await Promise.resolve();
-      yield* outcome;
+      yield* events;
     },
     find: () => Promise.resolve(unknown),
     inProgress: () => 0,
@@ -294,11 +311,11 @@
       self: SELF,
       alive: () => [SELF],
       find: () => SELF,
-    } as unknown as EntryInstanceParts["members"],
-    workers: {} as EntryInstanceParts["workers"],
+    } as unknown as CallerRouteContext["members"],
+    workers: {} as CallerRouteContext["workers"],
     counters: {
       refused: (reason: Refusal) => refused.push(reason),
-    } as unknown as EntryInstanceParts["counters"],
+    } as unknown as CallerRouteContext["counters"],
     operatorKey: "",
   };
 }
--- a/src/connection/http_instance_list.ts
+++ b/src/connection/http_instance_list.ts
@@ -1,12 +1,16 @@
 import { request } from "undici";
 import type { InstanceList, Worker } from "../interface/index.ts";
 
-/** The platform's list of workers by HTTP. */
+/**
+ * Creates an HTTP client for the platform's list of workers.
+ *
+ * @param address `IP:PORT` of the platform's API.
+ */
 export function createHttpInstanceList(address: string): InstanceList {
   return {
     workers: async () => {
-      const answer = await request(`http://${address}/instances`);
-      return (await answer.body.json()) as readonly Worker[];
+      const response = await request(`http://${address}/instances`);
+      return (await response.body.json()) as readonly Worker[];
     },
   };
 }
--- /dev/null
+++ b/src/connection/peer_client.ts
@@ -0,0 +1,191 @@
+import type { Client } from "@connectrpc/connect";
+import type { Peer } from "../gen/peer_pb.ts";
+import type { Clock, Member, PeerFailure, Peers, SlotReply } from "../interface/index.ts";
+import {
+  decodeAskReply,
+  decodeProbeReply,
+  decodeRelayEvent,
+  decodeSlotReply,
+  encodeAsk,
+  encodeCede,
+  encodeProbe,
+  encodeRelay,
+} from "./peer_codec.ts";
+import { createPeerChannel } from "./peer_channel.ts";
+import type { PeerChannel, PeerSecurity } from "./peer_channel.ts";
+import { openReplicateStream } from "./replicate_stream.ts";
+import type { ReplicateStream } from "./replicate_stream.ts";
+
+/** Timeout of a call, in milliseconds, after which it is retried on a new connection. */
+const CALL_TIMEOUT = 500;
+/** Maximum retries on a new connection: a middlebox may have dropped the state of the old one. */
+const MAX_RECONNECTS = 1;
+
+/** Interval of the liveness check on a connection with open relays, in milliseconds. */
+const CHECK_INTERVAL = 1_000;
+/** Key that names no object; the liveness check pulls it, and a peer replies at once without one. */
+const CHECK_KEY = "";
+
+/** The connection to one peer and the calls that are open on it. */
+interface PeerConnection {
+  readonly channel: PeerChannel;
+  /** The stream of replications; undefined until it is opened on the current connection. */
+  replicateStream: ReplicateStream | undefined;
+  /** Incremented with each new connection. */
+  generation: number;
+  /** Abort controllers of the open relays; all are aborted if the connection is silent. */
+  readonly relays: Set<AbortController>;
+}
+
+/** Options for creating the client for calls to peers. */
+export interface PeerClientOptions {
+  /** Member id of this instance. */
+  readonly self: string;
+  readonly clock: Clock;
+  readonly security: PeerSecurity;
+}
+
+/**
+ * Creates the client for calls to other entry instances, using the Connect protocol over one HTTP/2
+ * connection per peer.
+ *
+ * A unary call or replication that fails or times out is retried once on a new connection, then rejects
+ * with a {@linkcode PeerFailure}. A relay isn't retried.
+ */
+export function createConnectPeers({ self, clock, security }: PeerClientOptions): Peers {
+  const connections = new Map<string, PeerConnection>();
+  const connectionTo = (address: string): PeerConnection => {
+    const existing = connections.get(address);
+    if (existing !== undefined) return existing;
+    const connection = {
+      channel: createPeerChannel(address, security),
+      replicateStream: undefined,
+      generation: 0,
+      relays: new Set<AbortController>(),
+    };
+    connections.set(address, connection);
+    return connection;
+  };
+  const call = async <T>(
+    target: { to: Member; step: string },
+    run: (connection: PeerConnection) => Promise<T>,
+  ): Promise<T> => {
+    const connection = connectionTo(target.to.address);
+    for (let retries = 0; ; retries++) {
+      const { generation } = connection;
+      try {
+        return await withTimeout(clock, run(connection));
+      } catch (cause) {
+        if (retries >= MAX_RECONNECTS) throw createPeerFailure(target, cause);
+        // Calls between instances are idempotent, so a call can be repeated on a new connection. Only
+        // the first of the calls that failed on a connection replaces it; the others share the new one.
+        if (connection.generation === generation) reconnect(connection);
+      }
+    }
+  };
+  const addRelay = (connection: PeerConnection, abortController: AbortController): void => {
+    connection.relays.add(abortController);
+    if (connection.relays.size === 1) scheduleCheck(connection);
+  };
+  const scheduleCheck = (connection: PeerConnection): void => {
+    clock.after(CHECK_INTERVAL, () => void check(connection));
+  };
+  /**
+   * Checks that the connection still works, once for all of its relays. A relay has no timeout, because
+   * the next token may take long. Without the check, a caller whose tokens are relayed over a silent
+   * connection would wait until its deadline.
+   */
+  const check = async (connection: PeerConnection): Promise<void> => {
+    const relays = [...connection.relays];
+    if (relays.length === 0) return;
+    try {
+      await withTimeout(clock, connection.channel.client().pull({ from: self, key: CHECK_KEY }));
+    } catch (cause) {
+      for (const abortController of relays) abortController.abort(cause);
+      for (const abortController of relays) connection.relays.delete(abortController);
+      reconnect(connection);
+    }
+    if (connection.relays.size > 0) scheduleCheck(connection);
+  };
+  const unary = <T>(
+    target: { to: Member; step: string },
+    run: (client: Client<typeof Peer>) => Promise<T>,
+  ): Promise<T> => call(target, (connection) => run(connection.channel.client()));
+
+  return {
+    replicate: (to, message) =>
+      call({ to, step: "replicate" }, (connection) => replicateStreamOf(connection).send(message)),
+    cede: (to, message): Promise<SlotReply> =>
+      unary({ to, step: "cede" }, async (client) =>
+        decodeSlotReply(await client.cede(encodeCede(message))),
+      ),
+    probe: (to, message) =>
+      unary({ to, step: "probe" }, async (client) =>
+        decodeProbeReply(await client.probe(encodeProbe(message))),
+      ),
+    pull: (to, key) =>
+      unary({ to, step: "pull" }, async (client) => {
+        const reply = await client.pull({ from: self, key });
+        return reply.found ? { version: Number(reply.version), value: reply.value } : undefined;
+      }),
+    ask: (to, message) =>
+      unary({ to, step: "ask" }, async (client) =>
+        decodeAskReply(await client.ask(encodeAsk(message))),
+      ),
+    relay: async function* (to, message, signal) {
+      const connection = connectionTo(to.address);
+      const abortController = new AbortController();
+      addRelay(connection, abortController);
+      try {
+        const client = connection.channel.client();
+        const relaySignal = AbortSignal.any([signal, abortController.signal]);
+        for await (const event of client.relay(encodeRelay(message), { signal: relaySignal })) {
+          yield decodeRelayEvent(event);
+        }
+      } catch (cause) {
+        throw createPeerFailure({ to, step: "relay" }, cause);
+      } finally {
+        connection.relays.delete(abortController);
+      }
+    },
+    close: () => {
+      for (const connection of connections.values()) {
+        connection.replicateStream?.close();
+        connection.channel.close();
+      }
+    },
+  };
+}
+
+function replicateStreamOf(connection: PeerConnection): ReplicateStream {
+  if (connection.replicateStream !== undefined && !connection.replicateStream.hasFailed())
+    return connection.replicateStream;
+  const client = connection.channel.client();
+  const stream = openReplicateStream((messages, signal) => client.replicate(messages, { signal }));
+  connection.replicateStream = stream;
+  return stream;
+}
+
+function reconnect(connection: PeerConnection): void {
+  connection.generation++;
+  connection.replicateStream?.close();
+  connection.replicateStream = undefined;
+  connection.channel.reconnect();
+}
+
+function withTimeout<T>(clock: Clock, reply: Promise<T>): Promise<T> {
+  return new Promise((resolve, reject) => {
+    const timer = clock.after(CALL_TIMEOUT, () => {
+      reject(new Error(`No response within ${CALL_TIMEOUT} ms.`));
+    });
+    reply.then(resolve, reject).finally(() => timer.close());
+  });
+}
+
+function createPeerFailure(
+  { to, step }: { to: Member; step: string },
+  cause: unknown,
+): PeerFailure {
+  const message = `Calling ${to.id} at ${to.address} failed in the ${step} call: ${String(cause)}`;
+  return Object.assign(new Error(message, { cause }), { step, peer: to.id });
+}
--- a/src/connection/connect_peers_test.ts
+++ b/src/connection/peer_client_test.ts
@@ -3,7 +3,7 @@
 import { afterEach, expect, test } from "vitest";
 import { Refusal, RequestState, SlotOutcome } from "../interface/index.ts";
 import type { Clock, Member, PeerHandlers, RequestRecord } from "../interface/index.ts";
-import { createConnectPeers } from "./connect_peers.ts";
+import { createConnectPeers } from "./peer_client.ts";
 import { listenPeers } from "./peer_listener.ts";
 
 const CLOCK: Clock = {
@@ -43,12 +43,12 @@
   for (const close of closers.splice(0).reverse()) await close();
 });
 
-interface Recorded {
+interface RecordingHandlers {
   readonly handlers: PeerHandlers;
   readonly replicated: string[];
 }
 
-function recordingHandlers(): Recorded {
+function recordingHandlers(): RecordingHandlers {
   const replicated: string[] = [];
   return {
     replicated,
@@ -83,7 +83,7 @@
   return { address: listener.address, refused: () => refused };
 }
 
-function peersWith(peerKey: string): ReturnType<typeof createConnectPeers> {
+function createPeers(peerKey: string): ReturnType<typeof createConnectPeers> {
   const peers = createConnectPeers({ self: "e1#1", clock: CLOCK, security: { peerKey } });
   closers.push(() => peers.close());
   return peers;
@@ -93,16 +93,17 @@
   return { id: "e2#1", address, callerAddress: "", zone: "a" };
 }
 
-test("every call between instances arrives and is answered", async () => {
+// Guards against a call whose encoding, route or decoding doesn't match on the two sides.
+test("every kind of call reaches the peer and returns its reply", async () => {
   const { handlers, replicated } = recordingHandlers();
   const to = memberAt((await startPeer(handlers)).address);
-  const peers = peersWith("key-of-the-instances");
+  const peers = createPeers("key-of-the-instances");
   const message = { from: "e1#1", slot: 1, epoch: 3, record: RECORD };
   const replies = await Promise.all([1, 2, 3].map(() => peers.replicate(to, message)));
   expect(replies.map((reply) => reply.outcome)).toEqual(Array(3).fill(SlotOutcome.Acknowledged));
   expect(replicated).toHaveLength(3);
-  const cession = { from: "e1#1", slot: 1, epoch: 3, custody: false, records: [RECORD] };
-  expect(await peers.cede(to, cession)).toEqual({ outcome: SlotOutcome.NotNamed, epoch: 3 });
+  const handover = { from: "e1#1", slot: 1, epoch: 3, custody: false, records: [RECORD] };
+  expect(await peers.cede(to, handover)).toEqual({ outcome: SlotOutcome.NotNamed, epoch: 3 });
   expect(await peers.pull(to, "known")).toEqual({ version: 7, value: "v" });
   expect(await peers.pull(to, "unknown")).toBeUndefined();
   const events = [];
@@ -113,12 +114,12 @@
   expect(events).toEqual(["accepted", "token"]);
 });
 
-test("a call without the credential of the instances is refused and counted", async () => {
-  // Somebody in the network who is no entry instance calls one. If that were answered, a stranger could
-  // take over slots; a caller would see answers of others or none.
+test("a call without the peer key is rejected and counted", async () => {
+  // Guards against another process in the network calling an entry instance: it could take over slots,
+  // and callers would get the responses of others or none.
   const { handlers, replicated } = recordingHandlers();
   const { address, refused } = await startPeer(handlers);
-  const peers = peersWith("a-key-that-was-guessed");
+  const peers = createPeers("a-key-that-was-guessed");
   const message = { from: "e9#1", slot: 1, epoch: 3, record: RECORD };
   await expect(peers.replicate(memberAt(address), message)).rejects.toMatchObject({
     step: "replicate",
@@ -129,34 +130,33 @@
   expect(refused()).toBeGreaterThan(0);
 });
 
-test("a connection that went silent is replaced, and the peer is not blamed", async () => {
-  // Something between two instances loses track of their open connection: it stays open, and nothing comes
-  // through any more, while new connections work. Without a new one every accept on these slots would fail.
+test("a silent connection is replaced without reporting the peer as failed", async () => {
+  // A middlebox drops the state of an open connection: it stays open but carries nothing, while new
+  // connections work. Without a new connection, no request on the shared slots could be accepted.
   const { handlers, replicated } = recordingHandlers();
   const { address } = await startPeer(handlers);
-  const path = await startPath(address);
-  const peers = peersWith("key-of-the-instances");
-  const to = memberAt(path.address);
+  const proxy = await startProxy(address);
+  const peers = createPeers("key-of-the-instances");
+  const to = memberAt(proxy.address);
   const message = { from: "e1#1", slot: 1, epoch: 3, record: RECORD };
   await peers.replicate(to, message);
-  path.silenceOpen();
+  proxy.silenceConnections();
   const reply = await peers.replicate(to, message);
   expect(reply.outcome).toBe(SlotOutcome.Acknowledged);
   expect(replicated).toHaveLength(2);
 });
 
-test("many calls on a connection that went silent share one new one", async () => {
-  // Under load many calls wait on the connection when it falls silent, and all run out of time at once. If
-  // each gave up the connection that the one before had just opened, none would get through, and every
-  // caller of the instance would be told to come back.
+test("calls that time out on the same silent connection share one new connection", async () => {
+  // Under load, many calls on a silent connection time out at once. If each replaced the connection that
+  // the one before had just opened, none would succeed and the instance would reject all callers.
   const { handlers, replicated } = recordingHandlers();
   const { address } = await startPeer(handlers);
-  const path = await startPath(address);
-  const peers = peersWith("key-of-the-instances");
-  const to = memberAt(path.address);
+  const proxy = await startProxy(address);
+  const peers = createPeers("key-of-the-instances");
+  const to = memberAt(proxy.address);
   const message = { from: "e1#1", slot: 1, epoch: 3, record: RECORD };
   await peers.replicate(to, message);
-  path.silenceOpen();
+  proxy.silenceConnections();
   const replies = await Promise.all(
     Array.from({ length: 50 }, () => peers.replicate(to, message).catch(() => undefined)),
   );
@@ -164,10 +164,10 @@
   expect(replicated).toHaveLength(51);
 });
 
-test("a relay on a connection that went silent ends with a failure", async () => {
-  // The owner streams a long script to the instance that the caller is connected to, and the connection
-  // between the two goes silent half way. Without a check the caller would wait for tokens until its
-  // deadline, though the owner has them and new connections work.
+test("a relay on a silent connection fails", async () => {
+  // An owner streams tokens to the instance that the caller is connected to, and the connection between the
+  // two goes silent. Without the liveness check the caller would wait until its deadline, although the
+  // owner has the tokens and new connections work.
   const { handlers } = recordingHandlers();
   const { address } = await startPeer({
     ...handlers,
@@ -176,36 +176,37 @@
       await new Promise((resolve) => signal.addEventListener("abort", resolve));
     },
   });
-  const path = await startPath(address);
-  const peers = peersWith("key-of-the-instances");
+  const proxy = await startProxy(address);
+  const peers = createPeers("key-of-the-instances");
   const relayed = { from: "e1#1", slot: 1, epoch: 3, record: RECORD };
   const events = peers.relay(
-    memberAt(path.address),
+    memberAt(proxy.address),
     { ...relayed, hops: 0, fromToken: 0, follow: false },
     new AbortController().signal,
   );
   const iterator = events[Symbol.asyncIterator]();
   expect(await iterator.next()).toMatchObject({ value: { kind: "token" } });
-  path.silenceOpen();
+  proxy.silenceConnections();
   await expect(iterator.next()).rejects.toMatchObject({ step: "relay" });
 });
 
-interface Path {
+interface TestProxy {
   readonly address: string;
-  silenceOpen(): void;
+  /** Stops forwarding on all open connections without closing them. */
+  silenceConnections(): void;
 }
 
-/** A path to an address that can lose track of the connections that are open on it. */
-async function startPath(target: string): Promise<Path> {
+/** Starts a TCP proxy to an address that can stop forwarding on its open connections. */
+async function startProxy(target: string): Promise<TestProxy> {
   const open = new Set<Socket>();
   const [host, port] = target.split(":");
-  const server: Server = createServer((near) => {
-    const far = connect({ host: host ?? "", port: Number(port) });
-    for (const socket of [near, far]) {
+  const server: Server = createServer((client) => {
+    const upstream = connect({ host: host ?? "", port: Number(port) });
+    for (const socket of [client, upstream]) {
       open.add(socket);
       socket.on("error", () => socket.destroy());
     }
-    near.pipe(far).pipe(near);
+    client.pipe(upstream).pipe(client);
   });
   await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
   closers.push(() => {
@@ -214,7 +215,7 @@
   });
   return {
     address: `127.0.0.1:${(server.address() as AddressInfo).port}`,
-    silenceOpen: () => {
+    silenceConnections: () => {
       for (const socket of open) {
         socket.unpipe();
         socket.pause();
--- a/src/connection/peer_codec.ts
+++ b/src/connection/peer_codec.ts
@@ -1,3 +1,10 @@
+/**
+ * Converts the messages between entry instances to and from their protocol buffer types.
+ *
+ * Enums are encoded as the index of their value, epochs and versions as 64-bit integers.
+ *
+ * @module
+ */
 import { create } from "@bufbuild/protobuf";
 import {
   AskReplySchema,
@@ -30,33 +37,38 @@
   SlotReply,
   VersionMark,
 } from "../interface/index.ts";
-import { enumCode, enumValue } from "./enum_code.ts";
+import { encodeEnum, decodeEnum } from "./enum_codec.ts";
 
 const REQUEST_STATES = Object.values(RequestState);
 const REFUSALS = Object.values(Refusal);
 const MEMBER_STATES = Object.values(MemberState);
 const SLOT_OUTCOMES = Object.values(SlotOutcome);
+/** Kinds of relay events; the index is sent, so new ones must be added at the end. */
 const EVENT_KINDS: readonly RelayEvent["kind"][] = ["accepted", "token", "ended", "moved"];
 
-/** A record as it goes over the wire. */
+/** Encodes a request record. */
 export function encodeRecord(record: RequestRecord): wire.RequestRecord {
   return create(RequestRecordSchema, {
     ...record,
-    state: enumCode(REQUEST_STATES, record.state),
-    reason: enumCode(REFUSALS, record.reason),
+    state: encodeEnum(REQUEST_STATES, record.state),
+    reason: encodeEnum(REFUSALS, record.reason),
     tokens: [...record.tokens],
     endDetail: record.detail,
   });
 }
 
-/** A record from the wire; a number that no enum has is an error. */
+/**
+ * Decodes a request record.
+ *
+ * @throws {RangeError} If an enum has an unknown value.
+ */
 export function decodeRecord(message: wire.RequestRecord): RequestRecord {
   return {
     id: message.id,
     slot: message.slot,
     account: message.account,
     service: message.service,
-    state: enumValue(REQUEST_STATES, message.state),
+    state: decodeEnum(REQUEST_STATES, message.state),
     repeatable: message.repeatable,
     detached: message.detached,
     keyed: message.keyed,
@@ -67,7 +79,7 @@
     worker: message.worker,
     tokens: message.tokens,
     tokensFrom: message.tokensFrom,
-    reason: enumValue(REFUSALS, message.reason),
+    reason: decodeEnum(REFUSALS, message.reason),
     detail: message.endDetail,
     acceptedAt: message.acceptedAt,
     deadlineAt: message.deadlineAt,
@@ -75,7 +87,11 @@
   };
 }
 
-/** A replication as it goes over the stream that many share; `correlation` finds its answer. */
+/**
+ * Encodes a replication.
+ *
+ * @param correlation Identifies the reply on the stream that all replications to a peer share.
+ */
 export function encodeReplicate(
   message: ReplicateMessage,
   correlation: bigint,
@@ -89,42 +105,47 @@
   });
 }
 
-/** A replication from the wire. */
+/** Decodes a replication. */
 export function decodeReplicate(message: wire.ReplicateRequest): ReplicateMessage {
   return {
     from: message.from,
     slot: message.slot,
     epoch: Number(message.epoch),
-    record: decodeRecord(requiredRecord(message.record)),
+    record: decodeRecord(requireRecord(message.record)),
   };
 }
 
-/** A message that must carry a record and doesn't comes from a broken or hostile sender. */
-function requiredRecord(record: wire.RequestRecord | undefined): wire.RequestRecord {
-  if (record === undefined) throw new TypeError("Decoding a message of a peer: it has no record.");
+/**
+ * Returns a record that a message must have.
+ *
+ * @throws {TypeError} If it is missing, which happens only with a faulty or hostile sender.
+ */
+function requireRecord(record: wire.RequestRecord | undefined): wire.RequestRecord {
+  if (record === undefined)
+    throw new TypeError("Decoding a message from a peer: the record is missing.");
   return record;
 }
 
-/** The answer to a replication. */
+/** Encodes the reply to a replication. */
 export function encodeReplicateReply(reply: SlotReply, correlation: bigint): wire.ReplicateReply {
-  return create(ReplicateReplySchema, { correlation, ...encodedSlotReply(reply) });
+  return create(ReplicateReplySchema, { correlation, ...slotReplyFields(reply) });
 }
 
-/** The answer to a cession. */
+/** Encodes the reply to a slot handover. */
 export function encodeCedeReply(reply: SlotReply): wire.CedeReply {
-  return create(CedeReplySchema, encodedSlotReply(reply));
+  return create(CedeReplySchema, slotReplyFields(reply));
 }
 
-function encodedSlotReply(reply: SlotReply): { outcome: number; epoch: bigint } {
-  return { outcome: enumCode(SLOT_OUTCOMES, reply.outcome), epoch: BigInt(reply.epoch) };
+function slotReplyFields(reply: SlotReply): { outcome: number; epoch: bigint } {
+  return { outcome: encodeEnum(SLOT_OUTCOMES, reply.outcome), epoch: BigInt(reply.epoch) };
 }
 
-/** How a slot's message was taken, from the wire. */
+/** Decodes the reply to a replication or a slot handover. */
 export function decodeSlotReply(message: wire.ReplicateReply | wire.CedeReply): SlotReply {
-  return { outcome: enumValue(SLOT_OUTCOMES, message.outcome), epoch: Number(message.epoch) };
+  return { outcome: decodeEnum(SLOT_OUTCOMES, message.outcome), epoch: Number(message.epoch) };
 }
 
-/** A cession as it goes over the wire. */
+/** Encodes a slot handover. */
 export function encodeCede(message: CedeMessage): wire.CedeRequest {
   return create(CedeRequestSchema, {
     ...message,
@@ -133,7 +154,7 @@
   });
 }
 
-/** A cession from the wire. */
+/** Decodes a slot handover. */
 export function decodeCede(message: wire.CedeRequest): CedeMessage {
   return {
     from: message.from,
@@ -145,19 +166,19 @@
   };
 }
 
-function encodeDelta({ member, state, rise, backend }: MemberDelta): wire.MemberDelta {
+function encodeMemberDelta({ member, state, rise, backend }: MemberDelta): wire.MemberDelta {
   return create(MemberDeltaSchema, {
     instance: member.id,
     address: member.address,
     callerAddress: member.callerAddress,
     zone: member.zone,
-    state: enumCode(MEMBER_STATES, state),
+    state: encodeEnum(MEMBER_STATES, state),
     rise: BigInt(rise),
     backend,
   });
 }
 
-function decodeDelta(message: wire.MemberDelta): MemberDelta {
+function decodeMemberDelta(message: wire.MemberDelta): MemberDelta {
   return {
     member: {
       id: message.instance,
@@ -165,21 +186,21 @@
       callerAddress: message.callerAddress,
       zone: message.zone,
     },
-    state: enumValue(MEMBER_STATES, message.state),
+    state: decodeEnum(MEMBER_STATES, message.state),
     rise: Number(message.rise),
     backend: message.backend,
   };
 }
 
-function encodeMark({ key, version }: VersionMark): wire.VersionMark {
+function encodeVersionMark({ key, version }: VersionMark): wire.VersionMark {
   return create(VersionMarkSchema, { key, version: BigInt(version) });
 }
 
-function decodeMark({ key, version }: wire.VersionMark): VersionMark {
+function decodeVersionMark({ key, version }: wire.VersionMark): VersionMark {
   return { key, version: Number(version) };
 }
 
-/** A probe as it goes over the wire. */
+/** Encodes a membership probe. */
 export function encodeProbe(message: ProbeMessage): wire.ProbeRequest {
   const { from, target, deltas, versions } = message;
   return create(ProbeRequestSchema, {
@@ -187,50 +208,50 @@
     ...(target === undefined
       ? {}
       : {
-          target: encodeDelta({
+          target: encodeMemberDelta({
             member: target,
             state: MemberState.Alive,
             rise: 0,
             backend: false,
           }),
         }),
-    deltas: deltas.map(encodeDelta),
-    versions: versions.map(encodeMark),
+    deltas: deltas.map(encodeMemberDelta),
+    versions: versions.map(encodeVersionMark),
   });
 }
 
-/** A probe from the wire. */
+/** Decodes a membership probe. */
 export function decodeProbe(message: wire.ProbeRequest): ProbeMessage {
   const { from, target, deltas, versions } = message;
   return {
     from,
-    ...(target === undefined ? {} : { target: decodeDelta(target).member }),
-    deltas: deltas.map(decodeDelta),
-    versions: versions.map(decodeMark),
+    ...(target === undefined ? {} : { target: decodeMemberDelta(target).member }),
+    deltas: deltas.map(decodeMemberDelta),
+    versions: versions.map(decodeVersionMark),
   };
 }
 
-/** The answer to a probe. */
+/** Encodes the reply to a membership probe. */
 export function encodeProbeReply({ from, reached, deltas, versions }: ProbeReply): wire.ProbeReply {
   return create(ProbeReplySchema, {
     from,
     reached,
-    deltas: deltas.map(encodeDelta),
-    versions: versions.map(encodeMark),
+    deltas: deltas.map(encodeMemberDelta),
+    versions: versions.map(encodeVersionMark),
   });
 }
 
-/** The answer to a probe, from the wire. */
+/** Decodes the reply to a membership probe. */
 export function decodeProbeReply({ from, reached, deltas, versions }: wire.ProbeReply): ProbeReply {
   return {
     from,
     reached,
-    deltas: deltas.map(decodeDelta),
-    versions: versions.map(decodeMark),
+    deltas: deltas.map(decodeMemberDelta),
+    versions: versions.map(decodeVersionMark),
   };
 }
 
-/** A relayed request as it goes over the wire. */
+/** Encodes a relayed request. */
 export function encodeRelay(message: RelayMessage): wire.RelayRequest {
   return create(RelayRequestSchema, {
     ...message,
@@ -239,7 +260,7 @@
   });
 }
 
-/** A relayed request from the wire. */
+/** Decodes a relayed request. */
 export function decodeRelay(message: wire.RelayRequest): RelayMessage {
   const { from, slot, epoch, hops, record, fromToken, follow } = message;
   return {
@@ -247,15 +268,15 @@
     slot,
     epoch: Number(epoch),
     hops,
-    record: decodeRecord(requiredRecord(record)),
+    record: decodeRecord(requireRecord(record)),
     fromToken,
     follow,
   };
 }
 
-/** One event of a relayed request. */
+/** Encodes an event of a relayed request. */
 export function encodeRelayEvent(event: RelayEvent): wire.RelayEvent {
-  const kind = enumCode(EVENT_KINDS, event.kind);
+  const kind = encodeEnum(EVENT_KINDS, event.kind);
   switch (event.kind) {
     case "accepted":
       return create(RelayEventSchema, { kind, id: event.id });
@@ -272,9 +293,9 @@
   }
 }
 
-/** One event of a relayed request, from the wire. */
+/** Decodes an event of a relayed request. */
 export function decodeRelayEvent(message: wire.RelayEvent): RelayEvent {
-  const kind = enumValue(EVENT_KINDS, message.kind);
+  const kind = decodeEnum(EVENT_KINDS, message.kind);
   switch (kind) {
     case "accepted":
       return { kind, id: message.id };
@@ -283,7 +304,7 @@
     case "ended":
       return {
         kind,
-        record: decodeRecord(requiredRecord(message.record)),
+        record: decodeRecord(requireRecord(message.record)),
         ...(message.retryAfter === 0 ? {} : { retryAfter: message.retryAfter }),
       };
     case "moved":
@@ -291,29 +312,29 @@
   }
 }
 
-/** A question about a request. */
+/** Encodes an inquiry about a request. */
 export function encodeAsk(message: AskMessage): wire.AskRequest {
   return create(AskRequestSchema, { ...message, epoch: BigInt(message.epoch) });
 }
 
-/** A question about a request, from the wire. */
+/** Decodes an inquiry about a request. */
 export function decodeAsk(message: wire.AskRequest): AskMessage {
   const { from, id, account, slot, epoch, hops, cancel } = message;
   return { from, id, account, slot, epoch: Number(epoch), hops, cancel };
 }
 
-/** The answer to a question about a request. */
+/** Encodes the reply to an inquiry about a request. */
 export function encodeAskReply({ outcome, epoch, record }: AskReply): wire.AskReply {
   return create(AskReplySchema, {
-    ...encodedSlotReply({ outcome, epoch }),
+    ...slotReplyFields({ outcome, epoch }),
     ...(record === undefined ? {} : { record: encodeRecord(record) }),
   });
 }
 
-/** The answer to a question about a request, from the wire. */
+/** Decodes the reply to an inquiry about a request. */
 export function decodeAskReply({ outcome, epoch, record }: wire.AskReply): AskReply {
   return {
-    outcome: enumValue(SLOT_OUTCOMES, outcome),
+    outcome: decodeEnum(SLOT_OUTCOMES, outcome),
     epoch: Number(epoch),
     ...(record === undefined ? {} : { record: decodeRecord(record) }),
   };
--- a/src/connection/peer_listener.ts
+++ b/src/connection/peer_listener.ts
@@ -7,7 +7,7 @@
 import { connectNodeAdapter } from "@connectrpc/connect-node";
 import { Peer, PullReplySchema } from "../gen/peer_pb.ts";
 import type { PeerHandlers } from "../interface/index.ts";
-import { bearerOf, equalSecrets } from "./constant_time.ts";
+import { bearerToken, equalSecrets } from "./credentials.ts";
 import { splitAddress } from "./http_listener.ts";
 import type { Listener } from "./http_listener.ts";
 import type { PeerSecurity } from "./peer_channel.ts";
@@ -24,17 +24,25 @@
   encodeReplicateReply,
 } from "./peer_codec.ts";
 
-/** Bound on one message, in bytes. */
-const MESSAGE_LIMIT = 64_000_000;
+/** Maximum size of a message, in bytes; a slot handover may carry many records. */
+const MAX_MESSAGE_BYTES = 64_000_000;
 
-/** What a listener for peers is made with. */
+/** Options of {@linkcode listenPeers}. */
 export interface PeerListenerOptions {
+  /** The key that callers must have, and the certificate of this listener. */
   readonly security: PeerSecurity;
-  /** Called when a call came without the credential of the instances. */
+  /** Called for each call that is rejected because it lacks the peer key. */
   readonly onUnauthenticated: () => void;
 }
 
-/** Listens for the calls of other entry instances. */
+/**
+ * Listens for calls of other entry instances over HTTP/2. Calls without the peer key fail as
+ * unauthenticated.
+ *
+ * @param address `IP:PORT`; port 0 binds a free port.
+ * @param handlers Handle the calls.
+ * @returns The listener, once it accepts connections. Rejects if the address can't be bound.
+ */
 export function listenPeers(
   address: string,
   handlers: PeerHandlers,
@@ -42,8 +50,8 @@
 ): Promise<Listener> {
   const adapter = connectNodeAdapter({
     routes: (router) => addPeerRoutes(router, handlers),
-    interceptors: [authentication(options)],
-    readMaxBytes: MESSAGE_LIMIT,
+    interceptors: [createAuthInterceptor(options)],
+    readMaxBytes: MAX_MESSAGE_BYTES,
   });
   const { tls } = options.security;
   const server =
@@ -53,6 +61,7 @@
   return listen(server, address);
 }
 
+/** Listens and keeps track of the HTTP/2 sessions, so that `close` can end them. */
 function listen(server: Http2Server, address: string): Promise<Listener> {
   const sessions = new Set<ServerHttp2Session>();
   server.on("session", (session) => {
@@ -77,16 +86,13 @@
   });
 }
 
-function authentication({ security, onUnauthenticated }: PeerListenerOptions): Interceptor {
+function createAuthInterceptor({ security, onUnauthenticated }: PeerListenerOptions): Interceptor {
   return (next) => (request) => {
-    if (equalSecrets(bearerOf(request.header.get("authorization")), security.peerKey)) {
+    if (equalSecrets(bearerToken(request.header.get("authorization")), security.peerKey)) {
       return next(request);
     }
     onUnauthenticated();
-    throw new ConnectError(
-      "The call has no credential of the entry instances.",
-      Code.Unauthenticated,
-    );
+    throw new ConnectError("The call lacks the key of the entry instances.", Code.Unauthenticated);
   };
 }
 
--- a/src/connection/replicate_stream.ts
+++ b/src/connection/replicate_stream.ts
@@ -2,24 +2,26 @@
 import type { ReplicateMessage, SlotReply } from "../interface/index.ts";
 import { decodeSlotReply, encodeReplicate } from "./peer_codec.ts";
 
-/** The one stream that carries all replications to a peer, with answers found by number. */
+/** The stream that carries all replications to a peer. Replies are matched by correlation number. */
 export interface ReplicateStream {
-  /** Rejects when the stream breaks before the answer has come. */
+  /** Sends a replication and resolves with its reply. Rejects if the stream fails before the reply arrives. */
   send(message: ReplicateMessage): Promise<SlotReply>;
-  /** True once the stream has broken: it answers nothing any more. */
-  isBroken(): boolean;
+  /** Returns true once the stream has failed or was closed; `send` then rejects. */
+  hasFailed(): boolean;
+  /** Ends the stream and rejects all pending replies. */
   close(): void;
 }
 
-interface Waiting {
+/** A replication whose reply is pending. */
+interface PendingReply {
   readonly resolve: (reply: SlotReply) => void;
   readonly reject: (cause: Error) => void;
 }
 
 /**
- * Opens the stream.
+ * Opens a replication stream.
  *
- * @param open Opens the call: it is given the messages to send and yields the answers.
+ * @param open Starts the call with the messages to send and a signal that ends it; yields the replies.
  */
 export function openReplicateStream(
   open: (
@@ -27,27 +29,27 @@
     signal: AbortSignal,
   ) => AsyncIterable<ReplicateReply>,
 ): ReplicateStream {
-  const waiting = new Map<bigint, Waiting>();
-  const outgoing = createOutbox<ReplicateRequest>();
-  const ending = new AbortController();
+  const pending = new Map<bigint, PendingReply>();
+  const outgoing = createMessageQueue<ReplicateRequest>();
+  const abortController = new AbortController();
   let correlation = 0n;
-  let broken = false;
+  let isBroken = false;
 
   const fail = (cause: Error): void => {
-    broken = true;
+    isBroken = true;
     outgoing.close();
-    ending.abort(cause);
-    for (const { reject } of waiting.values()) reject(cause);
-    waiting.clear();
+    abortController.abort(cause);
+    for (const { reject } of pending.values()) reject(cause);
+    pending.clear();
   };
   const receive = async (): Promise<void> => {
     try {
-      for await (const reply of open(outgoing, ending.signal)) {
-        const waiter = waiting.get(reply.correlation);
-        waiting.delete(reply.correlation);
-        waiter?.resolve(decodeSlotReply(reply));
+      for await (const reply of open(outgoing, abortController.signal)) {
+        const pendingReply = pending.get(reply.correlation);
+        pending.delete(reply.correlation);
+        pendingReply?.resolve(decodeSlotReply(reply));
       }
-      fail(new Error("The peer ended the stream of replications."));
+      fail(new Error("The peer ended the replication stream."));
     } catch (cause) {
       fail(cause instanceof Error ? cause : new Error(String(cause)));
     }
@@ -56,38 +58,39 @@
   return {
     send: (message) =>
       new Promise((resolve, reject) => {
-        if (broken) {
-          reject(new Error("The stream of replications has broken."));
+        if (isBroken) {
+          reject(new Error("The replication stream has failed."));
           return;
         }
         correlation++;
-        waiting.set(correlation, { resolve, reject });
+        pending.set(correlation, { resolve, reject });
         outgoing.push(encodeReplicate(message, correlation));
       }),
-    isBroken: () => broken,
-    close: () => fail(new Error("The stream of replications was closed.")),
+    hasFailed: () => isBroken,
+    close: () => fail(new Error("The replication stream was closed.")),
   };
 }
 
-interface Outbox<T> extends AsyncIterable<T> {
+/** A queue of outgoing messages. */
+interface MessageQueue<T> extends AsyncIterable<T> {
   push(item: T): void;
   close(): void;
 }
 
-/** A queue that one reader empties as it can. */
-function createOutbox<T>(): Outbox<T> {
+/** Creates an unbounded queue for one reader, which reads in batches until the queue is closed. */
+function createMessageQueue<T>(): MessageQueue<T> {
   const items: T[] = [];
-  let wake: (() => void) | undefined;
+  let wakeReader: (() => void) | undefined;
   const state = { closed: false };
   const isClosed = (): boolean => state.closed;
   return {
     push: (item) => {
       items.push(item);
-      wake?.();
+      wakeReader?.();
     },
     close: () => {
       state.closed = true;
-      wake?.();
+      wakeReader?.();
     },
     [Symbol.asyncIterator]: async function* () {
       while (!isClosed()) {
@@ -95,7 +98,7 @@
         yield* batch;
         if (batch.length > 0 || isClosed()) continue;
         await new Promise<void>((resolve) => {
-          wake = resolve;
+          wakeReader = resolve;
         });
       }
     },
--- /dev/null
+++ b/src/connection/response_parser.ts
@@ -0,0 +1,241 @@
+/**
+ * Incremental parser for the HTTP/1.1 responses on one connection to a worker.
+ *
+ * A response without `Content-Length` or chunked framing ends when the connection is closed. If the
+ * connection is reset while such a response is being sent, the client of the HTTP library reports the
+ * truncated response as complete, and a proxy would pass it on to the caller as valid. This parser
+ * therefore detects the end of a response itself. Without a length, a response is complete only if the
+ * peer closed the connection in an orderly way.
+ *
+ * @module
+ */
+import type { AnswerHead } from "../interface/index.ts";
+
+/** Receives the parsed parts of a response, in order. */
+export interface ResponseSink {
+  /** Called once, with the head of the final response; interim (1xx) responses are skipped. */
+  head(head: AnswerHead): void;
+  /** Called with each piece of the body, without chunk framing. */
+  data(chunk: Buffer): void;
+  /** Called once the response is complete. */
+  end(): void;
+}
+
+/** Parses the responses of one connection, one after the other. */
+export interface ResponseParser {
+  /**
+   * Parses the next bytes from the connection.
+   *
+   * @param bytes The bytes, split at any position.
+   * @returns Undefined, or a fault if the bytes aren't a valid response or no response is expected.
+   */
+  feed(bytes: Buffer): ParseFault | undefined;
+  /**
+   * Signals that the peer closed its side of the connection in an orderly way (TCP FIN).
+   *
+   * @returns Undefined, or a fault if the response was incomplete.
+   */
+  finish(): ParseFault | undefined;
+  /**
+   * Prepares for the response to a request that is about to be sent.
+   *
+   * @param method The request's method: a response to `HEAD` has no body.
+   * @param sink Receives the response.
+   */
+  expectResponse(method: string, sink: ResponseSink): void;
+}
+
+/** Why the bytes of a connection can't be parsed as a response. */
+export enum ParseFault {
+  /** Bytes arrived while no request was waiting for a response. */
+  Unexpected = "unexpected bytes",
+  /** The status line, a header line or the body framing is invalid or ambiguous. */
+  Malformed = "malformed answer",
+  /** The head or a trailer line exceeds its size limit. */
+  TooLarge = "head too large",
+  /** The connection was closed before the response was complete. */
+  Truncated = "truncated answer",
+}
+
+/** Maximum size of a response head, in bytes; the engines' heads are under 1000 bytes. */
+const MAX_HEAD_BYTES = 65_536;
+/** Maximum length of a chunk size line with its extensions, in characters. */
+const MAX_SIZE_LINE_LENGTH = 256;
+const STATUS_LINE = /^HTTP\/1\.[01] (\d{3})(?: |$)/;
+const TOKEN = /^[!#$%&'*+\-.^_`|~0-9A-Za-z]+$/;
+const SIZE_LINE = /^([0-9a-fA-F]{1,12})[ \t]*(?:;.*)?$/;
+const NO_CONTENT = 204;
+const NOT_MODIFIED = 304;
+const MIN_FINAL_STATUS = 200;
+const SWITCHING_PROTOCOLS = 101;
+
+/** The part of a response that the parser expects next. */
+enum ParserState {
+  Idle,
+  Head,
+  FixedLengthBody,
+  ChunkSize,
+  ChunkData,
+  ChunkEnd,
+  Trailer,
+  BodyUntilClose,
+}
+
+/** Creates a parser for a newly opened connection. */
+export function createResponseParser(): ResponseParser {
+  let state = ParserState.Idle;
+  let sink: ResponseSink | undefined;
+  let method = "";
+  let buffered: Buffer = Buffer.alloc(0);
+  let remaining = 0;
+
+  const complete = (): void => {
+    state = ParserState.Idle;
+    const completed = sink;
+    sink = undefined;
+    completed?.end();
+  };
+  /** Removes a line ending in CR LF from the buffer; undefined if it is incomplete. */
+  const takeLine = (): string | undefined => {
+    const end = buffered.indexOf("\r\n");
+    if (end < 0) return undefined;
+    const line = buffered.toString("latin1", 0, end);
+    buffered = buffered.subarray(end + 2);
+    return line;
+  };
+  const takeHead = (): ParseFault | boolean => {
+    const end = buffered.indexOf("\r\n\r\n");
+    if (end < 0) return buffered.length > MAX_HEAD_BYTES ? ParseFault.TooLarge : false;
+    const head = parseHead(buffered.toString("latin1", 0, end));
+    buffered = buffered.subarray(end + 4);
+    if (head === undefined) return ParseFault.Malformed;
+    if (head.status === SWITCHING_PROTOCOLS) return ParseFault.Malformed;
+    // An interim (1xx) response is followed by the final one.
+    if (head.status < MIN_FINAL_STATUS) return true;
+    const framing = responseFraming(head, method);
+    if (framing === undefined) return ParseFault.Malformed;
+    state = framing.state;
+    remaining = framing.length;
+    sink?.head(head);
+    if (state === ParserState.FixedLengthBody && remaining === 0) complete();
+    return true;
+  };
+  const takeBody = (next: ParserState): boolean => {
+    if (buffered.length === 0) return false;
+    const chunk = buffered.subarray(0, remaining);
+    buffered = buffered.subarray(chunk.length);
+    remaining -= chunk.length;
+    sink?.data(chunk);
+    if (remaining > 0) return true;
+    if (next === ParserState.Idle) complete();
+    else state = next;
+    return true;
+  };
+  const takeChunkSize = (): ParseFault | boolean => {
+    const line = takeLine();
+    if (line === undefined)
+      return buffered.length > MAX_SIZE_LINE_LENGTH ? ParseFault.Malformed : false;
+    const size = SIZE_LINE.exec(line)?.[1];
+    if (size === undefined) return ParseFault.Malformed;
+    remaining = Number.parseInt(size, 16);
+    state = remaining === 0 ? ParserState.Trailer : ParserState.ChunkData;
+    return true;
+  };
+  const takeChunkEnd = (): ParseFault | boolean => {
+    const line = takeLine();
+    if (line === undefined) return buffered.length > 1 ? ParseFault.Malformed : false;
+    if (line !== "") return ParseFault.Malformed;
+    state = ParserState.ChunkSize;
+    return true;
+  };
+  const takeTrailer = (): ParseFault | boolean => {
+    const line = takeLine();
+    if (line === undefined) return buffered.length > MAX_HEAD_BYTES ? ParseFault.TooLarge : false;
+    if (line === "") complete();
+    return true;
+  };
+  /** Parses the next element; returns false if more bytes are needed. */
+  const step = (): ParseFault | boolean => {
+    switch (state) {
+      case ParserState.Idle:
+        return buffered.length > 0 ? ParseFault.Unexpected : false;
+      case ParserState.Head:
+        return takeHead();
+      case ParserState.FixedLengthBody:
+        return takeBody(ParserState.Idle);
+      case ParserState.ChunkSize:
+        return takeChunkSize();
+      case ParserState.ChunkData:
+        return takeBody(ParserState.ChunkEnd);
+      case ParserState.ChunkEnd:
+        return takeChunkEnd();
+      case ParserState.Trailer:
+        return takeTrailer();
+      case ParserState.BodyUntilClose:
+        remaining = buffered.length;
+        return buffered.length > 0 && takeBody(ParserState.BodyUntilClose);
+    }
+  };
+  return {
+    feed: (bytes) => {
+      buffered = buffered.length === 0 ? bytes : Buffer.concat([buffered, bytes]);
+      for (;;) {
+        const result = step();
+        if (result === true) continue;
+        return result === false ? undefined : result;
+      }
+    },
+    finish: () => {
+      if (state === ParserState.Idle) return undefined;
+      if (state !== ParserState.BodyUntilClose) return ParseFault.Truncated;
+      complete();
+      return undefined;
+    },
+    expectResponse: (requestMethod, responseSink) => {
+      method = requestMethod;
+      sink = responseSink;
+      state = ParserState.Head;
+    },
+  };
+}
+
+function parseHead(text: string): AnswerHead | undefined {
+  const [first = "", ...lines] = text.split("\r\n");
+  const status = STATUS_LINE.exec(first)?.[1];
+  if (status === undefined) return undefined;
+  const headers: string[] = [];
+  const byName = new Map<string, string>();
+  for (const line of lines) {
+    const colon = line.indexOf(":");
+    const name = line.slice(0, Math.max(0, colon));
+    if (!TOKEN.test(name)) return undefined;
+    const value = line.slice(colon + 1).trim();
+    headers.push(name, value);
+    const known = byName.get(name.toLowerCase());
+    // With two different lengths, two peers could disagree about where the response ends.
+    if (name.toLowerCase() === "content-length" && known !== undefined && known !== value) {
+      return undefined;
+    }
+    byName.set(name.toLowerCase(), value);
+  }
+  return { status: Number(status), headers, byName };
+}
+
+function responseFraming(
+  { status, byName }: AnswerHead,
+  method: string,
+): { state: ParserState; length: number } | undefined {
+  if (method === "HEAD" || status === NO_CONTENT || status === NOT_MODIFIED) {
+    return { state: ParserState.FixedLengthBody, length: 0 };
+  }
+  const coding = byName.get("transfer-encoding");
+  const length = byName.get("content-length");
+  if (coding !== undefined) {
+    if (coding.toLowerCase() !== "chunked" || length !== undefined) return undefined;
+    return { state: ParserState.ChunkSize, length: 0 };
+  }
+  if (length === undefined) return { state: ParserState.BodyUntilClose, length: 0 };
+  return /^\d{1,15}$/.test(length)
+    ? { state: ParserState.FixedLengthBody, length: Number(length) }
+    : undefined;
+}
--- a/src/connection/worker_connections.ts
+++ b/src/connection/worker_connections.ts
@@ -1,105 +1,121 @@
 import type { Clock, WorkerConnections, WorkerPlace } from "../interface/index.ts";
-import { reachWorker } from "./reach_worker.ts";
+import { probeWorker } from "./probe_worker.ts";
 import { openWorkerConnection } from "./worker_connection.ts";
-import type { AnswerMatching, WorkerConnection } from "./worker_connection.ts";
+import type { ResponseMatching, WorkerConnection } from "./worker_connection.ts";
 
-/** The part of the announced idle time for which a connection is reused: the rest is the way and its delay. */
-const IDLE_PART = 0.6;
-/** The same for a request that may not run again: a close that crosses it would leave its end unknown. */
-const IDLE_PART_ONCE = 0.3;
-/** Idle time in milliseconds that is trusted where the worker has announced none. */
-const UNANNOUNCED_IDLE = 700;
-const UNANNOUNCED_IDLE_ONCE = 200;
+/** Fraction of the announced idle timeout within which a connection is reused; the rest allows for network delay. */
+const IDLE_FRACTION = 0.6;
 /**
- * The longest idle time in milliseconds after which a connection is used for a request that may not run again,
- * whatever the worker has announced. An idle connection can go silent, or be dropped sooner than announced, and only
- * the next request on it finds out; a new connection costs a round trip.
+ * The same fraction for a request that must not run twice. If the worker closes the connection while such a
+ * request is on its way, it is unknown whether the request ran.
  */
-const GREATEST_IDLE_ONCE = 500;
+const UNREPEATABLE_IDLE_FRACTION = 0.3;
+/** Maximum idle time in milliseconds for reuse if the worker announced no idle timeout. */
+const DEFAULT_MAX_IDLE = 700;
+/** The same for a request that must not run twice. */
+const UNREPEATABLE_DEFAULT_MAX_IDLE = 200;
+/**
+ * Maximum idle time in milliseconds after which a connection is reused for a request that must not run twice,
+ * whatever timeout the worker announced. An idle connection may go silent or be closed earlier than
+ * announced, and only the next request detects that. A new connection costs one round trip.
+ */
+const UNREPEATABLE_MAX_IDLE = 500;
 
-interface Line {
-  /** The most recently used last. */
+/** The connections to one worker. */
+interface ConnectionPool {
+  /** All open connections, the most recently used last. */
   readonly connections: WorkerConnection[];
-  heardAt: number | undefined;
+  /** When bytes last arrived from the worker, in the clock's milliseconds. */
+  lastReceivedAt: number | undefined;
 }
 
-/** Makes an empty table of connections. */
-export function createWorkerConnections(parts: {
+/**
+ * Creates an empty set of connection pools, one per worker.
+ *
+ * @param options `matching` names the headers by which responses are matched with requests.
+ */
+export function createWorkerConnections(options: {
   readonly clock: Clock;
-  readonly matching: AnswerMatching;
+  readonly matching: ResponseMatching;
 }): WorkerConnections {
-  const { clock, matching } = parts;
-  const lines = new Map<string, Line>();
+  const { clock, matching } = options;
+  const pools = new Map<string, ConnectionPool>();
   let opened = 0;
 
-  const open = ({ id, address }: WorkerPlace, line: Line): WorkerConnection => {
+  const open = ({ id, address }: WorkerPlace, pool: ConnectionPool): WorkerConnection => {
     opened++;
-    // Closing the last connection has taken the line out.
-    lines.set(id, line);
+    // The pool was removed if its last connection was closed before.
+    pools.set(id, pool);
     const connection = openWorkerConnection({
       clock,
       address,
       matching,
-      heard: () => (line.heardAt = clock.now()),
-      freed: () => {
-        // Most recently used last, so that it is the first to be used again and the others may age out.
-        remove(line.connections, connection);
-        line.connections.push(connection);
+      onReceived: () => (pool.lastReceivedAt = clock.now()),
+      onIdle: () => {
+        // The most recently used connection is last and is reused first, so that the others can expire.
+        removeElement(pool.connections, connection);
+        pool.connections.push(connection);
       },
-      closed: () => {
-        remove(line.connections, connection);
-        if (line.connections.length === 0 && lines.get(id) === line) lines.delete(id);
+      onClosed: () => {
+        removeElement(pool.connections, connection);
+        if (pool.connections.length === 0 && pools.get(id) === pool) pools.delete(id);
       },
     });
-    line.connections.push(connection);
+    pool.connections.push(connection);
     return connection;
   };
   return {
     exchange: (place, request, { sink, repeatable, most }) => {
-      const line = lines.get(place.id) ?? { connections: [], heardAt: undefined };
-      for (const stale of line.connections.filter((one) => one.isIdle() && !isFresh(one, true))) {
+      const pool = pools.get(place.id) ?? { connections: [], lastReceivedAt: undefined };
+      for (const stale of pool.connections.filter(
+        (connection) => connection.isIdle() && !canReuse(connection, true),
+      )) {
         stale.close();
       }
-      const idle = line.connections.findLast((one) => one.isIdle() && isFresh(one, repeatable));
-      if (idle !== undefined) return idle.exchange(request, sink);
-      if (line.connections.length >= most) {
-        const spare = line.connections.find((one) => one.isIdle());
+      const reusable = pool.connections.findLast(
+        (connection) => connection.isIdle() && canReuse(connection, repeatable),
+      );
+      if (reusable !== undefined) return reusable.exchange(request, sink);
+      if (pool.connections.length >= most) {
+        const spare = pool.connections.find((connection) => connection.isIdle());
         if (spare === undefined) return undefined;
         spare.close();
       }
-      return open(place, line).exchange(request, sink);
+      return open(place, pool).exchange(request, sink);
     },
     reach: ({ address }) => {
       opened++;
-      return reachWorker(address, clock);
+      return probeWorker(address, clock);
     },
     keepOnly: (ids) => {
-      for (const [id, line] of lines) {
+      for (const [id, pool] of pools) {
         if (ids.has(id)) continue;
-        for (const idle of line.connections.filter((one) => one.isIdle())) idle.close();
+        for (const idle of pool.connections.filter((connection) => connection.isIdle()))
+          idle.close();
       }
     },
-    heardAt: (id) => lines.get(id)?.heardAt,
+    heardAt: (id) => pools.get(id)?.lastReceivedAt,
     get opened() {
       return opened;
     },
     close: () => {
-      for (const line of [...lines.values()]) {
-        for (const connection of [...line.connections]) connection.close();
+      for (const pool of [...pools.values()]) {
+        for (const connection of [...pool.connections]) connection.close();
       }
     },
   };
 }
 
-function isFresh(connection: WorkerConnection, repeatable: boolean): boolean {
+/** Returns whether an idle connection may be reused, depending on whether the request is repeatable. */
+function canReuse(connection: WorkerConnection, repeatable: boolean): boolean {
   const { idleTimeout } = connection;
-  const part = repeatable ? IDLE_PART : IDLE_PART_ONCE;
-  const unannounced = repeatable ? UNANNOUNCED_IDLE : UNANNOUNCED_IDLE_ONCE;
-  const longest = idleTimeout === undefined ? unannounced : idleTimeout * part;
-  return connection.idleFor() < (repeatable ? longest : Math.min(longest, GREATEST_IDLE_ONCE));
+  const fraction = repeatable ? IDLE_FRACTION : UNREPEATABLE_IDLE_FRACTION;
+  const defaultMaxIdle = repeatable ? DEFAULT_MAX_IDLE : UNREPEATABLE_DEFAULT_MAX_IDLE;
+  const maxIdle = idleTimeout === undefined ? defaultMaxIdle : idleTimeout * fraction;
+  return connection.idleFor() < (repeatable ? maxIdle : Math.min(maxIdle, UNREPEATABLE_MAX_IDLE));
 }
 
-function remove<Element>(elements: Element[], element: Element): void {
+function removeElement<Element>(elements: Element[], element: Element): void {
   const index = elements.indexOf(element);
   if (index >= 0) elements.splice(index, 1);
 }
