--- a/src/standin/backend_server.ts
+++ b/src/standin/backend_server.ts
@@ -5,17 +5,17 @@
 import { listenHttp, readBody, sendJson } from "../connection/index.ts";
 import type { Listener } from "../connection/index.ts";
 import type { Clock, Dispatch, EngineEvent, Order } from "../interface/index.ts";
-import { CHAT_PATH, formatCacheName } from "./engine_prompt.ts";
-import type { EngineSpeeds } from "./engine_model.ts";
-import { createPlainTable } from "./plain_table.ts";
-import type { PlainTable } from "./plain_table.ts";
+import { CHAT_PATH, formatCacheName } from "./engine_request.ts";
+import type { EngineCapacity } from "./engine_model.ts";
+import { createPlainService } from "./plain_service.ts";
+import type { PlainService } from "./plain_service.ts";
 import { createRequestTable } from "./request_table.ts";
-import type { Follower, RequestTable, RunRefusal } from "./request_table.ts";
-import { createConstantSource, createModelSource } from "./token_source.ts";
+import type { Subscriber, RequestTable, RunRefusal } from "./request_table.ts";
+import { createConstantRateSource, createEngineTokenSource } from "./token_source.ts";
 import type { TokenSource } from "./token_source.ts";
 
 /** What a backend server stand-in is made with. */
-export interface BackendStandin {
+export interface BackendServerOptions {
   /** `IP:PORT` to listen on. */
   readonly listen: string;
   readonly clock: Clock;
@@ -25,13 +25,13 @@
    */
   readonly tokenTime?: number;
   /** What the machine class can do; an ordinary one if absent. */
-  readonly speeds?: EngineSpeeds;
+  readonly capacity?: EngineCapacity;
   /** How many times as fast as the clock the engine model runs; 1 if absent. */
-  readonly speed?: number;
+  readonly timeScale?: number;
   /** Whether orders and dispatches with an old fencing number are refused; not so if absent. */
   readonly checksFence?: boolean;
   /** Models that are loaded at the start. */
-  readonly loaded?: readonly string[];
+  readonly loadedModels?: readonly string[];
   /** The worker's id in its load reports; its address if absent. */
   readonly worker?: string;
 }
@@ -44,8 +44,8 @@
   order(): Order;
 }
 
-const BODY_LIMIT = 4_000_000;
-const ORDINARY: EngineSpeeds = {
+const MAX_BODY_BYTES = 4_000_000;
+const DEFAULT_CAPACITY: EngineCapacity = {
   tokensPerSecond: 900,
   prefillPerSecond: 8_000,
   cacheTokens: 120_000,
@@ -79,16 +79,16 @@
  * Starts a small stand-in for a backend server: a model engine that answers ` word0 word1 …`, and a plain
  * service that answers with what it was sent.
  */
-export async function startBackend(settings: BackendStandin): Promise<BackendListener> {
-  const source = sourceOf(settings);
+export async function startBackend(settings: BackendServerOptions): Promise<BackendListener> {
+  const source = createTokenSource(settings);
   const checksFence = settings.checksFence ?? false;
   const requests = createRequestTable(source, { checksFence });
-  const plain = createPlainTable();
-  let order: Order = { fence: 0, models: settings.loaded ?? [], role: "serve" };
+  const plain = createPlainService();
+  let order: Order = { fence: 0, models: settings.loadedModels ?? [], role: "serve" };
   let address = settings.listen;
   const app = polka({
     onNoMatch: (request, response) => {
-      void answerPlain(plain, request, response);
+      void answerPlainCall(plain, request, response);
     },
   });
   const route = <T>(
@@ -97,17 +97,17 @@
     handle: (body: T, response: ServerResponse) => void,
   ): void => {
     app.post(`/engine/${path}`, async (request, response) => {
-      const body = await readAs(request, schema);
+      const body = await readJsonBody(request, schema);
       if (body === undefined) sendJson(response, { error: "bad body" }, { status: BAD_REQUEST });
       else handle(body, response);
     });
   };
   route("run", dispatchSchema, (dispatch, response) => {
-    if (dispatch.path === CHAT_PATH) runModel(requests, dispatch, response);
-    else runPlain(plain, dispatch, response);
+    if (dispatch.path === CHAT_PATH) startModelRun(requests, dispatch, response);
+    else runPlainRequest(plain, dispatch, response);
   });
   route("attach", attachSchema, ({ id, fromToken }, response) => {
-    const follower = followerOf(response, requests, id);
+    const follower = createSubscriber(response, requests, id);
     if (requests.attach(id, fromToken, follower)) return;
     sendJson(response, { error: `No request ${id}.` }, { status: NOT_FOUND });
   });
@@ -116,10 +116,10 @@
     sendJson(response, {});
   });
   route("ask", askSchema, ({ id, bar }, response) => {
-    sendJson(response, { knowledge: plain.ask(id, bar) ?? requests.ask(id, bar) });
+    sendJson(response, { knowledge: plain.query(id, bar) ?? requests.query(id, bar) });
   });
   route("export", idSchema, ({ id }, response) => {
-    const tokens = source.exportable(id);
+    const tokens = source.exportableTokens(id);
     if (tokens === undefined) sendJson(response, { error: "Not running." }, { status: NOT_FOUND });
     else sendJson(response, { cache: formatCacheName(address, id, tokens) });
   });
@@ -152,42 +152,46 @@
   };
 }
 
-function sourceOf(settings: BackendStandin): TokenSource {
-  const { clock, tokenTime, speeds = ORDINARY, speed = 1 } = settings;
+function createTokenSource(settings: BackendServerOptions): TokenSource {
+  const { clock, tokenTime, capacity = DEFAULT_CAPACITY, timeScale = 1 } = settings;
   return tokenTime === undefined
-    ? createModelSource(clock, { speeds, speed })
-    : createConstantSource(clock, tokenTime);
+    ? createEngineTokenSource(clock, { capacity, timeScale })
+    : createConstantRateSource(clock, tokenTime);
 }
 
 /** Undefined for a body that is too long, not JSON or of another shape. */
-async function readAs<T>(request: IncomingMessage, schema: z.ZodType<T>): Promise<T | undefined> {
+async function readJsonBody<T>(
+  request: IncomingMessage,
+  schema: z.ZodType<T>,
+): Promise<T | undefined> {
   try {
-    return schema.parse(JSON.parse(await readBody(request, BODY_LIMIT)));
+    return schema.parse(JSON.parse(await readBody(request, MAX_BODY_BYTES)));
   } catch {
     return undefined;
   }
 }
 
-function runModel(requests: RequestTable, dispatch: Dispatch, response: ServerResponse): void {
-  const refusal = requests.run(dispatch, followerOf(response, requests, dispatch.id));
-  if (refusal !== undefined) sendJson(response, { error: refusal }, { status: statusOf(refusal) });
+function startModelRun(requests: RequestTable, dispatch: Dispatch, response: ServerResponse): void {
+  const refusal = requests.run(dispatch, createSubscriber(response, requests, dispatch.id));
+  if (refusal !== undefined)
+    sendJson(response, { error: refusal }, { status: httpStatusOf(refusal) });
 }
 
-function runPlain(plain: PlainTable, dispatch: Dispatch, response: ServerResponse): void {
+function runPlainRequest(plain: PlainService, dispatch: Dispatch, response: ServerResponse): void {
   const answer = plain.run(dispatch);
   if (answer === undefined) sendJson(response, { error: "barred" }, { status: CONFLICT });
   else sendEvents(response, [{ kind: "finished", reason: "stop", body: answer }]);
 }
 
 /** A plain service's ordinary HTTP call, told from its duplicates by the request id that comes with it. */
-async function answerPlain(
-  plain: PlainTable,
+async function answerPlainCall(
+  plain: PlainService,
   request: IncomingMessage,
   response: ServerResponse,
 ): Promise<void> {
   const { method = "GET", url = "/", headers } = request;
   try {
-    const body = await readBody(request, BODY_LIMIT);
+    const body = await readBody(request, MAX_BODY_BYTES);
     const id = String(headers["x-request-id"] ?? randomUUID());
     const answer = plain.run({ id, service: "", path: `${method} ${url}`, body });
     if (answer === undefined) sendJson(response, { error: "barred" }, { status: CONFLICT });
@@ -197,7 +201,7 @@
   }
 }
 
-function statusOf(refusal: RunRefusal): number {
+function httpStatusOf(refusal: RunRefusal): number {
   switch (refusal) {
     case "bad body":
       return BAD_REQUEST;
@@ -210,11 +214,15 @@
   }
 }
 
-function followerOf(response: ServerResponse, requests: RequestTable, id: string): Follower {
-  const follower: Follower = (events) => {
+function createSubscriber(
+  response: ServerResponse,
+  requests: RequestTable,
+  id: string,
+): Subscriber {
+  const follower: Subscriber = (events) => {
     sendEvents(response, events);
   };
-  response.on("close", () => requests.leave(id, follower));
+  response.on("close", () => requests.unsubscribe(id, follower));
   return follower;
 }
 
--- a/src/standin/engine_model.ts
+++ b/src/standin/engine_model.ts
@@ -1,7 +1,7 @@
 import { BLOCK_TOKENS, createPrefixCache } from "./prefix_cache.ts";
 
 /** What a machine class makes of an engine; the deployment's machine classes have these fields. */
-export interface EngineSpeeds {
+export interface EngineCapacity {
   /** Tokens generated a second by a full batch. */
   readonly tokensPerSecond: number;
   /** Prompt tokens computed a second. */
@@ -81,9 +81,9 @@
   /** When the next step ends, or undefined where nothing is in progress. */
   nextEventAt(): number | undefined;
   /** Tokens of KV cache that an export of the request holds now; undefined where it isn't running. */
-  exportable(id: string): number | undefined;
+  exportableTokens(id: string): number | undefined;
   /** Makes every later step take this many times as long. */
-  slow(factor: number): void;
+  setSlowdown(slowdown: number): void;
   load(): EngineLoad;
 }
 
@@ -91,23 +91,23 @@
  * Milliseconds that a step of a full batch takes; a faster machine class has a larger batch. An engine is
  * set up for its latency target: a full batch's step and a chunk of a prompt together stay under 44 ms.
  */
-const FULL_STEP = 32;
+const FULL_BATCH_STEP_TIME = 32;
 /** Part of a full batch's step that a step takes whatever its size: reading the weights. */
-const BASE_SHARE = 0.6;
+const BASE_STEP_SHARE = 0.6;
 /** Milliseconds by which computing prompts may lengthen a step while answers are being generated. */
-const PREFILL_TIME = 12;
+const MAX_PREFILL_TIME = 12;
 /** How many such chunks a step computes while no answer is being generated. */
 const IDLE_CHUNKS = 8;
 
 interface Sequence {
   readonly request: EngineRequest;
-  readonly order: number;
+  readonly submitOrder: number;
   /** Tokens of the answer so far. */
   produced: number;
   /** Prompt and earlier tokens still to compute before the next token. */
-  toCompute: number;
+  tokensToCompute: number;
   /** Tokens of KV cache in use. */
-  held: number;
+  cacheTokens: number;
 }
 
 interface Step {
@@ -117,56 +117,69 @@
 }
 
 /** How many sequences a machine class generates for at once. */
-export function fullBatchOf({ tokensPerSecond }: EngineSpeeds): number {
-  return Math.max(1, Math.round((tokensPerSecond * FULL_STEP) / 1_000));
+export function fullBatchSize({ tokensPerSecond }: EngineCapacity): number {
+  return Math.max(1, Math.round((tokensPerSecond * FULL_BATCH_STEP_TIME) / 1_000));
 }
 
 /** Makes an idle engine. */
-export function createEngineModel(speeds: EngineSpeeds): EngineModel {
-  const fullBatch = fullBatchOf(speeds);
-  const fullStep = (fullBatch * 1_000) / speeds.tokensPerSecond;
-  const baseTime = BASE_SHARE * fullStep;
-  const sequenceTime = (fullStep - baseTime) / fullBatch;
-  const chunkTokens = Math.max(1, Math.round((PREFILL_TIME * speeds.prefillPerSecond) / 1_000));
-  const prefixes = createPrefixCache();
+export function createEngineModel(capacity: EngineCapacity): EngineModel {
+  const fullBatch = fullBatchSize(capacity);
+  const fullStepTime = (fullBatch * 1_000) / capacity.tokensPerSecond;
+  const baseStepTime = BASE_STEP_SHARE * fullStepTime;
+  const timePerSequence = (fullStepTime - baseStepTime) / fullBatch;
+  const chunkTokens = Math.max(
+    1,
+    Math.round((MAX_PREFILL_TIME * capacity.prefillPerSecond) / 1_000),
+  );
+  const prefixCache = createPrefixCache();
   const running = new Map<string, Sequence>();
   const waiting: Sequence[] = [];
   let events: EngineModelEvent[] = [];
   let step: Step | undefined;
-  let order = 0;
-  let factor = 1;
-  let held = 0;
+  let nextSubmitOrder = 0;
+  let slowdown = 1;
+  let usedCacheTokens = 0;
 
   const enqueue = (sequence: Sequence): void => {
-    const after = waiting.findIndex((other) => goesBefore(sequence, other));
-    waiting.splice(after < 0 ? waiting.length : after, 0, sequence);
+    const nextIndex = waiting.findIndex((other) => precedes(sequence, other));
+    waiting.splice(nextIndex < 0 ? waiting.length : nextIndex, 0, sequence);
   };
-  const evict = (at: number): void => {
-    const room = Math.max(0, Math.floor((speeds.cacheTokens - held) / BLOCK_TOKENS));
-    const blocks = prefixes.shrink(room);
+  const evictPrefixBlocks = (at: number): void => {
+    const freeBlocks = Math.max(
+      0,
+      Math.floor((capacity.cacheTokens - usedCacheTokens) / BLOCK_TOKENS),
+    );
+    const blocks = prefixCache.evictTo(freeBlocks);
     if (blocks.length > 0) events.push({ kind: "evicted", at, blocks });
   };
-  const start = (sequence: Sequence, at: number): void => {
+  const startSequence = (sequence: Sequence, at: number): void => {
     const { request } = sequence;
     const needed = request.promptTokens + sequence.produced;
-    const found = prefixes.match(request.prefix) * BLOCK_TOKENS;
+    const cachedPrefix = prefixCache.matchPrefix(request.prefix) * BLOCK_TOKENS;
     // The last token is always computed: its output is the next one.
-    const cached = Math.min(needed - 1, Math.max(found, sequence.held));
-    sequence.toCompute = needed - cached;
-    sequence.held = needed;
-    held += needed;
+    const cached = Math.min(needed - 1, Math.max(cachedPrefix, sequence.cacheTokens));
+    sequence.tokensToCompute = needed - cached;
+    sequence.cacheTokens = needed;
+    usedCacheTokens += needed;
     running.set(request.id, sequence);
-    evict(at);
-    events.push({ kind: "started", at, id: request.id, computed: sequence.toCompute, cached });
+    evictPrefixBlocks(at);
+    events.push({
+      kind: "started",
+      at,
+      id: request.id,
+      computed: sequence.tokensToCompute,
+      cached,
+    });
   };
   const admitWaiting = (at: number): void => {
     while (running.size < fullBatch) {
       const [first] = waiting;
       if (first === undefined) return;
       const needed = first.request.promptTokens + first.produced + 1;
-      if (running.size > 0 && held + needed + running.size > speeds.cacheTokens) return;
+      if (running.size > 0 && usedCacheTokens + needed + running.size > capacity.cacheTokens)
+        return;
       waiting.shift();
-      start(first, at);
+      startSequence(first, at);
     }
   };
   const planStep = (at: number): void => {
@@ -175,34 +188,34 @@
       step = undefined;
       return;
     }
-    const all = [...running.values()];
-    const decoding = all.filter((sequence) => sequence.toCompute === 0);
-    const budget = decoding.length > 0 ? chunkTokens : IDLE_CHUNKS * chunkTokens;
-    const chunks = chunksOf(all, budget);
+    const sequences = [...running.values()];
+    const decoding = sequences.filter((sequence) => sequence.tokensToCompute === 0);
+    const maxTokens = decoding.length > 0 ? chunkTokens : IDLE_CHUNKS * chunkTokens;
+    const chunks = planChunks(sequences, maxTokens);
     const computed = chunks.reduce((sum, chunk) => sum + chunk.tokens, 0);
-    const prefillTime = (computed * 1_000) / speeds.prefillPerSecond;
-    const time = baseTime + sequenceTime * decoding.length + prefillTime;
-    step = { endsAt: at + factor * time, decoding, chunks };
+    const prefillTime = (computed * 1_000) / capacity.prefillPerSecond;
+    const time = baseStepTime + timePerSequence * decoding.length + prefillTime;
+    step = { endsAt: at + slowdown * time, decoding, chunks };
   };
   const produce = (sequence: Sequence, at: number): void => {
     const { id, answerTokens } = sequence.request;
     events.push({ kind: "token", at, id, index: sequence.produced });
     sequence.produced++;
-    sequence.held++;
-    held++;
+    sequence.cacheTokens++;
+    usedCacheTokens++;
     if (sequence.produced < answerTokens) return;
     release(sequence);
     events.push({ kind: "finished", at, id });
   };
   const release = (sequence: Sequence): void => {
     running.delete(sequence.request.id);
-    held -= sequence.held;
+    usedCacheTokens -= sequence.cacheTokens;
   };
-  const preempt = (at: number): void => {
-    while (held > speeds.cacheTokens && running.size > 1) {
-      const last = [...running.values()].reduce((a, b) => (goesBefore(a, b) ? b : a));
+  const preemptSequences = (at: number): void => {
+    while (usedCacheTokens > capacity.cacheTokens && running.size > 1) {
+      const last = [...running.values()].reduce((a, b) => (precedes(a, b) ? b : a));
       release(last);
-      last.held = 0;
+      last.cacheTokens = 0;
       enqueue(last);
       events.push({ kind: "preempted", at, id: last.request.id });
     }
@@ -213,14 +226,14 @@
     }
     for (const { sequence, tokens } of chunks) {
       if (running.get(sequence.request.id) !== sequence) continue;
-      sequence.toCompute -= tokens;
-      if (sequence.toCompute > 0) continue;
-      const blocks = prefixes.store(sequence.request.prefix);
+      sequence.tokensToCompute -= tokens;
+      if (sequence.tokensToCompute > 0) continue;
+      const blocks = prefixCache.store(sequence.request.prefix);
       if (blocks.length > 0) events.push({ kind: "stored", at: endsAt, blocks });
       produce(sequence, endsAt);
     }
-    preempt(endsAt);
-    evict(endsAt);
+    preemptSequences(endsAt);
+    evictPrefixBlocks(endsAt);
     planStep(endsAt);
   };
   const advance = (now: number): void => {
@@ -230,9 +243,15 @@
   return {
     submit: (request, now) => {
       advance(now);
-      if (request.promptTokens + request.answerTokens > speeds.cacheTokens) return false;
+      if (request.promptTokens + request.answerTokens > capacity.cacheTokens) return false;
       const { resumedTokens: produced, importedTokens } = request;
-      enqueue({ request, order: order++, produced, toCompute: 0, held: importedTokens });
+      enqueue({
+        request,
+        submitOrder: nextSubmitOrder++,
+        produced,
+        tokensToCompute: 0,
+        cacheTokens: importedTokens,
+      });
       if (step === undefined) planStep(now);
       return true;
     },
@@ -245,43 +264,43 @@
     },
     advanceTo: (now) => {
       advance(now);
-      const happened = events;
+      const collected = events;
       events = [];
-      return happened;
+      return collected;
     },
     nextEventAt: () => step?.endsAt,
-    exportable: (id) => {
+    exportableTokens: (id) => {
       const sequence = running.get(id);
-      return sequence === undefined ? undefined : sequence.held - sequence.toCompute;
+      return sequence === undefined ? undefined : sequence.cacheTokens - sequence.tokensToCompute;
     },
-    slow: (times) => {
-      factor = times;
+    setSlowdown: (factor) => {
+      slowdown = factor;
     },
     load: () => ({
       running: running.size,
       waiting: waiting.length,
-      cacheTokens: held,
-      cacheCapacity: speeds.cacheTokens,
+      cacheTokens: usedCacheTokens,
+      cacheCapacity: capacity.cacheTokens,
     }),
   };
 }
 
-function goesBefore(a: Sequence, b: Sequence): boolean {
+function precedes(a: Sequence, b: Sequence): boolean {
   if (a.request.priority !== b.request.priority) return a.request.priority > b.request.priority;
-  return a.order < b.order;
+  return a.submitOrder < b.submitOrder;
 }
 
 /** Shares a step's budget of prompt tokens out, the highest priority and the oldest first. */
-function chunksOf(sequences: readonly Sequence[], budget: number): Step["chunks"] {
-  const computing = sequences.filter((sequence) => sequence.toCompute > 0);
-  computing.sort((a, b) => (goesBefore(a, b) ? -1 : 1));
+function planChunks(sequences: readonly Sequence[], budget: number): Step["chunks"] {
+  const computing = sequences.filter((sequence) => sequence.tokensToCompute > 0);
+  computing.sort((a, b) => (precedes(a, b) ? -1 : 1));
   const chunks: { sequence: Sequence; tokens: number }[] = [];
-  let left = budget;
+  let remaining = budget;
   for (const sequence of computing) {
-    if (left <= 0) break;
-    const tokens = Math.min(left, sequence.toCompute);
+    if (remaining <= 0) break;
+    const tokens = Math.min(remaining, sequence.tokensToCompute);
     chunks.push({ sequence, tokens });
-    left -= tokens;
+    remaining -= tokens;
   }
   return chunks;
 }
--- a/src/standin/engine_model_test.ts
+++ b/src/standin/engine_model_test.ts
@@ -1,9 +1,9 @@
 import { expect, test } from "vitest";
-import { createEngineModel, fullBatchOf } from "./engine_model.ts";
+import { createEngineModel, fullBatchSize } from "./engine_model.ts";
 import type { EngineModel, EngineModelEvent, EngineRequest } from "./engine_model.ts";
 
-const SPEEDS = { tokensPerSecond: 1_000, prefillPerSecond: 8_000, cacheTokens: 20_000 };
-const FULL_BATCH = fullBatchOf(SPEEDS);
+const CAPACITY = { tokensPerSecond: 1_000, prefillPerSecond: 8_000, cacheTokens: 20_000 };
+const FULL_BATCH = fullBatchSize(CAPACITY);
 
 function requestOf(id: string, fields: Partial<EngineRequest> = {}): EngineRequest {
   const zero = { prefix: [], resumedTokens: 0, importedTokens: 0, priority: 0 };
@@ -18,49 +18,49 @@
   return events;
 }
 
-function endOf(events: readonly EngineModelEvent[], id: string): number {
+function endTimeOf(events: readonly EngineModelEvent[], id: string): number {
   return events.find((event) => event.kind === "finished" && event.id === id)?.at ?? Infinity;
 }
 
-function computedOf(events: readonly EngineModelEvent[], id: string): number[] {
+function computedTokensOf(events: readonly EngineModelEvent[], id: string): number[] {
   return events.flatMap((event) =>
     event.kind === "started" && event.id === id ? [event.computed] : [],
   );
 }
 
 test("a full batch generates the machine class's tokens a second", () => {
-  const engine = createEngineModel(SPEEDS);
+  const engine = createEngineModel(CAPACITY);
   for (let index = 0; index < FULL_BATCH; index++) {
     engine.submit(requestOf(`r${index}`, { promptTokens: 1, answerTokens: 200 }), 0);
   }
   const events = runToEnd(engine);
-  const rate = (FULL_BATCH * 200 * 1_000) / endOf(events, "r0");
-  expect(rate).toBeGreaterThan(0.95 * SPEEDS.tokensPerSecond);
-  expect(rate).toBeLessThan(1.05 * SPEEDS.tokensPerSecond);
+  const rate = (FULL_BATCH * 200 * 1_000) / endTimeOf(events, "r0");
+  expect(rate).toBeGreaterThan(0.95 * CAPACITY.tokensPerSecond);
+  expect(rate).toBeLessThan(1.05 * CAPACITY.tokensPerSecond);
 });
 
 test("a request alone is answered faster than in a full batch", () => {
-  const engine = createEngineModel(SPEEDS);
+  const engine = createEngineModel(CAPACITY);
   engine.submit(requestOf("alone"), 0);
-  const alone = endOf(runToEnd(engine), "alone");
-  const busy = createEngineModel(SPEEDS);
+  const alone = endTimeOf(runToEnd(engine), "alone");
+  const busy = createEngineModel(CAPACITY);
   for (let index = 0; index < FULL_BATCH; index++) busy.submit(requestOf(`r${index}`), 0);
-  expect(endOf(runToEnd(busy), "r0")).toBeGreaterThan(1.3 * alone);
+  expect(endTimeOf(runToEnd(busy), "r0")).toBeGreaterThan(1.3 * alone);
 });
 
 test("a prompt whose prefix was computed before is computed only from there on", () => {
-  const engine = createEngineModel(SPEEDS);
+  const engine = createEngineModel(CAPACITY);
   const prefix = ["a", "b"];
   engine.submit(requestOf("first", { prefix, promptTokens: 200 }), 0);
   const first = runToEnd(engine);
   engine.submit(requestOf("second", { prefix: [...prefix, "c"], promptTokens: 200 }), 10_000);
   const second = runToEnd(engine);
-  expect(computedOf(first, "first")).toEqual([200]);
-  expect(computedOf(second, "second")).toEqual([200 - 2 * 64]);
+  expect(computedTokensOf(first, "first")).toEqual([200]);
+  expect(computedTokensOf(second, "second")).toEqual([200 - 2 * 64]);
 });
 
 test("prefix blocks are dropped, the least recently used first, when the KV cache is needed", () => {
-  const engine = createEngineModel({ ...SPEEDS, cacheTokens: 1_000 });
+  const engine = createEngineModel({ ...CAPACITY, cacheTokens: 1_000 });
   engine.submit(requestOf("old", { prefix: ["a"], promptTokens: 64 }), 0);
   runToEnd(engine);
   engine.submit(requestOf("big", { promptTokens: 950 }), 10_000);
@@ -69,41 +69,41 @@
 });
 
 test("a resumed request computes its tokens anew, an imported one doesn't", () => {
-  const engine = createEngineModel(SPEEDS);
+  const engine = createEngineModel(CAPACITY);
   engine.submit(requestOf("resumed", { resumedTokens: 5 }), 0);
   const resumed = runToEnd(engine);
   engine.submit(requestOf("imported", { resumedTokens: 5, importedTokens: 105 }), 10_000);
   const imported = runToEnd(engine);
-  expect(computedOf(resumed, "resumed")).toEqual([105]);
-  expect(computedOf(imported, "imported")).toEqual([1]);
+  expect(computedTokensOf(resumed, "resumed")).toEqual([105]);
+  expect(computedTokensOf(imported, "imported")).toEqual([1]);
   const indexes = resumed.flatMap((event) => (event.kind === "token" ? [event.index] : []));
   expect(indexes).toEqual([5, 6, 7, 8, 9]);
 });
 
 test("a higher priority that came later is started first", () => {
-  const engine = createEngineModel(SPEEDS);
+  const engine = createEngineModel(CAPACITY);
   for (let index = 0; index < 2 * FULL_BATCH; index++) engine.submit(requestOf(`r${index}`), 0);
   engine.submit(requestOf("urgent", { priority: 1 }), 0);
   const events = runToEnd(engine);
-  expect(endOf(events, "urgent")).toBeLessThan(endOf(events, `r${2 * FULL_BATCH - 1}`));
+  expect(endTimeOf(events, "urgent")).toBeLessThan(endTimeOf(events, `r${2 * FULL_BATCH - 1}`));
 });
 
 test("where answers outgrow the KV cache, the latest waits and is computed anew, and all end", () => {
-  const engine = createEngineModel({ ...SPEEDS, cacheTokens: 400 });
+  const engine = createEngineModel({ ...CAPACITY, cacheTokens: 400 });
   for (const id of ["r0", "r1", "r2"]) engine.submit(requestOf(id, { answerTokens: 150 }), 0);
   const events = runToEnd(engine);
   expect(events.some((event) => event.kind === "preempted")).toBe(true);
-  for (const id of ["r0", "r1", "r2"]) expect(endOf(events, id)).toBeLessThan(Infinity);
-  expect(computedOf(events, "r2").length).toBeGreaterThan(1);
+  for (const id of ["r0", "r1", "r2"]) expect(endTimeOf(events, id)).toBeLessThan(Infinity);
+  expect(computedTokensOf(events, "r2").length).toBeGreaterThan(1);
 });
 
 test("a request that can never fit is not taken", () => {
-  const engine = createEngineModel(SPEEDS);
+  const engine = createEngineModel(CAPACITY);
   expect(engine.submit(requestOf("huge", { promptTokens: 20_000 }), 0)).toBe(false);
 });
 
 test("a cancelled request produces nothing more and frees its KV cache", () => {
-  const engine = createEngineModel(SPEEDS);
+  const engine = createEngineModel(CAPACITY);
   engine.submit(requestOf("r0", { answerTokens: 1_000 }), 0);
   engine.advanceTo(200);
   engine.cancel("r0", 200);
@@ -112,11 +112,11 @@
 });
 
 test("a slowed engine takes that many times as long", () => {
-  const engine = createEngineModel(SPEEDS);
+  const engine = createEngineModel(CAPACITY);
   engine.submit(requestOf("r0"), 0);
-  const usual = endOf(runToEnd(engine), "r0");
-  const slow = createEngineModel(SPEEDS);
-  slow.slow(3);
-  slow.submit(requestOf("r0"), 0);
-  expect(endOf(runToEnd(slow), "r0")).toBeCloseTo(3 * usual);
+  const normalEnd = endTimeOf(runToEnd(engine), "r0");
+  const slowed = createEngineModel(CAPACITY);
+  slowed.setSlowdown(3);
+  slowed.submit(requestOf("r0"), 0);
+  expect(endTimeOf(runToEnd(slowed), "r0")).toBeCloseTo(3 * normalEnd);
 });
--- a/src/standin/engine_prompt.ts
+++ b/src/standin/engine_request.ts
@@ -5,14 +5,14 @@
 import { BLOCK_TOKENS } from "./prefix_cache.ts";
 
 /** The parts of a chat-completions body that an engine goes by. */
-const chatBody = z.object({
+const chatBodySchema = z.object({
   messages: z.array(z.object({ content: z.unknown() })).default([]),
   max_tokens: z.number().int().positive().nullish(),
   max_completion_tokens: z.number().int().positive().nullish(),
 });
 
 /** Characters that a token stands for, on the average. */
-const TOKEN_CHARACTERS = 4;
+const CHARACTERS_PER_TOKEN = 4;
 const DEFAULT_ANSWER_TOKENS = 16;
 
 /** Path of the requests that an engine generates for; any other path is a plain service's. */
@@ -23,18 +23,18 @@
  *
  * @returns Undefined where the body isn't a chat-completions body.
  */
-export function engineRequestOf(dispatch: Dispatch): EngineRequest | undefined {
-  const body = chatBody.safeParse(parseJson(dispatch.body));
+export function parseEngineRequest(dispatch: Dispatch): EngineRequest | undefined {
+  const body = chatBodySchema.safeParse(parseJson(dispatch.body));
   if (!body.success) return undefined;
   const { messages, max_tokens, max_completion_tokens } = body.data;
-  const prompt = messages.map(({ content }) => JSON.stringify(content)).join("\n");
+  const promptText = messages.map(({ content }) => JSON.stringify(content)).join("\n");
   return {
     id: dispatch.id,
-    promptTokens: Math.max(1, Math.ceil(prompt.length / TOKEN_CHARACTERS)),
+    promptTokens: Math.max(1, Math.ceil(promptText.length / CHARACTERS_PER_TOKEN)),
     answerTokens: max_completion_tokens ?? max_tokens ?? DEFAULT_ANSWER_TOKENS,
-    prefix: prefixOf(prompt),
+    prefix: hashPrefixBlocks(promptText),
     resumedTokens: dispatch.tokens.length,
-    importedTokens: importedTokensOf(dispatch.cache),
+    importedTokens: parseImportedTokens(dispatch.cache),
     priority: dispatch.priority,
   };
 }
@@ -48,12 +48,12 @@
 }
 
 /** Hashes of the prompt's whole blocks, each over all text up to its end. */
-function prefixOf(prompt: string): string[] {
-  const size = BLOCK_TOKENS * TOKEN_CHARACTERS;
+function hashPrefixBlocks(promptText: string): string[] {
+  const size = BLOCK_TOKENS * CHARACTERS_PER_TOKEN;
   const hash = createHash("sha1");
-  return Array.from({ length: Math.floor(prompt.length / size) }, (_, index) =>
+  return Array.from({ length: Math.floor(promptText.length / size) }, (_, index) =>
     hash
-      .update(prompt.slice(index * size, (index + 1) * size))
+      .update(promptText.slice(index * size, (index + 1) * size))
       .copy()
       .digest("base64"),
   );
@@ -64,6 +64,6 @@
   return `${source}/${id}/${tokens}`;
 }
 
-function importedTokensOf(name: string | undefined): number {
+function parseImportedTokens(name: string | undefined): number {
   return name === undefined ? 0 : Number(/\/(\d+)$/.exec(name)?.[1] ?? 0);
 }
--- a/src/standin/memory/freezer.ts
+++ b/src/standin/memory/freezer.ts
@@ -12,10 +12,10 @@
 
 /** Makes a freezer over a clock: while frozen, timers that come due wait for the waking. */
 export function createFreezer(clock: Clock): Freezer {
-  let frozen = false;
-  const waiting: (() => void)[] = [];
-  const whenAwake = (run: () => void): void => {
-    if (frozen) waiting.push(run);
+  let isPaused = false;
+  const deferred: (() => void)[] = [];
+  const runOrDefer = (run: () => void): void => {
+    if (isPaused) deferred.push(run);
     else run();
   };
   return {
@@ -23,15 +23,15 @@
       now: () => clock.now(),
       date: () => clock.date(),
       after: (milliseconds, run) => {
-        let stopped = false;
+        let isClosed = false;
         const timer = clock.after(milliseconds, () => {
-          whenAwake(() => {
-            if (!stopped) run();
+          runOrDefer(() => {
+            if (!isClosed) run();
           });
         });
         return {
           close: () => {
-            stopped = true;
+            isClosed = true;
             timer.close();
           },
         };
@@ -39,14 +39,14 @@
     },
     gate: () =>
       new Promise((resolve) => {
-        whenAwake(resolve);
+        runOrDefer(resolve);
       }),
     freeze: () => {
-      frozen = true;
+      isPaused = true;
     },
     wake: () => {
-      frozen = false;
-      for (const run of waiting.splice(0)) run();
+      isPaused = false;
+      for (const run of deferred.splice(0)) run();
     },
   };
 }
--- a/src/standin/memory/memory_engines.ts
+++ b/src/standin/memory/memory_engines.ts
@@ -33,147 +33,150 @@
   slow(worker: string, factor: number): void;
 }
 
-const TOKEN_TIME = 20;
-const ANSWER_TOKENS = 8;
+const TOKEN_INTERVAL = 20;
+const DEFAULT_ANSWER_TOKENS = 8;
 const CONNECT_TIME = 1;
 
-interface Progress {
+interface RunProgress {
   produced: number;
-  finished: boolean;
-  cancelled: boolean;
+  isFinished: boolean;
+  isCancelled: boolean;
 }
 
 /** Makes backend servers; any worker that is called exists until it is killed. */
 export function createMemoryEngines(clock: Clock): MemoryEngines {
   const runs: (EngineRun & { cancelledAt?: number })[] = [];
-  const progress = new Map<string, Progress>();
+  const progress = new Map<string, RunProgress>();
   const barred = new Set<string>();
-  const dead = new Set<string>();
-  const eras = new Map<string, number>();
-  const factors = new Map<string, number>();
+  const killed = new Set<string>();
+  const connectionGenerations = new Map<string, number>();
+  const slowdowns = new Map<string, number>();
 
-  const reach = async (worker: Worker, step: EngineFailure["step"]): Promise<void> => {
+  const connectTo = async (worker: Worker, step: EngineFailure["step"]): Promise<void> => {
     await sleep(clock, CONNECT_TIME);
-    if (dead.has(worker.id)) throw engineFailure(step, worker, true);
+    if (killed.has(worker.id)) throw createEngineFailure(step, worker, true);
   };
-  const begin = (worker: Worker, dispatch: Dispatch): Progress => {
+  const startRun = (worker: Worker, dispatch: Dispatch): RunProgress => {
     const { id, attempt, tokens } = dispatch;
     const run = { id, worker: worker.id, attempt, startedAt: clock.now() };
     runs.push({ ...run, resumedFrom: tokens.length });
-    const state = { produced: tokens.length, finished: false, cancelled: false };
+    const state = { produced: tokens.length, isFinished: false, isCancelled: false };
     progress.set(`${worker.id} ${id}`, state);
-    void produce(worker, { state, total: answerLength(dispatch) });
+    void produceTokens(worker, { state, total: answerTokensOf(dispatch) });
     return state;
   };
-  const produce = async (
+  const produceTokens = async (
     worker: Worker,
-    { state, total }: { state: Progress; total: number },
+    { state, total }: { state: RunProgress; total: number },
   ): Promise<void> => {
-    while (state.produced < total && !state.cancelled && !dead.has(worker.id)) {
-      await sleep(clock, TOKEN_TIME * (factors.get(worker.id) ?? 1));
+    while (state.produced < total && !state.isCancelled && !killed.has(worker.id)) {
+      await sleep(clock, TOKEN_INTERVAL * (slowdowns.get(worker.id) ?? 1));
       state.produced++;
     }
-    state.finished = true;
+    state.isFinished = true;
   };
-  const follow = async function* (
+  const streamEvents = async function* (
     worker: Worker,
-    options: { state: Progress; from: number; signal: AbortSignal },
+    options: { state: RunProgress; from: number; signal: AbortSignal },
   ): AsyncGenerator<EngineEvent> {
-    const era = eras.get(worker.id) ?? 0;
+    const generation = connectionGenerations.get(worker.id) ?? 0;
     const { state, signal } = options;
     let index = options.from;
     for (;;) {
-      if (dead.has(worker.id)) throw engineFailure("stream", worker, false);
+      if (killed.has(worker.id)) throw createEngineFailure("stream", worker, false);
       signal.throwIfAborted();
-      const silent = (eras.get(worker.id) ?? 0) !== era;
-      while (!silent && index < state.produced) {
+      const isHanging = (connectionGenerations.get(worker.id) ?? 0) !== generation;
+      while (!isHanging && index < state.produced) {
         yield { kind: "token", index, text: `t${index} ` };
         index++;
       }
-      if (!silent && state.finished && index >= state.produced) break;
-      await sleep(clock, TOKEN_TIME / 2, { signal });
+      if (!isHanging && state.isFinished && index >= state.produced) break;
+      await sleep(clock, TOKEN_INTERVAL / 2, { signal });
     }
-    yield { kind: "finished", reason: state.cancelled ? CANCELLED_RUN : "stop" };
+    yield { kind: "finished", reason: state.isCancelled ? CANCELLED_RUN : "stop" };
   };
   const connect = (gate: () => Promise<void> = () => Promise.resolve()): Engine => ({
     run: async function* (worker, dispatch, signal) {
-      await reach(worker, "connect");
+      await connectTo(worker, "connect");
       if (barred.has(`${worker.id} ${dispatch.id}`)) {
         yield { kind: "status", status: 409, body: "barred" };
         return;
       }
       const from = dispatch.tokens.length;
-      const state = begin(worker, dispatch);
+      const state = startRun(worker, dispatch);
       await gate();
       const isImported = dispatch.cache !== undefined;
       yield { kind: "started", recomputed: isImported ? 0 : from, cached: isImported ? from : 0 };
-      for await (const event of follow(worker, { state, from, signal })) {
+      for await (const event of streamEvents(worker, { state, from, signal })) {
         await gate();
         yield event;
       }
     },
     attach: async function* (worker, id, { fromToken, signal }) {
-      await reach(worker, "connect");
+      await connectTo(worker, "connect");
       const state = progress.get(`${worker.id} ${id}`);
       if (state === undefined) {
         yield { kind: "status", status: 404, body: "unknown request" };
         return;
       }
-      for await (const event of follow(worker, { state, from: fromToken, signal })) {
+      for await (const event of streamEvents(worker, { state, from: fromToken, signal })) {
         await gate();
         yield event;
       }
     },
     cancel: async (worker, id) => {
-      await reach(worker, "order");
+      await connectTo(worker, "order");
       const state = progress.get(`${worker.id} ${id}`);
-      if (state === undefined || state.finished) return;
-      state.cancelled = true;
-      const run = runs.findLast((found) => found.worker === worker.id && found.id === id);
+      if (state === undefined || state.isFinished) return;
+      state.isCancelled = true;
+      const run = runs.findLast(
+        (candidate) => candidate.worker === worker.id && candidate.id === id,
+      );
       if (run !== undefined) run.cancelledAt ??= clock.now();
     },
     ask: async (worker, id, { bar }) => {
-      await reach(worker, "order");
+      await connectTo(worker, "order");
       const state = progress.get(`${worker.id} ${id}`);
       if (state === undefined && bar) barred.add(`${worker.id} ${id}`);
       await gate();
       return knowledgeOf(state, bar);
     },
     exportCache: async (worker, id) => {
-      await reach(worker, "order");
+      await connectTo(worker, "order");
       return `${worker.id}/${id}`;
     },
     report: async (worker) => {
-      await reach(worker, "order");
+      await connectTo(worker, "order");
       const running = [...progress].filter(
-        ([key, state]) => key.startsWith(`${worker.id} `) && !state.finished,
+        ([key, state]) => key.startsWith(`${worker.id} `) && !state.isFinished,
       ).length;
       const load = { running, waiting: 0, cacheTokens: 0, cacheCapacity: 100_000, loaded: [] };
       return { worker: worker.id, takenAt: clock.now(), ...load };
     },
-    order: (worker) => reach(worker, "order"),
+    order: (worker) => connectTo(worker, "order"),
   });
   return {
     connect,
     runs,
-    kill: (worker) => dead.add(worker),
-    silence: (worker) => eras.set(worker, (eras.get(worker) ?? 0) + 1),
-    slow: (worker, factor) => factors.set(worker, factor),
+    kill: (worker) => killed.add(worker),
+    silence: (worker) =>
+      connectionGenerations.set(worker, (connectionGenerations.get(worker) ?? 0) + 1),
+    slow: (worker, factor) => slowdowns.set(worker, factor),
   };
 }
 
-function knowledgeOf(state: Progress | undefined, bar: boolean): EngineKnowledge {
-  if (state === undefined) return bar ? EngineKnowledge.Barred : EngineKnowledge.Unknown;
-  if (state.cancelled) return EngineKnowledge.Cancelled;
-  return state.finished ? EngineKnowledge.Finished : EngineKnowledge.Running;
+function knowledgeOf(runProgress: RunProgress | undefined, bar: boolean): EngineKnowledge {
+  if (runProgress === undefined) return bar ? EngineKnowledge.Barred : EngineKnowledge.Unknown;
+  if (runProgress.isCancelled) return EngineKnowledge.Cancelled;
+  return runProgress.isFinished ? EngineKnowledge.Finished : EngineKnowledge.Running;
 }
 
-function answerLength(dispatch: Dispatch): number {
+function answerTokensOf(dispatch: Dispatch): number {
   const body = JSON.parse(dispatch.body) as { max_tokens?: number };
-  return body.max_tokens ?? ANSWER_TOKENS;
+  return body.max_tokens ?? DEFAULT_ANSWER_TOKENS;
 }
 
-function engineFailure(
+function createEngineFailure(
   step: EngineFailure["step"],
   worker: Worker,
   notSent: boolean,
--- a/src/standin/memory/virtual_clock.ts
+++ b/src/standin/memory/virtual_clock.ts
@@ -16,7 +16,7 @@
   settle(): Promise<void>;
 }
 
-interface Pending {
+interface PendingTimer {
   readonly at: number;
   readonly order: number;
   readonly run: () => void;
@@ -24,26 +24,26 @@
 }
 
 /** The calendar's time at which virtual clocks begin, in milliseconds. */
-const EPOCH = Date.UTC(2026, 0, 1);
+const START_DATE = Date.UTC(2026, 0, 1);
 
 /** Makes a clock that begins at 0. */
 export function createVirtualClock(): VirtualClock {
   /** Timers that were closed stay in until their time comes. */
-  const waiting = createHeap<Pending>(
+  const timers = createHeap<PendingTimer>(
     (a, b) => a.at < b.at || (a.at === b.at && a.order < b.order),
   );
-  let open = 0;
+  let openCount = 0;
   let now = 0;
-  let order = 0;
-  const close = (timer: Pending): void => {
+  let nextOrder = 0;
+  const closeTimer = (timer: PendingTimer): void => {
     if (timer.isClosed) return;
     timer.isClosed = true;
-    open--;
+    openCount--;
   };
   /** The next timer that is open, left in. */
-  const earliest = (): Pending | undefined => {
-    while (waiting.peek()?.isClosed === true) waiting.pop();
-    return waiting.peek();
+  const nextTimer = (): PendingTimer | undefined => {
+    while (timers.peek()?.isClosed === true) timers.pop();
+    return timers.peek();
   };
   const settle = async (): Promise<void> => {
     // One turn of the event loop runs every promise that can run without a timer.
@@ -51,24 +51,24 @@
   };
   return {
     now: () => now,
-    date: () => new Date(EPOCH + now),
+    date: () => new Date(START_DATE + now),
     after: (milliseconds, run) => {
       const at = now + Math.max(0, milliseconds);
-      const timer: Pending = { at, order: order++, run, isClosed: false };
-      waiting.push(timer);
-      open++;
-      return { close: () => close(timer) };
+      const timer: PendingTimer = { at, order: nextOrder++, run, isClosed: false };
+      timers.push(timer);
+      openCount++;
+      return { close: () => closeTimer(timer) };
     },
-    pending: () => open,
+    pending: () => openCount,
     settle,
     advance: async (milliseconds) => {
       const until = now + milliseconds;
       await settle();
-      for (let next = earliest(); next !== undefined; next = earliest()) {
+      for (let next = nextTimer(); next !== undefined; next = nextTimer()) {
         if (next.at > until) break;
         now = Math.max(now, next.at);
-        waiting.pop();
-        close(next);
+        timers.pop();
+        closeTimer(next);
         next.run();
         await settle();
       }
--- a/src/standin/memory/silence.ts
+++ b/src/standin/memory/wait_for_abort.ts
@@ -3,7 +3,7 @@
  *
  * @param signal Aborted by the one who waits; the promise then rejects with its reason.
  */
-export function silentUntil(signal: AbortSignal): Promise<never> {
+export function waitForAbort(signal: AbortSignal): Promise<never> {
   return new Promise((_resolve, reject) => {
     const onAbort = (): void => reject(signal.reason as Error);
     if (signal.aborted) onAbort();
--- a/src/standin/object_table.ts
+++ b/src/standin/object_table.ts
@@ -5,14 +5,14 @@
   get(key: string): StoredObject | undefined;
   put(key: string, value: string, expect: number): PutOutcome;
   /** Resolves with the first object newer than `after`. */
-  changed(key: string, after: number, signal: AbortSignal): Promise<StoredObject | undefined>;
+  waitForChange(key: string, after: number, signal: AbortSignal): Promise<StoredObject | undefined>;
 }
 
 /** An empty table. */
 export function createObjectTable(): ObjectTable {
   const objects = new Map<string, StoredObject>();
-  const waiting = new Set<() => void>();
-  const newer = (key: string, after: number): StoredObject | undefined => {
+  const watchers = new Set<() => void>();
+  const findNewer = (key: string, after: number): StoredObject | undefined => {
     const object = objects.get(key);
     return object !== undefined && object.version > after ? object : undefined;
   };
@@ -25,20 +25,20 @@
       }
       const version = expect + 1;
       objects.set(key, { key, version, value });
-      for (const wake of [...waiting]) wake();
+      for (const check of [...watchers]) check();
       return { kind: "written", version };
     },
-    changed: (key, after, signal) =>
+    waitForChange: (key, after, signal) =>
       new Promise((resolve) => {
-        const wake = (): void => {
-          const object = newer(key, after);
+        const check = (): void => {
+          const object = findNewer(key, after);
           if (object === undefined && !signal.aborted) return;
-          waiting.delete(wake);
+          watchers.delete(check);
           resolve(object);
         };
-        waiting.add(wake);
-        signal.addEventListener("abort", wake, { once: true });
-        wake();
+        watchers.add(check);
+        signal.addEventListener("abort", check, { once: true });
+        check();
       }),
   };
 }
--- a/src/standin/platform_server.ts
+++ b/src/standin/platform_server.ts
@@ -4,33 +4,33 @@
 import { listenHttp, readBody, routeParameter, sendJson } from "../connection/index.ts";
 import type { Listener } from "../connection/index.ts";
 import { Purchase } from "../interface/index.ts";
-import { createCloudTable } from "./cloud_table.ts";
-import type { CloudStandin, CloudTable } from "./cloud_table.ts";
+import { createSimulatedCloud } from "./simulated_cloud.ts";
+import type { CloudOptions, SimulatedCloud } from "./simulated_cloud.ts";
 import { createObjectTable } from "./object_table.ts";
 import type { ObjectTable } from "./object_table.ts";
 import { createWeightStore } from "./weight_store.ts";
 
 /** Bound on a value, as the platform's. */
-const VALUE_LIMIT = 1_000_000;
+const MAX_VALUE_BYTES = 1_000_000;
 /** How long a watch waits before it is answered with nothing. */
-const WATCH_WAIT = 30_000;
+const WATCH_TIMEOUT = 30_000;
 /** Bytes a second of the weight store where the settings say nothing. */
-const WEIGHT_RATE = 2_000_000_000;
+const DEFAULT_WEIGHT_BYTES_PER_SECOND = 2_000_000_000;
 const UNAVAILABLE = 503;
 const NOT_FOUND = 404;
-const CONFLICT = 412;
+const PRECONDITION_FAILED = 412;
 
 /** What the platform stand-in is made with. */
-export interface PlatformStandin extends CloudStandin {
+export interface PlatformServerOptions extends CloudOptions {
   /** `IP:PORT` to listen on. */
   readonly listen: string;
   /** Bytes a second that the weight store gives to all loads together. */
-  readonly weightRate?: number;
+  readonly weightBytesPerSecond?: number;
 }
 
 /** A running platform stand-in. */
 export interface PlatformListener extends Listener {
-  readonly cloud: CloudTable;
+  readonly cloud: SimulatedCloud;
   /** Takes the object API down, or up again: reads and writes are refused, watches go silent. */
   setDown(down: boolean): void;
 }
@@ -53,9 +53,9 @@
  * Starts a small stand-in for the platform on one listener: object API, lagging instance list, cloud and
  * weight store. `POST /standin/reclaim`, `/standin/outage` and `/standin/refuse` make it fail.
  */
-export async function startPlatform(settings: PlatformStandin): Promise<PlatformListener> {
+export async function startPlatform(settings: PlatformServerOptions): Promise<PlatformListener> {
   const table = createObjectTable();
-  const cloud = createCloudTable(settings);
+  const cloud = createSimulatedCloud(settings);
   const state = { down: false };
   const app = polka();
   addObjectRoutes(app, { table, state });
@@ -90,16 +90,16 @@
     }
     const key = routeParameter(request, "key");
     const { after } = request.query as { after?: string };
-    const found =
+    const object =
       after === undefined
         ? table.get(key)
-        : await table.changed(key, Number(after), AbortSignal.timeout(WATCH_WAIT));
+        : await table.waitForChange(key, Number(after), AbortSignal.timeout(WATCH_TIMEOUT));
     if (isDown()) return;
-    if (found === undefined) sendJson(response, {}, { status: NOT_FOUND });
-    else sendJson(response, found);
+    if (object === undefined) sendJson(response, {}, { status: NOT_FOUND });
+    else sendJson(response, object);
   });
   app.put("/objects/:key", async (request, response) => {
-    const value = await readBody(request, VALUE_LIMIT);
+    const value = await readBody(request, MAX_VALUE_BYTES);
     if (isDown()) {
       sendJson(response, {}, { status: UNAVAILABLE });
       return;
@@ -108,16 +108,16 @@
     const outcome = table.put(routeParameter(request, "key"), value, expect);
     if (outcome.kind === "written") sendJson(response, { version: outcome.version });
     else if (outcome.kind === "conflict") {
-      sendJson(response, outcome.current ?? {}, { status: CONFLICT });
+      sendJson(response, outcome.current ?? {}, { status: PRECONDITION_FAILED });
     }
   });
 }
 
-function addCloudRoutes(app: polka.Polka, cloud: CloudTable): void {
+function addCloudRoutes(app: polka.Polka, cloud: SimulatedCloud): void {
   app.get("/instances", (_request, response) => sendJson(response, cloud.list()));
   app.get("/cloud/notices", (_request, response) => sendJson(response, cloud.notices()));
   app.post("/cloud/instances", async (request, response) => {
-    const launch = await bodyOf(request, { schema: launchSchema, response });
+    const launch = await readJsonBody(request, { schema: launchSchema, response });
     if (launch !== undefined) sendJson(response, await cloud.launch(launch));
   });
   app.delete("/cloud/instances/:id", (request, response) => {
@@ -126,31 +126,34 @@
   });
 }
 
-function addWeightRoute(app: polka.Polka, { clock, weightRate }: PlatformStandin): void {
-  const weights = createWeightStore(clock, weightRate ?? WEIGHT_RATE);
+function addWeightRoute(
+  app: polka.Polka,
+  { clock, weightBytesPerSecond }: PlatformServerOptions,
+): void {
+  const weights = createWeightStore(clock, weightBytesPerSecond ?? DEFAULT_WEIGHT_BYTES_PER_SECOND);
   app.get("/weights/:model", async (request, response) => {
     const { bytes } = request.query as { bytes?: string };
-    await weights.load(Number(bytes ?? 0));
+    await weights.waitForLoad(Number(bytes ?? 0));
     sendJson(response, { model: routeParameter(request, "model"), loaded: true });
   });
 }
 
 function addFaultRoutes(
   app: polka.Polka,
-  { cloud, setDown }: { cloud: CloudTable; setDown: (down: boolean) => void },
+  { cloud, setDown }: { cloud: SimulatedCloud; setDown: (down: boolean) => void },
 ): void {
   app.post("/standin/reclaim", async (request, response) => {
-    const reclaim = await bodyOf(request, { schema: reclaimSchema, response });
+    const reclaim = await readJsonBody(request, { schema: reclaimSchema, response });
     if (reclaim !== undefined) sendJson(response, { instances: cloud.reclaim(reclaim) });
   });
   app.post("/standin/outage", async (request, response) => {
-    const outage = await bodyOf(request, { schema: outageSchema, response });
+    const outage = await readJsonBody(request, { schema: outageSchema, response });
     if (outage === undefined) return;
     setDown(outage.down);
     sendJson(response, outage);
   });
   app.post("/standin/refuse", async (request, response) => {
-    const refusal = await bodyOf(request, { schema: refuseSchema, response });
+    const refusal = await readJsonBody(request, { schema: refuseSchema, response });
     if (refusal === undefined) return;
     cloud.refuse(refusal);
     sendJson(response, refusal);
@@ -158,12 +161,12 @@
 }
 
 /** The body as the schema has it; otherwise the fault is answered and nothing returned. */
-async function bodyOf<T>(
+async function readJsonBody<T>(
   request: IncomingMessage,
   { schema, response }: { schema: z.ZodType<T>; response: ServerResponse },
 ): Promise<T | undefined> {
   try {
-    return schema.parse(JSON.parse(await readBody(request, VALUE_LIMIT)));
+    return schema.parse(JSON.parse(await readBody(request, MAX_VALUE_BYTES)));
   } catch (error) {
     sendJson(response, { fault: String(error) }, { status: 400 });
     return undefined;
--- a/src/standin/prefix_cache.ts
+++ b/src/standin/prefix_cache.ts
@@ -10,7 +10,7 @@
    *
    * @param blocks Hashes, each over all blocks up to it.
    */
-  match(blocks: readonly string[]): number;
+  matchPrefix(blocks: readonly string[]): number;
   /**
    * Takes in a prompt's blocks.
    *
@@ -22,36 +22,36 @@
    *
    * @returns The blocks dropped.
    */
-  shrink(most: number): string[];
+  evictTo(maxBlocks: number): string[];
 }
 
 /** Makes an empty cache; its owner bounds it with {@linkcode PrefixCache.shrink}. */
 export function createPrefixCache(): PrefixCache {
   // A set keeps its order of insertion: taking out and putting back makes an entry the latest used.
-  const held = new Set<string>();
-  const touch = (block: string): void => {
-    held.delete(block);
-    held.add(block);
+  const cachedBlocks = new Set<string>();
+  const markAsUsed = (block: string): void => {
+    cachedBlocks.delete(block);
+    cachedBlocks.add(block);
   };
   return {
-    size: () => held.size,
-    match: (blocks) => {
-      const missing = blocks.findIndex((block) => !held.has(block));
-      const found = missing < 0 ? blocks.length : missing;
+    size: () => cachedBlocks.size,
+    matchPrefix: (blocks) => {
+      const missing = blocks.findIndex((block) => !cachedBlocks.has(block));
+      const matched = missing < 0 ? blocks.length : missing;
       // From the last to the first: a block is worth nothing once one before it has gone.
-      for (let index = found - 1; index >= 0; index--) touch(blocks[index] ?? "");
-      return found;
+      for (let index = matched - 1; index >= 0; index--) markAsUsed(blocks[index] ?? "");
+      return matched;
     },
     store: (blocks) => {
-      const added = blocks.filter((block) => !held.has(block));
-      for (const block of blocks.toReversed()) touch(block);
+      const added = blocks.filter((block) => !cachedBlocks.has(block));
+      for (const block of blocks.toReversed()) markAsUsed(block);
       return added;
     },
-    shrink: (most) => {
+    evictTo: (maxBlocks) => {
       const dropped: string[] = [];
-      for (const block of held) {
-        if (held.size <= most) break;
-        held.delete(block);
+      for (const block of cachedBlocks) {
+        if (cachedBlocks.size <= maxBlocks) break;
+        cachedBlocks.delete(block);
         dropped.push(block);
       }
       return dropped;
--- a/src/standin/replay/entry.ts
+++ b/src/standin/replay/entry_instance.ts
@@ -7,7 +7,7 @@
 import { BLOCK_TOKENS } from "../prefix_cache.ts";
 import type { EventQueue } from "./event_queue.ts";
 import type { Machine } from "./machine.ts";
-import { addTo } from "./measurements.ts";
+import { addToCount } from "./measurements.ts";
 import type { GroupMeasurements, Measurements } from "./measurements.ts";
 import type { ReplayPolicy } from "./policy.ts";
 import { createRun, trackRequest } from "./tracked_request.ts";
@@ -15,7 +15,7 @@
 import type { Trace, TraceArrival } from "./trace.ts";
 
 /** What one entry instance of a replay works with. */
-export interface EntryOptions {
+export interface EntryInstanceOptions {
   readonly trace: Trace;
   readonly policy: ReplayPolicy;
   readonly events: EventQueue;
@@ -23,74 +23,77 @@
   readonly measurements: Measurements;
   readonly machines: ReadonlyMap<string, Machine>;
   /** The machine's engine has been given something to do. */
-  readonly wake: (machine: Machine) => void;
-  readonly instances: number;
+  readonly onWorkSubmitted: (machine: Machine) => void;
+  readonly instanceCount: number;
 }
 
 /** One entry instance in a replay: the real scheduler and fair queues around requests of the trace. */
-export interface Entry {
+export interface EntryInstance {
   readonly scheduler: Scheduler;
   /** Runs in progress by the id that engines know them by. */
   readonly runs: ReadonlyMap<string, Run>;
-  arrive(arrival: TraceArrival, id: string): void;
+  handleArrival(arrival: TraceArrival, id: string): void;
   /** Something happened to one of the instance's runs. */
-  engineEvent(run: Run, event: EngineModelEvent): void;
+  handleEngineEvent(run: Run, event: EngineModelEvent): void;
   /** Sends on what waits, as far as there is room: after a run's end, a report, a change of workers. */
-  drain(): void;
+  dispatchWaiting(): void;
   /** Takes a run off its worker; its request goes on elsewhere from the tokens that its caller has. */
-  move(run: Run, options?: { target?: string }): void;
+  moveRun(run: Run, options?: { target?: string }): void;
   /** Takes a run off its worker and leaves its request to {@linkcode Entry.resume}. */
-  detach(run: Run): void;
+  detachRun(run: Run): void;
   /** Has a detached request go on, from imported KV cache if there is any. */
-  resume(request: TrackedRequest, options: { imported: number; target?: string }): void;
+  resumeRequest(
+    request: TrackedRequest,
+    options: { importedTokens: number; target?: string },
+  ): void;
   /** The run's worker has gone. */
-  fail(run: Run, cause: RetryCause): void;
+  failRun(run: Run, cause: RetryCause): void;
   /** Requests accepted and not ended. */
-  inProgress(): number;
+  requestsInProgress(): number;
 }
 
 /** One way between an entry instance and a worker, or a caller: a few availability zones' distance. */
-const NETWORK_TIME = 3;
+const NETWORK_DELAY = 3;
 const LOOKUP_PRIORITY = 1;
 const SCRIPT_PRIORITY = 0;
 
 /** Makes an entry instance that knows no workers yet. */
-export function createEntry(options: EntryOptions): Entry {
+export function createEntryInstance(options: EntryInstanceOptions): EntryInstance {
   const { trace, policy, events, random, measurements, machines } = options;
   const { deployment } = trace.header;
   const scheduler = policy.createScheduler(deployment);
   scheduler.configure(deployment, 0);
-  scheduler.setInstances(options.instances, 0);
+  scheduler.setInstances(options.instanceCount, 0);
   const queues = new Map<string, FairQueue<FairRun>>();
-  const parked = new Map<string, TrackedRequest[]>();
-  const taken = new Map<string, number>();
+  const unplaced = new Map<string, TrackedRequest[]>();
+  const runCounts = new Map<string, number>();
   const runs = new Map<string, Run>();
-  let inProgress = 0;
+  let requestCount = 0;
 
   for (const service of Object.keys(deployment.services)) {
     queues.set(service, new (createFairQueueClass(scheduler.queueOptions(service)))());
-    parked.set(service, []);
+    unplaced.set(service, []);
   }
 
   const enqueue = (request: TrackedRequest): void => {
     const { job } = request;
     const run = (): Promise<void> => {
-      if (!place(request)) parkedOf(job.service).push(request);
+      if (!place(request)) unplacedOf(job.service).push(request);
       return Promise.resolve();
     };
     queues.get(job.service)?.enqueue(run, { id: job.id, job });
   };
-  const parkedOf = (service: string): TrackedRequest[] => parked.get(service) ?? [];
+  const unplacedOf = (service: string): TrackedRequest[] => unplaced.get(service) ?? [];
   const place = (request: TrackedRequest, target?: string): boolean => {
     const now = events.now();
     const { job } = request;
-    const avoid = target === undefined ? request.avoid : othersThan(target);
+    const avoid = target === undefined ? request.avoidedWorkers : allWorkersExcept(target);
     const placement = scheduler.place(job, { now, random, avoid });
     if (placement.kind === "wait") return false;
-    dispatch(request, placement.worker, request.cause);
+    dispatch(request, placement.worker, request.retryCause);
     return true;
   };
-  const othersThan = (target: string): Set<string> => {
+  const allWorkersExcept = (target: string): Set<string> => {
     const others = new Set(machines.keys());
     others.delete(target);
     return others;
@@ -98,104 +101,104 @@
   const dispatch = (request: TrackedRequest, worker: string, cause: RetryCause): void => {
     const run = createRun(request, { worker, now: events.now(), cause });
     runs.set(run.id, run);
-    addTo(taken, request.job.service, 1);
-    events.add(events.now() + NETWORK_TIME, () => deliver(run));
-    askHedge(run);
+    addToCount(runCounts, request.job.service, 1);
+    events.add(events.now() + NETWORK_DELAY, () => submitToWorker(run));
+    considerHedge(run);
   };
-  const deliver = (run: Run): void => {
-    if (run.ended) return;
+  const submitToWorker = (run: Run): void => {
+    if (run.hasEnded) return;
     const { request } = run;
     const machine = machines.get(run.worker);
     if (machine === undefined || machine.stoppedAt !== undefined) {
-      fail(run, RetryCause.ConnectFailed);
+      failRun(run, RetryCause.ConnectFailed);
       return;
     }
-    run.delivered = true;
+    run.isDelivered = true;
     const { job, arrival } = request;
-    const fits = machine.engine.submit(
+    const isAccepted = machine.engine.submit(
       {
         id: run.id,
         promptTokens: job.promptTokens,
-        answerTokens: answerOf(arrival),
+        answerTokens: answerTokensOf(arrival),
         prefix: job.prefix,
-        resumedTokens: policy.resumes ? request.produced : 0,
-        importedTokens: request.imported,
+        resumedTokens: policy.canResume ? request.deliveredTokens : 0,
+        importedTokens: request.importedTokens,
         priority: job.lane === Lane.Lookup ? LOOKUP_PRIORITY : SCRIPT_PRIORITY,
       },
       events.now(),
     );
-    request.imported = 0;
-    if (fits) options.wake(machine);
-    else giveUp(request);
+    request.importedTokens = 0;
+    if (isAccepted) options.onWorkSubmitted(machine);
+    else abandon(request);
   };
-  const askHedge = (run: Run): void => {
+  const considerHedge = (run: Run): void => {
     const { request, dispatchedAt } = run;
-    if (run.ended || run.firstTokenAt !== undefined || request.runs.size > 1) return;
+    if (run.hasEnded || run.firstTokenAt !== undefined || request.runs.size > 1) return;
     if (!request.job.repeatable) return;
-    const avoid = new Set([...request.avoid, run.worker]);
+    const avoid = new Set([...request.avoidedWorkers, run.worker]);
     const hedge = scheduler.hedge(request.job, { now: events.now(), random, avoid, dispatchedAt });
     if (hedge.kind === "hedge") {
       measurements.addRetried(RetryCause.Hedge);
       dispatch(request, hedge.worker, RetryCause.Hedge);
     }
     if (hedge.kind === "later") {
-      events.add(events.now() + Math.max(1, hedge.delay), () => askHedge(run));
+      events.add(events.now() + Math.max(1, hedge.delay), () => considerHedge(run));
     }
   };
   const endRun = (run: Run, end: RunEnd, cause?: RetryCause): void => {
-    run.ended = true;
+    run.hasEnded = true;
     runs.delete(run.id);
     run.request.runs.delete(run.worker);
-    addTo(taken, run.request.job.service, -1);
+    addToCount(runCounts, run.request.job.service, -1);
     scheduler.runEnded(run.request.job.id, end, {
       now: events.now(),
-      answerTokens: run.request.produced,
+      answerTokens: run.request.deliveredTokens,
       worker: run.worker,
       ...(cause === undefined ? {} : { cause }),
     });
   };
   const cancelOnWorker = (run: Run): void => {
-    if (run.delivered) machines.get(run.worker)?.engine.cancel(run.id, events.now());
+    if (run.isDelivered) machines.get(run.worker)?.engine.cancel(run.id, events.now());
   };
   const endRequest = (request: TrackedRequest): void => {
     for (const run of request.runs.values()) {
       cancelOnWorker(run);
       endRun(run, RunEnd.Cancelled);
     }
-    request.ended = true;
-    inProgress--;
+    request.hasEnded = true;
+    requestCount--;
     scheduler.settled(request.job, events.now());
   };
-  const giveUp = (request: TrackedRequest): void => {
+  const abandon = (request: TrackedRequest): void => {
     request.group.lost++;
     endRequest(request);
-    drain();
+    dispatchWaiting();
   };
-  const passDeadline = (request: TrackedRequest): void => {
-    if (request.ended) return;
+  const expire = (request: TrackedRequest): void => {
+    if (request.hasEnded) return;
     const { id, service } = request.job;
     queues.get(service)?.remove(id);
-    parked.set(
+    unplaced.set(
       service,
-      parkedOf(service).filter((other) => other !== request),
+      unplacedOf(service).filter((other) => other !== request),
     );
     request.group.late++;
-    giveUp(request);
+    abandon(request);
   };
-  const drainService = (service: string): void => {
+  const dispatchService = (service: string): void => {
     const queue = queues.get(service);
     if (queue === undefined) return;
-    parked.set(
+    unplaced.set(
       service,
-      parkedOf(service).filter((request) => !place(request)),
+      unplacedOf(service).filter((request) => !place(request)),
     );
-    const room = (): boolean =>
-      (taken.get(service) ?? 0) + parkedOf(service).length <
+    const hasCapacity = (): boolean =>
+      (runCounts.get(service) ?? 0) + unplacedOf(service).length <
       scheduler.capacity(service, events.now());
-    while (queue.size > 0 && room()) void queue.dequeue()?.();
+    while (queue.size > 0 && hasCapacity()) void queue.dequeue()?.();
   };
-  const drain = (): void => {
-    for (const service of queues.keys()) drainService(service);
+  const dispatchWaiting = (): void => {
+    for (const service of queues.keys()) dispatchService(service);
   };
   const deliverToken = (run: Run, index: number, at: number): void => {
     const { request } = run;
@@ -203,19 +206,19 @@
     if (run.firstTokenAt === undefined) {
       run.firstTokenAt = at;
       scheduler.firstToken(request.job.id, at, run.worker);
-      endOtherRuns(run);
+      cancelOtherRuns(run);
     } else {
       scheduler.token(request.job.id, at, run.worker);
     }
-    run.tokens++;
+    run.tokenCount++;
     run.lastTokenAt = at;
-    request.computed = Math.max(request.computed, arrival.p + index + 1);
-    if (index < request.produced) {
+    request.computedTokens = Math.max(request.computedTokens, arrival.p + index + 1);
+    if (index < request.deliveredTokens) {
       // The caller has it already: a run that began again makes it anew.
       measurements.addRecomputed(run.cause, 1);
       return;
     }
-    const now = at + NETWORK_TIME;
+    const now = at + NETWORK_DELAY;
     if (index > 0) group.betweenTokens.add(now - request.lastTokenAt);
     else if (arrival.d !== true) {
       group.firstToken.add(now - arrival.t);
@@ -223,141 +226,144 @@
     }
     if (index === 0) request.firstTokenTime = now - arrival.t;
     request.lastTokenAt = now;
-    request.produced = index + 1;
+    request.deliveredTokens = index + 1;
   };
-  const endOtherRuns = (run: Run): void => {
+  const cancelOtherRuns = (run: Run): void => {
     for (const other of run.request.runs.values()) {
       if (other === run) continue;
       cancelOnWorker(other);
       endRun(other, RunEnd.Cancelled);
     }
   };
-  const complete = (run: Run): void => {
+  const completeRun = (run: Run): void => {
     const { request } = run;
     const { group, arrival } = request;
     group.answered++;
     const target = deployment.services[arrival.s]?.target.firstToken ?? 0;
-    const inTime = arrival.d === true || request.firstTokenTime <= target;
+    const isTimely = arrival.d === true || request.firstTokenTime <= target;
     // What ends after the trace was not done in its time: a long queue would look like great speed.
-    if (inTime && events.now() <= trace.header.duration) {
-      group.timelyTokens += answerOf(arrival);
+    if (isTimely && events.now() <= trace.header.duration) {
+      group.goodputTokens += answerTokensOf(arrival);
     }
     endRun(run, RunEnd.Complete);
     endRequest(request);
-    drain();
+    dispatchWaiting();
   };
-  const countStart = (run: Run, computed: number): void => {
+  const recordStart = (run: Run, computed: number): void => {
     const { request } = run;
-    run.starts++;
-    measurements.addRecomputed(causeOfStart(run), Math.min(computed, request.computed));
-    request.computed = Math.max(request.computed, request.arrival.p);
+    run.startCount++;
+    measurements.addRecomputed(recomputeCauseOf(run), Math.min(computed, request.computedTokens));
+    request.computedTokens = Math.max(request.computedTokens, request.arrival.p);
   };
-  const detach = (run: Run): void => {
+  const detachRun = (run: Run): void => {
     cancelOnWorker(run);
     endRun(run, RunEnd.Moved);
-    run.request.avoid.add(run.worker);
+    run.request.avoidedWorkers.add(run.worker);
   };
-  const resume: Entry["resume"] = (request, { imported, target }) => {
-    if (request.ended || request.runs.size > 0) return;
-    request.cause = RetryCause.WorkerReclaimed;
-    request.imported = imported;
-    measurements.addRetried(request.cause);
-    goOn(request, target);
+  const resumeRequest: EntryInstance["resumeRequest"] = (request, { importedTokens, target }) => {
+    if (request.hasEnded || request.runs.size > 0) return;
+    request.retryCause = RetryCause.WorkerReclaimed;
+    request.importedTokens = importedTokens;
+    measurements.addRetried(request.retryCause);
+    continueRequest(request, target);
   };
-  const goOn = (request: TrackedRequest, target?: string): void => {
-    const resumedTokens = policy.resumes ? request.produced : 0;
+  const continueRequest = (request: TrackedRequest, target?: string): void => {
+    const resumedTokens = policy.canResume ? request.deliveredTokens : 0;
     request.job = { ...request.job, resumedTokens };
-    const placed = (target !== undefined && place(request, target)) || place(request);
-    if (!placed) parkedOf(request.job.service).push(request);
-    drain();
+    const isPlaced = (target !== undefined && place(request, target)) || place(request);
+    if (!isPlaced) unplacedOf(request.job.service).push(request);
+    dispatchWaiting();
   };
-  const fail = (run: Run, cause: RetryCause): void => {
-    if (run.ended) return;
+  const failRun = (run: Run, cause: RetryCause): void => {
+    if (run.hasEnded) return;
     const { request } = run;
     endRun(run, RunEnd.Failed, cause);
-    request.avoid.add(run.worker);
+    request.avoidedWorkers.add(run.worker);
     if (request.runs.size > 0) return;
     const retry = scheduler.retry(request.job, cause, { now: events.now(), random });
-    const mayHaveRun = run.delivered && !request.job.repeatable;
+    const mayHaveRun = run.isDelivered && !request.job.repeatable;
     if (mayHaveRun || retry.kind === "stop") {
-      giveUp(request);
+      abandon(request);
       return;
     }
-    request.cause = cause;
+    request.retryCause = cause;
     measurements.addRetried(cause);
     events.add(events.now() + retry.delay, () => {
-      if (!request.ended && request.runs.size === 0) goOn(request);
+      if (!request.hasEnded && request.runs.size === 0) continueRequest(request);
     });
   };
 
   return {
     scheduler,
     runs,
-    arrive: (traced, id) => {
-      const arrival = arrivalOf(traced, id, deployment);
+    handleArrival: (traceArrival, id) => {
+      const arrival = toArrival(traceArrival, id, deployment);
       const group = groupOf(measurements, { arrival, deployment });
       group.arrived++;
       const admission = scheduler.admit(arrival, events.now());
       if (admission.kind === "refused") {
-        addTo(group.refused, admission.reason, 1);
+        addToCount(group.refused, admission.reason, 1);
         return;
       }
-      const request = trackRequest(admission.job, { arrival: traced, group });
-      inProgress++;
-      events.add(arrival.deadlineAt, () => passDeadline(request));
+      const request = trackRequest(admission.job, { arrival: traceArrival, group });
+      requestCount++;
+      events.add(arrival.deadlineAt, () => expire(request));
       enqueue(request);
-      drainService(arrival.service);
+      dispatchService(arrival.service);
     },
-    engineEvent: (run, event) => {
-      if (run.ended) return;
-      if (event.kind === "started") countStart(run, event.computed);
+    handleEngineEvent: (run, event) => {
+      if (run.hasEnded) return;
+      if (event.kind === "started") recordStart(run, event.computed);
       if (event.kind === "token") deliverToken(run, event.index, event.at);
-      if (event.kind === "finished") complete(run);
+      if (event.kind === "finished") completeRun(run);
     },
-    drain,
-    move: (run, { target } = {}) => {
-      if (run.ended) return;
-      detach(run);
-      resume(run.request, target === undefined ? { imported: 0 } : { imported: 0, target });
+    dispatchWaiting,
+    moveRun: (run, { target } = {}) => {
+      if (run.hasEnded) return;
+      detachRun(run);
+      resumeRequest(
+        run.request,
+        target === undefined ? { importedTokens: 0 } : { importedTokens: 0, target },
+      );
     },
-    detach,
-    resume,
-    fail,
-    inProgress: () => inProgress,
+    detachRun,
+    resumeRequest,
+    failRun,
+    requestsInProgress: () => requestCount,
   };
 }
 
 /** Why an engine computes what was computed before for the same request. */
-function causeOfStart({ starts, number, cause }: Run): RetryCause {
-  if (starts > 1) return RetryCause.CacheLost;
+function recomputeCauseOf({ startCount, attempt, cause }: Run): RetryCause {
+  if (startCount > 1) return RetryCause.CacheLost;
   // The first run starts after another only where a hedge has overtaken it.
-  return number === 1 ? RetryCause.Hedge : cause;
+  return attempt === 1 ? RetryCause.Hedge : cause;
 }
 
-function answerOf({ n, m }: TraceArrival): number {
+function answerTokensOf({ n, m }: TraceArrival): number {
   return m === undefined ? n : Math.min(n, m);
 }
 
-function arrivalOf(traced: TraceArrival, id: string, deployment: Deployment): Arrival {
-  const service = deployment.services[traced.s];
+function toArrival(traceArrival: TraceArrival, id: string, deployment: Deployment): Arrival {
+  const service = deployment.services[traceArrival.s];
   return {
     id,
-    account: traced.a,
-    service: traced.s,
+    account: traceArrival.a,
+    service: traceArrival.s,
     model: service?.kind === "model" ? (service.models[0]?.name ?? "") : "",
-    lane: traced.l ?? (service?.lane === "script" ? Lane.Script : Lane.Lookup),
-    promptTokens: traced.p,
-    ...(traced.m === undefined ? {} : { maxTokens: traced.m }),
-    prefix: prefixOf(traced),
-    prefixTokens: prefixOf(traced).length * BLOCK_TOKENS,
-    repeatable: traced.r ?? service?.repeatable ?? true,
-    detached: traced.d ?? false,
-    arrivedAt: traced.t,
-    deadlineAt: traced.t + (traced.dl ?? service?.target.deadline ?? 0),
+    lane: traceArrival.l ?? (service?.lane === "script" ? Lane.Script : Lane.Lookup),
+    promptTokens: traceArrival.p,
+    ...(traceArrival.m === undefined ? {} : { maxTokens: traceArrival.m }),
+    prefix: prefixBlocksOf(traceArrival),
+    prefixTokens: prefixBlocksOf(traceArrival).length * BLOCK_TOKENS,
+    repeatable: traceArrival.r ?? service?.repeatable ?? true,
+    detached: traceArrival.d ?? false,
+    arrivedAt: traceArrival.t,
+    deadlineAt: traceArrival.t + (traceArrival.dl ?? service?.target.deadline ?? 0),
   };
 }
 
-function prefixOf({ x, xt, p }: TraceArrival): string[] {
+function prefixBlocksOf({ x, xt, p }: TraceArrival): string[] {
   if (x === undefined) return [];
   const blocks = Math.floor(Math.min(p, xt ?? p) / BLOCK_TOKENS);
   return Array.from({ length: blocks }, (_, index) => `${x}:${index}`);
--- a/src/standin/replay/event_queue.ts
+++ b/src/standin/replay/event_queue.ts
@@ -12,7 +12,7 @@
   runNext(): boolean;
 }
 
-interface Entry {
+interface QueuedEvent {
   readonly at: number;
   readonly order: number;
   readonly run: () => void;
@@ -20,14 +20,14 @@
 
 /** Makes an empty queue, a binary heap. */
 export function createEventQueue(): EventQueue {
-  const heap: Entry[] = [];
-  let order = 0;
+  const heap: QueuedEvent[] = [];
+  let nextOrder = 0;
   let now = 0;
   return {
     now: () => now,
     add: (at, run) => {
-      heap.push({ at: Math.max(now, at), order: order++, run });
-      rise(heap, heap.length - 1);
+      heap.push({ at: Math.max(now, at), order: nextOrder++, run });
+      siftUp(heap, heap.length - 1);
     },
     runNext: () => {
       const first = heap[0];
@@ -35,7 +35,7 @@
       if (first === undefined || last === undefined) return false;
       if (heap.length > 0) {
         heap[0] = last;
-        sink(heap);
+        siftDown(heap);
       }
       now = first.at;
       first.run();
@@ -44,36 +44,37 @@
   };
 }
 
-function isSooner(a: Entry, b: Entry): boolean {
+function isEarlier(a: QueuedEvent, b: QueuedEvent): boolean {
   return a.at === b.at ? a.order < b.order : a.at < b.at;
 }
 
-function swapIfSooner(heap: Entry[], child: number, parent: number): boolean {
-  const below = heap[child];
-  const above = heap[parent];
-  if (below === undefined || above === undefined || !isSooner(below, above)) return false;
-  heap[child] = above;
-  heap[parent] = below;
+function swapIfEarlier(heap: QueuedEvent[], child: number, parent: number): boolean {
+  const childEvent = heap[child];
+  const parentEvent = heap[parent];
+  if (childEvent === undefined || parentEvent === undefined || !isEarlier(childEvent, parentEvent))
+    return false;
+  heap[child] = parentEvent;
+  heap[parent] = childEvent;
   return true;
 }
 
-function rise(heap: Entry[], from: number): void {
+function siftUp(heap: QueuedEvent[], from: number): void {
   let child = from;
   while (child > 0) {
     const parent = (child - 1) >> 1;
-    if (!swapIfSooner(heap, child, parent)) return;
+    if (!swapIfEarlier(heap, child, parent)) return;
     child = parent;
   }
 }
 
-function sink(heap: Entry[]): void {
+function siftDown(heap: QueuedEvent[]): void {
   let parent = 0;
   for (;;) {
     const left = heap[2 * parent + 1];
     const right = heap[2 * parent + 2];
     if (left === undefined) return;
-    const child = right !== undefined && isSooner(right, left) ? 2 * parent + 2 : 2 * parent + 1;
-    if (!swapIfSooner(heap, child, parent)) return;
+    const child = right !== undefined && isEarlier(right, left) ? 2 * parent + 2 : 2 * parent + 1;
+    if (!swapIfEarlier(heap, child, parent)) return;
     parent = child;
   }
 }
--- a/src/standin/replay/fleet_control.ts
+++ b/src/standin/replay/fleet_control.ts
@@ -3,7 +3,7 @@
 import type { Worker } from "../../interface/index.ts";
 import type { Service } from "../../version/index.ts";
 import type { EventQueue } from "./event_queue.ts";
-import { costOf, createMachine, setState } from "./machine.ts";
+import { machineCost, createMachine, setWorkerState } from "./machine.ts";
 import type { Machine } from "./machine.ts";
 import type { ReplayPolicy } from "./policy.ts";
 import type { Trace, TraceFault } from "./trace.ts";
@@ -14,13 +14,13 @@
   readonly policy: ReplayPolicy;
   readonly events: EventQueue;
   /** Demand of each service, summed over the entry instances. */
-  readonly demand: () => readonly ServiceSnapshot[];
+  readonly getDemand: () => readonly ServiceSnapshot[];
   /** Tokens of work in progress by worker. */
-  readonly inProgress: () => Readonly<Record<string, number>>;
+  readonly getWorkInProgress: () => Readonly<Record<string, number>>;
   /** A worker's state has changed. */
-  readonly onChange: (machine: Machine) => void;
+  readonly onWorkerChanged: (machine: Machine) => void;
   /** A worker has ended with what was on it. */
-  readonly onGone: (machine: Machine) => void;
+  readonly onWorkerStopped: (machine: Machine) => void;
 }
 
 /** The cloud's instances in a replay, and the control loop that has them launched and stopped. */
@@ -31,11 +31,11 @@
   /** Brings up what the policy plans for the trace's first minutes, and begins to plan. */
   start(): void;
   /** Takes in a fault of the trace. */
-  fault(fault: TraceFault): void;
+  applyFault(fault: TraceFault): void;
   /** Stops planning. */
   close(): void;
   /** Euros by service until now. */
-  costs(): Map<string, number>;
+  costByService(): Map<string, number>;
   readonly counts: FleetCounts;
 }
 
@@ -51,59 +51,61 @@
 
 const PLAN_INTERVAL = 5_000;
 /** How long the cloud takes to refuse a launch. */
-const REFUSAL_TIME = 2_000;
+const REFUSAL_DELAY = 2_000;
 /** How often a worker that takes nothing new is looked at, to stop it once it is empty. */
-const EMPTY_CHECK = 1_000;
+const IDLE_CHECK_INTERVAL = 1_000;
 /** Demand of the trace's first minutes, for which the fleet stands ready at its start. */
-const WARM_UP = 120_000;
+const WARM_UP_TIME = 120_000;
 /** Plans made at the start, so that a policy that launches in steps ends where it wants to be. */
-const WARM_PLANS = 5;
+const WARM_UP_PLANS = 5;
 
-interface Refusals {
-  at?: number;
-  inRow: number;
+interface RefusalHistory {
+  lastAt?: number;
+  consecutive: number;
 }
 
 /** Makes a fleet without workers. */
 export function createFleetControl(options: FleetControlOptions): FleetControl {
-  const { trace, policy, events, onChange } = options;
+  const { trace, policy, events, onWorkerChanged } = options;
   const { header } = trace;
   const { deployment } = header;
   const machines = new Map<string, Machine>();
-  const refusals = new Map<string, Refusals>();
+  const refusals = new Map<string, RefusalHistory>();
   const counts: FleetCounts = { launched: 0, refused: 0, reclaimed: 0, retired: 0, peak: 0 };
   let preset = header.preset;
   let presetSince = 0;
   let memory: FleetMemory | undefined;
-  let weightStoreFreeAt = 0;
-  let closed = false;
+  let weightStoreIdleAt = 0;
+  let isClosed = false;
 
-  const standing = (): Machine[] =>
+  const activeMachines = (): Machine[] =>
     [...machines.values()].filter(({ worker }) => worker.state !== WorkerState.Gone);
-  const loadTime = (service: string): number =>
-    (weightsOf(deployment.services[service]) * 1_000) / header.weightStore;
-  const poolsNow = (): Pool[] =>
+  const weightLoadTime = (service: string): number =>
+    (weightBytesOf(deployment.services[service]) * 1_000) / header.weightStore;
+  const currentPools = (): Pool[] =>
     deployment.offers.flatMap((offer) =>
       [Purchase.Reclaimable, Purchase.OnDemand].map((purchase) => {
         const { zone, machineClass } = offer;
-        const refused = refusals.get(poolKey({ zone, machineClass, purchase }));
-        const speeds = deployment.machineClasses[machineClass];
+        const refusal = refusals.get(poolKey({ zone, machineClass, purchase }));
+        const classCapacity = deployment.machineClasses[machineClass];
         return {
           zone,
           machineClass,
           purchase,
           price: purchase === Purchase.Reclaimable ? offer.reclaimable : offer.onDemand,
-          tokensPerSecond: speeds?.tokensPerSecond ?? 0,
-          startUp: (speeds?.startUp ?? 0) + loadTime(Object.keys(deployment.services)[0] ?? ""),
-          refusals: refused?.inRow ?? 0,
-          ...(refused?.at === undefined ? {} : { refusedAt: refused.at }),
+          tokensPerSecond: classCapacity?.tokensPerSecond ?? 0,
+          startUp:
+            (classCapacity?.startUp ?? 0) +
+            weightLoadTime(Object.keys(deployment.services)[0] ?? ""),
+          refusals: refusal?.consecutive ?? 0,
+          ...(refusal?.lastAt === undefined ? {} : { refusedAt: refusal.lastAt }),
         };
       }),
     );
-  const demandOf = (snapshot: ServiceSnapshot): ServiceDemand => {
+  const toServiceDemand = (snapshot: ServiceSnapshot): ServiceDemand => {
     const { service } = snapshot;
     const bounds = deployment.presets[preset]?.services[service];
-    const workers = standing()
+    const workers = activeMachines()
       .map((machine) => machine.worker)
       .filter((worker) => worker.service === service && worker.state !== WorkerState.Starting);
     return {
@@ -111,122 +113,126 @@
       arriving: snapshot.arriving,
       arrivedBefore: snapshot.arrivedBefore,
       waiting: snapshot.waitingWork,
-      inProgress: options.inProgress(),
+      inProgress: options.getWorkInProgress(),
       workers,
       least: bounds?.least ?? 0,
       most: bounds?.most ?? 0,
       reclaimable: bounds?.reclaimable ?? 1,
       firstToken: deployment.services[service]?.target.firstToken ?? 0,
-      weights: weightsOf(deployment.services[service]),
+      weights: weightBytesOf(deployment.services[service]),
       presetSince,
     };
   };
-  const plan = (demand: readonly ServiceSnapshot[]): ReturnType<typeof policy.planFleet> => {
-    const launching = standing()
+  const planFleet = (demand: readonly ServiceSnapshot[]): ReturnType<typeof policy.planFleet> => {
+    const launching = activeMachines()
       .filter(({ worker }) => worker.state === WorkerState.Starting)
       .map(({ worker, pool }) => ({ service: worker.service, pool }));
-    const planned = policy.planFleet({
+    const result = policy.planFleet({
       now: events.now(),
-      services: demand.map(demandOf),
-      pools: poolsNow(),
+      services: demand.map(toServiceDemand),
+      pools: currentPools(),
       zones: deployment.zones,
       launching,
       memory,
       weightStoreRate: header.weightStore,
     });
-    memory = planned.memory;
-    return planned;
+    memory = result.memory;
+    return result;
   };
-  const add = (service: string, pool: Pool): Machine => {
+  const addMachine = (service: string, pool: Pool): Machine => {
     const machineClass = deployment.machineClasses[pool.machineClass];
     if (machineClass === undefined) throw new Error(`No machine class ${pool.machineClass}.`);
     const id = `${service}-${machines.size}`;
     const machine = createMachine({ id, service, pool, machineClass, now: events.now() });
     machines.set(id, machine);
     counts.launched++;
-    counts.peak = Math.max(counts.peak, standing().length);
+    counts.peak = Math.max(counts.peak, activeMachines().length);
     return machine;
   };
-  const goLive = (machine: Machine): void => {
+  const markLive = (machine: Machine): void => {
     if (machine.worker.state !== WorkerState.Starting) return;
-    setState(machine, WorkerState.Live);
-    onChange(machine);
+    setWorkerState(machine, WorkerState.Live);
+    onWorkerChanged(machine);
   };
   const launch = (service: string, pool: Pool): void => {
     const key = poolKey(pool);
     if (isRefused(trace.faults, pool, events.now())) {
       counts.refused++;
-      const inRow = (refusals.get(key)?.inRow ?? 0) + 1;
-      events.add(events.now() + REFUSAL_TIME, () => refusals.set(key, { at: events.now(), inRow }));
+      const consecutive = (refusals.get(key)?.consecutive ?? 0) + 1;
+      events.add(events.now() + REFUSAL_DELAY, () =>
+        refusals.set(key, { lastAt: events.now(), consecutive }),
+      );
       return;
     }
-    refusals.set(key, { inRow: 0 });
-    const machine = add(service, pool);
+    refusals.set(key, { consecutive: 0 });
+    const machine = addMachine(service, pool);
     const startUp = deployment.machineClasses[pool.machineClass]?.startUp ?? 0;
     // All loads share the weight store's rate, so one waits for those before it.
-    const loadsAt = Math.max(events.now() + startUp, weightStoreFreeAt);
-    weightStoreFreeAt = loadsAt + loadTime(service);
-    events.add(weightStoreFreeAt, () => goLive(machine));
+    const loadStartsAt = Math.max(events.now() + startUp, weightStoreIdleAt);
+    weightStoreIdleAt = loadStartsAt + weightLoadTime(service);
+    events.add(weightStoreIdleAt, () => markLive(machine));
   };
-  const stop = (machine: Machine): void => {
+  const stopMachine = (machine: Machine): void => {
     if (machine.worker.state === WorkerState.Gone) return;
-    setState(machine, WorkerState.Gone);
+    setWorkerState(machine, WorkerState.Gone);
     machine.stoppedAt = events.now();
-    options.onGone(machine);
+    options.onWorkerStopped(machine);
   };
-  const stopOnceEmpty = (machine: Machine): void => {
+  const stopWhenIdle = (machine: Machine): void => {
     if (machine.worker.state === WorkerState.Gone) return;
     const { running, waiting } = machine.engine.load();
-    if (running + waiting === 0) stop(machine);
-    else events.add(events.now() + EMPTY_CHECK, () => stopOnceEmpty(machine));
+    if (running + waiting === 0) stopMachine(machine);
+    else events.add(events.now() + IDLE_CHECK_INTERVAL, () => stopWhenIdle(machine));
   };
-  const retire = (id: string): void => {
+  const retireWorker = (id: string): void => {
     const machine = machines.get(id);
     if (machine?.worker.state !== WorkerState.Live) return;
     counts.retired++;
-    setState(machine, WorkerState.Leaving);
-    onChange(machine);
+    setWorkerState(machine, WorkerState.Leaving);
+    onWorkerChanged(machine);
     // What was sent before the others heard of it is still on its way.
-    events.add(events.now() + EMPTY_CHECK, () => stopOnceEmpty(machine));
+    events.add(events.now() + IDLE_CHECK_INTERVAL, () => stopWhenIdle(machine));
   };
-  const tick = (): void => {
-    if (closed) return;
-    const { launches, retire: retired } = plan(options.demand());
+  const runPlanRound = (): void => {
+    if (isClosed) return;
+    const { launches, retire: retiredIds } = planFleet(options.getDemand());
     for (const { service, pool } of launches) launch(service, pool);
-    for (const id of retired) retire(id);
-    events.add(events.now() + PLAN_INTERVAL, tick);
+    for (const id of retiredIds) retireWorker(id);
+    events.add(events.now() + PLAN_INTERVAL, runPlanRound);
   };
-  const reclaim = (machine: Machine, within: number): void => {
+  const reclaimMachine = (machine: Machine, within: number): void => {
     if (machine.worker.state === WorkerState.Gone) return;
     counts.reclaimed++;
-    setState(machine, WorkerState.Leaving, events.now() + within);
-    onChange(machine);
-    events.add(events.now() + within, () => stop(machine));
+    setWorkerState(machine, WorkerState.Leaving, events.now() + within);
+    onWorkerChanged(machine);
+    events.add(events.now() + within, () => stopMachine(machine));
   };
 
   return {
     machines,
     counts,
     workers: () =>
-      standing()
+      activeMachines()
         .map(({ worker }) => worker)
         .filter(({ state }) => state !== WorkerState.Starting),
     start: () => {
-      const demand = warmDemand(trace);
-      for (let round = 0; round < WARM_PLANS; round++) {
-        for (const { service, pool } of plan(demand).launches) goLive(add(service, pool));
+      const demand = warmUpDemand(trace);
+      for (let round = 0; round < WARM_UP_PLANS; round++) {
+        for (const { service, pool } of planFleet(demand).launches)
+          markLive(addMachine(service, pool));
       }
-      events.add(PLAN_INTERVAL, tick);
+      events.add(PLAN_INTERVAL, runPlanRound);
     },
-    fault: (fault) => {
+    applyFault: (fault) => {
       switch (fault.kind) {
         case "reclaim":
-          for (const machine of reclaimedBy(fault, standing())) reclaim(machine, fault.within);
+          for (const machine of machinesToReclaim(fault, activeMachines()))
+            reclaimMachine(machine, fault.within);
           break;
         case "slow": {
-          const [machine] = nthLive(standing(), fault.service, fault.index);
-          machine?.engine.slow(fault.factor);
-          events.add(fault.until, () => machine?.engine.slow(1));
+          const [machine] = nthLiveMachine(activeMachines(), fault.service, fault.index);
+          machine?.engine.setSlowdown(fault.factor);
+          events.add(fault.until, () => machine?.engine.setSlowdown(1));
           break;
         }
         case "preset":
@@ -239,13 +245,13 @@
       }
     },
     close: () => {
-      closed = true;
+      isClosed = true;
     },
-    costs: () => {
+    costByService: () => {
       const costs = new Map<string, number>();
       for (const machine of machines.values()) {
         const { service } = machine.worker;
-        costs.set(service, (costs.get(service) ?? 0) + costOf(machine, events.now()));
+        costs.set(service, (costs.get(service) ?? 0) + machineCost(machine, events.now()));
       }
       return costs;
     },
@@ -261,7 +267,7 @@
 }
 
 /** Bytes that a worker of the service loads before it takes work. */
-function weightsOf(service: Service | undefined): number {
+function weightBytesOf(service: Service | undefined): number {
   return service?.kind === "model" ? (service.models[0]?.weights ?? 0) : 0;
 }
 
@@ -277,11 +283,11 @@
   );
 }
 
-function reclaimedBy(
+function machinesToReclaim(
   fault: Extract<TraceFault, { kind: "reclaim" }>,
   machines: readonly Machine[],
 ): Machine[] {
-  if (fault.service !== undefined) return nthLive(machines, fault.service, fault.index ?? 0);
+  if (fault.service !== undefined) return nthLiveMachine(machines, fault.service, fault.index ?? 0);
   return machines.filter(
     ({ worker }) =>
       worker.purchase === Purchase.Reclaimable &&
@@ -290,7 +296,7 @@
   );
 }
 
-function nthLive(machines: readonly Machine[], service: string, index: number): Machine[] {
+function nthLiveMachine(machines: readonly Machine[], service: string, index: number): Machine[] {
   const live = machines.filter(
     ({ worker }) => worker.service === service && worker.state === WorkerState.Live,
   );
@@ -299,16 +305,21 @@
 }
 
 /** What arrives in the first minutes: a recording begins with a fleet that was there for it. */
-function warmDemand({ header, arrivals }: Trace): ServiceSnapshot[] {
+function warmUpDemand({ header, arrivals }: Trace): ServiceSnapshot[] {
   return Object.keys(header.deployment.services).map((service) => {
-    const early = arrivals.filter((arrival) => arrival.s === service && arrival.t < WARM_UP);
+    const earlyArrivals = arrivals.filter(
+      (arrival) => arrival.s === service && arrival.t < WARM_UP_TIME,
+    );
     // Prompt tokens count as far as they take a machine's time from answers, as the decisions count them.
     const [machine] = Object.values(header.deployment.machineClasses);
-    const perPrompt =
+    const answerTokensPerPromptToken =
       machine === undefined ? 1 : machine.tokensPerSecond / machine.prefillPerSecond;
-    const work = early.reduce((sum, arrival) => sum + arrival.p * perPrompt + arrival.n, 0);
-    const arriving = (work * 1_000) / Math.min(WARM_UP, header.duration);
-    const none = { waitingJobs: 0, waitingWork: 0, runningJobs: 0, draining: 0 };
-    return { service, ...none, arriving, arrivedBefore: arriving };
+    const work = earlyArrivals.reduce(
+      (sum, arrival) => sum + arrival.p * answerTokensPerPromptToken + arrival.n,
+      0,
+    );
+    const arriving = (work * 1_000) / Math.min(WARM_UP_TIME, header.duration);
+    const noJobs = { waitingJobs: 0, waitingWork: 0, runningJobs: 0, draining: 0 };
+    return { service, ...noJobs, arriving, arrivedBefore: arriving };
   });
 }
--- a/src/standin/replay/lower_bound.ts
+++ b/src/standin/replay/lower_bound.ts
@@ -10,7 +10,7 @@
   readonly total: number;
 }
 
-const HOUR = 3_600_000;
+const MILLISECONDS_PER_HOUR = 3_600_000;
 
 /**
  * Works out a lower bound on the cost of a trace.
@@ -22,8 +22,8 @@
 export function lowerBoundOf(trace: Trace): LowerBound {
   const services = Object.keys(trace.header.deployment.services);
   const bounds = services.map((service) => ({
-    work: workBound(trace, service),
-    least: leastBound(trace, service),
+    work: workCost(trace, service),
+    least: minWorkersCost(trace, service),
   }));
   const sum = (values: readonly number[]): number => values.reduce((a, b) => a + b, 0);
   return {
@@ -33,53 +33,53 @@
   };
 }
 
-function workBound(trace: Trace, service: string): number {
+function workCost(trace: Trace, service: string): number {
   const { header, arrivals } = trace;
   const longestPrefix = new Map<string, number>();
-  let answer = 0;
-  let prompt = 0;
+  let answerTokens = 0;
+  let promptTokens = 0;
   for (const { s, n, m, p, x, xt } of arrivals) {
     if (s !== service) continue;
-    answer += Math.min(n, m ?? n);
-    const shared = x === undefined ? 0 : Math.min(p, xt ?? p);
-    prompt += p - shared;
-    if (x !== undefined) longestPrefix.set(x, Math.max(shared, longestPrefix.get(x) ?? 0));
+    answerTokens += Math.min(n, m ?? n);
+    const sharedTokens = x === undefined ? 0 : Math.min(p, xt ?? p);
+    promptTokens += p - sharedTokens;
+    if (x !== undefined) longestPrefix.set(x, Math.max(sharedTokens, longestPrefix.get(x) ?? 0));
   }
-  for (const shared of longestPrefix.values()) prompt += shared;
+  for (const sharedTokens of longestPrefix.values()) promptTokens += sharedTokens;
   const { machineClasses } = header.deployment;
-  const reclaimable = mostReclaimable(trace, service);
-  const costs = Object.entries(machineClasses).map(([name, speeds]) => {
-    const time = answer / speeds.tokensPerSecond + prompt / speeds.prefillPerSecond;
-    return ((time * 1_000) / HOUR) * priceOf(trace, name, reclaimable);
+  const reclaimable = maxReclaimableShare(trace, service);
+  const costs = Object.entries(machineClasses).map(([name, capacity]) => {
+    const time = answerTokens / capacity.tokensPerSecond + promptTokens / capacity.prefillPerSecond;
+    return ((time * 1_000) / MILLISECONDS_PER_HOUR) * minPricePerHour(trace, name, reclaimable);
   });
   return Math.min(...costs);
 }
 
-function leastBound(trace: Trace, service: string): number {
+function minWorkersCost(trace: Trace, service: string): number {
   const { header, faults } = trace;
-  const switches = faults.filter((fault) => fault.kind === "preset");
-  const spans = [{ t: 0, preset: header.preset }, ...switches];
-  return spans.reduce((cost, { t, preset }, index) => {
-    const until = spans[index + 1]?.t ?? header.duration;
+  const presetFaults = faults.filter((fault) => fault.kind === "preset");
+  const phases = [{ t: 0, preset: header.preset }, ...presetFaults];
+  return phases.reduce((cost, { t, preset }, index) => {
+    const until = phases[index + 1]?.t ?? header.duration;
     const bounds = header.deployment.presets[preset]?.services[service];
     const workers = bounds?.least ?? 0;
     const names = Object.keys(header.deployment.machineClasses);
-    const prices = names.map((name) => priceOf(trace, name, bounds?.reclaimable ?? 1));
-    return cost + workers * ((until - t) / HOUR) * Math.min(...prices);
+    const prices = names.map((name) => minPricePerHour(trace, name, bounds?.reclaimable ?? 1));
+    return cost + workers * ((until - t) / MILLISECONDS_PER_HOUR) * Math.min(...prices);
   }, 0);
 }
 
-function mostReclaimable({ header, faults }: Trace, service: string): number {
-  const switches = faults.flatMap((fault) => (fault.kind === "preset" ? [fault.preset] : []));
-  const presets = [header.preset, ...switches];
+function maxReclaimableShare({ header, faults }: Trace, service: string): number {
+  const switchedTo = faults.flatMap((fault) => (fault.kind === "preset" ? [fault.preset] : []));
+  const presets = [header.preset, ...switchedTo];
   return Math.max(
     ...presets.map((name) => header.deployment.presets[name]?.services[service]?.reclaimable ?? 1),
   );
 }
 
-function priceOf({ header }: Trace, machineClass: string, reclaimable: number): number {
+function minPricePerHour({ header }: Trace, machineClass: string, reclaimable: number): number {
   const offers = header.deployment.offers.filter((offer) => offer.machineClass === machineClass);
-  const cheapest = Math.min(...offers.map((offer) => offer.reclaimable));
-  const dearest = Math.min(...offers.map((offer) => offer.onDemand));
-  return reclaimable * cheapest + (1 - reclaimable) * dearest;
+  const minReclaimable = Math.min(...offers.map((offer) => offer.reclaimable));
+  const minOnDemand = Math.min(...offers.map((offer) => offer.onDemand));
+  return reclaimable * minReclaimable + (1 - reclaimable) * minOnDemand;
 }
--- a/src/standin/replay/machine.ts
+++ b/src/standin/replay/machine.ts
@@ -16,9 +16,9 @@
   /** When it stopped costing. */
   stoppedAt: number | undefined;
   /** When it has sent all KV cache that it was told to. */
-  transferFreeAt: number;
+  transferIdleAt: number;
   /** Whether an event stands for the end of its engine's step. */
-  armed: boolean;
+  isStepScheduled: boolean;
 }
 
 /** What a machine is made with. */
@@ -48,24 +48,24 @@
       state: WorkerState.Starting,
     },
     stoppedAt: undefined,
-    transferFreeAt: 0,
-    armed: false,
+    transferIdleAt: 0,
+    isStepScheduled: false,
   };
 }
 
 /** Gives a machine another state. */
-export function setState(machine: Machine, state: WorkerState, reclaimAt?: number): void {
+export function setWorkerState(machine: Machine, state: WorkerState, reclaimAt?: number): void {
   machine.worker =
     reclaimAt === undefined
       ? { ...machine.worker, state }
       : { ...machine.worker, state, reclaimAt };
 }
 
-const HOUR = 3_600_000;
+const MILLISECONDS_PER_HOUR = 3_600_000;
 
 /** What a machine has cost until now, in euros. */
-export function costOf({ launchedAt, stoppedAt, pool }: Machine, now: number): number {
-  return ((Math.min(now, stoppedAt ?? now) - launchedAt) / HOUR) * pool.price;
+export function machineCost({ launchedAt, stoppedAt, pool }: Machine, now: number): number {
+  return ((Math.min(now, stoppedAt ?? now) - launchedAt) / MILLISECONDS_PER_HOUR) * pool.price;
 }
 
 /**
@@ -73,18 +73,18 @@
  *
  * @param handle Called with what happened at each step's end.
  */
-export function arm(
+export function scheduleNextStep(
   machine: Machine,
   events: EventQueue,
   handle: (events: readonly EngineModelEvent[]) => void,
 ): void {
   const next = machine.engine.nextEventAt();
-  if (machine.armed || next === undefined) return;
-  machine.armed = true;
+  if (machine.isStepScheduled || next === undefined) return;
+  machine.isStepScheduled = true;
   events.add(next, () => {
-    machine.armed = false;
+    machine.isStepScheduled = false;
     if (machine.worker.state === WorkerState.Gone) return;
     handle(machine.engine.advanceTo(events.now()));
-    arm(machine, events, handle);
+    scheduleNextStep(machine, events, handle);
   });
 }
--- a/src/standin/replay/measurements.ts
+++ b/src/standin/replay/measurements.ts
@@ -4,13 +4,13 @@
 import type { Target } from "../../version/index.ts";
 
 /** Times that came, and how many of them were within their target. */
-export interface Times {
+export interface LatencyMeasurement {
   add(milliseconds: number): void;
   count(): number;
   /** The value that the given percentage is at or under, in milliseconds; 0 where none came. */
   percentile(percent: number): number;
   /** Part of them that was within the target; 1 where none came. */
-  within(): number;
+  shareWithinTarget(): number;
 }
 
 /** What is measured of the requests of one service and lane. */
@@ -23,10 +23,10 @@
   /** Of the lost, those whose deadline passed. */
   late: number;
   /** Tokens of answers that ended within the trace and whose first token was within the target. */
-  timelyTokens: number;
+  goodputTokens: number;
   readonly refused: Map<Refusal, number>;
-  readonly firstToken: Times;
-  readonly betweenTokens: Times;
+  readonly firstToken: LatencyMeasurement;
+  readonly betweenTokens: LatencyMeasurement;
   /** Times to the first token since the last sample of a plot, in milliseconds. */
   recentFirstTokens: number[];
 }
@@ -43,25 +43,27 @@
 }
 
 /** Times are kept in tenths of a millisecond. */
-const SCALE = 10;
-const LONGEST = 36_000_000;
+const UNITS_PER_MILLISECOND = 10;
+const MAX_VALUE = 36_000_000;
 
-function createTimes(target: number): Times {
+function createLatencyMeasurement(target: number): LatencyMeasurement {
   const histogram: Histogram = build({
     lowestDiscernibleValue: 1,
-    highestTrackableValue: LONGEST,
+    highestTrackableValue: MAX_VALUE,
     numberOfSignificantValueDigits: 3,
   });
-  let timely = 0;
+  let withinTarget = 0;
   return {
     add: (milliseconds) => {
-      histogram.recordValue(Math.min(LONGEST, Math.round(milliseconds * SCALE)));
-      if (milliseconds <= target) timely++;
+      histogram.recordValue(Math.min(MAX_VALUE, Math.round(milliseconds * UNITS_PER_MILLISECOND)));
+      if (milliseconds <= target) withinTarget++;
     },
     count: () => histogram.totalCount,
     percentile: (percent) =>
-      histogram.totalCount === 0 ? 0 : histogram.getValueAtPercentile(percent) / SCALE,
-    within: () => (histogram.totalCount === 0 ? 1 : timely / histogram.totalCount),
+      histogram.totalCount === 0
+        ? 0
+        : histogram.getValueAtPercentile(percent) / UNITS_PER_MILLISECOND,
+    shareWithinTarget: () => (histogram.totalCount === 0 ? 1 : withinTarget / histogram.totalCount),
   };
 }
 
@@ -75,16 +77,16 @@
     recomputed,
     retried,
     group: (name, target) => {
-      const known = groups.get(name);
-      if (known !== undefined) return known;
-      const made = createGroup(target);
-      groups.set(name, made);
-      return made;
+      const existing = groups.get(name);
+      if (existing !== undefined) return existing;
+      const created = createGroup(target);
+      groups.set(name, created);
+      return created;
     },
     addRecomputed: (cause, tokens) => {
-      if (tokens > 0) addTo(recomputed, cause, tokens);
+      if (tokens > 0) addToCount(recomputed, cause, tokens);
     },
-    addRetried: (cause) => addTo(retried, cause, 1),
+    addRetried: (cause) => addToCount(retried, cause, 1),
   };
 }
 
@@ -94,15 +96,15 @@
     answered: 0,
     lost: 0,
     late: 0,
-    timelyTokens: 0,
+    goodputTokens: 0,
     refused: new Map(),
-    firstToken: createTimes(target.firstToken),
-    betweenTokens: createTimes(target.betweenTokens),
+    firstToken: createLatencyMeasurement(target.firstToken),
+    betweenTokens: createLatencyMeasurement(target.betweenTokens),
     recentFirstTokens: [],
   };
 }
 
 /** Adds to a count by key. */
-export function addTo<Key>(counts: Map<Key, number>, key: Key, amount: number): void {
+export function addToCount<Key>(counts: Map<Key, number>, key: Key, amount: number): void {
   counts.set(key, (counts.get(key) ?? 0) + amount);
 }
--- a/src/standin/replay/outcomes.ts
+++ b/src/standin/replay/outcome_checks.ts
@@ -1,19 +1,19 @@
-import type { Check, Report } from "./report_shape.ts";
-import type { Outcomes } from "./trace.ts";
+import type { OutcomeCheck, Report } from "./report_types.ts";
+import type { ExpectedOutcomes } from "./trace.ts";
 
 /** Compares what a replay found with what its trace states. */
 export function checkOutcomes(
-  stated: Outcomes,
-  found: Pick<Report, "groups" | "recomputedTotal" | "cost" | "goodput">,
-): Check[] {
-  const groups = Object.values(found.groups);
+  stated: ExpectedOutcomes,
+  results: Pick<Report, "groups" | "recomputedTotal" | "cost" | "goodput">,
+): OutcomeCheck[] {
+  const groups = Object.values(results.groups);
   const checks = [
     atMost("lost", stated.lost, sumOf(groups.map((group) => group.lost))),
-    atMost("recomputed", stated.recomputed, found.recomputedTotal),
-    atMost("cost", stated.cost, found.cost),
-    atLeast("goodput", stated.goodput, found.goodput),
+    atMost("recomputed", stated.recomputed, results.recomputedTotal),
+    atMost("cost", stated.cost, results.cost),
+    atLeast("goodput", stated.goodput, results.goodput),
     ...Object.entries(stated.services).flatMap(([name, outcome]) => {
-      const group = found.groups[name];
+      const group = results.groups[name];
       const answered = (group?.answered ?? 0) / Math.max(1, group?.arrived ?? 0);
       return [
         atLeast(`${name} firstToken`, outcome.firstToken, group?.firstToken.within ?? 0),
@@ -26,12 +26,16 @@
   return checks.filter((check) => check !== undefined);
 }
 
-function atMost(name: string, stated: number | undefined, found: number): Check | undefined {
+function atMost(name: string, stated: number | undefined, found: number): OutcomeCheck | undefined {
   if (stated === undefined) return undefined;
   return { name, bound: "at most", stated, found, holds: found <= stated };
 }
 
-function atLeast(name: string, stated: number | undefined, found: number): Check | undefined {
+function atLeast(
+  name: string,
+  stated: number | undefined,
+  found: number,
+): OutcomeCheck | undefined {
   if (stated === undefined) return undefined;
   return { name, bound: "at least", stated, found, holds: found >= stated };
 }
--- a/src/standin/replay/plot.ts
+++ b/src/standin/replay/plot.ts
@@ -5,16 +5,16 @@
 const PANEL_HEIGHT = 160;
 const MARGIN = 60;
 const GAP = 50;
-const COLOURS = ["#1b6ca8", "#c0392b", "#2e8b57", "#8e44ad", "#b8860b"];
+const COLORS = ["#1b6ca8", "#c0392b", "#2e8b57", "#8e44ad", "#b8860b"];
 
-interface Line {
+interface PlotLine {
   readonly name: string;
   readonly values: readonly number[];
 }
 
-interface Panel {
+interface PlotPanel {
   readonly title: string;
-  readonly lines: readonly Line[];
+  readonly lines: readonly PlotLine[];
 }
 
 /**
@@ -24,7 +24,7 @@
  */
 export function plotReplay(trace: Trace, samples: readonly Sample[]): string {
   const groups = [...new Set(samples.flatMap(({ firstToken }) => Object.keys(firstToken)))].sort();
-  const panels: Panel[] = [
+  const panels: PlotPanel[] = [
     {
       title: "time to the first token, 95th percentile, ms",
       lines: groups.map((name) => ({
@@ -44,7 +44,7 @@
   const end = Math.max(1, samples.at(-1)?.at ?? 1);
   const toX = (at: number): number => MARGIN + (at / end) * (WIDTH - 2 * MARGIN);
   const times = samples.map(({ at }) => toX(at));
-  const drawn = panels.map((panel, index) => {
+  const drawnPanels = panels.map((panel, index) => {
     const top = MARGIN + index * (PANEL_HEIGHT + GAP);
     return [
       ...drawPanel(panel, { top, times }),
@@ -55,49 +55,49 @@
   return [
     `<svg xmlns="http://www.w3.org/2000/svg" width="${WIDTH}" height="${height}" font-family="sans-serif" font-size="12">`,
     `<rect width="100%" height="100%" fill="white"/>`,
-    text(MARGIN, MARGIN / 2, trace.header.name),
-    ...drawn,
+    formatText(MARGIN, MARGIN / 2, trace.header.name),
+    ...drawnPanels,
     "</svg>\n",
   ].join("\n");
 }
 
 function drawPanel(
-  { title, lines }: Panel,
+  { title, lines }: PlotPanel,
   { top, times }: { top: number; times: readonly number[] },
 ): string[] {
-  const most = Math.max(1e-9, ...lines.flatMap(({ values }) => values));
+  const max = Math.max(1e-9, ...lines.flatMap(({ values }) => values));
   const bottom = top + PANEL_HEIGHT;
-  const toY = (value: number): number => bottom - (value / most) * PANEL_HEIGHT;
+  const toY = (value: number): number => bottom - (value / max) * PANEL_HEIGHT;
   const right = WIDTH - MARGIN;
   return [
     `<path d="M${MARGIN} ${top}V${bottom}H${right}" fill="none" stroke="#888"/>`,
-    text(MARGIN, top - 6, `${title} (at most ${shortened(most)})`),
+    formatText(MARGIN, top - 6, `${title} (at most ${formatNumber(max)})`),
     ...lines.flatMap(({ name, values }, index) => {
-      const colour = COLOURS[index % COLOURS.length] ?? "black";
+      const colour = COLORS[index % COLORS.length] ?? "black";
       const points = values.map(
-        (value, at) => `${shortened(times[at] ?? 0)},${shortened(toY(value))}`,
+        (value, at) => `${formatNumber(times[at] ?? 0)},${formatNumber(toY(value))}`,
       );
       return [
         `<polyline points="${points.join(" ")}" fill="none" stroke="${colour}"/>`,
-        text(MARGIN + 380 + index * 150, top - 6, name, colour),
+        formatText(MARGIN + 380 + index * 150, top - 6, name, colour),
       ];
     }),
   ];
 }
 
 function drawFault(x: number, { top, kind }: { top: number; kind: string }): string {
-  const at = shortened(x);
+  const at = formatNumber(x);
   return [
     `<path d="M${at} ${top}v${PANEL_HEIGHT}" stroke="#c00" stroke-dasharray="3 3"/>`,
-    text(Number(at) + 3, top + 12, kind, "#c00"),
+    formatText(Number(at) + 3, top + 12, kind, "#c00"),
   ].join("");
 }
 
-function text(x: number, y: number, content: string, colour = "black"): string {
+function formatText(x: number, y: number, content: string, colour = "black"): string {
   const escaped = content.replaceAll("&", "&amp;").replaceAll("<", "&lt;");
   return `<text x="${x}" y="${y}" fill="${colour}">${escaped}</text>`;
 }
 
-function shortened(value: number): string {
+function formatNumber(value: number): string {
   return String(Math.round(value * 100) / 100);
 }
--- a/src/standin/replay/policy.ts
+++ b/src/standin/replay/policy.ts
@@ -25,7 +25,7 @@
   readonly triage: (requests: readonly Endangered[], view: TriageView) => Triage[];
   readonly planFleet: (view: FleetView) => FleetPlan;
   /** Whether a request goes on from the tokens that its caller has. */
-  readonly resumes: boolean;
+  readonly canResume: boolean;
 }
 
 const CURRENT: ReplayPolicy = {
@@ -33,7 +33,7 @@
   createScheduler,
   triage,
   planFleet,
-  resumes: true,
+  canResume: true,
 };
 
 /** The policy of a name. */
@@ -48,7 +48,7 @@
     case PolicyName.OnDemandOnly:
       return { ...CURRENT, name, planFleet: planOnDemand };
     case PolicyName.RestartOnReclaim:
-      return { ...CURRENT, name, triage: stayAll, resumes: false };
+      return { ...CURRENT, name, triage: stayAll, canResume: false };
   }
 }
 
--- a/src/standin/replay/replay.ts
+++ b/src/standin/replay/replay.ts
@@ -2,20 +2,20 @@
 import { createSeededRandom, RetryCause } from "../../interface/index.ts";
 import type { LoadReport } from "../../interface/index.ts";
 import type { EngineModelEvent } from "../engine_model.ts";
-import { createEntry } from "./entry.ts";
-import type { Entry, EntryOptions } from "./entry.ts";
+import { createEntryInstance } from "./entry_instance.ts";
+import type { EntryInstance, EntryInstanceOptions } from "./entry_instance.ts";
 import { createEventQueue } from "./event_queue.ts";
 import { createFleetControl } from "./fleet_control.ts";
 import type { FleetControl } from "./fleet_control.ts";
-import { arm } from "./machine.ts";
+import { scheduleNextStep } from "./machine.ts";
 import type { Machine } from "./machine.ts";
 import { createMeasurements } from "./measurements.ts";
 import type { ReplayPolicy } from "./policy.ts";
 import { takeSamples } from "./sample.ts";
 import type { Sample } from "./sample.ts";
-import { saveRequests } from "./reclaim.ts";
+import { evacuateWorker } from "./worker_evacuation.ts";
 import { buildReport } from "./report.ts";
-import type { Report } from "./report_shape.ts";
+import type { Report } from "./report_types.ts";
 import type { Run } from "./tracked_request.ts";
 import type { Trace } from "./trace.ts";
 
@@ -31,14 +31,14 @@
 const ENTRY_INSTANCES = 3;
 /** How often each worker is asked for its load, and how much later the answer is known. */
 const REPORT_INTERVAL = 1_000;
-const REPORT_LAG = 1_000;
+const REPORT_DELAY = 1_000;
 /** How late cache events come, and how many are missing. */
-const CACHE_EVENT_LAG = 2_000;
-const CACHE_EVENT_GAPS = 0.1;
+const CACHE_EVENT_DELAY = 2_000;
+const CACHE_EVENT_LOSS_RATE = 0.1;
 /** How long a change of a worker's state takes to reach every entry instance. */
-const SPREAD_TIME = 500;
+const STATE_PROPAGATION_DELAY = 500;
 /** How long after the trace's end requests may take to end. */
-const LONGEST_TAIL = 3_600_000;
+const MAX_DRAIN_TIME = 3_600_000;
 
 /**
  * Plays a trace through the decisions on a virtual clock.
@@ -49,101 +49,107 @@
   const events = createEventQueue();
   const random = createSeededRandom(seed);
   const measurements = createMeasurements();
-  const entries: Entry[] = [];
-  const wake = (machine: Machine): void => {
-    arm(machine, events, (happened) => handle(machine, happened));
+  const entries: EntryInstance[] = [];
+  const onWorkSubmitted = (machine: Machine): void => {
+    scheduleNextStep(machine, events, (engineEvents) => handleEngineEvents(machine, engineEvents));
   };
-  const handle = (machine: Machine, happened: readonly EngineModelEvent[]): void => {
-    for (const event of happened) {
-      if ("blocks" in event) spreadCacheEvent(machine, event);
-      else toEntry(event.id, event);
+  const handleEngineEvents = (
+    machine: Machine,
+    engineEvents: readonly EngineModelEvent[],
+  ): void => {
+    for (const event of engineEvents) {
+      if ("blocks" in event) publishCacheEvent(machine, event);
+      else forwardToEntry(event.id, event);
     }
   };
-  const toEntry = (id: string, event: EngineModelEvent): void => {
+  const forwardToEntry = (id: string, event: EngineModelEvent): void => {
     for (const entry of entries) {
       const run = entry.runs.get(id);
-      if (run !== undefined) entry.engineEvent(run, event);
+      if (run !== undefined) entry.handleEngineEvent(run, event);
     }
   };
-  const spreadCacheEvent = (
+  const publishCacheEvent = (
     { worker }: Machine,
     event: Extract<EngineModelEvent, { blocks: readonly string[] }>,
   ): void => {
-    if (random.next() < CACHE_EVENT_GAPS) return;
+    if (random.next() < CACHE_EVENT_LOSS_RATE) return;
     const { kind, blocks } = event;
-    events.add(event.at + CACHE_EVENT_LAG, () => {
-      const told = { worker: worker.id, kind, blocks };
-      for (const { scheduler } of entries) scheduler.cacheEvent(told, events.now());
+    events.add(event.at + CACHE_EVENT_DELAY, () => {
+      const cacheEvent = { worker: worker.id, kind, blocks };
+      for (const { scheduler } of entries) scheduler.cacheEvent(cacheEvent, events.now());
     });
   };
-  const spreadWorkers = (machine: Machine): void => {
-    events.add(events.now() + SPREAD_TIME, () => {
-      tellWorkers(fleet, { entries, now: events.now() });
-      for (const entry of entries) saveRequests(machine, entry, options);
-      for (const entry of entries) entry.drain();
+  const publishWorkers = (machine: Machine): void => {
+    events.add(events.now() + STATE_PROPAGATION_DELAY, () => {
+      updateWorkers(fleet, { entries, now: events.now() });
+      for (const entry of entries) evacuateWorker(machine, entry, options);
+      for (const entry of entries) entry.dispatchWaiting();
     });
   };
   const fleet = createFleetControl({
     trace,
     policy,
     events,
-    demand: () => demandOf(entries, { trace, now: events.now() }),
-    inProgress: () => inProgressOf(entries),
-    onChange: spreadWorkers,
-    onGone: (machine) => {
-      failRuns(machine, entries);
-      spreadWorkers(machine);
+    getDemand: () => totalDemand(entries, { trace, now: events.now() }),
+    getWorkInProgress: () => workInProgressByWorker(entries),
+    onWorkerChanged: publishWorkers,
+    onWorkerStopped: (machine) => {
+      failRunsOn(machine, entries);
+      publishWorkers(machine);
     },
   });
-  const options: EntryOptions = {
+  const options: EntryInstanceOptions = {
     trace,
     policy,
     events,
     random,
     measurements,
     machines: fleet.machines,
-    wake,
-    instances: ENTRY_INSTANCES,
+    onWorkSubmitted,
+    instanceCount: ENTRY_INSTANCES,
   };
-  for (let index = 0; index < ENTRY_INSTANCES; index++) entries.push(createEntry(options));
-  const unfinished = (): boolean =>
-    events.now() < trace.header.duration || entries.some((entry) => entry.inProgress() > 0);
+  for (let index = 0; index < ENTRY_INSTANCES; index++) entries.push(createEntryInstance(options));
+  const isUnfinished = (): boolean =>
+    events.now() < trace.header.duration || entries.some((entry) => entry.requestsInProgress() > 0);
 
   fleet.start();
-  tellWorkers(fleet, { entries, now: 0 });
-  reportLoads(fleet, { entries, events });
+  updateWorkers(fleet, { entries, now: 0 });
+  scheduleLoadReports(fleet, { entries, events });
   trace.arrivals.forEach((arrival, index) => {
-    const taker = entries[Math.floor(random.next() * entries.length)];
-    events.add(arrival.t, () => taker?.arrive(arrival, `r${index}`));
+    const entry = entries[Math.floor(random.next() * entries.length)];
+    events.add(arrival.t, () => entry?.handleArrival(arrival, `r${index}`));
   });
   if (sample !== undefined) takeSamples({ fleet, measurements, events, sample });
-  for (const fault of trace.faults) events.add(fault.t, () => fleet.fault(fault));
-  const longest = trace.header.duration + LONGEST_TAIL;
-  while (unfinished() && events.now() < longest && events.runNext());
+  for (const fault of trace.faults) events.add(fault.t, () => fleet.applyFault(fault));
+  const latestEnd = trace.header.duration + MAX_DRAIN_TIME;
+  while (isUnfinished() && events.now() < latestEnd && events.runNext());
   fleet.close();
   return buildReport({ trace, policy: policy.name, seed, measurements, fleet, now: events.now() });
 }
 
-function tellWorkers(
+function updateWorkers(
   fleet: FleetControl,
-  { entries, now }: { entries: readonly Entry[]; now: number },
+  { entries, now }: { entries: readonly EntryInstance[]; now: number },
 ): void {
   const workers = fleet.workers();
   for (const { scheduler } of entries) scheduler.setWorkers(workers, now);
 }
 
-function failRuns({ worker }: Machine, entries: readonly Entry[]): void {
+function failRunsOn({ worker }: Machine, entries: readonly EntryInstance[]): void {
   for (const entry of entries) {
     const runs: Run[] = [...entry.runs.values()].filter((run) => run.worker === worker.id);
     const cause =
       worker.reclaimAt === undefined ? RetryCause.WorkerLost : RetryCause.WorkerReclaimed;
-    for (const run of runs) entry.fail(run, cause);
+    for (const run of runs) entry.failRun(run, cause);
   }
 }
 
-function reportLoads(
+function scheduleLoadReports(
   fleet: FleetControl,
-  { entries, events }: { entries: readonly Entry[]; events: EntryOptions["events"] },
+  {
+    entries,
+    events,
+  }: { entries: readonly EntryInstance[]; events: EntryInstanceOptions["events"] },
 ): void {
   const takenAt = events.now();
   const reports: LoadReport[] = fleet.workers().map((worker) => ({
@@ -152,33 +158,35 @@
     ...(fleet.machines.get(worker.id)?.engine.load() ?? NO_LOAD),
     loaded: [],
   }));
-  events.add(takenAt + REPORT_LAG, () => {
+  events.add(takenAt + REPORT_DELAY, () => {
     for (const entry of entries) {
       for (const report of reports) entry.scheduler.report(report, events.now());
-      entry.drain();
+      entry.dispatchWaiting();
     }
   });
-  events.add(takenAt + REPORT_INTERVAL, () => reportLoads(fleet, { entries, events }));
+  events.add(takenAt + REPORT_INTERVAL, () => scheduleLoadReports(fleet, { entries, events }));
 }
 
 const NO_LOAD = { running: 0, waiting: 0, cacheTokens: 0, cacheCapacity: 0 };
 
-function demandOf(
-  entries: readonly Entry[],
+function totalDemand(
+  entries: readonly EntryInstance[],
   { trace, now }: { trace: Trace; now: number },
 ): ServiceSnapshot[] {
   const snapshots = entries.flatMap((entry) => entry.scheduler.snapshot(now).services);
   return Object.keys(trace.header.deployment.services).map((service) =>
-    snapshots.filter((snapshot) => snapshot.service === service).reduce(sumOf, none(service)),
+    snapshots
+      .filter((snapshot) => snapshot.service === service)
+      .reduce(addSnapshots, emptySnapshot(service)),
   );
 }
 
-function none(service: string): ServiceSnapshot {
-  const waits = { waitingJobs: 0, waitingWork: 0, runningJobs: 0 };
-  return { service, ...waits, arriving: 0, arrivedBefore: 0, draining: 0 };
+function emptySnapshot(service: string): ServiceSnapshot {
+  const noJobs = { waitingJobs: 0, waitingWork: 0, runningJobs: 0 };
+  return { service, ...noJobs, arriving: 0, arrivedBefore: 0, draining: 0 };
 }
 
-function sumOf(a: ServiceSnapshot, b: ServiceSnapshot): ServiceSnapshot {
+function addSnapshots(a: ServiceSnapshot, b: ServiceSnapshot): ServiceSnapshot {
   return {
     service: a.service,
     waitingJobs: a.waitingJobs + b.waitingJobs,
@@ -190,12 +198,12 @@
   };
 }
 
-function inProgressOf(entries: readonly Entry[]): Record<string, number> {
+function workInProgressByWorker(entries: readonly EntryInstance[]): Record<string, number> {
   const work: Record<string, number> = {};
   for (const entry of entries) {
     for (const { worker, request } of entry.runs.values()) {
-      const left = Math.max(0, request.job.estimate.work - request.produced);
-      work[worker] = (work[worker] ?? 0) + left;
+      const remaining = Math.max(0, request.job.estimate.work - request.deliveredTokens);
+      work[worker] = (work[worker] ?? 0) + remaining;
     }
   }
   return work;
--- a/src/standin/replay/replay_test.ts
+++ b/src/standin/replay/replay_test.ts
@@ -1,8 +1,8 @@
 import { expect, test } from "vitest";
 import { PolicyName, policyOf } from "./policy.ts";
-import { ratiosOf } from "./ratios.ts";
+import { comparePolicies } from "./policy_comparison.ts";
 import { replay } from "./replay.ts";
-import type { Report } from "./report_shape.ts";
+import type { Report } from "./report_types.ts";
 import { sampleTrace } from "./sample_trace.ts";
 import type { Trace } from "./trace.ts";
 
@@ -82,7 +82,7 @@
   const reports = Object.values(PolicyName).map((policy) => play(trace, policy));
   const current = reports.find(({ policy }) => policy === PolicyName.Current);
   if (current === undefined) throw new Error("Nothing was played under the policy in use.");
-  const [ratios] = ratiosOf([...reports, { ...current, trace: "sample_lookups" }]);
+  const [ratios] = comparePolicies([...reports, { ...current, trace: "sample_lookups" }]);
   expect(ratios?.costOverOnDemand).toBeLessThan(1);
   expect(ratios?.goodputOverBest).toBeLessThanOrEqual(1);
   expect(ratios?.lookupsOverAlone).toEqual({ "desk/script": 1 });
--- a/src/standin/replay/report_text.ts
+++ b/src/standin/replay/report_text.ts
@@ -1,14 +1,14 @@
-import { ratiosOf } from "./ratios.ts";
-import type { Ratios } from "./ratios.ts";
-import type { GroupReport, Report, TimesReport } from "./report_shape.ts";
+import { comparePolicies } from "./policy_comparison.ts";
+import type { PolicyComparison } from "./policy_comparison.ts";
+import type { GroupReport, Report, TimesReport } from "./report_types.ts";
 
 /** Writes a report for people: what was found of each service and lane, and of the whole. */
 export function formatReport(report: Report): string {
   const lines = [
     `${report.trace}, policy ${report.policy}, seed ${report.seed}`,
-    ...Object.entries(report.groups).flatMap(([name, group]) => groupLines(name, group)),
-    `  recomputed ${report.recomputedTotal} tokens${byKey(report.recomputed)}`,
-    `  retried${byKey(report.retried)}`,
+    ...Object.entries(report.groups).flatMap(([name, group]) => formatGroup(name, group)),
+    `  recomputed ${report.recomputedTotal} tokens${formatCounts(report.recomputed)}`,
+    `  retried${formatCounts(report.retried)}`,
     `  cost ${report.cost} EUR, ${report.costPer1000} EUR for 1,000 answers, ` +
       `${report.costOverBound} of the lower bound ${report.lowerBound.total} EUR`,
     `  goodput ${report.goodput} tokens/s`,
@@ -23,21 +23,21 @@
   return lines.join("\n");
 }
 
-function groupLines(name: string, group: GroupReport): string[] {
+function formatGroup(name: string, group: GroupReport): string[] {
   const { arrived, answered, lost, late, refused } = group;
   return [
     `  ${name}: arrived ${arrived}, answered ${answered}, lost ${lost} (late ${late})` +
-      `, refused${byKey(refused)}`,
-    `    first token ${times(group.firstToken)}`,
-    `    between tokens ${times(group.betweenTokens)}`,
+      `, refused${formatCounts(refused)}`,
+    `    first token ${formatTimes(group.firstToken)}`,
+    `    between tokens ${formatTimes(group.betweenTokens)}`,
   ];
 }
 
-function times({ p50, p95, p99, within }: TimesReport): string {
+function formatTimes({ p50, p95, p99, within }: TimesReport): string {
   return `p50 ${p50} p95 ${p95} p99 ${p99} ms, ${within} within target`;
 }
 
-function byKey(counts: Readonly<Record<string, number>>): string {
+function formatCounts(counts: Readonly<Record<string, number>>): string {
   const parts = Object.entries(counts).map(([key, value]) => `${key} ${value}`);
   return parts.length === 0 ? " none" : `: ${parts.join(", ")}`;
 }
@@ -58,7 +58,7 @@
   ];
   const rows = reports.map((report) => {
     const groups = Object.entries(report.groups);
-    const total = (pick: (group: GroupReport) => number): number =>
+    const sumOverGroups = (pick: (group: GroupReport) => number): number =>
       groups.reduce((sum, [, group]) => sum + pick(group), 0);
     return [
       report.trace,
@@ -67,18 +67,21 @@
       String(report.cost),
       String(report.costOverBound),
       String(report.recomputedTotal),
-      String(total((group) => group.lost)),
-      String(total((group) => sumValues(group.refused))),
+      String(sumOverGroups((group) => group.lost)),
+      String(sumOverGroups((group) => sumValues(group.refused))),
       String(Math.round(report.goodput)),
       groups
         .map(([name, { firstToken }]) => `${name} ${firstToken.within} ${firstToken.p99}`)
         .join("; "),
     ];
   });
-  return [columns([header, ...rows]), ...ratiosOf(reports).map(ratioLine)].join("\n");
+  return [
+    formatColumns([header, ...rows]),
+    ...comparePolicies(reports).map(formatPolicyComparison),
+  ].join("\n");
 }
 
-function ratioLine(ratios: Ratios): string {
+function formatPolicyComparison(ratios: PolicyComparison): string {
   const { trace, costOverOnDemand, costOverBound, recomputedOverRestart, goodputOverBest } = ratios;
   const parts = [
     `cost ${costOverBound} of the lower bound`,
@@ -98,7 +101,7 @@
   return Object.values(counts).reduce((a, b) => a + b, 0);
 }
 
-function columns(rows: readonly (readonly string[])[]): string {
+function formatColumns(rows: readonly (readonly string[])[]): string {
   const widths = (rows[0] ?? []).map((_, column) =>
     Math.max(...rows.map((row) => (row[column] ?? "").length)),
   );
--- a/src/standin/replay/report_shape.ts
+++ b/src/standin/replay/report_types.ts
@@ -3,7 +3,7 @@
 import type { PolicyName } from "./policy.ts";
 
 /** One stated outcome against what was found. */
-export interface Check {
+export interface OutcomeCheck {
   readonly name: string;
   readonly bound: "at most" | "at least";
   readonly stated: number;
@@ -56,6 +56,6 @@
   readonly goodput: number;
   readonly fleet: FleetCounts;
   /** The trace's stated outcomes. */
-  readonly outcomes: readonly Check[];
+  readonly outcomes: readonly OutcomeCheck[];
   readonly holds: boolean;
 }
--- a/src/standin/replay/sample.ts
+++ b/src/standin/replay/sample.ts
@@ -28,20 +28,23 @@
 }): void {
   const { fleet, measurements, events, sample } = options;
   const live = fleet.workers().filter(({ state }) => state === WorkerState.Live);
-  const bought = (purchase: Purchase): number =>
+  const countByPurchase = (purchase: Purchase): number =>
     live.filter((worker) => worker.purchase === purchase).length;
-  const groups = [...measurements.groups].map(([name, group]) => [name, takeRecent(group)]);
+  const groups = [...measurements.groups].map(([name, group]) => [
+    name,
+    takeRecentPercentile(group),
+  ]);
   sample({
     at: events.now(),
-    reclaimable: bought(Purchase.Reclaimable),
-    onDemand: bought(Purchase.OnDemand),
-    cost: [...fleet.costs().values()].reduce((a, b) => a + b, 0),
+    reclaimable: countByPurchase(Purchase.Reclaimable),
+    onDemand: countByPurchase(Purchase.OnDemand),
+    cost: [...fleet.costByService().values()].reduce((a, b) => a + b, 0),
     firstToken: Object.fromEntries(groups) as Record<string, number>,
   });
   events.add(events.now() + SAMPLE_INTERVAL, () => takeSamples(options));
 }
 
-function takeRecent(group: GroupMeasurements): number {
+function takeRecentPercentile(group: GroupMeasurements): number {
   const sorted = group.recentFirstTokens.sort((a, b) => a - b);
   group.recentFirstTokens = [];
   return sorted[Math.floor(PERCENTILE * sorted.length)] ?? 0;
--- a/src/standin/replay/trace.ts
+++ b/src/standin/replay/trace.ts
@@ -3,36 +3,36 @@
 import { Purchase } from "../../interface/index.ts";
 import { deploymentSchema } from "../../version/index.ts";
 
-const time = z.number().min(0);
-const count = z.number().int().min(0);
-const share = z.number().min(0).max(1);
+const timeSchema = z.number().min(0);
+const countSchema = z.number().int().min(0);
+const shareSchema = z.number().min(0).max(1);
 
 /** What must hold after the trace for one service. */
-const serviceOutcome = z.strictObject({
+const serviceOutcomeSchema = z.strictObject({
   /** Least part of the first tokens that came within the service's target. */
-  firstToken: share.optional(),
+  firstToken: shareSchema.optional(),
   /** Least part of the gaps between tokens that were within the service's target. */
-  betweenTokens: share.optional(),
+  betweenTokens: shareSchema.optional(),
   /** Least part of the requests that were answered whole. */
-  answered: share.optional(),
+  answered: shareSchema.optional(),
   /** Greatest 99th percentile of the time to the first token, in milliseconds. */
   firstTokenP99: z.number().positive().optional(),
 });
 
 /** What must hold after the trace. */
-const outcomes = z.strictObject({
+const outcomesSchema = z.strictObject({
   /** Most accepted requests that may end without their whole answer. */
-  lost: count,
+  lost: countSchema,
   /** Most tokens that may be computed again. */
-  recomputed: count.optional(),
+  recomputed: countSchema.optional(),
   /** Greatest cost, in euros. */
   cost: z.number().positive().optional(),
   /** Least answer tokens a second of whole and timely answers. */
   goodput: z.number().positive().optional(),
-  services: z.record(z.string(), serviceOutcome),
+  services: z.record(z.string(), serviceOutcomeSchema),
 });
 
-const header = z.strictObject({
+const headerSchema = z.strictObject({
   kind: z.literal("header"),
   name: z.string().min(1),
   seed: z.number().int(),
@@ -51,13 +51,13 @@
   bytesPerToken: z.number().positive(),
   /** The deployment document, as its file has it. */
   deployment: deploymentSchema,
-  outcomes,
+  outcomes: outcomesSchema,
 });
 
 /** One request; short names, since a trace has thousands. */
-const arrival = z.strictObject({
+const arrivalSchema = z.strictObject({
   /** When it arrives. */
-  t: time,
+  t: timeSchema,
   /** Client account. */
   a: z.string(),
   /** Service. */
@@ -68,7 +68,7 @@
   n: z.number().int().positive(),
   /** Name of the prefix that its prompt shares with others, and how many tokens of it. */
   x: z.string().optional(),
-  xt: count.optional(),
+  xt: countSchema.optional(),
   /** Lane, where it isn't the service's. */
   l: z.enum(Lane).optional(),
   /** The caller's own bound on the answer. */
@@ -81,23 +81,23 @@
   dl: z.number().positive().optional(),
 });
 
-const fault = z.discriminatedUnion("kind", [
+const faultSchema = z.discriminatedUnion("kind", [
   /** The cloud takes every reclaimable worker of an availability zone, or one worker of a service. */
   z.strictObject({
     kind: z.literal("reclaim"),
-    t: time,
+    t: timeSchema,
     /** Milliseconds of notice. */
-    within: time,
+    within: timeSchema,
     zone: z.string().optional(),
     service: z.string().optional(),
     /** Which of the service's live workers, counted from 0, round and round. */
-    index: count.optional(),
+    index: countSchema.optional(),
   }),
   /** The cloud refuses launches; an absent field stands for all. */
   z.strictObject({
     kind: z.literal("refuse"),
-    t: time,
-    until: time,
+    t: timeSchema,
+    until: timeSchema,
     zone: z.string().optional(),
     machineClass: z.string().optional(),
     purchase: z.enum(Purchase).optional(),
@@ -105,23 +105,23 @@
   /** A worker's steps take `factor` times as long. */
   z.strictObject({
     kind: z.literal("slow"),
-    t: time,
-    until: time,
+    t: timeSchema,
+    until: timeSchema,
     service: z.string(),
-    index: count,
+    index: countSchema,
     factor: z.number().positive(),
   }),
-  z.strictObject({ kind: z.literal("preset"), t: time, preset: z.string() }),
+  z.strictObject({ kind: z.literal("preset"), t: timeSchema, preset: z.string() }),
 ]);
 
 /** A trace's first line. */
-type TraceHeader = z.infer<typeof header> & { readonly duration: number };
+type TraceHeader = z.infer<typeof headerSchema> & { readonly duration: number };
 /** One request of a trace. */
-export type TraceArrival = z.infer<typeof arrival>;
+export type TraceArrival = z.infer<typeof arrivalSchema>;
 /** One fault of a trace. */
-export type TraceFault = z.infer<typeof fault>;
+export type TraceFault = z.infer<typeof faultSchema>;
 /** What a trace states must hold. */
-export type Outcomes = z.infer<typeof outcomes>;
+export type ExpectedOutcomes = z.infer<typeof outcomesSchema>;
 
 /** A recorded or generated course of events, in order of time. */
 export interface Trace {
@@ -157,15 +157,15 @@
     message,
   });
   const lines = text.split("\n");
-  const first = parseLine(lines[0] ?? "", header);
-  if (first.kind === "faulty") return failure(1, first.message);
+  const headerLine = parseLine(lines[0] ?? "", headerSchema);
+  if (headerLine.kind === "faulty") return failure(1, headerLine.message);
   const arrivals: TraceArrival[] = [];
   const faults: TraceFault[] = [];
   for (const [index, line] of lines.entries()) {
     if (index === 0 || line.trim() === "") continue;
     const parsed = parseEvent(line);
     if (parsed.kind === "faulty") return failure(index + 1, parsed.message);
-    const message = unknownName(first.value, parsed.value);
+    const message = findUnknownName(headerLine.value, parsed.value);
     if (message !== undefined) return failure(index + 1, message);
     if ("kind" in parsed.value) faults.push(parsed.value);
     else arrivals.push(parsed.value);
@@ -173,20 +173,20 @@
   const byTime = (a: { t: number }, b: { t: number }): number => a.t - b.t;
   arrivals.sort(byTime);
   faults.sort(byTime);
-  const lastAt = Math.max(1, arrivals.at(-1)?.t ?? 0, faults.at(-1)?.t ?? 0);
-  const { duration = lastAt } = first.value;
-  return { kind: "read", trace: { header: { ...first.value, duration }, arrivals, faults } };
+  const lastEventAt = Math.max(1, arrivals.at(-1)?.t ?? 0, faults.at(-1)?.t ?? 0);
+  const { duration = lastEventAt } = headerLine.value;
+  return { kind: "read", trace: { header: { ...headerLine.value, duration }, arrivals, faults } };
 }
 
-type Line<T> =
+type ParsedLine<T> =
   | { readonly kind: "parsed"; readonly value: T }
   | { readonly kind: "faulty"; readonly message: string };
 
-function parseEvent(line: string): Line<TraceArrival | TraceFault> {
-  return line.includes('"kind"') ? parseLine(line, fault) : parseLine(line, arrival);
+function parseEvent(line: string): ParsedLine<TraceArrival | TraceFault> {
+  return line.includes('"kind"') ? parseLine(line, faultSchema) : parseLine(line, arrivalSchema);
 }
 
-function parseLine<T>(line: string, schema: z.ZodType<T>): Line<T> {
+function parseLine<T>(line: string, schema: z.ZodType<T>): ParsedLine<T> {
   let value: unknown;
   try {
     value = JSON.parse(line);
@@ -201,8 +201,8 @@
 }
 
 /** Names that the header doesn't define would otherwise show only as requests that nobody serves. */
-function unknownName(
-  { deployment }: z.infer<typeof header>,
+function findUnknownName(
+  { deployment }: z.infer<typeof headerSchema>,
   event: TraceArrival | TraceFault,
 ): string | undefined {
   const unknown = (kind: string, name: string): string =>
@@ -217,6 +217,6 @@
   const zone = "zone" in event ? event.zone : undefined;
   if (zone !== undefined && !deployment.zones.includes(zone)) return unknown("zone", zone);
   const service = "service" in event ? event.service : undefined;
-  const known = service === undefined || service in deployment.services;
-  return known ? undefined : unknown("service", service);
+  const isKnown = service === undefined || service in deployment.services;
+  return isKnown ? undefined : unknown("service", service);
 }
--- a/src/standin/replay/tracked_request.ts
+++ b/src/standin/replay/tracked_request.ts
@@ -10,24 +10,24 @@
   /** As the scheduler knows it, with the tokens that the caller has. */
   job: Job;
   /** Tokens that the caller has. */
-  produced: number;
+  deliveredTokens: number;
   /** Milliseconds from the arrival to the first token; 0 before. */
   firstTokenTime: number;
   /** When the caller got the last token. */
   lastTokenAt: number;
   /** Prompt and answer tokens that some engine has computed for it. */
-  computed: number;
+  computedTokens: number;
   /** Tokens of KV cache that the next run starts from. */
-  imported: number;
+  importedTokens: number;
   /** Why the next run is another one. */
-  cause: RetryCause;
+  retryCause: RetryCause;
   /** Runs so far. */
   attempts: number;
   /** Runs in progress, by worker. */
   readonly runs: Map<string, Run>;
   /** Workers that have failed it. */
-  readonly avoid: Set<string>;
-  ended: boolean;
+  readonly avoidedWorkers: Set<string>;
+  hasEnded: boolean;
 }
 
 /** One attempt at a request, on one worker. */
@@ -36,18 +36,18 @@
   readonly id: string;
   readonly request: TrackedRequest;
   /** Which of the request's runs it is, counted from 1. */
-  readonly number: number;
+  readonly attempt: number;
   readonly worker: string;
   readonly dispatchedAt: number;
   readonly cause: RetryCause;
   /** The worker has it: from here on it may have run. */
-  delivered: boolean;
+  isDelivered: boolean;
   /** Times that the engine has begun it, more than one after preemption. */
-  starts: number;
+  startCount: number;
   firstTokenAt: number | undefined;
-  tokens: number;
+  tokenCount: number;
   lastTokenAt: number;
-  ended: boolean;
+  hasEnded: boolean;
 }
 
 /** Begins to track an admitted request. */
@@ -59,16 +59,16 @@
     arrival,
     group,
     job,
-    produced: 0,
+    deliveredTokens: 0,
     firstTokenTime: 0,
     lastTokenAt: 0,
-    computed: 0,
-    imported: 0,
-    cause: RetryCause.WorkerLost,
+    computedTokens: 0,
+    importedTokens: 0,
+    retryCause: RetryCause.WorkerLost,
     attempts: 0,
     runs: new Map(),
-    avoid: new Set(),
-    ended: false,
+    avoidedWorkers: new Set(),
+    hasEnded: false,
   };
 }
 
@@ -81,16 +81,16 @@
   const run: Run = {
     id: `${request.job.id}#${request.attempts}`,
     request,
-    number: request.attempts,
+    attempt: request.attempts,
     worker,
     dispatchedAt: now,
     cause,
-    delivered: false,
-    starts: 0,
+    isDelivered: false,
+    startCount: 0,
     firstTokenAt: undefined,
-    tokens: 0,
+    tokenCount: 0,
     lastTokenAt: now,
-    ended: false,
+    hasEnded: false,
   };
   request.runs.set(worker, run);
   return run;
--- a/src/standin/replay/reclaim.ts
+++ b/src/standin/replay/worker_evacuation.ts
@@ -2,21 +2,25 @@
 import type { Endangered, Triage } from "../../decision/index.ts";
 import { Purchase, WorkerState } from "../../interface/index.ts";
 import type { Worker } from "../../interface/index.ts";
-import type { Entry, EntryOptions } from "./entry.ts";
+import type { EntryInstance, EntryInstanceOptions } from "./entry_instance.ts";
 import type { Machine } from "./machine.ts";
 import type { Run } from "./tracked_request.ts";
 
 /** How long before an instance is taken its last requests leave it. */
-const LATE_MARGIN = 500;
+const MOVE_MARGIN = 500;
 /** Milliseconds a token where a run has shown no pace yet. */
-const USUAL_TOKEN_TIME = 30;
+const DEFAULT_TOKEN_INTERVAL = 30;
 
 /**
  * Has an entry instance save its requests from a worker under notice, as the policy's triage chooses.
  *
  * @param machine The worker, which the cloud takes at `reclaimAt`.
  */
-export function saveRequests(machine: Machine, entry: Entry, options: EntryOptions): void {
+export function evacuateWorker(
+  machine: Machine,
+  entry: EntryInstance,
+  options: EntryInstanceOptions,
+): void {
   const { reclaimAt } = machine.worker;
   if (reclaimAt === undefined || machine.worker.state !== WorkerState.Leaving) return;
   const { events, policy, trace, machines } = options;
@@ -27,7 +31,7 @@
   );
   const targets = workers.filter((other) => other.worker.state === WorkerState.Live);
   const machineClass = trace.header.deployment.machineClasses[machine.pool.machineClass];
-  const choices = policy.triage(runs.map(endangered), {
+  const choices = policy.triage(runs.map(toTriageRequest), {
     now: events.now(),
     reclaimAt,
     transferRate: trace.header.transferRate,
@@ -35,12 +39,12 @@
     targets: targets.map((target) => target.worker),
     prefillPerSecond: machineClass?.prefillPerSecond ?? 1,
     underNotice: workers.map((other) => other.worker).filter(isUnderNotice),
-    room: new Map(targets.map((target) => [target.worker.id, roomOf(target)])),
+    room: new Map(targets.map((target) => [target.worker.id, freeCacheTokens(target)])),
     otherExports: 0,
   });
   for (const choice of choices) {
     const run = byRequest.get(choice.id);
-    if (run !== undefined) follow(choice, { run, machine, entry, options });
+    if (run !== undefined) applyTriage(choice, { run, machine, entry, options });
   }
 }
 
@@ -48,79 +52,80 @@
   return worker.reclaimAt !== undefined && worker.purchase === Purchase.Reclaimable;
 }
 
-function roomOf({ engine }: Machine): number {
+function freeCacheTokens({ engine }: Machine): number {
   const { cacheCapacity, cacheTokens } = engine.load();
   return cacheCapacity - cacheTokens;
 }
 
-function endangered(run: Run): Endangered {
-  const { job, produced } = run.request;
-  const pace = (run.lastTokenAt - (run.firstTokenAt ?? 0)) / Math.max(1, run.tokens - 1);
+function toTriageRequest(run: Run): Endangered {
+  const { job, deliveredTokens } = run.request;
+  const tokenInterval =
+    (run.lastTokenAt - (run.firstTokenAt ?? 0)) / Math.max(1, run.tokenCount - 1);
   return {
     id: job.id,
     repeatable: job.repeatable,
     promptTokens: job.promptTokens,
-    producedTokens: produced,
-    remainingTokens: Math.max(1, job.estimate.answerTokens - produced),
-    tokenTime: run.tokens > 1 ? pace : USUAL_TOKEN_TIME,
+    producedTokens: deliveredTokens,
+    remainingTokens: Math.max(1, job.estimate.answerTokens - deliveredTokens),
+    tokenTime: run.tokenCount > 1 ? tokenInterval : DEFAULT_TOKEN_INTERVAL,
     deadlineAt: job.deadlineAt,
   };
 }
 
-interface Case {
+interface Evacuation {
   readonly run: Run;
   readonly machine: Machine;
-  readonly entry: Entry;
-  readonly options: EntryOptions;
+  readonly entry: EntryInstance;
+  readonly options: EntryInstanceOptions;
 }
 
-function follow({ choice, target, at }: Triage, one: Case): void {
-  const { run, machine, entry, options } = one;
+function applyTriage({ choice, target, at }: Triage, evacuation: Evacuation): void {
+  const { run, machine, entry, options } = evacuation;
   const { events } = options;
   const now = events.now();
-  const to = target === undefined ? {} : { target };
+  const targetOption = target === undefined ? {} : { target };
   switch (choice) {
     case TriageChoice.Finish:
     case TriageChoice.Stay:
       break;
     case TriageChoice.ResumeNow:
-      entry.move(run, to);
+      entry.moveRun(run, targetOption);
       break;
     case TriageChoice.ResumeLate:
-      events.add(at ?? lastMoment(machine), () => entry.move(run, to));
+      events.add(at ?? latestMoveTime(machine), () => entry.moveRun(run, targetOption));
       break;
     case TriageChoice.ExportCache:
-      events.add(at ?? now, () => exportCache(one, target));
+      events.add(at ?? now, () => exportCache(evacuation, target));
       break;
   }
 }
 
-function lastMoment({ worker }: Machine): number {
-  return (worker.reclaimAt ?? 0) - LATE_MARGIN;
+function latestMoveTime({ worker }: Machine): number {
+  return (worker.reclaimAt ?? 0) - MOVE_MARGIN;
 }
 
 /** The KV cache of one request after another leaves the worker; what would leave too late goes without. */
-function exportCache({ run, machine, entry, options }: Case, target?: string): void {
+function exportCache({ run, machine, entry, options }: Evacuation, target?: string): void {
   const { events, trace } = options;
-  if (run.ended) return;
-  const tokens = machine.engine.exportable(run.id);
-  const to = target === undefined ? {} : { target };
+  if (run.hasEnded) return;
+  const tokens = machine.engine.exportableTokens(run.id);
+  const targetOption = target === undefined ? {} : { target };
   if (tokens === undefined) {
-    entry.move(run, to);
+    entry.moveRun(run, targetOption);
     return;
   }
   const { bytesPerToken, transferRate } = trace.header;
-  const begins = Math.max(events.now(), machine.transferFreeAt);
-  const ends = begins + (tokens * bytesPerToken * 1_000) / transferRate;
-  if (ends > (machine.worker.reclaimAt ?? 0)) {
-    events.add(lastMoment(machine), () => entry.move(run, to));
+  const startsAt = Math.max(events.now(), machine.transferIdleAt);
+  const endsAt = startsAt + (tokens * bytesPerToken * 1_000) / transferRate;
+  if (endsAt > (machine.worker.reclaimAt ?? 0)) {
+    events.add(latestMoveTime(machine), () => entry.moveRun(run, targetOption));
     return;
   }
-  machine.transferFreeAt = ends;
-  events.add(begins, () => {
-    if (run.ended) return;
-    const imported = machine.engine.exportable(run.id) ?? 0;
-    entry.detach(run);
-    events.add(ends, () => entry.resume(run.request, { imported, ...to }));
+  machine.transferIdleAt = endsAt;
+  events.add(startsAt, () => {
+    if (run.hasEnded) return;
+    const importedTokens = machine.engine.exportableTokens(run.id) ?? 0;
+    entry.detachRun(run);
+    events.add(endsAt, () => entry.resumeRequest(run.request, { importedTokens, ...targetOption }));
   });
 }
--- a/src/standin/request_table.ts
+++ b/src/standin/request_table.ts
@@ -1,10 +1,10 @@
 import { CANCELLED_RUN, EngineKnowledge } from "../interface/index.ts";
 import type { Dispatch, EngineEvent } from "../interface/index.ts";
-import { engineRequestOf } from "./engine_prompt.ts";
+import { parseEngineRequest } from "./engine_request.ts";
 import type { RequestEvent, TokenSource } from "./token_source.ts";
 
 /** Somebody who is told a request's events. */
-export type Follower = (events: readonly EngineEvent[]) => void;
+export type Subscriber = (events: readonly EngineEvent[]) => void;
 
 /** Why a backend server doesn't run a request. */
 export type RunRefusal = "barred" | "bad body" | "too large" | "old attempt" | "old fencing number";
@@ -16,13 +16,13 @@
    *
    * @returns The refusal, or undefined where the follower will be told the rest.
    */
-  run(dispatch: Dispatch, follower: Follower): RunRefusal | undefined;
+  run(dispatch: Dispatch, subscriber: Subscriber): RunRefusal | undefined;
   /** Joins a request from a token on; false where none has the id. */
-  attach(id: string, fromToken: number, follower: Follower): boolean;
+  attach(id: string, fromToken: number, subscriber: Subscriber): boolean;
   /** Stops telling a follower; the request goes on. */
-  leave(id: string, follower: Follower): void;
+  unsubscribe(id: string, subscriber: Subscriber): void;
   cancel(id: string): void;
-  ask(id: string, bar: boolean): EngineKnowledge;
+  query(id: string, bar: boolean): EngineKnowledge;
   /**
    * How often each request was begun here from its start: over all servers, what may not be repeated must
    * stay at 1. A run that goes on from tokens or from a KV cache is not counted.
@@ -30,128 +30,128 @@
   readonly runs: ReadonlyMap<string, number>;
 }
 
-interface Entry {
+interface RequestEntry {
   readonly attempt: number;
   readonly fence: number;
   /** The first token that was made here; those before came with the dispatch. */
   readonly firstToken: number;
-  produced: number;
+  nextToken: number;
   /** Tokens computed again, as its start told. */
-  started: Extract<EngineEvent, { kind: "started" }> | undefined;
-  end: Extract<EngineEvent, { kind: "finished" }> | undefined;
-  cancelled: boolean;
-  readonly followers: Set<Follower>;
+  startEvent: Extract<EngineEvent, { kind: "started" }> | undefined;
+  endEvent: Extract<EngineEvent, { kind: "finished" }> | undefined;
+  isCancelled: boolean;
+  readonly subscribers: Set<Subscriber>;
 }
 
 /** Ended requests that are remembered, to answer who asks late; the oldest go first. */
-const MOST_ENDED = 10_000;
+const MAX_REQUESTS = 10_000;
 
 /** Makes an empty table. */
 export function createRequestTable(
   source: TokenSource,
   { checksFence }: { checksFence: boolean },
 ): RequestTable {
-  const entries = new Map<string, Entry>();
+  const entries = new Map<string, RequestEntry>();
   const barred = new Set<string>();
   const runs = new Map<string, number>();
 
-  const forgetOldest = (): void => {
+  const evictEndedRequests = (): void => {
     for (const [id, entry] of entries) {
-      if (entries.size <= MOST_ENDED) return;
-      if (entry.end !== undefined || entry.cancelled) entries.delete(id);
+      if (entries.size <= MAX_REQUESTS) return;
+      if (entry.endEvent !== undefined || entry.isCancelled) entries.delete(id);
     }
   };
-  const happen = (entry: Entry, events: readonly RequestEvent[], attempt: number): void => {
-    const told = events.flatMap((event) => engineEventOf(event, attempt));
-    for (const event of told) {
-      if (event.kind === "started") entry.started = event;
-      if (event.kind === "token") entry.produced = event.index + 1;
-      if (event.kind === "finished") entry.end = event;
+  const publish = (entry: RequestEntry, events: readonly RequestEvent[], attempt: number): void => {
+    const engineEvents = events.flatMap((event) => engineEventOf(event, attempt));
+    for (const event of engineEvents) {
+      if (event.kind === "started") entry.startEvent = event;
+      if (event.kind === "token") entry.nextToken = event.index + 1;
+      if (event.kind === "finished") entry.endEvent = event;
     }
-    for (const follower of entry.followers) follower(told);
+    for (const subscriber of entry.subscribers) subscriber(engineEvents);
   };
-  const begin = (dispatch: Dispatch, follower: Follower): RunRefusal | undefined => {
+  const startRun = (dispatch: Dispatch, subscriber: Subscriber): RunRefusal | undefined => {
     const { id, attempt, tokens } = dispatch;
-    const request = engineRequestOf(dispatch);
+    const request = parseEngineRequest(dispatch);
     if (request === undefined) return "bad body";
-    const entry: Entry = {
+    const entry: RequestEntry = {
       attempt,
       fence: dispatch.fence ?? 0,
       firstToken: tokens.length,
-      produced: tokens.length,
-      started: undefined,
-      end: undefined,
-      cancelled: false,
-      followers: new Set([follower]),
+      nextToken: tokens.length,
+      startEvent: undefined,
+      endEvent: undefined,
+      isCancelled: false,
+      subscribers: new Set([subscriber]),
     };
     entries.delete(id);
     entries.set(id, entry);
-    forgetOldest();
-    const goesOn = tokens.length > 0 || dispatch.cache !== undefined;
-    if (!goesOn) runs.set(id, (runs.get(id) ?? 0) + 1);
-    const taken = source.start(request, (events) => happen(entry, events, attempt));
-    if (taken) return undefined;
+    evictEndedRequests();
+    const isContinuation = tokens.length > 0 || dispatch.cache !== undefined;
+    if (!isContinuation) runs.set(id, (runs.get(id) ?? 0) + 1);
+    const isAccepted = source.start(request, (events) => publish(entry, events, attempt));
+    if (isAccepted) return undefined;
     entries.delete(id);
     return "too large";
   };
-  const join = (entry: Entry, fromToken: number, follower: Follower): void => {
-    follower(soFar(entry, fromToken));
-    if (entry.end === undefined) entry.followers.add(follower);
+  const subscribe = (entry: RequestEntry, fromToken: number, subscriber: Subscriber): void => {
+    subscriber(pastEvents(entry, fromToken));
+    if (entry.endEvent === undefined) entry.subscribers.add(subscriber);
   };
   return {
     runs,
-    run: (dispatch, follower) => {
+    run: (dispatch, subscriber) => {
       const { id, attempt, fence } = dispatch;
       if (barred.has(id)) return "barred";
-      const known = entries.get(id);
-      if (known === undefined) return begin(dispatch, follower);
-      if (checksFence && (fence ?? 0) < known.fence) return "old fencing number";
-      if (attempt < known.attempt) return "old attempt";
-      if (!known.cancelled) {
-        join(known, dispatch.tokens.length, follower);
+      const existing = entries.get(id);
+      if (existing === undefined) return startRun(dispatch, subscriber);
+      if (checksFence && (fence ?? 0) < existing.fence) return "old fencing number";
+      if (attempt < existing.attempt) return "old attempt";
+      if (!existing.isCancelled) {
+        subscribe(existing, dispatch.tokens.length, subscriber);
         return undefined;
       }
-      return attempt === known.attempt ? "old attempt" : begin(dispatch, follower);
+      return attempt === existing.attempt ? "old attempt" : startRun(dispatch, subscriber);
     },
-    attach: (id, fromToken, follower) => {
-      const known = entries.get(id);
-      if (known === undefined || known.cancelled) return false;
+    attach: (id, fromToken, subscriber) => {
+      const existing = entries.get(id);
+      if (existing === undefined || existing.isCancelled) return false;
       // What came with the dispatch was never made here.
-      if (fromToken < known.firstToken) return false;
-      join(known, fromToken, follower);
+      if (fromToken < existing.firstToken) return false;
+      subscribe(existing, fromToken, subscriber);
       return true;
     },
-    leave: (id, follower) => {
-      entries.get(id)?.followers.delete(follower);
+    unsubscribe: (id, subscriber) => {
+      entries.get(id)?.subscribers.delete(subscriber);
     },
     cancel: (id) => {
-      const known = entries.get(id);
-      if (known === undefined || known.end !== undefined) return;
-      known.cancelled = true;
+      const existing = entries.get(id);
+      if (existing === undefined || existing.endEvent !== undefined) return;
+      existing.isCancelled = true;
       source.cancel(id);
-      for (const follower of known.followers)
-        follower([{ kind: "finished", reason: CANCELLED_RUN }]);
-      known.followers.clear();
+      for (const subscriber of existing.subscribers)
+        subscriber([{ kind: "finished", reason: CANCELLED_RUN }]);
+      existing.subscribers.clear();
     },
-    ask: (id, bar) => {
-      const known = entries.get(id);
-      if (known !== undefined) return knowledgeOf(known);
+    query: (id, bar) => {
+      const existing = entries.get(id);
+      if (existing !== undefined) return knowledgeOf(existing);
       if (bar) barred.add(id);
       return barred.has(id) ? EngineKnowledge.Barred : EngineKnowledge.Unknown;
     },
   };
 }
 
-function knowledgeOf({ cancelled, end }: Entry): EngineKnowledge {
-  if (cancelled) return EngineKnowledge.Cancelled;
-  return end === undefined ? EngineKnowledge.Running : EngineKnowledge.Finished;
+function knowledgeOf({ isCancelled, endEvent }: RequestEntry): EngineKnowledge {
+  if (isCancelled) return EngineKnowledge.Cancelled;
+  return endEvent === undefined ? EngineKnowledge.Running : EngineKnowledge.Finished;
 }
 
 /** What a follower that joins late has missed. */
-function soFar(entry: Entry, fromToken: number): EngineEvent[] {
-  const events: EngineEvent[] = entry.started === undefined ? [] : [entry.started];
-  for (let index = fromToken; index < entry.produced; index++) events.push(tokenEvent(index));
-  if (entry.end !== undefined) events.push(entry.end);
+function pastEvents(entry: RequestEntry, fromToken: number): EngineEvent[] {
+  const events: EngineEvent[] = entry.startEvent === undefined ? [] : [entry.startEvent];
+  for (let index = fromToken; index < entry.nextToken; index++) events.push(tokenEvent(index));
+  if (entry.endEvent !== undefined) events.push(entry.endEvent);
   return events;
 }
 
--- a/src/standin/cloud_table.ts
+++ b/src/standin/simulated_cloud.ts
@@ -9,7 +9,7 @@
 }
 
 /** What the cloud stand-in is made with. */
-export interface CloudStandin {
+export interface CloudOptions {
   readonly clock: Clock;
   /** The workers that it begins with. */
   readonly workers: readonly Worker[];
@@ -24,12 +24,12 @@
 }
 
 /** What is taken back: one instance by name or worker id, or all that stand in a zone. */
-export type Reclaim =
+export type ReclaimTarget =
   | { readonly instance: string; readonly within: number }
   | { readonly zone: string; readonly within: number };
 
 /** The cloud stand-in's instances. */
-export interface CloudTable {
+export interface SimulatedCloud {
   launch(launch: Launch): Promise<LaunchOutcome>;
   /** False where there is no such instance. */
   terminate(instance: string): boolean;
@@ -37,7 +37,7 @@
   /** The workers as the lagging list shows them. */
   list(): readonly Worker[];
   /** Gives notice; the instances are taken when the time is over. Returns their names. */
-  reclaim(reclaim: Reclaim): readonly string[];
+  reclaim(reclaim: ReclaimTarget): readonly string[];
   /** From now on launches in a zone are refused, or taken again; all zones where none is named. */
   refuse(refusal: { readonly zone?: string; readonly refuse: boolean }): void;
   close(): void;
@@ -51,37 +51,37 @@
 const ALL_ZONES = "*";
 
 /** Makes the table. */
-export function createCloudTable(settings: CloudStandin): CloudTable {
+export function createSimulatedCloud(settings: CloudOptions): SimulatedCloud {
   const { clock, listLag = 0 } = settings;
   const workers = new Map(settings.workers.map((worker) => [worker.id, worker]));
   const entries = new Map((settings.entries ?? []).map((entry) => [entry.name, entry]));
-  const takenAt = new Map<string, number>();
-  const byToken = new Map<string, string>();
-  const refusing = new Set<string>();
+  const reclaimTimes = new Map<string, number>();
+  const instanceByToken = new Map<string, string>();
+  const refusingZones = new Set<string>();
   let snapshots: Snapshot[] = [{ at: Number.NEGATIVE_INFINITY, workers: settings.workers }];
-  let closed = false;
+  let isClosed = false;
 
-  const note = (): void => {
+  const recordSnapshot = (): void => {
     snapshots.push({ at: clock.now(), workers: [...workers.values()] });
   };
-  const put = (worker: Worker): void => {
+  const putWorker = (worker: Worker): void => {
     workers.set(worker.id, worker);
-    note();
+    recordSnapshot();
   };
-  const remove = (instance: string): boolean => {
-    takenAt.delete(instance);
+  const removeInstance = (instance: string): boolean => {
+    reclaimTimes.delete(instance);
     const isKnown = workers.delete(instance) || entries.delete(instance);
-    if (!isKnown || closed) return false;
-    note();
+    if (!isKnown || isClosed) return false;
+    recordSnapshot();
     settings.taken?.(instance);
     return true;
   };
-  const refusalOf = ({ zone }: Launch): string | undefined => {
+  const refusalReason = ({ zone }: Launch): string | undefined => {
     if (settings.launch === undefined) return "This cloud launches nothing.";
-    const isRefused = refusing.has(zone) || refusing.has(ALL_ZONES);
+    const isRefused = refusingZones.has(zone) || refusingZones.has(ALL_ZONES);
     return isRefused ? `No capacity in ${zone}.` : undefined;
   };
-  const begin = async (launch: Launch, id: string): Promise<void> => {
+  const startWorker = async (launch: Launch, id: string): Promise<void> => {
     const { service, zone, machineClass, purchase } = launch;
     const worker: Worker = {
       id,
@@ -92,59 +92,62 @@
       purchase,
       state: WorkerState.Starting,
     };
-    put(worker);
+    putWorker(worker);
     const address = await settings.launch?.(launch, id);
     // It may have been taken back while it started.
     if (address !== undefined && workers.has(id)) {
-      put({ ...worker, address, state: WorkerState.Live });
+      putWorker({ ...worker, address, state: WorkerState.Live });
     }
   };
-  const mark = (instance: string, within: number): void => {
+  const scheduleReclaim = (instance: string, within: number): void => {
     const at = clock.now() + within;
-    takenAt.set(instance, at);
+    reclaimTimes.set(instance, at);
     const worker = workers.get(instance);
-    if (worker !== undefined) put({ ...worker, state: WorkerState.Leaving, reclaimAt: at });
-    clock.after(within, () => remove(instance));
+    if (worker !== undefined) putWorker({ ...worker, state: WorkerState.Leaving, reclaimAt: at });
+    clock.after(within, () => removeInstance(instance));
   };
-  const namesOf = (reclaim: Reclaim): readonly string[] => {
+  const instancesToReclaim = (reclaim: ReclaimTarget): readonly string[] => {
     if ("instance" in reclaim) {
       const { instance } = reclaim;
       return workers.has(instance) || entries.has(instance) ? [instance] : [];
     }
-    const inZone = [...workers.values()].filter(({ zone }) => zone === reclaim.zone);
+    const workersInZone = [...workers.values()].filter(({ zone }) => zone === reclaim.zone);
     const entriesInZone = [...entries.values()].filter(({ zone }) => zone === reclaim.zone);
-    return [...inZone.map(({ id }) => id), ...entriesInZone.map(({ name }) => name)];
+    return [...workersInZone.map(({ id }) => id), ...entriesInZone.map(({ name }) => name)];
   };
   return {
     launch: (launch) => {
-      const known = byToken.get(launch.token);
-      if (known !== undefined) return Promise.resolve({ kind: "launched", instance: known });
-      const reason = refusalOf(launch);
+      const launched = instanceByToken.get(launch.token);
+      if (launched !== undefined) return Promise.resolve({ kind: "launched", instance: launched });
+      const reason = refusalReason(launch);
       if (reason !== undefined) return Promise.resolve({ kind: "refused", reason });
       const id = `w-${launch.token}`;
-      byToken.set(launch.token, id);
-      void begin(launch, id);
+      instanceByToken.set(launch.token, id);
+      void startWorker(launch, id);
       return Promise.resolve({ kind: "launched", instance: id });
     },
-    terminate: remove,
+    terminate: removeInstance,
     notices: () =>
-      [...takenAt].map(([instance, at]) => ({ instance, within: Math.max(0, at - clock.now()) })),
+      [...reclaimTimes].map(([instance, at]) => ({
+        instance,
+        within: Math.max(0, at - clock.now()),
+      })),
     list: () => {
-      const seen = snapshots.findLastIndex(({ at }) => at <= clock.now() - listLag);
-      snapshots = snapshots.slice(Math.max(0, seen));
+      const visible = snapshots.findLastIndex(({ at }) => at <= clock.now() - listLag);
+      snapshots = snapshots.slice(Math.max(0, visible));
       return snapshots[0]?.workers ?? [];
     },
     reclaim: (reclaim) => {
-      const names = namesOf(reclaim).filter((name) => !takenAt.has(name));
-      for (const name of names) mark(name, reclaim.within);
+      const names = instancesToReclaim(reclaim).filter((name) => !reclaimTimes.has(name));
+      for (const name of names) scheduleReclaim(name, reclaim.within);
       return names;
     },
     refuse: ({ zone = ALL_ZONES, refuse }) => {
-      if (refuse) refusing.add(zone);
-      else refusing.delete(zone);
+      if (refuse) refusingZones.add(zone);
+      else refusingZones.delete(zone);
     },
     close: () => {
-      closed = true;
+      isClosed = true;
     },
   };
 }
--- a/src/standin/token_source.ts
+++ b/src/standin/token_source.ts
@@ -1,6 +1,11 @@
 import type { Clock, Timer } from "../interface/index.ts";
 import { createEngineModel } from "./engine_model.ts";
-import type { EngineLoad, EngineModelEvent, EngineRequest, EngineSpeeds } from "./engine_model.ts";
+import type {
+  EngineLoad,
+  EngineModelEvent,
+  EngineRequest,
+  EngineCapacity,
+} from "./engine_model.ts";
 
 /** Events of one request. */
 export type RequestEvent = Extract<EngineModelEvent, { id: string }>;
@@ -16,7 +21,7 @@
   start(request: EngineRequest, listener: (events: readonly RequestEvent[]) => void): boolean;
   cancel(id: string): void;
   /** Tokens of KV cache that an export of the request holds now, if it is running. */
-  exportable(id: string): number | undefined;
+  exportableTokens(id: string): number | undefined;
   load(): EngineLoad;
   close(): void;
 }
@@ -27,27 +32,27 @@
  * @param clock The clock.
  * @param options The machine class's speeds, and how many times as fast as the clock the engine runs.
  */
-export function createModelSource(
+export function createEngineTokenSource(
   clock: Clock,
-  { speeds, speed }: { speeds: EngineSpeeds; speed: number },
+  { capacity, timeScale }: { capacity: EngineCapacity; timeScale: number },
 ): TokenSource {
-  const engine = createEngineModel(speeds);
+  const engine = createEngineModel(capacity);
   const listeners = new Map<string, (events: readonly RequestEvent[]) => void>();
-  const begun = clock.now();
+  const startedAt = clock.now();
   let timer: Timer | undefined;
-  const engineNow = (): number => (clock.now() - begun) * speed;
-  const arm = (): void => {
-    const next = engine.nextEventAt();
+  const engineNow = (): number => (clock.now() - startedAt) * timeScale;
+  const scheduleNextStep = (): void => {
+    const nextStepAt = engine.nextEventAt();
     timer?.close();
     timer = undefined;
-    if (next === undefined) return;
-    timer = clock.after(Math.max(0, next - engineNow()) / speed, () => {
+    if (nextStepAt === undefined) return;
+    timer = clock.after(Math.max(0, nextStepAt - engineNow()) / timeScale, () => {
       // A timer may fire a little early: the step that it stands for ends all the same.
-      tell(engine.advanceTo(Math.max(next, engineNow())));
-      arm();
+      notifyListeners(engine.advanceTo(Math.max(nextStepAt, engineNow())));
+      scheduleNextStep();
     });
   };
-  const tell = (events: readonly EngineModelEvent[]): void => {
+  const notifyListeners = (events: readonly EngineModelEvent[]): void => {
     for (const event of events) {
       if ("id" in event) listeners.get(event.id)?.([event]);
       if (event.kind === "finished") listeners.delete(event.id);
@@ -56,24 +61,24 @@
   return {
     start: (request, listener) => {
       listeners.set(request.id, listener);
-      const taken = engine.submit(request, engineNow());
-      if (!taken) listeners.delete(request.id);
-      arm();
-      return taken;
+      const isAccepted = engine.submit(request, engineNow());
+      if (!isAccepted) listeners.delete(request.id);
+      scheduleNextStep();
+      return isAccepted;
     },
     cancel: (id) => {
       listeners.delete(id);
       engine.cancel(id, engineNow());
-      arm();
+      scheduleNextStep();
     },
-    exportable: (id) => engine.exportable(id),
+    exportableTokens: (id) => engine.exportableTokens(id),
     load: () => engine.load(),
     close: () => timer?.close(),
   };
 }
 
 /** Tokens of KV cache that a source of constant pace says it has. */
-const CONSTANT_CAPACITY = 100_000;
+const REPORTED_CACHE_CAPACITY = 100_000;
 
 /**
  * Gives each request its tokens at a constant pace, whatever else is in progress.
@@ -81,12 +86,12 @@
  * @param clock The clock.
  * @param tokenTime Milliseconds between tokens; 0 gives all at once.
  */
-export function createConstantSource(clock: Clock, tokenTime: number): TokenSource {
+export function createConstantRateSource(clock: Clock, tokenTime: number): TokenSource {
   const timers = new Map<string, Timer>();
-  const produced = new Map<string, number>();
-  const finish = (id: string): void => {
+  const cacheTokens = new Map<string, number>();
+  const forget = (id: string): void => {
     timers.delete(id);
-    produced.delete(id);
+    cacheTokens.delete(id);
   };
   return {
     start: (request, listener) => {
@@ -102,32 +107,32 @@
         return true;
       }
       listener([started]);
-      const next = (index: number): void => {
-        produced.set(id, promptTokens + index);
+      const scheduleToken = (index: number): void => {
+        cacheTokens.set(id, promptTokens + index);
         if (index >= answerTokens) {
-          finish(id);
+          forget(id);
           listener([{ kind: "finished", at: clock.now(), id }]);
           return;
         }
         const timer = clock.after(tokenTime, () => {
           listener([{ kind: "token", at: clock.now(), id, index }]);
-          next(index + 1);
+          scheduleToken(index + 1);
         });
         timers.set(id, timer);
       };
-      next(resumedTokens);
+      scheduleToken(resumedTokens);
       return true;
     },
     cancel: (id) => {
       timers.get(id)?.close();
-      finish(id);
+      forget(id);
     },
-    exportable: (id) => produced.get(id),
+    exportableTokens: (id) => cacheTokens.get(id),
     load: () => ({
       running: timers.size,
       waiting: 0,
-      cacheTokens: [...produced.values()].reduce((sum, tokens) => sum + tokens, 0),
-      cacheCapacity: CONSTANT_CAPACITY,
+      cacheTokens: [...cacheTokens.values()].reduce((sum, tokens) => sum + tokens, 0),
+      cacheCapacity: REPORTED_CACHE_CAPACITY,
     }),
     close: () => {
       for (const timer of timers.values()) timer.close();
--- a/src/standin/weight_store.ts
+++ b/src/standin/weight_store.ts
@@ -4,16 +4,16 @@
 /** A store of model weights whose rate all loads share. */
 export interface WeightStore {
   /** Resolves when the bytes have been given out, one load after another. */
-  load(bytes: number): Promise<void>;
+  waitForLoad(bytes: number): Promise<void>;
 }
 
 /** Makes a weight store that gives `bytesPerSecond` to all loads together. */
 export function createWeightStore(clock: Clock, bytesPerSecond: number): WeightStore {
-  let freeAt = clock.now();
+  let idleAt = clock.now();
   return {
-    load: async (bytes) => {
-      freeAt = Math.max(freeAt, clock.now()) + (bytes / bytesPerSecond) * 1_000;
-      await sleep(clock, freeAt - clock.now());
+    waitForLoad: async (bytes) => {
+      idleAt = Math.max(idleAt, clock.now()) + (bytes / bytesPerSecond) * 1_000;
+      await sleep(clock, idleAt - clock.now());
     },
   };
 }
