--- a/src/standin/backend_server.ts
+++ b/src/standin/backend_server.ts
@@ -1,3 +1,13 @@
+/**
+ * A simulated backend server for development and tests, reached over HTTP like a real one.
+ *
+ * It implements the engine protocol under `/engine/`: run, attach, cancel, ask, export, report and
+ * order. A dispatch to the chat-completions path runs on a simulated engine and streams the tokens
+ * ` word0 word1 …` as server-sent events. Every other path belongs to a plain service, which echoes
+ * the request. Both count their runs, so that a test can detect a request that ran twice.
+ *
+ * @module
+ */
 import { randomUUID } from "node:crypto";
 import type { IncomingMessage, ServerResponse } from "node:http";
 import polka from "polka";
@@ -14,37 +24,39 @@
 import { createConstantRateSource, createEngineTokenSource } from "./token_source.ts";
 import type { TokenSource } from "./token_source.ts";
 
-/** What a backend server stand-in is made with. */
+/** Options of a simulated backend server. */
 export interface BackendServerOptions {
-  /** `IP:PORT` to listen on. */
+  /** Address and port to listen on, as `IP:PORT`. */
   readonly listen: string;
   readonly clock: Clock;
   /**
-   * Milliseconds between tokens, the same whatever else is in progress; 0 answers at once. Where it is
-   * absent, the engine model of the machine class sets the pace.
+   * Milliseconds between two tokens, whatever else is in progress; 0 sends the whole answer at
+   * once. If absent, the engine model determines the rate from `capacity`.
    */
   readonly tokenTime?: number;
-  /** What the machine class can do; an ordinary one if absent. */
+  /** Throughput and memory of the machine class; defaults to 900 tokens per second. */
   readonly capacity?: EngineCapacity;
-  /** How many times as fast as the clock the engine model runs; 1 if absent. */
+  /** Factor by which the engine model runs faster than the clock; defaults to 1. */
   readonly timeScale?: number;
-  /** Whether orders and dispatches with an old fencing number are refused; not so if absent. */
+  /** Whether orders and dispatches with an older fencing number are refused; defaults to false. */
   readonly checksFence?: boolean;
-  /** Models that are loaded at the start. */
+  /** Models that are loaded when the server starts; defaults to none. */
   readonly loadedModels?: readonly string[];
-  /** The worker's id in its load reports; its address if absent. */
+  /** Worker id in load reports; defaults to the server's address. */
   readonly worker?: string;
 }
 
-/** A running backend server stand-in. */
+/** A running simulated backend server. */
 export interface BackendListener extends Listener {
-  /** How often each request was begun here, by its id. */
+  /** Number of runs of each request that started here from its beginning, by request id. */
   readonly runs: ReadonlyMap<string, number>;
-  /** What it was last ordered to be. */
+  /** Returns the last order that was accepted. */
   order(): Order;
 }
 
+/** Maximum size of a request body in bytes. */
 const MAX_BODY_BYTES = 4_000_000;
+/** Capacity of an ordinary machine class. */
 const DEFAULT_CAPACITY: EngineCapacity = {
   tokensPerSecond: 900,
   prefillPerSecond: 8_000,
@@ -76,8 +88,13 @@
 });
 
 /**
- * Starts a small stand-in for a backend server: a model engine that answers ` word0 word1 …`, and a plain
- * service that answers with what it was sent.
+ * Starts a simulated backend server.
+ *
+ * It answers chat completions with the tokens ` word0 word1 …`, and requests of plain services with
+ * an echo of what was sent.
+ *
+ * @param settings Options of the server.
+ * @returns The server, once it is listening.
  */
 export async function startBackend(settings: BackendServerOptions): Promise<BackendListener> {
   const source = createTokenSource(settings);
@@ -107,9 +124,9 @@
     else runPlainRequest(plain, dispatch, response);
   });
   route("attach", attachSchema, ({ id, fromToken }, response) => {
-    const follower = createSubscriber(response, requests, id);
-    if (requests.attach(id, fromToken, follower)) return;
-    sendJson(response, { error: `No request ${id}.` }, { status: NOT_FOUND });
+    const subscriber = createSubscriber(response, requests, id);
+    if (requests.attach(id, fromToken, subscriber)) return;
+    sendJson(response, { error: `Request ${id} not found.` }, { status: NOT_FOUND });
   });
   route("cancel", idSchema, ({ id }, response) => {
     requests.cancel(id);
@@ -120,7 +137,8 @@
   });
   route("export", idSchema, ({ id }, response) => {
     const tokens = source.exportableTokens(id);
-    if (tokens === undefined) sendJson(response, { error: "Not running." }, { status: NOT_FOUND });
+    if (tokens === undefined)
+      sendJson(response, { error: "The request is not running." }, { status: NOT_FOUND });
     else sendJson(response, { cache: formatCacheName(address, id, tokens) });
   });
   route("report", z.unknown(), (_body, response) => {
@@ -128,13 +146,13 @@
     const takenAt = settings.clock.now();
     sendJson(response, { worker, takenAt, ...source.load(), loaded: order.models });
   });
-  route("order", orderSchema, (given, response) => {
-    if (checksFence && given.fence < order.fence) {
-      const error = `Fencing number ${given.fence} is older than ${order.fence}.`;
+  route("order", orderSchema, (newOrder, response) => {
+    if (checksFence && newOrder.fence < order.fence) {
+      const error = `Fencing number ${newOrder.fence} is older than ${order.fence}.`;
       sendJson(response, { error }, { status: CONFLICT });
       return;
     }
-    order = given;
+    order = newOrder;
     sendJson(response, {});
   });
   const listener = await listenHttp(settings.listen, (request, response) => {
@@ -152,6 +170,10 @@
   };
 }
 
+/**
+ * Creates a token source with the configured token interval, or else one that runs the engine
+ * model.
+ */
 function createTokenSource(settings: BackendServerOptions): TokenSource {
   const { clock, tokenTime, capacity = DEFAULT_CAPACITY, timeScale = 1 } = settings;
   return tokenTime === undefined
@@ -159,7 +181,9 @@
     : createConstantRateSource(clock, tokenTime);
 }
 
-/** Undefined for a body that is too long, not JSON or of another shape. */
+/**
+ * Reads a JSON body. Returns undefined if it is too long, not JSON, or doesn't match the schema.
+ */
 async function readJsonBody<T>(
   request: IncomingMessage,
   schema: z.ZodType<T>,
@@ -183,7 +207,10 @@
   else sendEvents(response, [{ kind: "finished", reason: "stop", body: answer }]);
 }
 
-/** A plain service's ordinary HTTP call, told from its duplicates by the request id that comes with it. */
+/**
+ * Answers an ordinary HTTP call to a plain service. The `x-request-id` header identifies
+ * duplicates.
+ */
 async function answerPlainCall(
   plain: PlainService,
   request: IncomingMessage,
@@ -214,19 +241,22 @@
   }
 }
 
+/**
+ * Creates a subscriber that streams a request's events to the response until the connection closes.
+ */
 function createSubscriber(
   response: ServerResponse,
   requests: RequestTable,
   id: string,
 ): Subscriber {
-  const follower: Subscriber = (events) => {
+  const subscriber: Subscriber = (events) => {
     sendEvents(response, events);
   };
-  response.on("close", () => requests.unsubscribe(id, follower));
-  return follower;
+  response.on("close", () => requests.unsubscribe(id, subscriber));
+  return subscriber;
 }
 
-/** Sends events in one write, and ends the answer after the last. */
+/** Writes events in one call, and ends the response after the final event. */
 function sendEvents(response: ServerResponse, events: readonly EngineEvent[]): void {
   if (events.length === 0) return;
   if (!response.headersSent) response.writeHead(200, { "content-type": "text/event-stream" });
--- a/src/standin/backend_server_test.ts
+++ b/src/standin/backend_server_test.ts
@@ -6,7 +6,7 @@
 import type { BackendListener } from "./backend_server.ts";
 import { createVirtualClock } from "./memory/index.ts";
 
-const NEVER = new AbortController().signal;
+const NEVER_ABORTED = new AbortController().signal;
 
 function workerAt(address: string): Worker {
   return {
@@ -33,7 +33,7 @@
 
 async function withBackend(
   checksFence: boolean,
-  use: (
+  run: (
     engine: ReturnType<typeof createHttpEngine>,
     worker: Worker,
     backend: BackendListener,
@@ -42,7 +42,7 @@
   const clock = createVirtualClock();
   const backend = await startBackend({ listen: "127.0.0.1:0", clock, tokenTime: 0, checksFence });
   const engine = createHttpEngine();
-  await use(engine, workerAt(backend.address), backend);
+  await run(engine, workerAt(backend.address), backend);
   engine.close();
   await backend.close();
 }
@@ -53,25 +53,27 @@
   return all;
 }
 
-test("the stand-in speaks the protocol of the engine client: run, attach, ask, report", async () => {
+test("the server implements the engine client's protocol: run, attach, ask, report", async () => {
   await withBackend(false, async (engine, worker) => {
-    const ran = await collect(engine.run(worker, DISPATCH, NEVER));
-    const texts = ran.flatMap((event) => (event.kind === "token" ? [event.text] : []));
+    const runEvents = await collect(engine.run(worker, DISPATCH, NEVER_ABORTED));
+    const texts = runEvents.flatMap((event) => (event.kind === "token" ? [event.text] : []));
     expect(texts).toEqual([" word0", " word1", " word2"]);
-    expect(ran.at(-1)).toEqual({ kind: "finished", reason: "stop" });
-    const joined = await collect(engine.attach(worker, "r1", { fromToken: 2, signal: NEVER }));
-    expect(joined.filter(({ kind }) => kind === "token")).toHaveLength(1);
+    expect(runEvents.at(-1)).toEqual({ kind: "finished", reason: "stop" });
+    const attachEvents = await collect(
+      engine.attach(worker, "r1", { fromToken: 2, signal: NEVER_ABORTED }),
+    );
+    expect(attachEvents.filter(({ kind }) => kind === "token")).toHaveLength(1);
     expect(await engine.ask(worker, "r1", { bar: false })).toBe("finished");
     expect(await engine.report(worker)).toMatchObject({ running: 0, waiting: 0 });
   });
 });
 
-test("a plain service answers with what it was sent, and a duplicate isn't run again", async () => {
+test("a plain service echoes the request and does not run a duplicate", async () => {
   await withBackend(false, async (engine, worker) => {
     const plain = { ...DISPATCH, path: "/bookings", body: "seat 4" };
     const answers = [
-      await collect(engine.run(worker, plain, NEVER)),
-      await collect(engine.run(worker, plain, NEVER)),
+      await collect(engine.run(worker, plain, NEVER_ABORTED)),
+      await collect(engine.run(worker, plain, NEVER_ABORTED)),
     ];
     const body = JSON.stringify({ service: "desk", path: "/bookings", echo: "seat 4", run: 1 });
     for (const answer of answers) {
@@ -80,14 +82,14 @@
   });
 });
 
-test("a plain service's ordinary HTTP call is answered once for each request id", async () => {
-  // The answer of a booking is lost and the call is made again with the same id: run twice, a cinema would
-  // have two bookings for one slot.
+test("an HTTP call to a plain service runs once per request id", async () => {
+  // The response to a booking is lost, and the caller repeats the call with the same id. If it ran
+  // twice, a cinema would have two bookings for one slot.
   await withBackend(false, async (engine, worker) => {
     const booking = { ...DISPATCH, path: "POST /bookings", body: "seat 4" };
-    const first = await collect(engine.run(worker, booking, NEVER));
-    const second = await collect(engine.run(worker, booking, NEVER));
-    const other = await collect(engine.run(worker, { ...booking, id: "r2" }, NEVER));
+    const firstEvents = await collect(engine.run(worker, booking, NEVER_ABORTED));
+    const repeatedEvents = await collect(engine.run(worker, booking, NEVER_ABORTED));
+    const otherEvents = await collect(engine.run(worker, { ...booking, id: "r2" }, NEVER_ABORTED));
     const runOf = (events: EngineEvent[]): unknown => {
       const end = events.at(-1);
       const outer = JSON.parse(end?.kind === "finished" ? (end.body ?? "") : "{}") as {
@@ -95,22 +97,23 @@
       };
       return (JSON.parse(outer.body) as { run: number }).run;
     };
-    expect([first, second, other].map(runOf)).toEqual([1, 1, 2]);
+    expect([firstEvents, repeatedEvents, otherEvents].map(runOf)).toEqual([1, 1, 2]);
   });
 });
 
-test("a server that checks refuses an order with an older fencing number", async () => {
-  // The holder of a lease is paused, another takes over and gives an order, and the first wakes up and
-  // gives its own. Obeyed, the worker would drop the model that the service now needs.
+test("a server that checks fencing numbers refuses an order with an older one", async () => {
+  // The holder of a lease is paused, and another instance takes over and sends an order. The first
+  // one then resumes and sends its own. If the worker followed it, it would unload the model that
+  // the service needs now.
   await withBackend(true, async (engine, worker, backend) => {
     await engine.order(worker, { fence: 5, models: ["new"], role: "serve" });
-    const late = engine.order(worker, { fence: 4, models: ["old"], role: "serve" });
-    await expect(late).rejects.toMatchObject({ step: "order", peer: "desk-0" });
+    const lateOrder = engine.order(worker, { fence: 4, models: ["old"], role: "serve" });
+    await expect(lateOrder).rejects.toMatchObject({ step: "order", peer: "desk-0" });
     expect(backend.order().models).toEqual(["new"]);
   });
 });
 
-test("a server that doesn't check obeys whoever orders last", async () => {
+test("a server that doesn't check fencing numbers accepts every order", async () => {
   await withBackend(false, async (engine, worker, backend) => {
     await engine.order(worker, { fence: 5, models: ["new"], role: "serve" });
     await engine.order(worker, { fence: 4, models: ["old"], role: "serve" });
@@ -118,10 +121,10 @@
   });
 });
 
-test("a body that is no dispatch is answered with status 400", async () => {
+test("a body that isn't a dispatch is answered with status 400", async () => {
   await withBackend(false, async (engine, worker) => {
-    const broken = { ...DISPATCH, id: 7 } as unknown as Dispatch;
-    expect(await collect(engine.run(worker, broken, NEVER))).toMatchObject([
+    const invalidDispatch = { ...DISPATCH, id: 7 } as unknown as Dispatch;
+    expect(await collect(engine.run(worker, invalidDispatch, NEVER_ABORTED))).toMatchObject([
       { kind: "status", status: 400 },
     ]);
   });
--- a/src/standin/engine_model.ts
+++ b/src/standin/engine_model.ts
@@ -1,45 +1,59 @@
+/**
+ * A model of a batching inference engine with a KV cache, for tests and replays.
+ *
+ * The engine works in steps. Each step generates one token for every running sequence and computes
+ * a limited number of prompt tokens of those that have just started. The time of a step grows with
+ * the size of the batch and with the prompt tokens in it. If the answers outgrow the KV cache, the
+ * sequence with the lowest priority is preempted and computed again later. The model has no timers:
+ * its owner advances the time.
+ *
+ * @module
+ */
 import { BLOCK_TOKENS, createPrefixCache } from "./prefix_cache.ts";
 
-/** What a machine class makes of an engine; the deployment's machine classes have these fields. */
+/** Throughput and memory of an engine. The machine classes of a deployment have these fields. */
 export interface EngineCapacity {
-  /** Tokens generated a second by a full batch. */
+  /** Tokens per second that a full batch generates. */
   readonly tokensPerSecond: number;
-  /** Prompt tokens computed a second. */
+  /** Prompt tokens that are computed per second. */
   readonly prefillPerSecond: number;
-  /** Tokens of KV cache, prefix cache included. */
+  /** Size of the KV cache in tokens, including the prefix cache. */
   readonly cacheTokens: number;
 }
 
-/** A request as the engine model sees it. */
+/** A request to the simulated engine. */
 export interface EngineRequest {
   readonly id: string;
   readonly promptTokens: number;
-  /** Tokens of the whole answer, those that the caller has already included. */
+  /** Tokens of the whole answer, including those that the caller already has. */
   readonly answerTokens: number;
-  /** Hashes of the prompt's leading blocks of `BLOCK_TOKENS` tokens, each over all up to it. */
+  /**
+   * Hashes of the leading blocks of the prompt. Each hash covers all blocks up to its own, of
+   * `BLOCK_TOKENS` tokens each.
+   */
   readonly prefix: readonly string[];
-  /** Tokens of the answer that the caller has already. */
+  /** Tokens of the answer that the caller already has. */
   readonly resumedTokens: number;
-  /** Tokens of KV cache that are imported. */
+  /** Tokens of KV cache that are imported from another engine. */
   readonly importedTokens: number;
-  /** Higher goes first. */
+  /** Requests with a higher priority are started first. */
   readonly priority: number;
 }
 
-/** What happens in an engine, with the time in milliseconds. */
+/** An event of the engine. `at` is the time in milliseconds. */
 export type EngineModelEvent =
   | {
       readonly kind: "started";
       readonly at: number;
       readonly id: string;
-      /** Prompt and resumed tokens that are computed now. */
+      /** Prompt and resumed tokens that have to be computed. */
       readonly computed: number;
-      /** Those that were imported or in the prefix cache. */
+      /** Tokens that were imported or found in the prefix cache. */
       readonly cached: number;
     }
   | { readonly kind: "token"; readonly at: number; readonly id: string; readonly index: number }
   | { readonly kind: "finished"; readonly at: number; readonly id: string }
-  /** The KV cache ran full: the request waits and is computed anew. */
+  /** The KV cache was full: the request returns to the queue and is computed again. */
   | { readonly kind: "preempted"; readonly at: number; readonly id: string }
   | {
       readonly kind: "stored" | "evicted";
@@ -47,16 +61,18 @@
       readonly blocks: readonly string[];
     };
 
-/** How busy an engine is. */
+/** Load of an engine. */
 export interface EngineLoad {
+  /** Requests in the current batch. */
   readonly running: number;
+  /** Requests that wait to be started. */
   readonly waiting: number;
   readonly cacheTokens: number;
   readonly cacheCapacity: number;
 }
 
 /**
- * A model engine without timers: whoever owns it moves it on.
+ * A simulated engine without timers. Its owner advances the time.
  *
  * @example
  * ```ts
@@ -69,59 +85,70 @@
  */
 export interface EngineModel {
   /**
-   * Takes a request in.
+   * Adds a request to the queue.
    *
-   * @returns False where the request can never fit the KV cache.
+   * @returns False if the request exceeds the whole KV cache.
    */
   submit(request: EngineRequest, now: number): boolean;
-  /** Ends a request; one that isn't there is ignored. */
+  /** Cancels a request. An unknown id is ignored. */
   cancel(id: string, now: number): void;
-  /** Moves the engine on, with all that happens until then in order. */
+  /** Advances the engine to a time in milliseconds. Returns the events until then, in order. */
   advanceTo(now: number): EngineModelEvent[];
-  /** When the next step ends, or undefined where nothing is in progress. */
+  /** Returns the time at which the current step ends, or undefined if nothing is in progress. */
   nextEventAt(): number | undefined;
-  /** Tokens of KV cache that an export of the request holds now; undefined where it isn't running. */
+  /**
+   * Returns the tokens of KV cache that an export of the request would hold now, or undefined if
+   * the request isn't running.
+   */
   exportableTokens(id: string): number | undefined;
-  /** Makes every later step take this many times as long. */
+  /** Multiplies the duration of all later steps by a factor. */
   setSlowdown(slowdown: number): void;
+  /** Returns the current load. */
   load(): EngineLoad;
 }
 
 /**
- * Milliseconds that a step of a full batch takes; a faster machine class has a larger batch. An engine is
- * set up for its latency target: a full batch's step and a chunk of a prompt together stay under 44 ms.
+ * Duration of the step of a full batch in milliseconds. A faster machine class has a larger batch.
+ * Engines are configured for their latency target: the step of a full batch and a chunk of a prompt
+ * together stay below 44 ms.
  */
 const FULL_BATCH_STEP_TIME = 32;
-/** Part of a full batch's step that a step takes whatever its size: reading the weights. */
+/**
+ * Share of a full batch's step that every step takes regardless of its size, to read the weights.
+ */
 const BASE_STEP_SHARE = 0.6;
-/** Milliseconds by which computing prompts may lengthen a step while answers are being generated. */
+/**
+ * Maximum time in milliseconds that prompt tokens add to a step while answers are being generated.
+ */
 const MAX_PREFILL_TIME = 12;
-/** How many such chunks a step computes while no answer is being generated. */
+/** Number of such chunks that a step computes while no answer is being generated. */
 const IDLE_CHUNKS = 8;
 
 interface Sequence {
   readonly request: EngineRequest;
   readonly submitOrder: number;
-  /** Tokens of the answer so far. */
+  /** Tokens of the answer so far, including those that the caller already had. */
   produced: number;
-  /** Prompt and earlier tokens still to compute before the next token. */
+  /** Prompt tokens and earlier answer tokens to compute before the next token. */
   tokensToCompute: number;
-  /** Tokens of KV cache in use. */
+  /** Tokens of KV cache in use; while the sequence waits, the tokens that are imported. */
   cacheTokens: number;
 }
 
 interface Step {
   readonly endsAt: number;
+  /** Sequences that get one token in this step. */
   readonly decoding: readonly Sequence[];
+  /** Prompt tokens that this step computes, by sequence. */
   readonly chunks: readonly { readonly sequence: Sequence; readonly tokens: number }[];
 }
 
-/** How many sequences a machine class generates for at once. */
+/** Returns the number of sequences in a full batch of a machine class. */
 export function fullBatchSize({ tokensPerSecond }: EngineCapacity): number {
   return Math.max(1, Math.round((tokensPerSecond * FULL_BATCH_STEP_TIME) / 1_000));
 }
 
-/** Makes an idle engine. */
+/** Creates an idle engine. */
 export function createEngineModel(capacity: EngineCapacity): EngineModel {
   const fullBatch = fullBatchSize(capacity);
   const fullStepTime = (fullBatch * 1_000) / capacity.tokensPerSecond;
@@ -156,7 +183,7 @@
     const { request } = sequence;
     const needed = request.promptTokens + sequence.produced;
     const cachedPrefix = prefixCache.matchPrefix(request.prefix) * BLOCK_TOKENS;
-    // The last token is always computed: its output is the next one.
+    // The last token is always computed, because its output is the next token.
     const cached = Math.min(needed - 1, Math.max(cachedPrefix, sequence.cacheTokens));
     sequence.tokensToCompute = needed - cached;
     sequence.cacheTokens = needed;
@@ -285,12 +312,15 @@
   };
 }
 
+/**
+ * Returns whether a sequence has a higher priority, or the same priority and was submitted earlier.
+ */
 function precedes(a: Sequence, b: Sequence): boolean {
   if (a.request.priority !== b.request.priority) return a.request.priority > b.request.priority;
   return a.submitOrder < b.submitOrder;
 }
 
-/** Shares a step's budget of prompt tokens out, the highest priority and the oldest first. */
+/** Divides a step's budget of prompt tokens among the sequences, by priority and then by age. */
 function planChunks(sequences: readonly Sequence[], budget: number): Step["chunks"] {
   const computing = sequences.filter((sequence) => sequence.tokensToCompute > 0);
   computing.sort((a, b) => (precedes(a, b) ? -1 : 1));
--- a/src/standin/engine_model_test.ts
+++ b/src/standin/engine_model_test.ts
@@ -6,8 +6,8 @@
 const FULL_BATCH = fullBatchSize(CAPACITY);
 
 function requestOf(id: string, fields: Partial<EngineRequest> = {}): EngineRequest {
-  const zero = { prefix: [], resumedTokens: 0, importedTokens: 0, priority: 0 };
-  return { id, promptTokens: 100, answerTokens: 10, ...zero, ...fields };
+  const defaults = { prefix: [], resumedTokens: 0, importedTokens: 0, priority: 0 };
+  return { id, promptTokens: 100, answerTokens: 10, ...defaults, ...fields };
 }
 
 function runToEnd(engine: EngineModel): EngineModelEvent[] {
@@ -28,7 +28,7 @@
   );
 }
 
-test("a full batch generates the machine class's tokens a second", () => {
+test("a full batch generates the machine class's tokens per second", () => {
   const engine = createEngineModel(CAPACITY);
   for (let index = 0; index < FULL_BATCH; index++) {
     engine.submit(requestOf(`r${index}`, { promptTokens: 1, answerTokens: 200 }), 0);
@@ -39,7 +39,7 @@
   expect(rate).toBeLessThan(1.05 * CAPACITY.tokensPerSecond);
 });
 
-test("a request alone is answered faster than in a full batch", () => {
+test("a single request is answered faster than one in a full batch", () => {
   const engine = createEngineModel(CAPACITY);
   engine.submit(requestOf("alone"), 0);
   const alone = endTimeOf(runToEnd(engine), "alone");
@@ -48,7 +48,7 @@
   expect(endTimeOf(runToEnd(busy), "r0")).toBeGreaterThan(1.3 * alone);
 });
 
-test("a prompt whose prefix was computed before is computed only from there on", () => {
+test("the cached prefix of a prompt is not computed again", () => {
   const engine = createEngineModel(CAPACITY);
   const prefix = ["a", "b"];
   engine.submit(requestOf("first", { prefix, promptTokens: 200 }), 0);
@@ -59,7 +59,7 @@
   expect(computedTokensOf(second, "second")).toEqual([200 - 2 * 64]);
 });
 
-test("prefix blocks are dropped, the least recently used first, when the KV cache is needed", () => {
+test("the least recently used prefix blocks are evicted when the KV cache is full", () => {
   const engine = createEngineModel({ ...CAPACITY, cacheTokens: 1_000 });
   engine.submit(requestOf("old", { prefix: ["a"], promptTokens: 64 }), 0);
   runToEnd(engine);
@@ -68,7 +68,7 @@
   expect(evicted).toMatchObject({ blocks: ["a"] });
 });
 
-test("a resumed request computes its tokens anew, an imported one doesn't", () => {
+test("a resumed request computes its tokens again, one with an imported KV cache doesn't", () => {
   const engine = createEngineModel(CAPACITY);
   engine.submit(requestOf("resumed", { resumedTokens: 5 }), 0);
   const resumed = runToEnd(engine);
@@ -80,7 +80,7 @@
   expect(indexes).toEqual([5, 6, 7, 8, 9]);
 });
 
-test("a higher priority that came later is started first", () => {
+test("a request with a higher priority starts before earlier ones", () => {
   const engine = createEngineModel(CAPACITY);
   for (let index = 0; index < 2 * FULL_BATCH; index++) engine.submit(requestOf(`r${index}`), 0);
   engine.submit(requestOf("urgent", { priority: 1 }), 0);
@@ -88,7 +88,7 @@
   expect(endTimeOf(events, "urgent")).toBeLessThan(endTimeOf(events, `r${2 * FULL_BATCH - 1}`));
 });
 
-test("where answers outgrow the KV cache, the latest waits and is computed anew, and all end", () => {
+test("if answers outgrow the KV cache, the last request is preempted, and all requests finish", () => {
   const engine = createEngineModel({ ...CAPACITY, cacheTokens: 400 });
   for (const id of ["r0", "r1", "r2"]) engine.submit(requestOf(id, { answerTokens: 150 }), 0);
   const events = runToEnd(engine);
@@ -97,12 +97,12 @@
   expect(computedTokensOf(events, "r2").length).toBeGreaterThan(1);
 });
 
-test("a request that can never fit is not taken", () => {
+test("a request that exceeds the KV cache is rejected", () => {
   const engine = createEngineModel(CAPACITY);
   expect(engine.submit(requestOf("huge", { promptTokens: 20_000 }), 0)).toBe(false);
 });
 
-test("a cancelled request produces nothing more and frees its KV cache", () => {
+test("a cancelled request produces no more tokens and frees its KV cache", () => {
   const engine = createEngineModel(CAPACITY);
   engine.submit(requestOf("r0", { answerTokens: 1_000 }), 0);
   engine.advanceTo(200);
@@ -111,7 +111,7 @@
   expect(engine.load()).toMatchObject({ running: 0, cacheTokens: 0 });
 });
 
-test("a slowed engine takes that many times as long", () => {
+test("a slowdown multiplies the engine's time by its factor", () => {
   const engine = createEngineModel(CAPACITY);
   engine.submit(requestOf("r0"), 0);
   const normalEnd = endTimeOf(runToEnd(engine), "r0");
--- a/src/standin/engine_request.ts
+++ b/src/standin/engine_request.ts
@@ -4,24 +4,25 @@
 import type { EngineRequest } from "./engine_model.ts";
 import { BLOCK_TOKENS } from "./prefix_cache.ts";
 
-/** The parts of a chat-completions body that an engine goes by. */
+/** The fields of a chat-completions body that the engine model uses. */
 const chatBodySchema = z.object({
   messages: z.array(z.object({ content: z.unknown() })).default([]),
   max_tokens: z.number().int().positive().nullish(),
   max_completion_tokens: z.number().int().positive().nullish(),
 });
 
-/** Characters that a token stands for, on the average. */
+/** Average number of characters per token. */
 const CHARACTERS_PER_TOKEN = 4;
+/** Length of the answer in tokens if the body sets no limit. */
 const DEFAULT_ANSWER_TOKENS = 16;
 
-/** Path of the requests that an engine generates for; any other path is a plain service's. */
+/** Path of the requests that run on the engine. All other paths belong to plain services. */
 export const CHAT_PATH = "/v1/chat/completions";
 
 /**
- * Reads what the engine model needs from a dispatch.
+ * Converts a dispatch to a request to the engine model.
  *
- * @returns Undefined where the body isn't a chat-completions body.
+ * @returns Undefined if the body isn't a chat-completions body.
  */
 export function parseEngineRequest(dispatch: Dispatch): EngineRequest | undefined {
   const body = chatBodySchema.safeParse(parseJson(dispatch.body));
@@ -47,7 +48,7 @@
   }
 }
 
-/** Hashes of the prompt's whole blocks, each over all text up to its end. */
+/** Hashes the complete blocks of a prompt. Each hash covers all text up to the end of its block. */
 function hashPrefixBlocks(promptText: string): string[] {
   const size = BLOCK_TOKENS * CHARACTERS_PER_TOKEN;
   const hash = createHash("sha1");
@@ -59,11 +60,18 @@
   );
 }
 
-/** Names an export of KV cache: who made it, and how many tokens it holds. */
+/**
+ * Formats the name of a KV cache export from the server's address, the request id and the number of
+ * tokens in it.
+ */
 export function formatCacheName(source: string, id: string, tokens: number): string {
   return `${source}/${id}/${tokens}`;
 }
 
+/**
+ * Returns the number of tokens in a KV cache export, as given by the end of its name; 0 if there is
+ * none.
+ */
 function parseImportedTokens(name: string | undefined): number {
   return name === undefined ? 0 : Number(/\/(\d+)$/.exec(name)?.[1] ?? 0);
 }
--- a/src/standin/memory/freezer.ts
+++ b/src/standin/memory/freezer.ts
@@ -1,16 +1,21 @@
 import type { Clock } from "../../interface/index.ts";
 
-/** One instance's own view of time, which can be frozen as a paused process is. */
+/** Pauses the clock and the incoming calls of one instance, as when its process is suspended. */
 export interface Freezer {
-  /** The clock that the instance is given. */
+  /** The clock that is passed to the instance. */
   readonly clock: Clock;
-  /** Resolves at once, or when the instance wakes: everything that reaches an instance passes here. */
+  /** Resolves when the instance is running. All calls to the instance wait for it. */
   gate(): Promise<void>;
+  /** Pauses the instance. */
   freeze(): void;
+  /** Resumes the instance and runs what was deferred, in order. */
   wake(): void;
 }
 
-/** Makes a freezer over a clock: while frozen, timers that come due wait for the waking. */
+/**
+ * Creates the control of an instance that uses a clock. While the instance is paused, timers that
+ * expire are deferred until it resumes.
+ */
 export function createFreezer(clock: Clock): Freezer {
   let isPaused = false;
   const deferred: (() => void)[] = [];
--- a/src/standin/memory/memory_engines.ts
+++ b/src/standin/memory/memory_engines.ts
@@ -1,3 +1,8 @@
+/**
+ * Backend servers in memory, with injected failures, for tests on a virtual clock.
+ *
+ * @module
+ */
 import { CANCELLED_RUN, EngineKnowledge, sleep } from "../../interface/index.ts";
 import type {
   Clock,
@@ -8,33 +13,41 @@
   Worker,
 } from "../../interface/index.ts";
 
-/** One run of a request on a worker, as the backend server itself recorded it. */
+/** A run of a request on a worker, as recorded by the backend server itself. */
 export interface EngineRun {
   readonly id: string;
   readonly worker: string;
   readonly attempt: number;
+  /** Time in milliseconds at which the run started. */
   readonly startedAt: number;
-  /** Tokens that the engine had to go on from. */
+  /** Number of answer tokens that came with the dispatch. */
   readonly resumedFrom: number;
-  /** When it was cancelled; absent where it went on. */
+  /** Time at which the run was cancelled; absent if it wasn't. */
   readonly cancelledAt?: number;
 }
 
-/** Backend servers in memory: they answer `t0 t1 …`, and keep their own record of every run. */
+/** Backend servers in memory. They answer `t0 t1 …` and record every run. */
 export interface MemoryEngines {
-  connect(gate?: () => Promise<void>): Engine;
-  /** Every run that began, in order. */
+  /**
+   * Returns the engine client of an instance. Events and responses wait for `whenRunning`, which
+   * resolves unless the instance is paused.
+   */
+  connect(whenRunning?: () => Promise<void>): Engine;
+  /** All runs in the order of their start. */
   readonly runs: readonly EngineRun[];
-  /** Takes a worker away: its streams break, calls are refused. */
+  /** Stops a worker. Its streams fail, and calls to it are refused. */
   kill(worker: string): void;
-  /** Connections that are open now to the worker go silent for good, while new ones work. */
+  /** Makes the connections that are open to a worker hang forever. New connections work. */
   silence(worker: string): void;
-  /** Makes a worker's tokens come this much more slowly. */
+  /** Multiplies the time between a worker's tokens by a factor. */
   slow(worker: string, factor: number): void;
 }
 
+/** Milliseconds between two tokens. */
 const TOKEN_INTERVAL = 20;
+/** Tokens of an answer if the request sets no limit. */
 const DEFAULT_ANSWER_TOKENS = 8;
+/** Milliseconds until a connection is open. */
 const CONNECT_TIME = 1;
 
 interface RunProgress {
@@ -43,7 +56,7 @@
   isCancelled: boolean;
 }
 
-/** Makes backend servers; any worker that is called exists until it is killed. */
+/** Creates backend servers. Every worker that is called exists until it is killed. */
 export function createMemoryEngines(clock: Clock): MemoryEngines {
   const runs: (EngineRun & { cancelledAt?: number })[] = [];
   const progress = new Map<string, RunProgress>();
@@ -95,7 +108,7 @@
     }
     yield { kind: "finished", reason: state.isCancelled ? CANCELLED_RUN : "stop" };
   };
-  const connect = (gate: () => Promise<void> = () => Promise.resolve()): Engine => ({
+  const connect = (whenRunning: () => Promise<void> = () => Promise.resolve()): Engine => ({
     run: async function* (worker, dispatch, signal) {
       await connectTo(worker, "connect");
       if (barred.has(`${worker.id} ${dispatch.id}`)) {
@@ -104,11 +117,11 @@
       }
       const from = dispatch.tokens.length;
       const state = startRun(worker, dispatch);
-      await gate();
+      await whenRunning();
       const isImported = dispatch.cache !== undefined;
       yield { kind: "started", recomputed: isImported ? 0 : from, cached: isImported ? from : 0 };
       for await (const event of streamEvents(worker, { state, from, signal })) {
-        await gate();
+        await whenRunning();
         yield event;
       }
     },
@@ -120,7 +133,7 @@
         return;
       }
       for await (const event of streamEvents(worker, { state, from: fromToken, signal })) {
-        await gate();
+        await whenRunning();
         yield event;
       }
     },
@@ -138,7 +151,7 @@
       await connectTo(worker, "order");
       const state = progress.get(`${worker.id} ${id}`);
       if (state === undefined && bar) barred.add(`${worker.id} ${id}`);
-      await gate();
+      await whenRunning();
       return knowledgeOf(state, bar);
     },
     exportCache: async (worker, id) => {
@@ -181,6 +194,6 @@
   worker: Worker,
   notSent: boolean,
 ): EngineFailure {
-  const error = new Error(`The call to ${worker.id} failed at ${step}: the server has gone.`);
+  const error = new Error(`Call to ${worker.id} failed at ${step}: the server is not running.`);
   return Object.assign(error, { step, peer: worker.id, notSent });
 }
--- a/src/standin/memory/memory_network.ts
+++ b/src/standin/memory/memory_network.ts
@@ -1,41 +1,59 @@
+/**
+ * A network between entry instances in memory, with injected failures, for tests on a virtual
+ * clock.
+ *
+ * @module
+ */
 import { setMaxListeners } from "node:events";
 import { sleep } from "../../interface/index.ts";
 import type { Clock, Member, PeerFailure, PeerHandlers, Peers } from "../../interface/index.ts";
 import { waitForAbort } from "./wait_for_abort.ts";
 
-/** More calls than wait for one frozen instance at once, with all of 1,024 slots handed to it: beyond, listeners leak. */
+/**
+ * Maximum number of calls that wait for a paused instance at once. All 1,024 slots handed over to
+ * it stay below it. Node.js reports a leak of listeners above this number.
+ */
 const MAX_PENDING_CALLS = 2_048;
 
-/** The paths between entry instances in memory, with the ways in which they fail. */
+/** The network between entry instances in memory, with its failures. */
 export interface MemoryNetwork {
-  /** Puts an instance on the network; `gate` holds everything back that reaches it while it is frozen. */
-  join(member: Member, handlers: PeerHandlers, gate?: () => Promise<void>): void;
-  /** Takes an instance off: calls to it are refused at once, its open streams break. */
+  /**
+   * Adds an instance. Calls to it wait for `whenRunning`, which resolves unless the instance is
+   * paused.
+   */
+  join(member: Member, handlers: PeerHandlers, whenRunning?: () => Promise<void>): void;
+  /** Removes an instance. Calls to it are refused at once, and its open streams fail. */
   kill(id: string): void;
-  /** The calls as the given instance makes them. */
+  /** Returns the peer client of an instance. */
   peersOf(id: string): Peers;
-  /** Cuts or mends the path between two instances, both ways: calls get no answer. */
-  setCut(a: string, b: string, isPartitioned: boolean): void;
-  /** Connections open between the two go silent for good, while new ones work. */
+  /**
+   * Partitions or reconnects two instances in both directions. Calls across a partition time out.
+   */
+  setCut(a: string, b: string, shouldPartition: boolean): void;
+  /**
+   * Makes the connections that are open between two instances hang forever. New connections work.
+   */
   silence(a: string, b: string): void;
-  /** The next `count` calls from `a` to `b` are carried out and their answers are lost. */
+  /** Executes the next `count` calls from `a` to `b` but drops their responses. */
   loseAnswers(a: string, b: string, count: number): void;
 }
 
-/** One way between instances, in milliseconds. */
+/** Network delay in one direction, in milliseconds. */
 const ONE_WAY_DELAY = 1.5;
-/** How long a caller waits for an answer. */
+/** Milliseconds after which a call without a response fails. */
 const CALL_TIMEOUT = 1_000;
 
 interface NetworkNode {
   readonly address: string;
   readonly handlers: PeerHandlers;
-  readonly gate: () => Promise<void>;
-  /** Aborted when the instance is killed: a frozen one that is killed answers nobody. */
+  readonly whenRunning: () => Promise<void>;
+  /**
+   * Aborted when the instance is killed, because a paused instance that is killed never resumes.
+   */
   readonly killed: AbortController;
 }
 
-/** Makes a network without instances. */
+/** Creates a network without instances. */
 export function createMemoryNetwork(clock: Clock): MemoryNetwork {
   const nodes = new Map<string, NetworkNode>();
   const partitions = new Set<string>();
@@ -45,7 +63,7 @@
   const generationOf = (a: string, b: string): number =>
     connectionGenerations.get(pairKey(a, b)) ?? 0;
 
-  /** A seed is known by its address alone. */
+  /** Returns the id of an instance. A seed has no id, so it is looked up by its address. */
   const idOf = (to: Member): string => {
     if (to.id !== "") return to.id;
     return [...nodes].findLast(([, { address }]) => address === to.address)?.[0] ?? to.address;
@@ -53,16 +71,16 @@
 
   const timeOut = async (from: string, to: string, step: string): Promise<never> => {
     await sleep(clock, CALL_TIMEOUT);
-    await nodes.get(from)?.gate();
-    throw createPeerFailure(step, to, "No answer came in time.");
+    await nodes.get(from)?.whenRunning();
+    throw createPeerFailure(step, to, "No response within the timeout.");
   };
   const deliver = async (from: string, to: string, step: string): Promise<NetworkNode> => {
     if (isPartitioned(from, to)) return timeOut(from, to, step);
     await sleep(clock, ONE_WAY_DELAY);
     const node = nodes.get(to);
     if (node === undefined) throw createPeerFailure(step, to, "The connection was refused.");
-    await waitForGate(node.gate(), node.killed.signal);
-    if (nodes.get(to) !== node) throw createPeerFailure(step, to, "The connection broke.");
+    await waitUntilRunning(node.whenRunning(), node.killed.signal);
+    if (nodes.get(to) !== node) throw createPeerFailure(step, to, "The connection was closed.");
     return node;
   };
   const shouldDropResponse = (from: string, to: string): boolean => {
@@ -79,8 +97,8 @@
     const response = await run(node.handlers);
     if (isPartitioned(from, to) || shouldDropResponse(from, to)) return timeOut(from, to, step);
     await sleep(clock, ONE_WAY_DELAY);
-    if (!nodes.has(from)) throw createPeerFailure(step, to, "The caller has gone.");
-    await nodes.get(from)?.gate();
+    if (!nodes.has(from)) throw createPeerFailure(step, to, "The caller was killed.");
+    await nodes.get(from)?.whenRunning();
     return response;
   };
 
@@ -98,8 +116,9 @@
       for await (const event of node.handlers.relay(message, signal)) {
         if (generationOf(from, to.id) !== generation || isPartitioned(from, to.id))
           await waitForAbort(signal);
-        if (nodes.get(to.id) !== node) throw createPeerFailure("relay", to.id, "The stream broke.");
-        await nodes.get(from)?.gate();
+        if (nodes.get(to.id) !== node)
+          throw createPeerFailure("relay", to.id, "The stream was interrupted.");
+        await nodes.get(from)?.whenRunning();
         yield event;
       }
     },
@@ -107,10 +126,10 @@
   });
 
   return {
-    join: (member, handlers, gate = () => Promise.resolve()) => {
+    join: (member, handlers, whenRunning = () => Promise.resolve()) => {
       const killed = new AbortController();
       setMaxListeners(MAX_PENDING_CALLS, killed.signal);
-      nodes.set(member.id, { address: member.address, handlers, gate, killed });
+      nodes.set(member.id, { address: member.address, handlers, whenRunning, killed });
     },
     kill: (id) => {
       const node = nodes.get(id);
@@ -118,8 +137,8 @@
       node?.killed.abort();
     },
     peersOf,
-    setCut: (a, b, isPartitioned) => {
-      if (isPartitioned) partitions.add(pairKey(a, b));
+    setCut: (a, b, shouldPartition) => {
+      if (shouldPartition) partitions.add(pairKey(a, b));
       else partitions.delete(pairKey(a, b));
     },
     silence: (a, b) => connectionGenerations.set(pairKey(a, b), generationOf(a, b) + 1),
@@ -128,10 +147,11 @@
 }
 
 /**
- * Waits until the gate lets pass or the signal aborts. The signal lives as long as its instance: a listener that
- * each call left on it would be one more for every message that the instance ever took.
+ * Waits until the instance is running or the signal aborts. The listener is removed each time: the
+ * signal lives as long as its instance, so otherwise it would collect a listener for every message
+ * that the instance has received.
  */
-function waitForGate(gate: Promise<void>, signal: AbortSignal): Promise<void> {
+function waitUntilRunning(running: Promise<void>, signal: AbortSignal): Promise<void> {
   return new Promise((resolve) => {
     const settle = (): void => {
       signal.removeEventListener("abort", settle);
@@ -139,7 +159,7 @@
     };
     if (signal.aborted) resolve();
     else signal.addEventListener("abort", settle);
-    void gate.finally(settle);
+    void running.finally(settle);
   });
 }
 
@@ -148,5 +168,5 @@
 }
 
 function createPeerFailure(step: string, peer: string, problem: string): PeerFailure {
-  return Object.assign(new Error(`Calling ${peer} to ${step}: ${problem}`), { step, peer });
+  return Object.assign(new Error(`Call to ${peer} failed at ${step}: ${problem}`), { step, peer });
 }
--- a/src/standin/memory/memory_store.ts
+++ b/src/standin/memory/memory_store.ts
@@ -3,43 +3,49 @@
 import { createObjectTable } from "../object_table.ts";
 import { waitForAbort } from "./wait_for_abort.ts";
 
-/** The platform's object API in memory, with the ways in which it fails. */
+/** The platform's object API in memory, with injected failures. */
 export interface MemoryStore {
-  /** The store as one instance reaches it; `gate` holds answers back while the instance is frozen. */
-  connect(gate?: () => Promise<void>): ObjectStore;
-  /** Down: every call fails and is not applied; watches go silent. */
-  setDown(isDown: boolean): void;
-  /** The next `count` writes are applied and their answers are lost. */
+  /**
+   * Returns the store client of an instance. Responses wait for `whenRunning`, which resolves
+   * unless the instance is paused.
+   */
+  connect(whenRunning?: () => Promise<void>): ObjectStore;
+  /**
+   * Makes the store unavailable or available again. While it is unavailable, calls fail without
+   * effect, and watches hang.
+   */
+  setDown(isUnavailable: boolean): void;
+  /** Applies the next `count` writes but drops their responses. */
   loseAnswers(count: number): void;
-  /** Watches that are open now never report again, while new ones work. */
+  /** Makes the watches that are open hang forever. New watches work. */
   silenceWatches(): void;
-  /** Calls so far, watches included. */
+  /** Returns the number of calls so far, including watches. */
   calls(): number;
 }
 
-/** How long a call takes, in milliseconds. */
+/** Duration of a call in milliseconds. */
 const CALL_TIME = 3;
-/** How long the store holds a watch on an object that doesn't change. */
+/** Milliseconds after which a watch ends if the object hasn't changed. */
 const WATCH_TIMEOUT = 30_000;
 
-/** Makes an empty store. */
+/** Creates an empty store. */
 export function createMemoryStore(clock: Clock): MemoryStore {
   const table = createObjectTable();
-  const state = { down: false };
-  const isDown = (): boolean => state.down;
+  const state = { isUnavailable: false };
+  const isUnavailable = (): boolean => state.isUnavailable;
   let responsesToDrop = 0;
   let watchGeneration = 0;
   let callCount = 0;
 
   const write = (key: string, value: string, expect: number): PutOutcome => {
-    if (isDown()) return { kind: "unavailable", detail: "The store is down." };
+    if (isUnavailable()) return { kind: "unavailable", detail: "The store is unavailable." };
     const outcome = table.put(key, value, expect);
     if (responsesToDrop === 0) return outcome;
     responsesToDrop--;
-    return { kind: "unknown", detail: "The answer was lost." };
+    return { kind: "unknown", detail: "The response was lost." };
   };
 
-  const connect = (gate: () => Promise<void> = () => Promise.resolve()): ObjectStore => {
+  const connect = (whenRunning: () => Promise<void> = () => Promise.resolve()): ObjectStore => {
     const call = async (): Promise<void> => {
       callCount++;
       await sleep(clock, CALL_TIME);
@@ -48,24 +54,24 @@
       get: async (key) => {
         await call();
         const object = table.get(key);
-        const wasDown = isDown();
-        await gate();
-        if (wasDown) return { kind: "unavailable", detail: "The store is down." };
+        const wasDown = isUnavailable();
+        await whenRunning();
+        if (wasDown) return { kind: "unavailable", detail: "The store is unavailable." };
         return object === undefined ? { kind: "absent" } : { kind: "found", object };
       },
       put: async (key, value, { expect }) => {
         await call();
         const outcome = write(key, value, expect);
-        await gate();
+        await whenRunning();
         return outcome;
       },
       watch: async (key, after, signal) => {
         await call();
-        if (isDown()) throw new Error("The store is down: no watch could be opened.");
+        if (isUnavailable()) throw new Error("The store is unavailable: the watch was not opened.");
         const generation = watchGeneration;
         const timeout = new AbortController();
         const timer = clock.after(WATCH_TIMEOUT, () =>
-          timeout.abort(new Error("Nothing changed.")),
+          timeout.abort(new Error("The object has not changed.")),
         );
         const object = await table.waitForChange(
           key,
@@ -73,8 +79,8 @@
           AbortSignal.any([signal, timeout.signal]),
         );
         timer.close();
-        if (generation !== watchGeneration || isDown()) await waitForAbort(signal);
-        await gate();
+        if (generation !== watchGeneration || isUnavailable()) await waitForAbort(signal);
+        await whenRunning();
         return object;
       },
       close: () => undefined,
@@ -83,7 +89,7 @@
   return {
     connect,
     setDown: (value) => {
-      state.down = value;
+      state.isUnavailable = value;
     },
     loseAnswers: (count) => {
       responsesToDrop = count;
--- a/src/standin/memory/virtual_clock.ts
+++ b/src/standin/memory/virtual_clock.ts
@@ -2,17 +2,18 @@
 import { createHeap } from "../../decision/heap.ts";
 import type { Clock } from "../../interface/index.ts";
 
-/** A clock that stands still until it is moved: tests and replays own time. */
+/** A clock that tests and replays advance explicitly. */
 export interface VirtualClock extends Clock {
   /**
-   * Moves time on, firing each timer at its time and letting all that follows from it happen first.
+   * Advances the time. Each timer runs at its time, and all asynchronous work that it starts runs
+   * before the next timer.
    *
-   * @param milliseconds How far.
+   * @param milliseconds Time by which the clock advances.
    */
   advance(milliseconds: number): Promise<void>;
-  /** Timers that wait for their time. */
+  /** Returns the number of open timers. */
   pending(): number;
-  /** Lets everything happen that needs no time. */
+  /** Runs all pending asynchronous work that doesn't wait for a timer. */
   settle(): Promise<void>;
 }
 
@@ -23,12 +24,12 @@
   isClosed: boolean;
 }
 
-/** The calendar's time at which virtual clocks begin, in milliseconds. */
+/** Calendar time at 0 of a virtual clock, in milliseconds. */
 const START_DATE = Date.UTC(2026, 0, 1);
 
-/** Makes a clock that begins at 0. */
+/** Creates a clock that starts at 0. */
 export function createVirtualClock(): VirtualClock {
-  /** Timers that were closed stay in until their time comes. */
+  /** Closed timers stay in the heap until they reach its top. */
   const timers = createHeap<PendingTimer>(
     (a, b) => a.at < b.at || (a.at === b.at && a.order < b.order),
   );
@@ -40,13 +41,13 @@
     timer.isClosed = true;
     openCount--;
   };
-  /** The next timer that is open, left in. */
+  /** Returns the earliest open timer without removing it. */
   const nextTimer = (): PendingTimer | undefined => {
     while (timers.peek()?.isClosed === true) timers.pop();
     return timers.peek();
   };
   const settle = async (): Promise<void> => {
-    // One turn of the event loop runs every promise that can run without a timer.
+    // One turn of the event loop runs all promise callbacks that don't wait for a timer.
     await setImmediate();
   };
   return {
--- a/src/standin/memory/wait_for_abort.ts
+++ b/src/standin/memory/wait_for_abort.ts
@@ -1,7 +1,7 @@
 /**
- * Waits on a silent connection, which ends only when the one who waits gives up.
+ * Waits on a connection that hangs, until the caller gives up.
  *
- * @param signal Aborted by the one who waits; the promise then rejects with its reason.
+ * @param signal Aborted by the caller. The promise then rejects with the signal's reason.
  */
 export function waitForAbort(signal: AbortSignal): Promise<never> {
   return new Promise((_resolve, reject) => {
--- a/src/standin/object_table.ts
+++ b/src/standin/object_table.ts
@@ -1,14 +1,21 @@
 import type { PutOutcome, StoredObject } from "../interface/index.ts";
 
-/** The objects of the platform stand-in, in memory. */
+/** The versioned objects of the simulated platform, in memory. */
 export interface ObjectTable {
+  /** Returns the object with a key. */
   get(key: string): StoredObject | undefined;
+  /**
+   * Writes a value if the object's version is `expect`; 0 stands for an object that doesn't exist.
+   */
   put(key: string, value: string, expect: number): PutOutcome;
-  /** Resolves with the first object newer than `after`. */
+  /**
+   * Resolves with the object once its version is greater than `after`, or with undefined when the
+   * signal aborts.
+   */
   waitForChange(key: string, after: number, signal: AbortSignal): Promise<StoredObject | undefined>;
 }
 
-/** An empty table. */
+/** Creates an empty table. */
 export function createObjectTable(): ObjectTable {
   const objects = new Map<string, StoredObject>();
   const watchers = new Set<() => void>();
--- a/src/standin/plain_service.ts
+++ b/src/standin/plain_service.ts
@@ -1,15 +1,21 @@
 import { EngineKnowledge } from "../interface/index.ts";
 import type { Dispatch } from "../interface/index.ts";
 
-/** A plain service: it answers with what it was sent, and counts how often it ran each request. */
+/** A simulated plain service. It echoes requests and counts its runs. */
 export interface PlainService {
-  /** Runs a request; undefined where its id is barred. A duplicate is answered but not run again. */
+  /**
+   * Runs a request and returns its answer, or undefined if the id is barred. A duplicate gets the
+   * same answer without another run.
+   */
   run(dispatch: Pick<Dispatch, "id" | "service" | "path" | "body">): string | undefined;
-  /** What is known of an id; undefined where this service has never heard of it. */
+  /**
+   * Returns the state of a request, or undefined if its id is unknown here. With `bar`, an unknown
+   * id is barred from then on.
+   */
   query(id: string, bar: boolean): EngineKnowledge | undefined;
 }
 
-/** Makes a plain service that has run nothing. */
+/** Creates a plain service that has run no requests. */
 export function createPlainService(): PlainService {
   const answers = new Map<string, string>();
   const barred = new Set<string>();
--- a/src/standin/platform_server.ts
+++ b/src/standin/platform_server.ts
@@ -1,3 +1,12 @@
+/**
+ * A simulated platform for development and tests: the object API, the list of workers, the cloud
+ * and the weight store on one HTTP listener.
+ *
+ * `POST /standin/reclaim`, `/standin/outage` and `/standin/refuse` inject faults: they reclaim
+ * instances, make the object API unavailable, and refuse launches.
+ *
+ * @module
+ */
 import type { IncomingMessage, ServerResponse } from "node:http";
 import polka from "polka";
 import { z } from "zod";
@@ -10,29 +19,32 @@
 import type { ObjectTable } from "./object_table.ts";
 import { createWeightStore } from "./weight_store.ts";
 
-/** Bound on a value, as the platform's. */
+/** Maximum size of a value in bytes, as on the real platform. */
 const MAX_VALUE_BYTES = 1_000_000;
-/** How long a watch waits before it is answered with nothing. */
+/** Milliseconds after which a watch is answered if nothing has changed. */
 const WATCH_TIMEOUT = 30_000;
-/** Bytes a second of the weight store where the settings say nothing. */
+/** Rate of the weight store in bytes per second if the options don't set it. */
 const DEFAULT_WEIGHT_BYTES_PER_SECOND = 2_000_000_000;
 const UNAVAILABLE = 503;
 const NOT_FOUND = 404;
 const PRECONDITION_FAILED = 412;
 
-/** What the platform stand-in is made with. */
+/** Options of the simulated platform. */
 export interface PlatformServerOptions extends CloudOptions {
-  /** `IP:PORT` to listen on. */
+  /** Address and port to listen on, as `IP:PORT`. */
   readonly listen: string;
-  /** Bytes a second that the weight store gives to all loads together. */
+  /** Bytes per second of the weight store, shared by all loads; defaults to 2 GB/s. */
   readonly weightBytesPerSecond?: number;
 }
 
-/** A running platform stand-in. */
+/** A running simulated platform. */
 export interface PlatformListener extends Listener {
   readonly cloud: SimulatedCloud;
-  /** Takes the object API down, or up again: reads and writes are refused, watches go silent. */
-  setDown(down: boolean): void;
+  /**
+   * Makes the object API unavailable or available again. While it is unavailable, reads and writes
+   * are refused, and watches get no response.
+   */
+  setDown(isUnavailable: boolean): void;
 }
 
 const launchSchema = z.object({
@@ -50,19 +62,21 @@
 const refuseSchema = z.strictObject({ zone: z.string().exactOptional(), refuse: z.boolean() });
 
 /**
- * Starts a small stand-in for the platform on one listener: object API, lagging instance list, cloud and
- * weight store. `POST /standin/reclaim`, `/standin/outage` and `/standin/refuse` make it fail.
+ * Starts a simulated platform.
+ *
+ * @param settings Options of the platform.
+ * @returns The platform, once it is listening.
  */
 export async function startPlatform(settings: PlatformServerOptions): Promise<PlatformListener> {
   const table = createObjectTable();
   const cloud = createSimulatedCloud(settings);
-  const state = { down: false };
+  const state = { isUnavailable: false };
   const app = polka();
   addObjectRoutes(app, { table, state });
   addCloudRoutes(app, cloud);
   addWeightRoute(app, settings);
-  const setDown = (down: boolean): void => {
-    state.down = down;
+  const setDown = (isUnavailable: boolean): void => {
+    state.isUnavailable = isUnavailable;
   };
   addFaultRoutes(app, { cloud, setDown });
   const listener = await listenHttp(
@@ -80,11 +94,11 @@
 
 function addObjectRoutes(
   app: polka.Polka,
-  { table, state }: { table: ObjectTable; state: { readonly down: boolean } },
+  { table, state }: { table: ObjectTable; state: { readonly isUnavailable: boolean } },
 ): void {
-  const isDown = (): boolean => state.down;
+  const isUnavailable = (): boolean => state.isUnavailable;
   app.get("/objects/:key", async (request, response) => {
-    if (isDown()) {
+    if (isUnavailable()) {
       sendJson(response, {}, { status: UNAVAILABLE });
       return;
     }
@@ -94,13 +108,13 @@
       after === undefined
         ? table.get(key)
         : await table.waitForChange(key, Number(after), AbortSignal.timeout(WATCH_TIMEOUT));
-    if (isDown()) return;
+    if (isUnavailable()) return;
     if (object === undefined) sendJson(response, {}, { status: NOT_FOUND });
     else sendJson(response, object);
   });
   app.put("/objects/:key", async (request, response) => {
     const value = await readBody(request, MAX_VALUE_BYTES);
-    if (isDown()) {
+    if (isUnavailable()) {
       sendJson(response, {}, { status: UNAVAILABLE });
       return;
     }
@@ -140,7 +154,7 @@
 
 function addFaultRoutes(
   app: polka.Polka,
-  { cloud, setDown }: { cloud: SimulatedCloud; setDown: (down: boolean) => void },
+  { cloud, setDown }: { cloud: SimulatedCloud; setDown: (isUnavailable: boolean) => void },
 ): void {
   app.post("/standin/reclaim", async (request, response) => {
     const reclaim = await readJsonBody(request, { schema: reclaimSchema, response });
@@ -160,7 +174,9 @@
   });
 }
 
-/** The body as the schema has it; otherwise the fault is answered and nothing returned. */
+/**
+ * Reads a JSON body. If it doesn't match the schema, answers with status 400 and returns undefined.
+ */
 async function readJsonBody<T>(
   request: IncomingMessage,
   { schema, response }: { schema: z.ZodType<T>; response: ServerResponse },
--- a/src/standin/platform_server_test.ts
+++ b/src/standin/platform_server_test.ts
@@ -33,11 +33,11 @@
 
 let clock: VirtualClock;
 let platform: PlatformListener;
-let taken: string[];
+let removed: string[];
 
 beforeEach(async () => {
   clock = createVirtualClock();
-  taken = [];
+  removed = [];
   platform = await startPlatform({
     listen: "127.0.0.1:0",
     clock,
@@ -45,7 +45,7 @@
     entries: [{ name: "entry-1", zone: "a" }],
     listLag: LAG,
     launch: () => Promise.resolve("http://127.0.0.1:2"),
-    taken: (instance) => taken.push(instance),
+    taken: (instance) => removed.push(instance),
   });
 });
 
@@ -59,7 +59,7 @@
   return answer.status;
 }
 
-test("a launch with the same token is the same instance, and the list shows it late", async () => {
+test("launches with the same token return one instance, and the list shows it after its delay", async () => {
   const cloud = createHttpCloud(platform.address);
   const list = createHttpInstanceList(platform.address);
   const first = await cloud.launch(LAUNCH);
@@ -73,7 +73,7 @@
   cloud.close();
 });
 
-test("a zone that is taken back gives notice first, while the list goes on to show it", async () => {
+test("the reclaim of a zone is announced first, while the delayed list still shows its workers", async () => {
   const cloud = createHttpCloud(platform.address);
   expect(await post("/standin/reclaim", { zone: "a", within: 5_000 })).toBe(200);
   expect((await cloud.notices()).map(({ instance }) => instance)).toEqual(["w1", "entry-1"]);
@@ -81,12 +81,12 @@
     { id: "w1", state: "live" },
   ]);
   await clock.advance(5_000);
-  expect(taken).toEqual(["w1", "entry-1"]);
+  expect(removed).toEqual(["w1", "entry-1"]);
   expect(await cloud.notices()).toEqual([]);
   cloud.close();
 });
 
-test("refused launches, an outage and bad bodies are answered as the interfaces say", async () => {
+test("refused launches, an outage and invalid bodies get the responses that the interfaces define", async () => {
   const cloud = createHttpCloud(platform.address);
   const store = createHttpObjectStore(platform.address);
   await post("/standin/refuse", { zone: "a", refuse: true });
--- a/src/standin/prefix_cache.ts
+++ b/src/standin/prefix_cache.ts
@@ -1,33 +1,34 @@
-/** Prompt tokens that one block of a prefix covers. */
+/** Prompt tokens in one block of a prefix. */
 export const BLOCK_TOKENS = 64;
 
-/** The blocks of prompts that an engine still has in memory, least recently used first out. */
+/** The prompt blocks that an engine keeps in memory, evicted in least-recently-used order. */
 export interface PrefixCache {
-  /** Blocks held. */
+  /** Returns the number of blocks in the cache. */
   size(): number;
   /**
-   * Counts how many leading blocks of a prompt are held, and marks them as used.
+   * Counts the leading blocks of a prompt that are in the cache, and marks them as used.
    *
-   * @param blocks Hashes, each over all blocks up to it.
+   * @param blocks Hashes of the blocks, each over all blocks up to its own.
    */
   matchPrefix(blocks: readonly string[]): number;
   /**
-   * Takes in a prompt's blocks.
+   * Adds the blocks of a prompt.
    *
-   * @returns Those that were not held before.
+   * @returns The blocks that were not in the cache before.
    */
   store(blocks: readonly string[]): string[];
   /**
-   * Drops the least recently used blocks until at most `most` are left.
+   * Evicts the least recently used blocks until at most `maxBlocks` are left.
    *
-   * @returns The blocks dropped.
+   * @returns The evicted blocks.
    */
   evictTo(maxBlocks: number): string[];
 }
 
-/** Makes an empty cache; its owner bounds it with {@linkcode PrefixCache.shrink}. */
+/** Creates an empty cache. Its owner limits its size with `evictTo`. */
 export function createPrefixCache(): PrefixCache {
-  // A set keeps its order of insertion: taking out and putting back makes an entry the latest used.
+  // A set keeps its insertion order: deleting and adding an entry again makes it the most recently
+  // used.
   const cachedBlocks = new Set<string>();
   const markAsUsed = (block: string): void => {
     cachedBlocks.delete(block);
@@ -38,7 +39,8 @@
     matchPrefix: (blocks) => {
       const missing = blocks.findIndex((block) => !cachedBlocks.has(block));
       const matched = missing < 0 ? blocks.length : missing;
-      // From the last to the first: a block is worth nothing once one before it has gone.
+      // The last block is marked first, so that it is evicted first: a block is useless without
+      // those before it.
       for (let index = matched - 1; index >= 0; index--) markAsUsed(blocks[index] ?? "");
       return matched;
     },
--- a/src/standin/replay/baseline_scheduler.ts
+++ b/src/standin/replay/baseline_scheduler.ts
@@ -2,19 +2,22 @@
 import { WorkerState } from "../../interface/index.ts";
 import type { Worker } from "../../interface/index.ts";
 
-/** Chooses among the workers that a job may go to; `own` counts this instance's jobs on a worker. */
+/**
+ * Selects a worker for a job among the candidates. `runningOn` returns how many jobs this instance
+ * has on a worker.
+ */
 export type WorkerSelector = (
   candidates: readonly Worker[],
   runningOn: (worker: string) => number,
 ) => Worker | undefined;
 
-/** Takes the workers in turn. */
+/** Creates a selector that takes the workers in turn. */
 export function roundRobin(): WorkerSelector {
   let next = 0;
   return (candidates) => candidates[next++ % candidates.length];
 }
 
-/** Takes the worker with the fewest of this instance's own jobs. */
+/** Selects the worker with the fewest jobs of this instance. */
 export const leastOutstanding: WorkerSelector = ([first, ...others], runningOn) =>
   others.reduce(
     (fewest, worker) =>
@@ -22,13 +25,16 @@
     first,
   );
 
-const RATE_WINDOW = 60_000;
-/** Answer tokens that are expected of a request that names no bound. */
+/** Window of the arrival rate in milliseconds. */
+const ARRIVAL_RATE_WINDOW = 60_000;
+/** Expected answer tokens of a request without a limit. */
 const DEFAULT_ANSWER_TOKENS = 256;
 
 /**
- * Makes a scheduler that lets all in and sends it on at once: what a plain load balancer does. It has no
- * limits, queues, hedges or ejection.
+ * Creates a scheduler that admits every request and dispatches it at once, as a simple load
+ * balancer does. It has no limits, queues, hedges or ejection.
+ *
+ * @param choose Selects the worker of each job.
  */
 export function createBaselineScheduler(choose: WorkerSelector): Scheduler {
   let workers: readonly Worker[] = [];
@@ -45,9 +51,10 @@
     waitingJobs: 0,
     waitingWork: 0,
     runningJobs: [...running.values()].filter(({ job }) => job.service === service).length,
-    arriving: (workArrived(service, now - RATE_WINDOW, now) * 1_000) / RATE_WINDOW,
+    arriving: (workArrived(service, now - ARRIVAL_RATE_WINDOW, now) * 1_000) / ARRIVAL_RATE_WINDOW,
     arrivedBefore:
-      (workArrived(service, now - 2 * RATE_WINDOW, now - RATE_WINDOW) * 1_000) / RATE_WINDOW,
+      (workArrived(service, now - 2 * ARRIVAL_RATE_WINDOW, now - ARRIVAL_RATE_WINDOW) * 1_000) /
+      ARRIVAL_RATE_WINDOW,
     draining: 0,
   });
   const adopt = (arrival: Arrival, now: number): Job => {
@@ -93,7 +100,10 @@
     report: () => undefined,
     cacheEvent: () => undefined,
     snapshot: (now) => {
-      while (recentArrivals[0] !== undefined && recentArrivals[0].at <= now - 2 * RATE_WINDOW)
+      while (
+        recentArrivals[0] !== undefined &&
+        recentArrivals[0].at <= now - 2 * ARRIVAL_RATE_WINDOW
+      )
         recentArrivals.shift();
       const services = [...new Set(workers.map((worker) => worker.service))];
       return { workers: [], services: services.map((service) => serviceSnapshot(service, now)) };
--- a/src/standin/replay/entry_instance.ts
+++ b/src/standin/replay/entry_instance.ts
@@ -1,3 +1,14 @@
+/**
+ * An entry instance in a replay. The scheduler and the fair queues are those of the software; the
+ * requests come from the trace, and the workers are simulated.
+ *
+ * A request is admitted, waits in the queue of its service, and is dispatched to a worker. It can
+ * have a hedged run beside the first one. When a worker fails or is reclaimed, the request
+ * continues on another one from the tokens that its caller has, unless the policy restarts it. The
+ * instance records latency, tokens computed again and losses in the measurements.
+ *
+ * @module
+ */
 import { createFairQueueClass, Lane, RunEnd } from "../../decision/index.ts";
 import type { Arrival, FairQueue, FairRun, Scheduler } from "../../decision/index.ts";
 import { RetryCause } from "../../interface/index.ts";
@@ -14,7 +25,7 @@
 import type { Run, TrackedRequest } from "./tracked_request.ts";
 import type { Trace, TraceArrival } from "./trace.ts";
 
-/** What one entry instance of a replay works with. */
+/** What an entry instance of a replay uses. */
 export interface EntryInstanceOptions {
   readonly trace: Trace;
   readonly policy: ReplayPolicy;
@@ -22,42 +33,53 @@
   readonly random: Random;
   readonly measurements: Measurements;
   readonly machines: ReadonlyMap<string, Machine>;
-  /** The machine's engine has been given something to do. */
+  /** Called when a request was submitted to the machine's engine. */
   readonly onWorkSubmitted: (machine: Machine) => void;
+  /** Number of entry instances that share the fleet. */
   readonly instanceCount: number;
 }
 
-/** One entry instance in a replay: the real scheduler and fair queues around requests of the trace. */
+/** An entry instance in a replay. */
 export interface EntryInstance {
   readonly scheduler: Scheduler;
-  /** Runs in progress by the id that engines know them by. */
+  /** Runs in progress, by the id that they have in the engines. */
   readonly runs: ReadonlyMap<string, Run>;
+  /** Admits or refuses a request of the trace. */
   handleArrival(arrival: TraceArrival, id: string): void;
-  /** Something happened to one of the instance's runs. */
+  /** Handles an engine event of one of the instance's runs. */
   handleEngineEvent(run: Run, event: EngineModelEvent): void;
-  /** Sends on what waits, as far as there is room: after a run's end, a report, a change of workers. */
+  /**
+   * Dispatches waiting requests while there is capacity. Called after the end of a run, a load
+   * report or a change of workers.
+   */
   dispatchWaiting(): void;
-  /** Takes a run off its worker; its request goes on elsewhere from the tokens that its caller has. */
+  /**
+   * Cancels a run on its worker. The request continues on another worker from the tokens that its
+   * caller has.
+   */
   moveRun(run: Run, options?: { target?: string }): void;
-  /** Takes a run off its worker and leaves its request to {@linkcode Entry.resume}. */
+  /** Cancels a run on its worker. The request waits for {@linkcode EntryInstance.resumeRequest}. */
   detachRun(run: Run): void;
-  /** Has a detached request go on, from imported KV cache if there is any. */
+  /** Continues a detached request, with an imported KV cache if there is one. */
   resumeRequest(
     request: TrackedRequest,
     options: { importedTokens: number; target?: string },
   ): void;
-  /** The run's worker has gone. */
+  /** Handles the failure of a run, such as the loss of its worker. */
   failRun(run: Run, cause: RetryCause): void;
-  /** Requests accepted and not ended. */
+  /** Returns the number of requests that are accepted and not ended. */
   requestsInProgress(): number;
 }
 
-/** One way between an entry instance and a worker, or a caller: a few availability zones' distance. */
+/**
+ * Network delay in milliseconds, in one direction, between an entry instance and a worker or a
+ * caller, across a few availability zones.
+ */
 const NETWORK_DELAY = 3;
 const LOOKUP_PRIORITY = 1;
 const SCRIPT_PRIORITY = 0;
 
-/** Makes an entry instance that knows no workers yet. */
+/** Creates an entry instance without workers. */
 export function createEntryInstance(options: EntryInstanceOptions): EntryInstance {
   const { trace, policy, events, random, measurements, machines } = options;
   const { deployment } = trace.header;
@@ -214,7 +236,7 @@
     run.lastTokenAt = at;
     request.computedTokens = Math.max(request.computedTokens, arrival.p + index + 1);
     if (index < request.deliveredTokens) {
-      // The caller has it already: a run that began again makes it anew.
+      // The caller has this token already. A run that started again produced it once more.
       measurements.addRecomputed(run.cause, 1);
       return;
     }
@@ -241,7 +263,8 @@
     group.answered++;
     const target = deployment.services[arrival.s]?.target.firstToken ?? 0;
     const isTimely = arrival.d === true || request.firstTokenTime <= target;
-    // What ends after the trace was not done in its time: a long queue would look like great speed.
+    // Answers that end after the trace don't count. Otherwise a long queue would look like a high
+    // throughput.
     if (isTimely && events.now() <= trace.header.duration) {
       group.goodputTokens += answerTokensOf(arrival);
     }
@@ -333,10 +356,10 @@
   };
 }
 
-/** Why an engine computes what was computed before for the same request. */
+/** Returns why an engine computes tokens that were computed before for the same request. */
 function recomputeCauseOf({ startCount, attempt, cause }: Run): RetryCause {
   if (startCount > 1) return RetryCause.CacheLost;
-  // The first run starts after another only where a hedge has overtaken it.
+  // The first run starts after another one only if a hedged run was faster.
   return attempt === 1 ? RetryCause.Hedge : cause;
 }
 
@@ -374,6 +397,6 @@
   { arrival, deployment }: { arrival: Arrival; deployment: Deployment },
 ): GroupMeasurements {
   const target = deployment.services[arrival.service]?.target;
-  if (target === undefined) throw new Error(`No service ${arrival.service}.`);
+  if (target === undefined) throw new Error(`Unknown service "${arrival.service}".`);
   return measurements.group(`${arrival.service}/${arrival.lane}`, target);
 }
--- a/src/standin/replay/event_queue.ts
+++ b/src/standin/replay/event_queue.ts
@@ -1,13 +1,13 @@
-/** Things to do at set times, earliest first; those of the same time in the order they were added. */
+/** Callbacks ordered by time, and at the same time by insertion. */
 export interface EventQueue {
-  /** The time of the one that runs or ran last, 0 at first. */
+  /** Returns the time of the callback that ran last or is running; 0 at first. */
   now(): number;
-  /** Adds one; a time that has passed stands for now. */
+  /** Adds a callback. A time in the past counts as now. */
   add(at: number, run: () => void): void;
   /**
-   * Runs the earliest.
+   * Runs the earliest callback.
    *
-   * @returns False where nothing is left.
+   * @returns False if the queue is empty.
    */
   runNext(): boolean;
 }
@@ -18,7 +18,7 @@
   readonly run: () => void;
 }
 
-/** Makes an empty queue, a binary heap. */
+/** Creates an empty queue, backed by a binary heap. */
 export function createEventQueue(): EventQueue {
   const heap: QueuedEvent[] = [];
   let nextOrder = 0;
--- a/src/standin/replay/event_queue_test.ts
+++ b/src/standin/replay/event_queue_test.ts
@@ -2,7 +2,7 @@
 import { createSeededRandom } from "../../interface/index.ts";
 import { createEventQueue } from "./event_queue.ts";
 
-test("events run in order of time, those of one time in the order they were added", () => {
+test("callbacks run in order of time, and at the same time in order of insertion", () => {
   const events = createEventQueue();
   const random = createSeededRandom(3);
   const ran: { at: number; order: number }[] = [];
@@ -16,7 +16,7 @@
   expect(ran).toHaveLength(500);
 });
 
-test("an event that is added for a time that has passed runs now, and time never goes back", () => {
+test("a callback for a time in the past runs now, and the time never decreases", () => {
   const events = createEventQueue();
   const times: number[] = [];
   events.add(10, () => events.add(5, () => times.push(events.now())));
--- a/src/standin/replay/fleet_control.ts
+++ b/src/standin/replay/fleet_control.ts
@@ -1,3 +1,14 @@
+/**
+ * The fleet of a replay: the workers in the simulated cloud, and the control loop that launches and
+ * retires them as the policy plans.
+ *
+ * The plan runs every five seconds on the demand of the entry instances. A launch takes the machine
+ * class's start-up time and the time to load the weights, from a weight store whose rate all
+ * launches share. Faults of the trace reclaim workers, refuse launches, slow engines down and
+ * switch the preset.
+ *
+ * @module
+ */
 import type { FleetMemory, Pool, ServiceDemand, ServiceSnapshot } from "../../decision/index.ts";
 import { Purchase, WorkerState } from "../../interface/index.ts";
 import type { Worker } from "../../interface/index.ts";
@@ -8,63 +19,75 @@
 import type { ReplayPolicy } from "./policy.ts";
 import type { Trace, TraceFault } from "./trace.ts";
 
-/** What the fleet of a replay is told by those who use it. */
+/** What the fleet of a replay uses. */
 export interface FleetControlOptions {
   readonly trace: Trace;
   readonly policy: ReplayPolicy;
   readonly events: EventQueue;
-  /** Demand of each service, summed over the entry instances. */
+  /** Returns the demand of each service, summed over the entry instances. */
   readonly getDemand: () => readonly ServiceSnapshot[];
-  /** Tokens of work in progress by worker. */
+  /** Returns the tokens of work in progress, by worker. */
   readonly getWorkInProgress: () => Readonly<Record<string, number>>;
-  /** A worker's state has changed. */
+  /** Called when a worker's state has changed. */
   readonly onWorkerChanged: (machine: Machine) => void;
-  /** A worker has ended with what was on it. */
+  /** Called when a worker has stopped, with the runs that were in progress on it. */
   readonly onWorkerStopped: (machine: Machine) => void;
 }
 
-/** The cloud's instances in a replay, and the control loop that has them launched and stopped. */
+/** The workers in a replay, and the control loop that launches and stops them. */
 export interface FleetControl {
   readonly machines: ReadonlyMap<string, Machine>;
-  /** Workers that the platform knows and that have not ended. */
+  /** Returns the workers that have started and not stopped. */
   workers(): Worker[];
-  /** Brings up what the policy plans for the trace's first minutes, and begins to plan. */
+  /**
+   * Launches the workers that the policy plans for the first minutes of the trace, and starts the
+   * control loop.
+   */
   start(): void;
-  /** Takes in a fault of the trace. */
+  /** Applies a fault of the trace. */
   applyFault(fault: TraceFault): void;
-  /** Stops planning. */
+  /** Stops the control loop. */
   close(): void;
-  /** Euros by service until now. */
+  /** Returns the cost so far in euros, by service. */
   costByService(): Map<string, number>;
   readonly counts: FleetCounts;
 }
 
-/** What happened to the fleet. */
+/** Numbers of events in the fleet. */
 export interface FleetCounts {
+  /** Launched workers. */
   launched: number;
+  /** Launches that the cloud refused. */
   refused: number;
+  /** Workers that the cloud reclaimed. */
   reclaimed: number;
+  /** Workers that the plan stopped. */
   retired: number;
-  /** Most workers at once. */
+  /** Maximum number of workers at once. */
   peak: number;
 }
 
+/** Milliseconds between two plans. */
 const PLAN_INTERVAL = 5_000;
-/** How long the cloud takes to refuse a launch. */
+/** Milliseconds that the cloud takes to refuse a launch. */
 const REFUSAL_DELAY = 2_000;
-/** How often a worker that takes nothing new is looked at, to stop it once it is empty. */
+/**
+ * Interval in milliseconds at which a worker that accepts no new requests is checked, to stop it
+ * once it is idle.
+ */
 const IDLE_CHECK_INTERVAL = 1_000;
-/** Demand of the trace's first minutes, for which the fleet stands ready at its start. */
+/** Milliseconds at the start of the trace whose demand determines the initial fleet. */
 const WARM_UP_TIME = 120_000;
-/** Plans made at the start, so that a policy that launches in steps ends where it wants to be. */
+/** Number of plans at the start, so that a policy that launches in steps reaches its target. */
 const WARM_UP_PLANS = 5;
 
+/** Refused launches of a pool. */
 interface RefusalHistory {
   lastAt?: number;
   consecutive: number;
 }
 
-/** Makes a fleet without workers. */
+/** Creates a fleet without workers. */
 export function createFleetControl(options: FleetControlOptions): FleetControl {
   const { trace, policy, events, onWorkerChanged } = options;
   const { header } = trace;
@@ -141,7 +164,8 @@
   };
   const addMachine = (service: string, pool: Pool): Machine => {
     const machineClass = deployment.machineClasses[pool.machineClass];
-    if (machineClass === undefined) throw new Error(`No machine class ${pool.machineClass}.`);
+    if (machineClass === undefined)
+      throw new Error(`Unknown machine class "${pool.machineClass}".`);
     const id = `${service}-${machines.size}`;
     const machine = createMachine({ id, service, pool, machineClass, now: events.now() });
     machines.set(id, machine);
@@ -167,7 +191,7 @@
     refusals.set(key, { consecutive: 0 });
     const machine = addMachine(service, pool);
     const startUp = deployment.machineClasses[pool.machineClass]?.startUp ?? 0;
-    // All loads share the weight store's rate, so one waits for those before it.
+    // All loads share the rate of the weight store, so each waits for the ones before it.
     const loadStartsAt = Math.max(events.now() + startUp, weightStoreIdleAt);
     weightStoreIdleAt = loadStartsAt + weightLoadTime(service);
     events.add(weightStoreIdleAt, () => markLive(machine));
@@ -190,7 +214,8 @@
     counts.retired++;
     setWorkerState(machine, WorkerState.Leaving);
     onWorkerChanged(machine);
-    // What was sent before the others heard of it is still on its way.
+    // Requests that were dispatched before the entry instances received the change are still in
+    // transit.
     events.add(events.now() + IDLE_CHECK_INTERVAL, () => stopWhenIdle(machine));
   };
   const runPlanRound = (): void => {
@@ -217,7 +242,7 @@
         .filter(({ state }) => state !== WorkerState.Starting),
     start: () => {
       const demand = warmUpDemand(trace);
-      for (let round = 0; round < WARM_UP_PLANS; round++) {
+      for (let planIndex = 0; planIndex < WARM_UP_PLANS; planIndex++) {
         for (const { service, pool } of planFleet(demand).launches)
           markLive(addMachine(service, pool));
       }
@@ -240,7 +265,7 @@
           presetSince = events.now();
           break;
         case "refuse":
-          // Looked up at each launch.
+          // Evaluated at each launch.
           break;
       }
     },
@@ -266,7 +291,7 @@
   return `${zone} ${machineClass} ${purchase}`;
 }
 
-/** Bytes that a worker of the service loads before it takes work. */
+/** Returns the bytes that a worker of the service loads before it accepts requests. */
 function weightBytesOf(service: Service | undefined): number {
   return service?.kind === "model" ? (service.models[0]?.weights ?? 0) : 0;
 }
@@ -304,13 +329,17 @@
   return machine === undefined ? [] : [machine];
 }
 
-/** What arrives in the first minutes: a recording begins with a fleet that was there for it. */
+/**
+ * Returns the demand of the first minutes of a trace. A recording starts with a fleet that was
+ * sized for it.
+ */
 function warmUpDemand({ header, arrivals }: Trace): ServiceSnapshot[] {
   return Object.keys(header.deployment.services).map((service) => {
     const earlyArrivals = arrivals.filter(
       (arrival) => arrival.s === service && arrival.t < WARM_UP_TIME,
     );
-    // Prompt tokens count as far as they take a machine's time from answers, as the decisions count them.
+    // Prompt tokens are weighted by the machine time that they take from answer tokens, as in the
+    // decisions.
     const [machine] = Object.values(header.deployment.machineClasses);
     const answerTokensPerPromptToken =
       machine === undefined ? 1 : machine.tokensPerSecond / machine.prefillPerSecond;
--- a/src/standin/replay/lower_bound.ts
+++ b/src/standin/replay/lower_bound.ts
@@ -1,23 +1,28 @@
 import type { Trace } from "./trace.ts";
 
-/** What no policy can go under, in euros. */
+/** Cost that no policy can undercut, in euros. */
 export interface LowerBound {
-  /** All answer tokens at the rate of a full batch, and each different prompt part computed once. */
+  /**
+   * Cost of all answer tokens at the rate of a full batch, with each distinct part of a prompt
+   * computed once.
+   */
   readonly work: number;
-  /** The least number of workers that the presets in force demand, over the whole time. */
+  /** Cost of the minimum number of workers that the active presets demand, over the whole time. */
   readonly least: number;
-  /** The greater of the two for each service, summed. */
+  /** Sum over the services of the greater of the two. */
   readonly total: number;
 }
 
 const MILLISECONDS_PER_HOUR = 3_600_000;
 
 /**
- * Works out a lower bound on the cost of a trace.
+ * Computes a lower bound on the cost of a trace.
  *
- * Every worker is priced at the cheapest offer of its machine class; the part that the preset wants on
- * demand at the cheapest on-demand offer. Batches are always full, prefixes always cached, and nothing is
- * kept in reserve, so that a real policy stays above it.
+ * Every worker has the price of the cheapest offer of its machine class. The share that the preset
+ * demands on demand has the price of the cheapest on-demand offer. Batches are always full,
+ * prefixes are always cached, and there are no reserves, so every real policy costs more.
+ *
+ * @param trace The trace.
  */
 export function lowerBoundOf(trace: Trace): LowerBound {
   const services = Object.keys(trace.header.deployment.services);
@@ -60,12 +65,12 @@
   const presetFaults = faults.filter((fault) => fault.kind === "preset");
   const phases = [{ t: 0, preset: header.preset }, ...presetFaults];
   return phases.reduce((cost, { t, preset }, index) => {
-    const until = phases[index + 1]?.t ?? header.duration;
+    const endsAt = phases[index + 1]?.t ?? header.duration;
     const bounds = header.deployment.presets[preset]?.services[service];
     const workers = bounds?.least ?? 0;
     const names = Object.keys(header.deployment.machineClasses);
     const prices = names.map((name) => minPricePerHour(trace, name, bounds?.reclaimable ?? 1));
-    return cost + workers * ((until - t) / MILLISECONDS_PER_HOUR) * Math.min(...prices);
+    return cost + workers * ((endsAt - t) / MILLISECONDS_PER_HOUR) * Math.min(...prices);
   }, 0);
 }
 
--- a/src/standin/replay/machine.ts
+++ b/src/standin/replay/machine.ts
@@ -6,22 +6,23 @@
 import type { EngineModel, EngineModelEvent } from "../engine_model.ts";
 import type { EventQueue } from "./event_queue.ts";
 
-/** A worker in a replay: its instance, its engine, what it costs. */
+/** A worker in a replay, with its cloud instance, its engine and its cost. */
 export interface Machine {
   readonly pool: Pool;
+  /** Time in milliseconds from which the instance is paid for. */
   readonly launchedAt: number;
   readonly engine: EngineModel;
-  /** What the platform says of it. */
+  /** The worker as the platform reports it. */
   worker: Worker;
-  /** When it stopped costing. */
+  /** Time at which the instance stopped and its cost ended. */
   stoppedAt: number | undefined;
-  /** When it has sent all KV cache that it was told to. */
+  /** Time at which the machine has sent all KV cache that it was asked to export. */
   transferIdleAt: number;
-  /** Whether an event stands for the end of its engine's step. */
+  /** Whether an event is scheduled for the end of the engine's current step. */
   isStepScheduled: boolean;
 }
 
-/** What a machine is made with. */
+/** Options of a machine. */
 export interface MachineOptions {
   readonly id: string;
   readonly service: string;
@@ -30,7 +31,7 @@
   readonly now: number;
 }
 
-/** Makes a machine that is starting. */
+/** Creates a machine in the starting state. */
 export function createMachine(options: MachineOptions): Machine {
   const { id, service, pool, machineClass, now } = options;
   const { zone, purchase } = pool;
@@ -53,7 +54,7 @@
   };
 }
 
-/** Gives a machine another state. */
+/** Sets the state of a machine's worker, and the time of its reclaim if one was announced. */
 export function setWorkerState(machine: Machine, state: WorkerState, reclaimAt?: number): void {
   machine.worker =
     reclaimAt === undefined
@@ -63,15 +64,16 @@
 
 const MILLISECONDS_PER_HOUR = 3_600_000;
 
-/** What a machine has cost until now, in euros. */
+/** Returns the cost of a machine so far, in euros. */
 export function machineCost({ launchedAt, stoppedAt, pool }: Machine, now: number): number {
   return ((Math.min(now, stoppedAt ?? now) - launchedAt) / MILLISECONDS_PER_HOUR) * pool.price;
 }
 
 /**
- * Has the machine's engine go on by itself: whoever gives it work calls this again.
+ * Schedules the end of the engine's current step, and then of each following one. Call it again
+ * after submitting work to the engine.
  *
- * @param handle Called with what happened at each step's end.
+ * @param handle Called with the events of each step.
  */
 export function scheduleNextStep(
   machine: Machine,
--- a/src/standin/replay/measurements.ts
+++ b/src/standin/replay/measurements.ts
@@ -3,47 +3,56 @@
 import type { Refusal, RetryCause } from "../../interface/index.ts";
 import type { Target } from "../../version/index.ts";
 
-/** Times that came, and how many of them were within their target. */
+/** A distribution of latencies, and the share of them within a target. */
 export interface LatencyMeasurement {
+  /** Adds a latency. */
   add(milliseconds: number): void;
+  /** Returns the number of latencies. */
   count(): number;
-  /** The value that the given percentage is at or under, in milliseconds; 0 where none came. */
+  /** Returns a percentile in milliseconds, or 0 if there are no values. */
   percentile(percent: number): number;
-  /** Part of them that was within the target; 1 where none came. */
+  /** Returns the share of values within the target, or 1 if there are none. */
   shareWithinTarget(): number;
 }
 
-/** What is measured of the requests of one service and lane. */
+/** Measurements of the requests of one service and lane. */
 export interface GroupMeasurements {
+  /** Requests that arrived. */
   arrived: number;
-  /** Answered whole before the deadline. */
+  /** Answered completely before the deadline. */
   answered: number;
-  /** Accepted, and ended without the whole answer. */
+  /** Accepted, but ended without a complete answer. */
   lost: number;
-  /** Of the lost, those whose deadline passed. */
+  /** Lost requests whose deadline passed. */
   late: number;
   /** Tokens of answers that ended within the trace and whose first token was within the target. */
   goodputTokens: number;
+  /** Refused requests, by reason. */
   readonly refused: Map<Refusal, number>;
   readonly firstToken: LatencyMeasurement;
   readonly betweenTokens: LatencyMeasurement;
-  /** Times to the first token since the last sample of a plot, in milliseconds. */
+  /** Times to first token in milliseconds since the last sample of a plot. */
   recentFirstTokens: number[];
 }
 
-/** What is measured of a whole replay. */
+/** Measurements of a whole replay. */
 export interface Measurements {
-  /** The group of a service and lane, made when it is first asked for. */
+  /** Returns the group with a name, and creates it at the first call. */
   group(name: string, target: Target): GroupMeasurements;
   readonly groups: ReadonlyMap<string, GroupMeasurements>;
+  /** Tokens computed again, by cause. */
   readonly recomputed: ReadonlyMap<RetryCause, number>;
+  /** Runs after the first, by cause. */
   readonly retried: ReadonlyMap<RetryCause, number>;
+  /** Adds tokens that were computed again. */
   addRecomputed(cause: RetryCause, tokens: number): void;
+  /** Adds a run after the first. */
   addRetried(cause: RetryCause): void;
 }
 
-/** Times are kept in tenths of a millisecond. */
+/** Latencies are stored in tenths of a millisecond. */
 const UNITS_PER_MILLISECOND = 10;
+/** Maximum value in the histogram: one hour. Greater latencies are recorded as this value. */
 const MAX_VALUE = 36_000_000;
 
 function createLatencyMeasurement(target: number): LatencyMeasurement {
@@ -67,7 +76,7 @@
   };
 }
 
-/** Makes measurements with nothing in them. */
+/** Creates empty measurements. */
 export function createMeasurements(): Measurements {
   const groups = new Map<string, GroupMeasurements>();
   const recomputed = new Map<RetryCause, number>();
@@ -104,7 +113,7 @@
   };
 }
 
-/** Adds to a count by key. */
+/** Adds an amount to the count of a key. */
 export function addToCount<Key>(counts: Map<Key, number>, key: Key, amount: number): void {
   counts.set(key, (counts.get(key) ?? 0) + amount);
 }
--- a/src/standin/replay/plot.ts
+++ b/src/standin/replay/plot.ts
@@ -18,9 +18,9 @@
 }
 
 /**
- * Draws the course of a replay: latency, workers and cost over time, with its faults marked.
+ * Draws latency, workers and cost of a replay over time, with marks for the faults.
  *
- * @returns An SVG document; the same samples give the same text.
+ * @returns An SVG document. The same samples give the same text.
  */
 export function plotReplay(trace: Trace, samples: readonly Sample[]): string {
   const groups = [...new Set(samples.flatMap(({ firstToken }) => Object.keys(firstToken)))].sort();
@@ -75,7 +75,7 @@
     ...lines.flatMap(({ name, values }, index) => {
       const colour = COLORS[index % COLORS.length] ?? "black";
       const points = values.map(
-        (value, at) => `${formatNumber(times[at] ?? 0)},${formatNumber(toY(value))}`,
+        (value, timeIndex) => `${formatNumber(times[timeIndex] ?? 0)},${formatNumber(toY(value))}`,
       );
       return [
         `<polyline points="${points.join(" ")}" fill="none" stroke="${colour}"/>`,
--- a/src/standin/replay/plot_test.ts
+++ b/src/standin/replay/plot_test.ts
@@ -5,10 +5,10 @@
 import type { Sample } from "./sample.ts";
 import { sampleTrace } from "./sample_trace.ts";
 
-test("a plot has a line for each group, kind of purchase and cost, and marks the faults", () => {
+test("a plot has a line for each group, each purchase option and the cost, and marks the faults", () => {
   const trace = sampleTrace([{ kind: "reclaim", t: 30_000, within: 3_000, zone: "sofia-a" }]);
   const samples: Sample[] = [];
-  const sample = (taken: Sample): void => void samples.push(taken);
+  const sample = (newSample: Sample): void => void samples.push(newSample);
   replay(trace, { policy: policyOf(PolicyName.Current), seed: 1, sample });
   expect(samples.length).toBeGreaterThan(5);
   const plot = plotReplay(trace, samples);
@@ -17,7 +17,7 @@
   expect(plot).toContain("desk/script");
 });
 
-test("taking samples changes nothing in the report", () => {
+test("samples don't change the report", () => {
   const trace = sampleTrace([]);
   const options = { policy: policyOf(PolicyName.Current), seed: 1 };
   const sampled = replay(trace, { ...options, sample: () => undefined });
--- a/src/standin/replay/policy.ts
+++ b/src/standin/replay/policy.ts
@@ -4,27 +4,30 @@
 import { Purchase } from "../../interface/index.ts";
 import { createBaselineScheduler, leastOutstanding, roundRobin } from "./baseline_scheduler.ts";
 
-/** The policies that a replay can measure. */
+/** Names of the policies that a replay can run. */
 export enum PolicyName {
-  /** The decisions as an entry instance uses them. */
+  /** The decisions that the software uses. */
   Current = "current",
-  /** Every request is let in and sent at once, to each worker in turn. */
+  /** Admits every request and dispatches it at once, to each worker in turn. */
   RoundRobin = "round-robin",
-  /** Every request is let in and sent at once, to the worker with the fewest of the instance's own. */
+  /**
+   * Admits every request and dispatches it at once, to the worker with the fewest requests of this
+   * instance.
+   */
   LeastOutstanding = "least-outstanding",
-  /** As current, but the fleet is bought on demand alone. */
+  /** Like `Current`, but launches on-demand workers only. */
   OnDemandOnly = "on-demand-only",
-  /** As current, but what a reclaim cuts begins again from its prompt. */
+  /** Like `Current`, but requests on a reclaimed worker restart from their prompts. */
   RestartOnReclaim = "restart-on-reclaim",
 }
 
-/** The decisions that a replay plays a trace through. */
+/** The decisions that a replay uses. */
 export interface ReplayPolicy {
   readonly name: PolicyName;
   readonly createScheduler: (policy: Policy) => Scheduler;
   readonly triage: (requests: readonly Endangered[], view: TriageView) => Triage[];
   readonly planFleet: (view: FleetView) => FleetPlan;
-  /** Whether a request goes on from the tokens that its caller has. */
+  /** Whether a request continues from the tokens that its caller has. */
   readonly canResume: boolean;
 }
 
@@ -36,7 +39,7 @@
   canResume: true,
 };
 
-/** The policy of a name. */
+/** Returns the policy with a name. */
 export function policyOf(name: PolicyName): ReplayPolicy {
   switch (name) {
     case PolicyName.Current:
--- a/src/standin/replay/policy_comparison.ts
+++ b/src/standin/replay/policy_comparison.ts
@@ -1,33 +1,40 @@
 import { PolicyName } from "./policy.ts";
 import type { Report } from "./report_types.ts";
 
-/** How the policy in use compares with the others on one trace; a part is absent where nothing compares. */
+/**
+ * Ratios of the current policy to the others on one trace. A ratio is absent if there is nothing to
+ * compare with.
+ */
 export interface PolicyComparison {
   readonly trace: string;
-  /** Cost over that of buying on demand alone. */
+  /** Cost divided by that of the on-demand-only policy. */
   readonly costOverOnDemand?: number;
+  /** Cost divided by the lower bound. */
   readonly costOverBound: number;
-  /** Recomputed tokens over those of beginning again. */
+  /** Recomputed tokens divided by those of the restart-on-reclaim policy. */
   readonly recomputedOverRestart?: number;
-  /** Goodput over the best of all policies. */
+  /** Goodput divided by the highest of all policies. */
   readonly goodputOverBest: number;
-  /** Lookups' 99th percentile to the first token over that of the same lookups alone, by group. */
+  /**
+   * 99th percentile of the lookups' time to first token divided by that of the same lookups without
+   * other requests, by group.
+   */
   readonly lookupsOverAlone: Readonly<Record<string, number>>;
 }
 
-/** A trace of the lookups of another one alone is named after it, with this ending. */
+/** Suffix of the name of a trace that contains only the lookups of another one. */
 const LOOKUPS_ONLY_SUFFIX = "_lookups";
 
-/** Works out the ratios of every trace that was played under the policy in use. */
+/** Computes the ratios of each trace that was replayed with the current policy. */
 export function comparePolicies(reports: readonly Report[]): PolicyComparison[] {
-  const current = reports.filter(({ policy }) => policy === PolicyName.Current);
-  return current.map((report) => {
+  const currentReports = reports.filter(({ policy }) => policy === PolicyName.Current);
+  return currentReports.map((report) => {
     const comparable = reports.filter(
       ({ trace, seed }) => trace === report.trace && seed === report.seed,
     );
     const reportOf = (name: PolicyName): Report | undefined =>
       comparable.find(({ policy }) => policy === name);
-    const lookupsOnly = current.find(
+    const lookupsOnly = currentReports.find(
       ({ trace }) => trace === `${report.trace}${LOOKUPS_ONLY_SUFFIX}`,
     );
     const onDemand = reportOf(PolicyName.OnDemandOnly);
--- a/src/standin/replay/replay.ts
+++ b/src/standin/replay/replay.ts
@@ -1,3 +1,14 @@
+/**
+ * Replays a recorded or generated trace through the software's decisions on a virtual clock.
+ *
+ * Admission, queues, placement, triage and fleet planning are those of the software or of a
+ * baseline policy. The workers run the engine model. As in a real deployment, entry instances
+ * receive load reports, cache events and changes of workers late, and some cache events are lost.
+ * All random numbers come from one seed, so that a replay can be repeated exactly and two policies
+ * can be compared on the same trace.
+ *
+ * @module
+ */
 import type { ServiceSnapshot } from "../../decision/index.ts";
 import { createSeededRandom, RetryCause } from "../../interface/index.ts";
 import type { LoadReport } from "../../interface/index.ts";
@@ -19,31 +30,33 @@
 import type { Run } from "./tracked_request.ts";
 import type { Trace } from "./trace.ts";
 
-/** How a trace is played. */
+/** Options of a replay. */
 export interface ReplayOptions {
   readonly policy: ReplayPolicy;
   readonly seed: number;
-  /** Takes what stands at each moment of a plot. */
+  /** Called with a sample of the state at regular intervals, for a plot. */
   readonly sample?: (sample: Sample) => void;
 }
 
-/** Entry instances that share the fleet. */
+/** Number of entry instances that share the fleet. */
 const ENTRY_INSTANCES = 3;
-/** How often each worker is asked for its load, and how much later the answer is known. */
+/** Milliseconds between two load reports of a worker. */
 const REPORT_INTERVAL = 1_000;
+/** Milliseconds until a load report is known to the entry instances. */
 const REPORT_DELAY = 1_000;
-/** How late cache events come, and how many are missing. */
+/** Milliseconds until a cache event is known to the entry instances. */
 const CACHE_EVENT_DELAY = 2_000;
+/** Share of cache events that are lost. */
 const CACHE_EVENT_LOSS_RATE = 0.1;
-/** How long a change of a worker's state takes to reach every entry instance. */
+/** Milliseconds until a change of a worker's state is known to every entry instance. */
 const STATE_PROPAGATION_DELAY = 500;
-/** How long after the trace's end requests may take to end. */
+/** Maximum time in milliseconds that requests may take after the end of the trace. */
 const MAX_DRAIN_TIME = 3_600_000;
 
 /**
- * Plays a trace through the decisions on a virtual clock.
+ * Replays a trace.
  *
- * @returns What was measured: the same for the same trace, policy and seed.
+ * @returns The measurements. They are the same for the same trace, policy and seed.
  */
 export function replay(trace: Trace, { policy, seed, sample }: ReplayOptions): Report {
   const events = createEventQueue();
--- a/src/standin/replay/replay_test.ts
+++ b/src/standin/replay/replay_test.ts
@@ -6,69 +6,75 @@
 import { sampleTrace } from "./sample_trace.ts";
 import type { Trace } from "./trace.ts";
 
-const WAVE = [
+const ZONE_RECLAIM = [
   { kind: "reclaim", t: 30_000, within: 3_000, zone: "sofia-a" },
   { kind: "refuse", t: 30_000, until: 50_000, zone: "sofia-a" },
 ];
 
-function play(trace: Trace, policy = PolicyName.Current, seed = 1): Report {
+function runReplay(trace: Trace, policy = PolicyName.Current, seed = 1): Report {
   return replay(trace, { policy: policyOf(policy), seed });
 }
 
 test.each(Object.values(PolicyName))(
-  "%s: the same trace and seed give the same report to the byte",
+  "%s: the same trace and seed give byte-identical reports",
   (policy) => {
-    const reports = [1, 2].map(() => JSON.stringify(play(sampleTrace(WAVE), policy)));
+    const reports = [1, 2].map(() => JSON.stringify(runReplay(sampleTrace(ZONE_RECLAIM), policy)));
     expect(reports[0]).toBe(reports[1]);
   },
 );
 
-test.each(Object.values(PolicyName))("%s: every request is accounted for once", (policy) => {
-  const report = play(sampleTrace(WAVE), policy);
+test.each(Object.values(PolicyName))("%s: every request is counted exactly once", (policy) => {
+  const report = runReplay(sampleTrace(ZONE_RECLAIM), policy);
   const { arrived, answered, lost, refused } = report.groups["desk/script"] ?? {};
-  const turnedAway = Object.values(refused ?? {}).reduce((a, b) => a + b, 0);
+  const refusedCount = Object.values(refused ?? {}).reduce((a, b) => a + b, 0);
   expect(arrived).toBe(120);
-  expect((answered ?? 0) + (lost ?? 0) + turnedAway).toBe(120);
+  expect((answered ?? 0) + (lost ?? 0) + refusedCount).toBe(120);
 });
 
-test("a wave cuts requests in progress: going on from their tokens costs less than beginning again", () => {
-  // An availability zone's instances are taken with three seconds of notice. Requests that begin again
-  // have all their tokens computed twice, and the night's scripts end late.
+test("after a reclaim, resumed requests compute fewer tokens again than restarted ones", () => {
+  // The instances of an availability zone are reclaimed with three seconds of notice. If their
+  // requests restart, all their tokens are computed twice, and the scripts of the night end late.
   const long = { t: 25_000, a: "club", s: "desk", p: 300, n: 1_500 };
-  const trace = sampleTrace([...Array.from({ length: 12 }, () => long), ...WAVE]);
-  const current = play(trace);
-  const restart = play(trace, PolicyName.RestartOnReclaim);
+  const trace = sampleTrace([...Array.from({ length: 12 }, () => long), ...ZONE_RECLAIM]);
+  const current = runReplay(trace);
+  const restart = runReplay(trace, PolicyName.RestartOnReclaim);
   expect(current.groups["desk/script"]).toMatchObject({ lost: 0 });
   expect(restart.recomputed["worker-reclaimed"]).toBeGreaterThan(0);
   expect(current.recomputedTotal).toBeLessThan(restart.recomputedTotal);
 });
 
-test("a request that may not be repeated is lost with its worker, not run a second time", () => {
-  // The baseline leaves requests on a worker until the cloud takes it. One that may not be repeated can't
-  // be sent again; its caller hears that it may have run. There are more of them than the workers that
-  // can't be taken have room for, since those are preferred for such requests.
-  const once = { t: 29_500, a: "club", s: "desk", p: 100, n: 3_000, r: false };
-  const lines = Array.from({ length: 24 }, () => once);
-  const report = play(sampleTrace([...lines, ...WAVE]), PolicyName.RestartOnReclaim);
+test("a request that may not be repeated is lost with its worker and not run again", () => {
+  // The baseline leaves requests on a worker until the cloud reclaims it. One that may not be
+  // repeated can't be sent again, and its caller receives the status that it may have run. The
+  // requests exceed the capacity of the workers that can't be reclaimed, which are preferred for
+  // such requests.
+  const notRepeatable = { t: 29_500, a: "club", s: "desk", p: 100, n: 3_000, r: false };
+  const lines = Array.from({ length: 24 }, () => notRepeatable);
+  const report = runReplay(sampleTrace([...lines, ...ZONE_RECLAIM]), PolicyName.RestartOnReclaim);
   expect(report.groups["desk/script"]?.lost).toBeGreaterThan(0);
 });
 
-test("a slow worker shows in the gaps between tokens under round-robin", () => {
-  // One server computes at a fifth of its pace. A plain balancer goes on sending it its share.
-  const slow = { kind: "slow", t: 0, until: 60_000, service: "desk", index: 0, factor: 5 };
-  const usual = play(sampleTrace([]), PolicyName.RoundRobin).groups["desk/script"];
-  const slowed = play(sampleTrace([slow]), PolicyName.RoundRobin).groups["desk/script"];
-  expect(slowed?.betweenTokens.within).toBeLessThan(usual?.betweenTokens.within ?? 0);
+test("under round-robin, a slow worker increases the gaps between tokens", () => {
+  // One server computes at a fifth of its normal rate. A simple load balancer continues to send it
+  // an equal share.
+  const slowWorker = { kind: "slow", t: 0, until: 60_000, service: "desk", index: 0, factor: 5 };
+  const normal = runReplay(sampleTrace([]), PolicyName.RoundRobin).groups["desk/script"];
+  const slowed = runReplay(sampleTrace([slowWorker]), PolicyName.RoundRobin).groups["desk/script"];
+  expect(slowed?.betweenTokens.within).toBeLessThan(normal?.betweenTokens.within ?? 0);
 });
 
-test("buying on demand alone costs more", () => {
+test("a fleet of on-demand workers costs more", () => {
   const trace = sampleTrace([]);
-  expect(play(trace, PolicyName.OnDemandOnly).cost).toBeGreaterThan(play(trace).cost);
+  expect(runReplay(trace, PolicyName.OnDemandOnly).cost).toBeGreaterThan(runReplay(trace).cost);
 });
 
-test("a stated outcome that isn't met fails the report", () => {
-  const stated = { lost: 0, cost: 0.000_1, services: { "desk/script": { answered: 0.9 } } };
-  const report = play(sampleTrace([], stated));
+test("a required outcome that isn't met fails the report", () => {
+  const requiredOutcomes = {
+    lost: 0,
+    cost: 0.000_1,
+    services: { "desk/script": { answered: 0.9 } },
+  };
+  const report = runReplay(sampleTrace([], requiredOutcomes));
   expect(report.holds).toBe(false);
   expect(report.outcomes.map(({ name, holds }) => [name, holds])).toEqual([
     ["lost", true],
@@ -77,11 +83,11 @@
   ]);
 });
 
-test("the ratios compare the policy in use with the others and with the lookups alone", () => {
-  const trace = sampleTrace(WAVE);
-  const reports = Object.values(PolicyName).map((policy) => play(trace, policy));
+test("the ratios compare the current policy with the others and with the lookups alone", () => {
+  const trace = sampleTrace(ZONE_RECLAIM);
+  const reports = Object.values(PolicyName).map((policy) => runReplay(trace, policy));
   const current = reports.find(({ policy }) => policy === PolicyName.Current);
-  if (current === undefined) throw new Error("Nothing was played under the policy in use.");
+  if (current === undefined) throw new Error("There is no report of the current policy.");
   const [ratios] = comparePolicies([...reports, { ...current, trace: "sample_lookups" }]);
   expect(ratios?.costOverOnDemand).toBeLessThan(1);
   expect(ratios?.goodputOverBest).toBeLessThanOrEqual(1);
--- a/src/standin/replay/report.ts
+++ b/src/standin/replay/report.ts
@@ -17,7 +17,7 @@
   readonly now: number;
 }
 
-/** Builds the report of a replay that has ended. */
+/** Builds the report of a finished replay. */
 export function buildReport(source: ReportInput): Report {
   const { trace, policy, seed, measurements, fleet } = source;
   const costs = fleet.costByService();
@@ -34,16 +34,16 @@
     recomputed: toSortedRecord(measurements.recomputed),
     recomputedTotal: sum(measurements.recomputed.values()),
     retried: toSortedRecord(measurements.retried),
-    cost: rounded(cost),
+    cost: roundToFourDecimals(cost),
     costByService: toSortedRecord(costs),
-    costPer1000: rounded((cost * 1_000) / Math.max(1, answered)),
+    costPer1000: roundToFourDecimals((cost * 1_000) / Math.max(1, answered)),
     lowerBound: {
-      work: rounded(lowerBound.work),
-      least: rounded(lowerBound.least),
-      total: rounded(lowerBound.total),
+      work: roundToFourDecimals(lowerBound.work),
+      least: roundToFourDecimals(lowerBound.least),
+      total: roundToFourDecimals(lowerBound.total),
     },
-    costOverBound: rounded(cost / lowerBound.total),
-    goodput: rounded((goodputTokens * 1_000) / trace.header.duration),
+    costOverBound: roundToFourDecimals(cost / lowerBound.total),
+    goodput: roundToFourDecimals((goodputTokens * 1_000) / trace.header.duration),
     fleet: fleet.counts,
   };
   const outcomes = checkOutcomes(trace.header.outcomes, results);
@@ -69,16 +69,16 @@
     p50: times.percentile(50),
     p95: times.percentile(95),
     p99: times.percentile(99),
-    within: rounded(times.shareWithinTarget()),
+    within: roundToFourDecimals(times.shareWithinTarget()),
   };
 }
 
 function toSortedRecord(counts: ReadonlyMap<string, number>): Record<string, number> {
   const sorted = [...counts].sort(([a], [b]) => (a < b ? -1 : 1));
-  return Object.fromEntries(sorted.map(([key, value]) => [key, rounded(value)]));
+  return Object.fromEntries(sorted.map(([key, value]) => [key, roundToFourDecimals(value)]));
 }
 
-/** Four digits behind the point are enough to read, and hide no difference that matters. */
-function rounded(value: number): number {
+/** Rounds to four decimal places, which keep every relevant difference and stay readable. */
+function roundToFourDecimals(value: number): number {
   return Math.round(value * 10_000) / 10_000;
 }
--- a/src/standin/replay/report_text.ts
+++ b/src/standin/replay/report_text.ts
@@ -2,7 +2,7 @@
 import type { PolicyComparison } from "./policy_comparison.ts";
 import type { GroupReport, Report, TimesReport } from "./report_types.ts";
 
-/** Writes a report for people: what was found of each service and lane, and of the whole. */
+/** Formats a report as text, with the results of each group and of the whole replay. */
 export function formatReport(report: Report): string {
   const lines = [
     `${report.trace}, policy ${report.policy}, seed ${report.seed}`,
@@ -42,7 +42,10 @@
   return parts.length === 0 ? " none" : `: ${parts.join(", ")}`;
 }
 
-/** Writes reports of one trace side by side, a line a policy. */
+/**
+ * Formats reports as a table with one line per trace and policy, followed by the ratios of the
+ * policies.
+ */
 export function formatComparison(reports: readonly Report[]): string {
   const header = [
     "trace",
--- a/src/standin/replay/report_types.ts
+++ b/src/standin/replay/report_types.ts
@@ -2,16 +2,18 @@
 import type { LowerBound } from "./lower_bound.ts";
 import type { PolicyName } from "./policy.ts";
 
-/** One stated outcome against what was found. */
+/** A required outcome compared with the result. */
 export interface OutcomeCheck {
   readonly name: string;
   readonly bound: "at most" | "at least";
+  /** The bound that the trace sets. */
   readonly stated: number;
+  /** The value that was measured. */
   readonly found: number;
   readonly holds: boolean;
 }
 
-/** Quantiles in milliseconds, and the part within the target. */
+/** Percentiles in milliseconds, and the share within the target. */
 export interface TimesReport {
   readonly count: number;
   readonly p50: number;
@@ -20,42 +22,50 @@
   readonly within: number;
 }
 
-/** What was measured of the requests of one service and lane. */
+/** Results of one service and lane. */
 export interface GroupReport {
+  /** Requests that arrived. */
   readonly arrived: number;
+  /** Requests answered completely before the deadline. */
   readonly answered: number;
+  /** Accepted requests that ended without a complete answer. */
   readonly lost: number;
+  /** Lost requests whose deadline passed. */
   readonly late: number;
-  /** Requests turned away, by reason. */
+  /** Refused requests, by reason. */
   readonly refused: Readonly<Record<string, number>>;
   readonly firstToken: TimesReport;
   readonly betweenTokens: TimesReport;
 }
 
-/** What a replay found. */
+/** Results of a replay. It is written as JSON. */
 export interface Report {
   readonly trace: string;
   readonly policy: PolicyName;
   readonly seed: number;
-  /** By `SERVICE/LANE`. */
+  /** Results of each group, by `SERVICE/LANE`. */
   readonly groups: Readonly<Record<string, GroupReport>>;
   /** Tokens computed again, by cause. */
   readonly recomputed: Readonly<Record<string, number>>;
   readonly recomputedTotal: number;
   /** Runs after the first, by cause. */
   readonly retried: Readonly<Record<string, number>>;
-  /** Euros. */
+  /** Cost in euros. */
   readonly cost: number;
+  /** Cost in euros, by service. */
   readonly costByService: Readonly<Record<string, number>>;
-  /** Euros for 1,000 whole answers. */
+  /** Cost in euros of 1,000 complete answers. */
   readonly costPer1000: number;
   readonly lowerBound: LowerBound;
-  /** Cost over the lower bound. */
+  /** Cost divided by the lower bound. */
   readonly costOverBound: number;
-  /** Tokens a second of answers that were whole within the trace and began in time. */
+  /**
+   * Tokens per second of answers that were complete within the trace and whose first token was
+   * within the target.
+   */
   readonly goodput: number;
   readonly fleet: FleetCounts;
-  /** The trace's stated outcomes. */
+  /** The outcomes that the trace requires. */
   readonly outcomes: readonly OutcomeCheck[];
   readonly holds: boolean;
 }
--- a/src/standin/replay/sample.ts
+++ b/src/standin/replay/sample.ts
@@ -3,23 +3,28 @@
 import type { FleetControl } from "./fleet_control.ts";
 import type { GroupMeasurements, Measurements } from "./measurements.ts";
 
-/** What stands at a moment of a replay, for a plot. */
+/** State of a replay at one time, for a plot. */
 export interface Sample {
-  /** Milliseconds. */
+  /** Time in milliseconds. */
   readonly at: number;
-  /** Workers that take work, by how they are paid for. */
+  /** Live reclaimable workers. */
   readonly reclaimable: number;
+  /** Live on-demand workers. */
   readonly onDemand: number;
-  /** Euros so far. */
+  /** Cost so far in euros. */
   readonly cost: number;
-  /** 95th percentile of the time to the first token since the last sample, by `SERVICE/LANE`. */
+  /**
+   * 95th percentile in milliseconds of the time to first token since the previous sample, by
+   * `SERVICE/LANE`.
+   */
   readonly firstToken: Readonly<Record<string, number>>;
 }
 
+/** Milliseconds between two samples. */
 const SAMPLE_INTERVAL = 10_000;
 const PERCENTILE = 0.95;
 
-/** Takes samples at a steady interval from now on. */
+/** Takes a sample now and then at regular intervals. */
 export function takeSamples(options: {
   readonly fleet: FleetControl;
   readonly measurements: Measurements;
@@ -27,12 +32,12 @@
   readonly sample: (sample: Sample) => void;
 }): void {
   const { fleet, measurements, events, sample } = options;
-  const live = fleet.workers().filter(({ state }) => state === WorkerState.Live);
+  const liveWorkers = fleet.workers().filter(({ state }) => state === WorkerState.Live);
   const countByPurchase = (purchase: Purchase): number =>
-    live.filter((worker) => worker.purchase === purchase).length;
+    liveWorkers.filter((worker) => worker.purchase === purchase).length;
   const groups = [...measurements.groups].map(([name, group]) => [
     name,
-    takeRecentPercentile(group),
+    takeRecentFirstTokenPercentile(group),
   ]);
   sample({
     at: events.now(),
@@ -44,7 +49,7 @@
   events.add(events.now() + SAMPLE_INTERVAL, () => takeSamples(options));
 }
 
-function takeRecentPercentile(group: GroupMeasurements): number {
+function takeRecentFirstTokenPercentile(group: GroupMeasurements): number {
   const sorted = group.recentFirstTokens.sort((a, b) => a - b);
   group.recentFirstTokens = [];
   return sorted[Math.floor(PERCENTILE * sorted.length)] ?? 0;
--- a/src/standin/replay/sample_trace.ts
+++ b/src/standin/replay/sample_trace.ts
@@ -41,12 +41,12 @@
   },
 };
 
-/** The deployment document of the small trace, as a file has it. */
+/** Returns the deployment document of the small trace, as read from a file. */
 export function sampleDeployment(): object {
   return DEPLOYMENT;
 }
 
-/** The header of a small trace, as its first line has it. */
+/** Returns the header of a small trace, as on its first line. */
 export function sampleHeader(outcomes: object = { lost: 0, services: {} }): string {
   return JSON.stringify({
     kind: "header",
@@ -62,7 +62,7 @@
   });
 }
 
-/** A small trace: a request every half second for a minute, and the given lines. */
+/** Returns a small trace with a request every half second for one minute, and the given lines. */
 export function sampleTrace(lines: readonly object[], outcomes?: object): Trace {
   const arrivals = Array.from({ length: 120 }, (_, index) => ({
     t: index * 500,
--- a/src/standin/replay/trace.ts
+++ b/src/standin/replay/trace.ts
@@ -1,3 +1,8 @@
+/**
+ * The format of traces for the replay: JSON lines with a header, arrivals and faults.
+ *
+ * @module
+ */
 import { z } from "zod";
 import { Lane } from "../../decision/index.ts";
 import { Purchase } from "../../interface/index.ts";
@@ -7,27 +12,27 @@
 const countSchema = z.number().int().min(0);
 const shareSchema = z.number().min(0).max(1);
 
-/** What must hold after the trace for one service. */
+/** Required outcome of one service. */
 const serviceOutcomeSchema = z.strictObject({
-  /** Least part of the first tokens that came within the service's target. */
+  /** Minimum share of first tokens within the service's target. */
   firstToken: shareSchema.optional(),
-  /** Least part of the gaps between tokens that were within the service's target. */
+  /** Minimum share of gaps between tokens within the service's target. */
   betweenTokens: shareSchema.optional(),
-  /** Least part of the requests that were answered whole. */
+  /** Minimum share of requests that are answered completely. */
   answered: shareSchema.optional(),
-  /** Greatest 99th percentile of the time to the first token, in milliseconds. */
+  /** Maximum of the 99th percentile of the time to first token, in milliseconds. */
   firstTokenP99: z.number().positive().optional(),
 });
 
-/** What must hold after the trace. */
+/** Required outcomes of a replay of the trace. */
 const outcomesSchema = z.strictObject({
-  /** Most accepted requests that may end without their whole answer. */
+  /** Maximum number of accepted requests that end without a complete answer. */
   lost: countSchema,
-  /** Most tokens that may be computed again. */
+  /** Maximum number of tokens that are computed again. */
   recomputed: countSchema.optional(),
-  /** Greatest cost, in euros. */
+  /** Maximum cost in euros. */
   cost: z.number().positive().optional(),
-  /** Least answer tokens a second of whole and timely answers. */
+  /** Minimum answer tokens per second of complete and timely answers. */
   goodput: z.number().positive().optional(),
   services: z.record(z.string(), serviceOutcomeSchema),
 });
@@ -37,26 +42,26 @@
   name: z.string().min(1),
   seed: z.number().int(),
   /**
-   * Milliseconds that are counted; what was accepted is played to its end. A recording doesn't know it when
-   * it begins: until its last line, then.
+   * Milliseconds that are measured; accepted requests are replayed to their end. If absent, the
+   * trace lasts until its last line, because a recorder doesn't know the duration when it starts.
    */
   duration: z.number().positive().optional(),
-  /** Preset in force at the start. */
+  /** Preset that is active at the start. */
   preset: z.string(),
-  /** Bytes a second at which the weight store gives out models, to all launches together. */
+  /** Bytes per second of the weight store, shared by all launches. */
   weightStore: z.number().positive(),
-  /** Bytes a second at which a worker under notice sends KV cache. */
+  /** Bytes per second at which a worker under notice exports KV cache. */
   transferRate: z.number().positive(),
-  /** Bytes of KV cache a token. */
+  /** Bytes of KV cache per token. */
   bytesPerToken: z.number().positive(),
-  /** The deployment document, as its file has it. */
+  /** The deployment document, as read from its file. */
   deployment: deploymentSchema,
   outcomes: outcomesSchema,
 });
 
-/** One request; short names, since a trace has thousands. */
+/** A request. The names are short because a trace has thousands of requests. */
 const arrivalSchema = z.strictObject({
-  /** When it arrives. */
+  /** Time of arrival in milliseconds. */
   t: timeSchema,
   /** Client account. */
   a: z.string(),
@@ -64,36 +69,40 @@
   s: z.string(),
   /** Prompt tokens. */
   p: z.number().int().positive(),
-  /** Tokens of the answer that it will get. */
+  /** Tokens of the whole answer. */
   n: z.number().int().positive(),
-  /** Name of the prefix that its prompt shares with others, and how many tokens of it. */
+  /** Name of the prefix that the prompt shares with others. */
   x: z.string().optional(),
+  /** Length of the shared prefix in tokens. */
   xt: countSchema.optional(),
-  /** Lane, where it isn't the service's. */
+  /** Lane, if it differs from the service's. */
   l: z.enum(Lane).optional(),
-  /** The caller's own bound on the answer. */
+  /** The caller's limit on the answer, in tokens. */
   m: z.number().int().positive().optional(),
-  /** Whether it may be repeated, where that isn't as the service says. */
+  /** Whether the request may be repeated, if that differs from the service. */
   r: z.boolean().optional(),
-  /** Detached: nobody waits for the first token. */
+  /** Whether the request is detached, so that no caller waits for the first token. */
   d: z.boolean().optional(),
-  /** Deadline in milliseconds from the arrival, where it isn't the service's. */
+  /** Milliseconds from the arrival to the deadline, if that differs from the service. */
   dl: z.number().positive().optional(),
 });
 
 const faultSchema = z.discriminatedUnion("kind", [
-  /** The cloud takes every reclaimable worker of an availability zone, or one worker of a service. */
+  /**
+   * The cloud reclaims all reclaimable workers, optionally of one availability zone, or one worker
+   * of a service.
+   */
   z.strictObject({
     kind: z.literal("reclaim"),
     t: timeSchema,
-    /** Milliseconds of notice. */
+    /** Notice in milliseconds. */
     within: timeSchema,
     zone: z.string().optional(),
     service: z.string().optional(),
-    /** Which of the service's live workers, counted from 0, round and round. */
+    /** Index among the service's live workers, from 0, modulo their number. */
     index: countSchema.optional(),
   }),
-  /** The cloud refuses launches; an absent field stands for all. */
+  /** The cloud refuses launches. An absent field matches everything. */
   z.strictObject({
     kind: z.literal("refuse"),
     t: timeSchema,
@@ -102,7 +111,7 @@
     machineClass: z.string().optional(),
     purchase: z.enum(Purchase).optional(),
   }),
-  /** A worker's steps take `factor` times as long. */
+  /** The steps of a worker take `factor` times as long. */
   z.strictObject({
     kind: z.literal("slow"),
     t: timeSchema,
@@ -114,40 +123,40 @@
   z.strictObject({ kind: z.literal("preset"), t: timeSchema, preset: z.string() }),
 ]);
 
-/** A trace's first line. */
+/** The first line of a trace. */
 type TraceHeader = z.infer<typeof headerSchema> & { readonly duration: number };
-/** One request of a trace. */
+/** A request of a trace. */
 export type TraceArrival = z.infer<typeof arrivalSchema>;
-/** One fault of a trace. */
+/** A fault of a trace. */
 export type TraceFault = z.infer<typeof faultSchema>;
-/** What a trace states must hold. */
+/** Outcomes that a trace requires. */
 export type ExpectedOutcomes = z.infer<typeof outcomesSchema>;
 
-/** A recorded or generated course of events, in order of time. */
+/** A recorded or generated trace. Arrivals and faults are in order of time. */
 export interface Trace {
   readonly header: TraceHeader;
   readonly arrivals: readonly TraceArrival[];
   readonly faults: readonly TraceFault[];
 }
 
-/** A line of a trace that can't be read. */
+/** The first invalid line of a trace. */
 interface TraceFailure {
   readonly kind: "unreadable";
   readonly file: string;
-  /** Counted from 1. */
+  /** Line number, starting at 1. */
   readonly line: number;
   /** What was found and what is expected. */
   readonly message: string;
 }
 
-/** A trace, or the first line of its file that can't be read. */
+/** A trace, or its first invalid line. */
 export type TraceResult = { readonly kind: "read"; readonly trace: Trace } | TraceFailure;
 
 /**
- * Reads a trace: JSON lines, the header first, then arrivals and faults in any order.
+ * Parses a trace in JSON lines: the header first, then arrivals and faults in any order.
  *
- * @param text The file's content.
- * @param file The file's name, for the failure.
+ * @param text Content of the file.
+ * @param file Name of the file, for error messages.
  */
 export function parseTrace(text: string, file: string): TraceResult {
   const failure = (line: number, message: string): TraceFailure => ({
@@ -158,13 +167,13 @@
   });
   const lines = text.split("\n");
   const headerLine = parseLine(lines[0] ?? "", headerSchema);
-  if (headerLine.kind === "faulty") return failure(1, headerLine.message);
+  if (headerLine.kind === "invalid") return failure(1, headerLine.message);
   const arrivals: TraceArrival[] = [];
   const faults: TraceFault[] = [];
   for (const [index, line] of lines.entries()) {
     if (index === 0 || line.trim() === "") continue;
     const parsed = parseEvent(line);
-    if (parsed.kind === "faulty") return failure(index + 1, parsed.message);
+    if (parsed.kind === "invalid") return failure(index + 1, parsed.message);
     const message = findUnknownName(headerLine.value, parsed.value);
     if (message !== undefined) return failure(index + 1, message);
     if ("kind" in parsed.value) faults.push(parsed.value);
@@ -180,7 +189,7 @@
 
 type ParsedLine<T> =
   | { readonly kind: "parsed"; readonly value: T }
-  | { readonly kind: "faulty"; readonly message: string };
+  | { readonly kind: "invalid"; readonly message: string };
 
 function parseEvent(line: string): ParsedLine<TraceArrival | TraceFault> {
   return line.includes('"kind"') ? parseLine(line, faultSchema) : parseLine(line, arrivalSchema);
@@ -191,32 +200,35 @@
   try {
     value = JSON.parse(line);
   } catch {
-    return { kind: "faulty", message: `Found what is not JSON: ${line.slice(0, 60)}` };
+    return { kind: "invalid", message: `Expected JSON, found: ${line.slice(0, 60)}` };
   }
   const result = schema.safeParse(value);
   if (result.success) return { kind: "parsed", value: result.data };
   const [issue] = result.error.issues;
   const path = issue?.path.join(".") ?? "";
-  return { kind: "faulty", message: `${path}: ${issue?.message ?? "Invalid."}` };
+  return { kind: "invalid", message: `${path}: ${issue?.message ?? "Invalid."}` };
 }
 
-/** Names that the header doesn't define would otherwise show only as requests that nobody serves. */
+/**
+ * Returns an error message if an event contains a name that the header doesn't define. Without this
+ * check, such an event would only show as requests that no worker serves.
+ */
 function findUnknownName(
   { deployment }: z.infer<typeof headerSchema>,
   event: TraceArrival | TraceFault,
 ): string | undefined {
-  const unknown = (kind: string, name: string): string =>
-    `Found the ${kind} "${name}", which the header doesn't define.`;
+  const describeUnknown = (kind: string, name: string): string =>
+    `Unknown ${kind} "${name}": the header doesn't define it.`;
   if (!("kind" in event)) {
-    if (!(event.s in deployment.services)) return unknown("service", event.s);
-    return event.a in deployment.accounts ? undefined : unknown("account", event.a);
+    if (!(event.s in deployment.services)) return describeUnknown("service", event.s);
+    return event.a in deployment.accounts ? undefined : describeUnknown("account", event.a);
   }
   if (event.kind === "preset") {
-    return event.preset in deployment.presets ? undefined : unknown("preset", event.preset);
+    return event.preset in deployment.presets ? undefined : describeUnknown("preset", event.preset);
   }
   const zone = "zone" in event ? event.zone : undefined;
-  if (zone !== undefined && !deployment.zones.includes(zone)) return unknown("zone", zone);
+  if (zone !== undefined && !deployment.zones.includes(zone)) return describeUnknown("zone", zone);
   const service = "service" in event ? event.service : undefined;
   const isKnown = service === undefined || service in deployment.services;
-  return isKnown ? undefined : unknown("service", service);
+  return isKnown ? undefined : describeUnknown("service", service);
 }
--- a/src/standin/replay/trace_test.ts
+++ b/src/standin/replay/trace_test.ts
@@ -9,7 +9,7 @@
   return parseTrace([sampleHeader(), ...texts, ""].join("\n"), "night.jsonl");
 }
 
-test("arrivals and faults are read in order of time", () => {
+test("arrivals and faults are sorted by time", () => {
   const result = parseLines({ ...ARRIVAL, t: 9 }, ARRIVAL, {
     kind: "reclaim",
     t: 3,
@@ -23,18 +23,18 @@
 });
 
 test.each([
-  ["what is not JSON", "{"],
+  ["a line that is not JSON", "{"],
   ["an unknown field", { ...ARRIVAL, colour: "red" }],
   ["a wrong type", { ...ARRIVAL, p: "many" }],
   ["an unknown service", { ...ARRIVAL, s: "tent" }],
   ["an unknown account", { ...ARRIVAL, a: "nobody" }],
   ["an unknown fault", { kind: "flood", t: 1 }],
   ["a fault in an unknown zone", { kind: "reclaim", t: 1, within: 1, zone: "gent-a" }],
-])("%s is refused with the number of its line", (_name, line) => {
+])("%s is rejected with its line number", (_name, line) => {
   expect(parseLines(ARRIVAL, line)).toMatchObject({ kind: "unreadable", line: 3 });
 });
 
-test("a file without a header is refused at its first line", () => {
+test("a file without a header is rejected at its first line", () => {
   expect(parseTrace(JSON.stringify(ARRIVAL), "night.jsonl")).toMatchObject({
     kind: "unreadable",
     file: "night.jsonl",
--- a/src/standin/replay/tracked_request.ts
+++ b/src/standin/replay/tracked_request.ts
@@ -3,54 +3,55 @@
 import type { GroupMeasurements } from "./measurements.ts";
 import type { TraceArrival } from "./trace.ts";
 
-/** A request of a trace on its way through an entry instance. */
+/** The state of a request of the trace in an entry instance. */
 export interface TrackedRequest {
   readonly arrival: TraceArrival;
   readonly group: GroupMeasurements;
-  /** As the scheduler knows it, with the tokens that the caller has. */
+  /** The job that the scheduler uses, with the number of tokens that the caller has. */
   job: Job;
-  /** Tokens that the caller has. */
+  /** Tokens that the caller has received. */
   deliveredTokens: number;
-  /** Milliseconds from the arrival to the first token; 0 before. */
+  /** Milliseconds from the arrival to the first token; 0 before it. */
   firstTokenTime: number;
-  /** When the caller got the last token. */
+  /** Time at which the caller received the last token. */
   lastTokenAt: number;
-  /** Prompt and answer tokens that some engine has computed for it. */
+  /** Prompt and answer tokens that at least one engine has computed. */
   computedTokens: number;
-  /** Tokens of KV cache that the next run starts from. */
+  /** Tokens of KV cache that the next run imports. */
   importedTokens: number;
-  /** Why the next run is another one. */
+  /** Cause of the next run, if it isn't the first. */
   retryCause: RetryCause;
-  /** Runs so far. */
+  /** Number of runs so far. */
   attempts: number;
   /** Runs in progress, by worker. */
   readonly runs: Map<string, Run>;
-  /** Workers that have failed it. */
+  /** Workers on which the request failed or from which it was moved. */
   readonly avoidedWorkers: Set<string>;
   hasEnded: boolean;
 }
 
-/** One attempt at a request, on one worker. */
+/** One run of a request on one worker. */
 export interface Run {
-  /** What the worker's engine knows it by. */
+  /** Id of the run in the worker's engine. */
   readonly id: string;
   readonly request: TrackedRequest;
-  /** Which of the request's runs it is, counted from 1. */
+  /** Number of the run within the request, starting at 1. */
   readonly attempt: number;
   readonly worker: string;
   readonly dispatchedAt: number;
   readonly cause: RetryCause;
-  /** The worker has it: from here on it may have run. */
+  /** Whether the worker has received the request. From then on it may have run. */
   isDelivered: boolean;
-  /** Times that the engine has begun it, more than one after preemption. */
+  /** Number of times that the engine has started the run; more than 1 after a preemption. */
   startCount: number;
   firstTokenAt: number | undefined;
+  /** Tokens that this run has produced. */
   tokenCount: number;
   lastTokenAt: number;
   hasEnded: boolean;
 }
 
-/** Begins to track an admitted request. */
+/** Creates the state of an admitted request. */
 export function trackRequest(
   job: Job,
   { arrival, group }: { arrival: TraceArrival; group: GroupMeasurements },
@@ -72,7 +73,7 @@
   };
 }
 
-/** Begins another run of a request. */
+/** Creates another run of a request. */
 export function createRun(
   request: TrackedRequest,
   { worker, now, cause }: { worker: string; now: number; cause: RetryCause },
--- a/src/standin/replay/worker_evacuation.ts
+++ b/src/standin/replay/worker_evacuation.ts
@@ -1,3 +1,12 @@
+/**
+ * Moves requests away from a worker that the cloud is about to reclaim.
+ *
+ * The policy's triage decides for each request whether it finishes on the worker, resumes elsewhere
+ * at once or late, or resumes with its KV cache. Exports of KV cache share the worker's transfer
+ * rate, so they run one after another.
+ *
+ * @module
+ */
 import { TriageChoice } from "../../decision/index.ts";
 import type { Endangered, Triage } from "../../decision/index.ts";
 import { Purchase, WorkerState } from "../../interface/index.ts";
@@ -6,15 +15,16 @@
 import type { Machine } from "./machine.ts";
 import type { Run } from "./tracked_request.ts";
 
-/** How long before an instance is taken its last requests leave it. */
+/** Milliseconds before a reclaim at which the last requests leave the worker. */
 const MOVE_MARGIN = 500;
-/** Milliseconds a token where a run has shown no pace yet. */
+/** Milliseconds per token that are assumed until a run has produced at least two tokens. */
 const DEFAULT_TOKEN_INTERVAL = 30;
 
 /**
- * Has an entry instance save its requests from a worker under notice, as the policy's triage chooses.
+ * Moves the requests of an entry instance away from a worker under notice, as the policy's triage
+ * decides.
  *
- * @param machine The worker, which the cloud takes at `reclaimAt`.
+ * @param machine The worker, which the cloud reclaims at `reclaimAt`.
  */
 export function evacuateWorker(
   machine: Machine,
@@ -104,7 +114,10 @@
   return (worker.reclaimAt ?? 0) - MOVE_MARGIN;
 }
 
-/** The KV cache of one request after another leaves the worker; what would leave too late goes without. */
+/**
+ * Exports the KV cache of a request to another worker. Exports run one after another. A request
+ * whose export would end after the reclaim is moved without it.
+ */
 function exportCache({ run, machine, entry, options }: Evacuation, target?: string): void {
   const { events, trace } = options;
   if (run.hasEnded) return;
--- a/src/standin/request_table.ts
+++ b/src/standin/request_table.ts
@@ -1,31 +1,50 @@
+/**
+ * The requests of a simulated backend server, with protection against running one twice.
+ *
+ * A dispatch can arrive again: its acknowledgement was lost, or its owner was paused and resumes
+ * after another instance took over. A dispatch with a known id joins the existing run instead of
+ * starting another one. Older attempts, barred ids and, if enabled, older fencing numbers are
+ * refused.
+ *
+ * @module
+ */
 import { CANCELLED_RUN, EngineKnowledge } from "../interface/index.ts";
 import type { Dispatch, EngineEvent } from "../interface/index.ts";
 import { parseEngineRequest } from "./engine_request.ts";
 import type { RequestEvent, TokenSource } from "./token_source.ts";
 
-/** Somebody who is told a request's events. */
+/** Receives the events of a request. */
 export type Subscriber = (events: readonly EngineEvent[]) => void;
 
-/** Why a backend server doesn't run a request. */
+/** Reason why a backend server refuses to run a request. */
 export type RunRefusal = "barred" | "bad body" | "too large" | "old attempt" | "old fencing number";
 
-/** The requests that a backend server stand-in has heard of. */
+/** The requests that a simulated backend server has received. */
 export interface RequestTable {
   /**
-   * Runs a request, or joins it where it runs already.
+   * Runs a request, or joins its run if it is already in progress.
    *
-   * @returns The refusal, or undefined where the follower will be told the rest.
+   * @returns The reason of a refusal, or undefined if the subscriber receives the events.
    */
   run(dispatch: Dispatch, subscriber: Subscriber): RunRefusal | undefined;
-  /** Joins a request from a token on; false where none has the id. */
+  /**
+   * Joins a request from a token onward. Returns false if the request is unknown or cancelled, or
+   * if the token was produced elsewhere.
+   */
   attach(id: string, fromToken: number, subscriber: Subscriber): boolean;
-  /** Stops telling a follower; the request goes on. */
+  /** Removes a subscriber. The request continues. */
   unsubscribe(id: string, subscriber: Subscriber): void;
+  /** Cancels a request. An unknown or finished one is ignored. */
   cancel(id: string): void;
+  /**
+   * Returns the state of a request. With `bar`, an unknown id is barred, so that it is never run
+   * here.
+   */
   query(id: string, bar: boolean): EngineKnowledge;
   /**
-   * How often each request was begun here from its start: over all servers, what may not be repeated must
-   * stay at 1. A run that goes on from tokens or from a KV cache is not counted.
+   * Number of runs of each request that started here from its beginning. For a request that may not
+   * be repeated, the sum over all servers must stay at 1. A run that resumes from tokens or from an
+   * imported KV cache is not counted.
    */
   readonly runs: ReadonlyMap<string, number>;
 }
@@ -33,20 +52,24 @@
 interface RequestEntry {
   readonly attempt: number;
   readonly fence: number;
-  /** The first token that was made here; those before came with the dispatch. */
+  /** Index of the first token that is produced here. The earlier ones came with the dispatch. */
   readonly firstToken: number;
+  /** Index of the next token. */
   nextToken: number;
-  /** Tokens computed again, as its start told. */
+  /** The event of the run's start, with the number of tokens that were computed again. */
   startEvent: Extract<EngineEvent, { kind: "started" }> | undefined;
   endEvent: Extract<EngineEvent, { kind: "finished" }> | undefined;
   isCancelled: boolean;
   readonly subscribers: Set<Subscriber>;
 }
 
-/** Ended requests that are remembered, to answer who asks late; the oldest go first. */
+/**
+ * Number of requests above which ended ones are removed, the oldest first. Ended requests are kept
+ * to answer late queries.
+ */
 const MAX_REQUESTS = 10_000;
 
-/** Makes an empty table. */
+/** Creates an empty table. */
 export function createRequestTable(
   source: TokenSource,
   { checksFence }: { checksFence: boolean },
@@ -62,7 +85,7 @@
     }
   };
   const publish = (entry: RequestEntry, events: readonly RequestEvent[], attempt: number): void => {
-    const engineEvents = events.flatMap((event) => engineEventOf(event, attempt));
+    const engineEvents = events.flatMap((event) => toEngineEvents(event, attempt));
     for (const event of engineEvents) {
       if (event.kind === "started") entry.startEvent = event;
       if (event.kind === "token") entry.nextToken = event.index + 1;
@@ -95,7 +118,7 @@
     return "too large";
   };
   const subscribe = (entry: RequestEntry, fromToken: number, subscriber: Subscriber): void => {
-    subscriber(pastEvents(entry, fromToken));
+    subscriber(missedEvents(entry, fromToken));
     if (entry.endEvent === undefined) entry.subscribers.add(subscriber);
   };
   return {
@@ -116,7 +139,7 @@
     attach: (id, fromToken, subscriber) => {
       const existing = entries.get(id);
       if (existing === undefined || existing.isCancelled) return false;
-      // What came with the dispatch was never made here.
+      // Tokens that came with the dispatch can't be sent from here.
       if (fromToken < existing.firstToken) return false;
       subscribe(existing, fromToken, subscriber);
       return true;
@@ -147,26 +170,27 @@
   return endEvent === undefined ? EngineKnowledge.Running : EngineKnowledge.Finished;
 }
 
-/** What a follower that joins late has missed. */
-function pastEvents(entry: RequestEntry, fromToken: number): EngineEvent[] {
+/** Returns the events from a token onward that a late subscriber has missed. */
+function missedEvents(entry: RequestEntry, fromToken: number): EngineEvent[] {
   const events: EngineEvent[] = entry.startEvent === undefined ? [] : [entry.startEvent];
-  for (let index = fromToken; index < entry.nextToken; index++) events.push(tokenEvent(index));
+  for (let index = fromToken; index < entry.nextToken; index++)
+    events.push(createTokenEvent(index));
   if (entry.endEvent !== undefined) events.push(entry.endEvent);
   return events;
 }
 
-function tokenEvent(index: number): EngineEvent {
+function createTokenEvent(index: number): EngineEvent {
   return { kind: "token", index, text: ` word${index}` };
 }
 
-function engineEventOf(event: RequestEvent, attempt: number): EngineEvent[] {
+function toEngineEvents(event: RequestEvent, attempt: number): EngineEvent[] {
   switch (event.kind) {
     case "started": {
       const { computed, cached } = event;
       return [{ kind: "started", recomputed: attempt > 1 ? computed : 0, cached }];
     }
     case "token":
-      return [tokenEvent(event.index)];
+      return [createTokenEvent(event.index)];
     case "finished":
       return [{ kind: "finished", reason: "stop" }];
     case "preempted":
--- a/src/standin/simulated_cloud.ts
+++ b/src/standin/simulated_cloud.ts
@@ -1,45 +1,68 @@
+/**
+ * A simulated cloud for development and tests. It launches, lists, reclaims and terminates
+ * instances.
+ *
+ * As on a real cloud, the list of workers lags behind, a reclaim is announced before it happens,
+ * and launches can be refused. A launch is identified by its token, so repeating one after a lost
+ * response doesn't start a second instance.
+ *
+ * @module
+ */
 import { WorkerState } from "../interface/index.ts";
 import type { Clock, Launch, LaunchOutcome, Notice, Worker } from "../interface/index.ts";
 
-/** An entry instance that the cloud can take back. */
+/** An entry instance that the cloud can reclaim. */
 export interface EntryPlace {
-  /** The instance's name, without its incarnation. */
+  /** Name of the instance without its incarnation. */
   readonly name: string;
   readonly zone: string;
 }
 
-/** What the cloud stand-in is made with. */
+/** Options of the simulated cloud. */
 export interface CloudOptions {
   readonly clock: Clock;
-  /** The workers that it begins with. */
+  /** Workers at the start. */
   readonly workers: readonly Worker[];
-  /** Entry instances that stand in its zones; none if absent. */
+  /** Entry instances in the zones of the cloud; defaults to none. */
   readonly entries?: readonly EntryPlace[];
-  /** Milliseconds by which the list of workers lags; none if absent. */
+  /** Delay of the list of workers in milliseconds; defaults to 0. */
   readonly listLag?: number;
-  /** Starts a backend server for a launch and resolves with its address; launches are refused if absent. */
+  /**
+   * Starts a backend server for a launch and resolves with its address. If absent, launches are
+   * refused.
+   */
   readonly launch?: (launch: Launch, worker: string) => Promise<string>;
-  /** Called when an instance is taken or terminated. */
+  /** Called when an instance has been reclaimed or terminated. */
   readonly taken?: (instance: string) => void;
 }
 
-/** What is taken back: one instance by name or worker id, or all that stand in a zone. */
+/**
+ * The instances to reclaim: one by its name or worker id, or all in a zone. `within` is the notice
+ * in milliseconds.
+ */
 export type ReclaimTarget =
   | { readonly instance: string; readonly within: number }
   | { readonly zone: string; readonly within: number };
 
-/** The cloud stand-in's instances. */
+/** A simulated cloud that launches, lists, reclaims and terminates instances. */
 export interface SimulatedCloud {
+  /** Launches an instance. Repeating a launch with the same token returns the first instance. */
   launch(launch: Launch): Promise<LaunchOutcome>;
-  /** False where there is no such instance. */
+  /** Terminates an instance at once. Returns false if it doesn't exist. */
   terminate(instance: string): boolean;
+  /** Returns the announced reclaims, with the milliseconds that remain. */
   notices(): readonly Notice[];
-  /** The workers as the lagging list shows them. */
+  /** Returns the workers as they were `listLag` milliseconds ago. */
   list(): readonly Worker[];
-  /** Gives notice; the instances are taken when the time is over. Returns their names. */
+  /**
+   * Announces that instances will be reclaimed, and removes them when the notice has passed.
+   *
+   * @returns The names of the instances, without those that were announced before.
+   */
   reclaim(reclaim: ReclaimTarget): readonly string[];
-  /** From now on launches in a zone are refused, or taken again; all zones where none is named. */
+  /** Starts or stops refusing launches in a zone, or in all zones if none is given. */
   refuse(refusal: { readonly zone?: string; readonly refuse: boolean }): void;
+  /** Stops reporting removed instances. */
   close(): void;
 }
 
@@ -48,9 +71,10 @@
   readonly workers: readonly Worker[];
 }
 
+/** Key of the refusal of launches in every zone. */
 const ALL_ZONES = "*";
 
-/** Makes the table. */
+/** Creates a simulated cloud. */
 export function createSimulatedCloud(settings: CloudOptions): SimulatedCloud {
   const { clock, listLag = 0 } = settings;
   const workers = new Map(settings.workers.map((worker) => [worker.id, worker]));
@@ -77,7 +101,7 @@
     return true;
   };
   const refusalReason = ({ zone }: Launch): string | undefined => {
-    if (settings.launch === undefined) return "This cloud launches nothing.";
+    if (settings.launch === undefined) return "Launches are not supported.";
     const isRefused = refusingZones.has(zone) || refusingZones.has(ALL_ZONES);
     return isRefused ? `No capacity in ${zone}.` : undefined;
   };
@@ -94,7 +118,7 @@
     };
     putWorker(worker);
     const address = await settings.launch?.(launch, id);
-    // It may have been taken back while it started.
+    // The instance may have been reclaimed while it was starting.
     if (address !== undefined && workers.has(id)) {
       putWorker({ ...worker, address, state: WorkerState.Live });
     }
--- a/src/standin/token_source.ts
+++ b/src/standin/token_source.ts
@@ -1,3 +1,9 @@
+/**
+ * Produces the tokens of a simulated backend server by a clock, either from the engine model or at
+ * a constant rate.
+ *
+ * @module
+ */
 import type { Clock, Timer } from "../interface/index.ts";
 import { createEngineModel } from "./engine_model.ts";
 import type {
@@ -7,30 +13,37 @@
   EngineCapacity,
 } from "./engine_model.ts";
 
-/** Events of one request. */
+/** An engine event that belongs to one request. */
 export type RequestEvent = Extract<EngineModelEvent, { id: string }>;
 
-/** Where a backend server stand-in has its tokens from, by a clock. */
+/** Produces the tokens of a simulated backend server in real or virtual time. */
 export interface TokenSource {
   /**
-   * Begins a request.
+   * Starts a request.
    *
    * @param listener Called with the request's events as they happen.
-   * @returns False where the request can never fit.
+   * @returns False if the request exceeds the whole KV cache.
    */
   start(request: EngineRequest, listener: (events: readonly RequestEvent[]) => void): boolean;
+  /** Cancels a request. Its listener is not called again. */
   cancel(id: string): void;
-  /** Tokens of KV cache that an export of the request holds now, if it is running. */
+  /**
+   * Returns the tokens of KV cache that an export of the request would hold now, or undefined if
+   * the request isn't running.
+   */
   exportableTokens(id: string): number | undefined;
+  /** Returns the current load. */
   load(): EngineLoad;
+  /** Stops the timers. */
   close(): void;
 }
 
 /**
- * Has the engine model run by a clock.
+ * Creates a token source that runs the engine model on a clock.
  *
  * @param clock The clock.
- * @param options The machine class's speeds, and how many times as fast as the clock the engine runs.
+ * @param options Capacity of the machine class, and the factor by which the engine runs faster than
+ * the clock.
  */
 export function createEngineTokenSource(
   clock: Clock,
@@ -47,7 +60,7 @@
     timer = undefined;
     if (nextStepAt === undefined) return;
     timer = clock.after(Math.max(0, nextStepAt - engineNow()) / timeScale, () => {
-      // A timer may fire a little early: the step that it stands for ends all the same.
+      // A timer may fire slightly early. The step for which it was set ends nevertheless.
       notifyListeners(engine.advanceTo(Math.max(nextStepAt, engineNow())));
       scheduleNextStep();
     });
@@ -77,16 +90,17 @@
   };
 }
 
-/** Tokens of KV cache that a source of constant pace says it has. */
+/** KV cache capacity in tokens that a source with a constant rate reports. */
 const REPORTED_CACHE_CAPACITY = 100_000;
 
 /**
- * Gives each request its tokens at a constant pace, whatever else is in progress.
+ * Creates a token source that produces each request's tokens at a constant rate, whatever else is
+ * in progress.
  *
  * @param clock The clock.
- * @param tokenTime Milliseconds between tokens; 0 gives all at once.
+ * @param tokenInterval Milliseconds between tokens; 0 produces all tokens at once.
  */
-export function createConstantRateSource(clock: Clock, tokenTime: number): TokenSource {
+export function createConstantRateSource(clock: Clock, tokenInterval: number): TokenSource {
   const timers = new Map<string, Timer>();
   const cacheTokens = new Map<string, number>();
   const forget = (id: string): void => {
@@ -98,7 +112,7 @@
       const { id, answerTokens, resumedTokens, promptTokens } = request;
       const at = clock.now();
       const started: RequestEvent = { kind: "started", at, id, computed: promptTokens, cached: 0 };
-      if (tokenTime === 0) {
+      if (tokenInterval === 0) {
         const tokens: RequestEvent[] = Array.from(
           { length: Math.max(0, answerTokens - resumedTokens) },
           (_, index) => ({ kind: "token", at, id, index: resumedTokens + index }),
@@ -114,7 +128,7 @@
           listener([{ kind: "finished", at: clock.now(), id }]);
           return;
         }
-        const timer = clock.after(tokenTime, () => {
+        const timer = clock.after(tokenInterval, () => {
           listener([{ kind: "token", at: clock.now(), id, index }]);
           scheduleToken(index + 1);
         });
--- a/src/standin/weight_store.ts
+++ b/src/standin/weight_store.ts
@@ -1,13 +1,13 @@
 import { sleep } from "../interface/index.ts";
 import type { Clock } from "../interface/index.ts";
 
-/** A store of model weights whose rate all loads share. */
+/** A store of model weights with one rate for all loads together. */
 export interface WeightStore {
-  /** Resolves when the bytes have been given out, one load after another. */
+  /** Resolves when the bytes have been read. Loads are served one after another. */
   waitForLoad(bytes: number): Promise<void>;
 }
 
-/** Makes a weight store that gives `bytesPerSecond` to all loads together. */
+/** Creates a weight store that reads `bytesPerSecond` for all loads together. */
 export function createWeightStore(clock: Clock, bytesPerSecond: number): WeightStore {
   let idleAt = clock.now();
   return {
