--- a/src/process/line_writer.ts
+++ b/src/process/line_writer.ts
@@ -1,47 +1,51 @@
 import { write } from "node:fs";
 
-/** Writes lines without ever holding up whoever writes them. */
+/** Writes lines without blocking the caller. */
 export interface LineWriter {
   write(line: string): void;
-  /** Lines that were dropped because the reader was too slow. */
+  /**
+   * Number of lines dropped because the reader was too slow. A failed write counts as one line,
+   * however many lines it contained.
+   */
   readonly dropped: number;
-  /** Resolves when all that was taken has been written or has failed. */
+  /** Resolves when all accepted lines have been written or have failed. */
   flush(): Promise<void>;
 }
 
-/** Bytes that may wait: some seconds of a busy instance's lines. */
-const GREATEST_WAITING = 524_288;
+/** Maximum number of buffered characters: some seconds of output of a busy instance. */
+const MAX_BUFFERED_CHARACTERS = 524_288;
 
 /**
- * Writes to a descriptor by asynchronous writes, one at a time.
+ * Creates a writer that uses asynchronous writes to a file descriptor, one at a time.
  *
- * What goes wrong otherwise: a write to a pipe whose reader has stopped blocks the whole process, and every
- * request with it. Here lines beyond a bound are dropped and counted, and the next line written says so.
+ * A synchronous write to a pipe whose reader has stopped blocks the whole process and all its
+ * requests. This writer drops and counts lines above a limit, and reports the number with the next
+ * line written.
  *
- * @param descriptor Such as 1 for standard output.
+ * @param descriptor File descriptor, such as 1 for standard output.
  */
 export function createLineWriter(descriptor: number): LineWriter {
-  let waiting: string[] = [];
-  let size = 0;
+  let buffer: string[] = [];
+  let bufferedCharacters = 0;
   let isWriting = false;
   let dropped = 0;
-  let untold = 0;
-  let idle: (() => void)[] = [];
+  let unreported = 0;
+  let flushWaiters: (() => void)[] = [];
 
-  const settle = (): void => {
-    const waiters = idle;
-    idle = [];
+  const resolveFlushes = (): void => {
+    const waiters = flushWaiters;
+    flushWaiters = [];
     for (const waiter of waiters) waiter();
   };
-  const next = (): void => {
-    if (isWriting || waiting.length === 0) {
-      if (!isWriting) settle();
+  const writeNext = (): void => {
+    if (isWriting || buffer.length === 0) {
+      if (!isWriting) resolveFlushes();
       return;
     }
     isWriting = true;
-    const bytes = Buffer.from(`${waiting.join("\n")}\n`);
-    waiting = [];
-    size = 0;
+    const bytes = Buffer.from(`${buffer.join("\n")}\n`);
+    buffer = [];
+    bufferedCharacters = 0;
     writeAll(bytes);
   };
   const writeAll = (bytes: Buffer): void => {
@@ -50,34 +54,34 @@
         writeAll(bytes.subarray(written));
         return;
       }
-      // The reader has gone: there is nobody left to tell, so the lines count as dropped.
+      // The reader is gone and nothing can be reported to it, so the lines count as dropped.
       if (error !== null) dropped++;
       isWriting = false;
-      next();
+      writeNext();
     });
   };
   return {
     write: (line) => {
-      if (size > GREATEST_WAITING) {
+      if (bufferedCharacters > MAX_BUFFERED_CHARACTERS) {
         dropped++;
-        untold++;
+        unreported++;
         return;
       }
-      if (untold > 0) {
-        waiting.push(JSON.stringify({ step: "log-lines-dropped", count: untold }));
-        untold = 0;
+      if (unreported > 0) {
+        buffer.push(JSON.stringify({ step: "log-lines-dropped", count: unreported }));
+        unreported = 0;
       }
-      waiting.push(line);
-      size += line.length;
-      if (!isWriting && waiting.length === 1) setImmediate(next);
+      buffer.push(line);
+      bufferedCharacters += line.length;
+      if (!isWriting && buffer.length === 1) setImmediate(writeNext);
     },
     get dropped() {
       return dropped;
     },
     flush: () =>
       new Promise((resolve) => {
-        idle.push(resolve);
-        next();
+        flushWaiters.push(resolve);
+        writeNext();
       }),
   };
 }
--- a/src/process/peer_exchange_test.ts
+++ b/src/process/peer_exchange_test.ts
@@ -2,14 +2,14 @@
 import { createSeededRandom } from "../interface/index.ts";
 import { createVirtualClock } from "../standin/memory/index.ts";
 import type { InstanceNews, WorkerUse } from "./digest.ts";
-import type { OwnState } from "./own_news.ts";
+import type { InstanceCounts } from "./count_log.ts";
 import { createPeerExchange } from "./peer_exchange.ts";
 import type { PeerExchange } from "./peer_exchange.ts";
-import { createDatagramNetwork, LONGEST_WAY } from "./testing/datagram_network.ts";
+import { createDatagramNetwork, MAX_DELAY } from "./testing/datagram_network.ts";
 import type { DatagramNetwork } from "./testing/datagram_network.ts";
 
-/** What an instance has heard of another, put together from its news. */
-interface Heard {
+/** Counts that an instance has received from another, accumulated over its updates. */
+interface ReceivedCounts {
   admitted: Record<string, number>;
   use: Record<string, number>;
   usage: Record<string, number>;
@@ -23,9 +23,9 @@
     usage: Record<string, number>;
     version: number;
   };
-  /** By the other's name. */
-  readonly heard: Map<string, Heard>;
-  /** By the other's name, the versions that it knows. */
+  /** Received counts by the name of the sending instance. */
+  readonly received: Map<string, ReceivedCounts>;
+  /** Store versions that each other instance reports, by its name. */
   readonly versions: Map<string, Record<string, number>>;
   readonly faults: string[];
   isReady: boolean;
@@ -35,7 +35,10 @@
   readonly clock: ReturnType<typeof createVirtualClock>;
   readonly network: DatagramNetwork;
   readonly members: Member[];
-  /** Starts an instance at the place, with nothing known of one that ran there before. */
+  /**
+   * Starts an instance at the address of the given index, without any state of an earlier one
+   * there.
+   */
   readonly start: (place: number) => Promise<Member>;
 }
 
@@ -51,16 +54,16 @@
   const network = createDatagramNetwork(clock, random);
   const members: Member[] = [];
   let session = 0;
-  const start = async (place: number): Promise<Member> => {
-    const address = `10.0.0.${place}:9`;
-    const heard = new Map<string, Heard>();
+  const start = async (index: number): Promise<Member> => {
+    const address = `10.0.0.${index}:9`;
+    const received = new Map<string, ReceivedCounts>();
     const versions = new Map<string, Record<string, number>>();
     const state: Member["state"] = { admitted: {}, use: {}, usage: {}, version: 0 };
     const faults: string[] = [];
     const startedAt = clock.now();
     const member: Member = {
       state,
-      heard,
+      received,
       versions,
       faults,
       isReady: true,
@@ -69,7 +72,7 @@
         random,
         session: ++session,
         introduction: {
-          name: `e${place}`,
+          name: `e${index}`,
           zone: "a",
           callers: address,
           peers: address,
@@ -79,24 +82,24 @@
           ready: member.isReady,
           reachesStore: true,
           leaseVersion: 0,
-          storeReturned: false,
+          hasStoreReturned: false,
           plans: [],
           limits: [],
           isCurrent: true,
           versions: new Map([["routing", state.version]]),
         }),
-        news: () => newsOf(state),
-        moment: () => ({ time: clock.now(), age: clock.now() - startedAt }),
-        feedsSince: () => [],
-        onHeard: ({ name, versions: said }) => {
-          versions.set(name, Object.fromEntries(said));
+        counts: () => countsOf(state),
+        timestamps: () => ({ time: clock.now(), uptime: clock.now() - startedAt }),
+        deltasSince: () => [],
+        onDigest: ({ name, versions: reported }) => {
+          versions.set(name, Object.fromEntries(reported));
         },
-        onRole: () => undefined,
-        onNews: ({ subject }, news) => {
+        onRoleChange: () => undefined,
+        onUpdate: ({ subject }, update) => {
           const [name = ""] = subject.split("/");
-          // Times are whole milliseconds on the wire.
-          expect(clock.now() - news.time).toBeLessThanOrEqual(LONGEST_WAY + 1);
-          heard.set(name, merged(heard.get(name), news));
+          // Times on the wire are whole milliseconds.
+          expect(clock.now() - update.time).toBeLessThanOrEqual(MAX_DELAY + 1);
+          received.set(name, merged(received.get(name), update));
         },
         onChange: () => undefined,
         onFault: (detail) => faults.push(detail),
@@ -106,19 +109,19 @@
     member.exchange.introduce(["10.0.0.0:9", "10.0.0.1:9"]);
     await member.exchange.start();
     closers.push(() => member.exchange.close());
-    members[place] = member;
+    members[index] = member;
     return member;
   };
-  for (let place = 0; place < size; place++) await start(place);
+  for (let index = 0; index < size; index++) await start(index);
   return { clock, network, members, start };
 }
 
-function newsOf({ admitted, use, usage }: Member["state"]): OwnState {
+function countsOf({ admitted, use, usage }: Member["state"]): InstanceCounts {
   return {
     admitted: new Map(Object.entries(admitted)),
     usage: [{ window: WINDOW, counts: { ...usage } }],
     use: new Map(Object.entries(use).map(([worker, running]) => [Number(worker), used(running)])),
-    leaving: [],
+    leavingWorkers: [],
   };
 }
 
@@ -126,14 +129,17 @@
   return { running, unreadTokens: 0, runs: 0, failures: 0 };
 }
 
-function merged(before: Heard | undefined, news: InstanceNews): Heard {
-  const known = news.isWhole ? undefined : before;
+function merged(before: ReceivedCounts | undefined, update: InstanceNews): ReceivedCounts {
+  const known = update.isWhole ? undefined : before;
   const use = Object.fromEntries(
-    [...news.use].map(([worker, { running }]): [string, number] => [String(worker), running]),
+    [...update.use].map(([worker, { running }]): [string, number] => [String(worker), running]),
   );
   return {
-    admitted: { ...before?.admitted, ...Object.fromEntries(news.admitted) },
-    usage: news.usage.reduce((known, { counts }) => ({ ...known, ...counts }), before?.usage ?? {}),
+    admitted: { ...before?.admitted, ...Object.fromEntries(update.admitted) },
+    usage: update.usage.reduce(
+      (known, { counts }) => ({ ...known, ...counts }),
+      before?.usage ?? {},
+    ),
     use: withoutIdle({ ...known?.use, ...use }),
   };
 }
@@ -142,7 +148,7 @@
   return Object.fromEntries(Object.entries(use).filter(([, running]) => running > 0));
 }
 
-/** Work begins and ends at workers, and accounts ask. */
+/** Changes the running work at a worker and the counts of an account. */
 function change({ state }: Member, random: { next: () => number }): void {
   const worker = String(Math.floor(random.next() * 20));
   const running = Math.floor(random.next() * 4);
@@ -153,11 +159,11 @@
   state.version++;
 }
 
-// Datagrams are lost, come twice and overtake each other. An instance that believed a change that was overtaken by a
-// later one, or never heard of one that was lost, would send to a full worker or refuse an account without a reason,
-// and nothing would put it right.
+// Datagrams are lost, duplicated and reordered. An instance that applied an outdated change, or
+// missed a lost one, would permanently have wrong counts. It would send requests to full workers,
+// or refuse accounts without reason.
 test.each([1, 2, 3, 4, 5])(
-  "what others say is what they have, however digests travel (seed %i)",
+  "received counts match the senders' although digests are lost, duplicated and reordered (seed %i)",
   async (seed) => {
     const { clock, network, members } = await startFleet(6, seed);
     const random = createSeededRandom(100 + seed);
@@ -169,11 +175,11 @@
     }
     network.trouble = { lost: 0, twice: 0 };
     await clock.advance(3_000);
-    for (const [place, { state }] of members.entries()) {
-      const others = members.filter((_, other) => other !== place);
-      for (const { heard, versions } of others) {
-        expect(versions.get(`e${place}`)).toEqual({ routing: state.version });
-        expect(heard.get(`e${place}`)).toMatchObject({
+    for (const [index, { state }] of members.entries()) {
+      const others = members.filter((_, other) => other !== index);
+      for (const { received, versions } of others) {
+        expect(versions.get(`e${index}`)).toEqual({ routing: state.version });
+        expect(received.get(`e${index}`)).toMatchObject({
           admitted: state.admitted,
           use: withoutIdle(state.use),
           usage: state.usage,
@@ -184,31 +190,33 @@
   },
 );
 
-// Two instances don't hear each other for a while, and each forgets what the other has at workers. What changes
-// afterwards alone would leave out all that goes on unchanged.
-test("after a gap everything is told again", async () => {
+// Two instances lose contact for a while and discard each other's counts. Deltas sent afterwards
+// would omit everything that has not changed since.
+test("a full snapshot is sent after a loss of contact", async () => {
   const { clock, network, members } = await startFleet(3);
   const [first, second] = members;
-  if (first === undefined || second === undefined) throw new Error("The fleet has three members.");
+  if (first === undefined || second === undefined)
+    throw new Error("The fleet must have three members.");
   first.state.use = { 1: 3, 2: 1 };
   await clock.advance(2_000);
   network.cut.add("10.0.0.0:9>10.0.0.1:9");
   await clock.advance(2_000);
   expect(second.exchange.live().map(({ name }) => name)).toEqual(["e2"]);
-  second.heard.delete("e0");
+  second.received.delete("e0");
   first.state.use = { 1: 3, 2: 2 };
   network.cut.clear();
   await clock.advance(2_000);
-  expect(second.heard.get("e0")?.use).toEqual({ 1: 3, 2: 2 });
+  expect(second.received.get("e0")?.use).toEqual({ 1: 3, 2: 2 });
 });
 
-// An instance dies and another process starts at its address. What the first had at workers has ended, and the new one
-// must be told by everybody what they have.
-test("a process at the same address is a new one to all others, and learns all that they have", async () => {
+// An instance fails and another process starts at its address. Runs of the failed process have
+// ended, and the new one needs the counts of all others.
+test("a new process at the same address replaces the old one and receives all counts", async () => {
   const { clock, members, start } = await startFleet(4);
   await clock.advance(1_000);
   const [first, second] = members;
-  if (first === undefined || second === undefined) throw new Error("The fleet has four members.");
+  if (first === undefined || second === undefined)
+    throw new Error("The fleet must have four members.");
   first.state.use = { 1: 3 };
   second.state.use = { 5: 2 };
   await clock.advance(2_000);
@@ -217,19 +225,20 @@
   const again = await start(0);
   again.state.use = { 2: 1 };
   await clock.advance(2_000);
-  expect(second.heard.get("e0")?.use).toEqual({ 2: 1 });
+  expect(second.received.get("e0")?.use).toEqual({ 2: 1 });
   expect(second.exchange.heard().find(({ name }) => name === "e0")?.incarnation).not.toBe(before);
-  expect(again.heard.get("e1")?.use).toEqual({ 5: 2 });
+  expect(again.received.get("e1")?.use).toEqual({ 5: 2 });
   expect(again.exchange.members).toBe(4);
 });
 
-// Callers are told to leave an instance that stops, at once; and one that dies without a word within little more than
-// a second.
-test("whether an instance takes requests is known at once, and its death soon", async () => {
+// A stopping instance must be known at once so that callers leave it, and a failed one within
+// little more than a second.
+test("a change of readiness is known at once and a failure soon", async () => {
   const { clock, network, members } = await startFleet(3);
   await clock.advance(1_000);
   const [first, second] = members;
-  if (first === undefined || second === undefined) throw new Error("The fleet has three members.");
+  if (first === undefined || second === undefined)
+    throw new Error("The fleet must have three members.");
   first.isReady = false;
   first.exchange.announce();
   await clock.advance(50);
@@ -243,9 +252,9 @@
   expect(second.exchange.members).toBe(2);
 });
 
-// What instances tell each other grows with what goes on. Unbounded, it would take from the links and processors what
-// callers need.
-test("under load an instance tells what changes, and not everything again", async () => {
+// Digests grow with the rate of changes. Without a limit, they would take bandwidth and processor
+// time from callers.
+test("under load, an instance sends changes and not full snapshots", async () => {
   const { clock, members } = await startFleet(9);
   const random = createSeededRandom(5);
   await clock.advance(5_000);
@@ -255,13 +264,13 @@
     for (const member of members) change(member, random);
     await clock.advance(50);
   }
-  for (const [place, { exchange }] of members.entries()) {
-    expect((exchange.bytesSent - (before[place] ?? 0)) / seconds).toBeLessThan(6_500);
+  for (const [index, { exchange }] of members.entries()) {
+    expect((exchange.bytesSent - (before[index] ?? 0)) / seconds).toBeLessThan(6_500);
   }
 });
 
-// Whatever comes from outside, an instance goes on.
-test("bytes that are no digest are counted and change nothing", async () => {
+// Invalid input must not stop an instance.
+test("invalid datagrams are counted and change nothing", async () => {
   const { clock, network, members } = await startFleet(2);
   const random = createSeededRandom(3);
   const stranger = await network.open({
@@ -278,51 +287,53 @@
   expect(members[0]?.faults.length).toBeGreaterThan(0);
 });
 
-// Many requests come at once, to all instances. Until the next period they would all choose the workers that were idle
-// at the last one.
-test("others hear soon of what begins in a burst, and no more often than is useful", async () => {
+// Many requests arrive at all instances at once. Until the next period, all instances would select
+// the workers that were idle in the last one.
+test("runs started in a burst are sent early, but not too often", async () => {
   const { clock, members } = await startFleet(3);
   await clock.advance(1_000);
   const [first, second] = members;
-  if (first === undefined || second === undefined) throw new Error("The fleet has three members.");
+  if (first === undefined || second === undefined)
+    throw new Error("The fleet must have three members.");
   const before = first.exchange.bytesSent;
-  let heardAfter = 0;
+  let receivedAfter = 0;
   for (let run = 1; run <= 20; run++) {
     first.state.use = { 1: run };
     first.exchange.begun();
     await clock.advance(10);
-    if (heardAfter === 0 && (second.heard.get("e0")?.use["1"] ?? 0) > 0) heardAfter = run * 10;
+    if (receivedAfter === 0 && (second.received.get("e0")?.use["1"] ?? 0) > 0)
+      receivedAfter = run * 10;
   }
-  expect(heardAfter).toBeGreaterThan(0);
-  expect(heardAfter).toBeLessThanOrEqual(110);
-  // 200 ms have room for four digests to each of two others.
+  expect(receivedAfter).toBeGreaterThan(0);
+  expect(receivedAfter).toBeLessThanOrEqual(110);
+  // 200 ms allow four digests to each of the two others.
   expect(first.exchange.bytesSent - before).toBeLessThan(4 * 2 * 150);
 });
 
-// All that instances are given to begin with are started anew in the same moment, and know only each other. The rest of
-// the fleet knows their addresses, and has told them everything before.
+// All seed instances restart at the same moment and know only each other. The rest of the fleet
+// knows their addresses and has already sent them everything.
 test.each([
   { size: 6, away: 200 },
   { size: 6, away: 4_000 },
   { size: 20, away: 200 },
   { size: 20, away: 8_000 },
 ])(
-  "guards against a fleet that stays in two parts: $size instances, $away ms",
+  "a fleet doesn't stay in two parts after its seeds restart: $size instances, $away ms",
   async ({ size, away }) => {
     const { clock, members, start } = await startFleet(size);
     await clock.advance(4_000);
     for (const member of members.slice(0, 2)) member.exchange.close();
     await clock.advance(away);
-    for (const place of [0, 1]) await start(place);
+    for (const index of [0, 1]) await start(index);
     await clock.advance(4_000);
     for (const { exchange } of members) expect(exchange.live().length).toBe(size - 1);
   },
 );
 
-test("guards against an instance that nobody looks for, as all that it was given are gone", async () => {
+test("an instance whose seeds are all gone is found by the rest of the fleet", async () => {
   const { clock, members, start } = await startFleet(20);
   await clock.advance(4_000);
-  for (const place of [0, 1, 7]) members[place]?.exchange.close();
+  for (const index of [0, 1, 7]) members[index]?.exchange.close();
   await clock.advance(8_000);
   const alone = await start(7);
   await clock.advance(8_000);
--- a/src/request/request_inquiry.ts
+++ b/src/request/request_inquiry.ts
@@ -1,23 +1,25 @@
 import { EngineKnowledge, Refusal } from "../interface/index.ts";
 import type { Worker } from "../interface/index.ts";
-import { attachAgain } from "./engine_attempt.ts";
-import { Stop } from "./live_request.ts";
+import { reattach } from "./engine_attempt.ts";
+import { StopReason } from "./live_request.ts";
 import type { LiveRequest } from "./live_request.ts";
 import { unlessStopped } from "./run_context.ts";
 import type { RunContext } from "./run_context.ts";
-import { givenUp, outcomeOf, stopOutcome } from "./run_outcome.ts";
+import { abandonedOutcome, toOutcome, stopOutcome } from "./run_outcome.ts";
 import type { RunOutcome } from "./run_outcome.ts";
 
 /**
- * Takes a request that may not be repeated from a server under notice, to go on with it elsewhere.
+ * Cancels a request that may not be repeated at a server under notice, to continue it at another
+ * one.
  *
- * An entry that was accepted must survive the reclaim, and must not run twice. So it is moved and not begun
- * again: the server first confirms that it has stopped, and the next one goes on from the exported KV cache or
- * the tokens that were had. Where nothing was had yet, or the server doesn't confirm, it stays where it is.
+ * An accepted request must survive the reclaim and must not run twice. It is therefore moved rather
+ * than restarted: the server first confirms that it has stopped, and the next one continues from
+ * the exported KV cache or the tokens received. If no token has been received or the server doesn't
+ * confirm, the request stays at its server.
  *
- * @returns True where it may go on elsewhere.
+ * @returns True if the request may continue at another server.
  */
-export async function takeAway(
+export async function cancelForMove(
   { environment }: RunContext,
   live: LiveRequest,
   worker: Worker,
@@ -28,62 +30,74 @@
     () => false,
   );
   if ((await unlessStopped(live, stopped)) !== true) return false;
-  goOnElsewhere(live, worker);
+  markMovable(live, worker);
   return true;
 }
 
-/** The server has stopped it: the rest may be made by another, from the tokens that were had. */
-function goOnElsewhere(live: LiveRequest, worker: Worker): void {
-  live.partlyRun = true;
-  live.sent = false;
-  live.barredAt.add(worker.id);
+/**
+ * Marks the request as stopped at the server. Another server may continue it from the tokens
+ * received.
+ */
+function markMovable(live: LiveRequest, worker: Worker): void {
+  live.hasPartialRun = true;
+  live.isPossiblySent = false;
+  live.refusedBy.add(worker.id);
 }
 
-/** Asks the server that may have the request, and follows it there if it runs. */
-export async function inquireAfter(
+/** Asks the server that may have the request, and follows the run there if there is one. */
+export async function inquireAtRecordedWorker(
   context: RunContext,
   live: LiveRequest,
 ): Promise<RunOutcome | undefined> {
   const { workers } = context.environment;
-  live.sent = true;
+  live.isPossiblySent = true;
   const worker = workers.find(live.record.worker);
-  if (worker !== undefined) return inquireAt(context, live, worker);
-  return givenUp(live, Refusal.BackendLost, "The backend server that may have run it has gone.");
+  if (worker !== undefined) return inquireAtWorker(context, live, worker);
+  return abandonedOutcome(
+    live,
+    Refusal.BackendLost,
+    "The backend server that may have run the request is gone.",
+  );
 }
 
 /**
- * Asks the server and has it refuse the request from now on, if it hasn't begun it: whoever was allowed to
- * send it there and sends it late is turned away.
+ * Asks the server for the state of the request. If the server hasn't started it, the server refuses
+ * it from now on, so a message that was permitted earlier and arrives late has no effect.
  *
- * @returns The outcome, or undefined where it certainly hasn't run and may go to another server.
+ * @returns The outcome, or undefined if the request has certainly not run and may go to another
+ * server.
  */
-export async function inquireAt(
+export async function inquireAtWorker(
   context: RunContext,
   live: LiveRequest,
   worker: Worker,
 ): Promise<RunOutcome | undefined> {
   const { engine } = context.environment;
   const { id } = live.record;
-  const asked = engine.ask(worker, id, { bar: true }).catch(() => EngineKnowledge.Unknown);
-  const knowledge = await unlessStopped(live, asked);
-  if (live.stopped !== undefined) return stopOutcome(live);
+  const inquiry = engine.ask(worker, id, { bar: true }).catch(() => EngineKnowledge.Unknown);
+  const knowledge = await unlessStopped(live, inquiry);
+  if (live.stopReason !== undefined) return stopOutcome(live);
   if (knowledge === EngineKnowledge.Barred) {
-    live.sent = false;
-    live.barredAt.add(worker.id);
+    live.isPossiblySent = false;
+    live.refusedBy.add(worker.id);
     return undefined;
   }
   if (knowledge === EngineKnowledge.Cancelled && live.tokens.length > 0) {
-    goOnElsewhere(live, worker);
+    markMovable(live, worker);
     return undefined;
   }
   if (knowledge === EngineKnowledge.Running || knowledge === EngineKnowledge.Finished) {
-    const end = await attachAgain(context, live, { worker, cause: undefined });
-    const outcome = outcomeOf(end, live);
+    const end = await reattach(context, live, { worker, cause: undefined });
+    const outcome = toOutcome(end, live);
     if (outcome !== undefined) return outcome;
-    if (end.kind === "stopped" && end.cause === Stop.Reclaimed) {
-      const takenAway = await takeAway(context, live, worker);
-      return takenAway ? undefined : inquireAt(context, live, worker);
+    if (end.kind === "stopped" && end.cause === StopReason.Reclaimed) {
+      const isCancelled = await cancelForMove(context, live, worker);
+      return isCancelled ? undefined : inquireAtWorker(context, live, worker);
     }
   }
-  return givenUp(live, Refusal.BackendLost, "The backend server that may have run it was lost.");
+  return abandonedOutcome(
+    live,
+    Refusal.BackendLost,
+    "The backend server that may have run the request was lost.",
+  );
 }
--- a/src/request/routed_choice.ts
+++ b/src/request/routed_choice.ts
@@ -4,32 +4,32 @@
 import type { RoutedArrival } from "./routed_arrival.ts";
 import type { BoardWorker, RoutedContext } from "./routed_context.ts";
 
-/** Where a request may go next. */
+/** The result of choosing workers for a request. */
 export type WorkerChoice =
-  /** No worker takes requests that hasn't had it already. */
+  /** Every worker that accepts requests has had this one already, or there is none. */
   | { readonly kind: "none" }
-  /** No worker would begin it in time. */
+  /** No worker is expected to start the request in time. */
   | { readonly kind: "overloaded"; readonly offer: Offer; readonly candidates: number }
   | {
       readonly kind: "ranked";
-      /** Workers in the order in which they are tried until one has a connection for it. */
-      inTurn(): Generator<Ranking<BoardWorker>>;
+      /** Yields workers in the order in which to try them, until one has a free connection. */
+      inOrder(): Generator<Ranking<BoardWorker>>;
     };
 
-/** A request that looks for a worker. */
-export interface ChoosingRequest {
+/** A request that needs a worker. */
+export interface PlacementRequest {
   readonly arrival: RoutedArrival;
   readonly service: RoutedService;
-  /** Workers that have had it already. */
+  /** Ids of the workers that have already had the request. */
   readonly tried: ReadonlySet<string>;
 }
 
-/** Chooses the workers that a request is offered to. */
+/** Chooses the workers to which a request is offered. */
 export function chooseWorkers(
   { board, clock, random }: Pick<RoutedContext, "board" | "clock" | "random">,
-  { arrival, service, tried }: ChoosingRequest,
+  { arrival, service, tried }: PlacementRequest,
 ): WorkerChoice {
-  const left = arrival.deadlineAt - clock.now();
+  const timeLeft = arrival.deadlineAt - clock.now();
   const rank = (
     workers: readonly BoardWorker[],
     homes?: PromptHomes<BoardWorker>,
@@ -43,27 +43,27 @@
         ...(homes === undefined ? {} : { homes }),
       },
     );
-  const offerOf = (choice: Ranking<BoardWorker> | undefined): Offer => ({
+  const createOffer = (choice: Ranking<BoardWorker> | undefined): Offer => ({
     wait: choice?.wait ?? 0,
     target: arrival.route.target,
-    left,
+    left: timeLeft,
     rank: arrival.rank,
-    isReturn: arrival.isReturn || tried.size > 0,
+    isReturn: arrival.isRetry || tried.size > 0,
   });
-  const compared = board.compared(service, arrival.promptParts);
-  const few = rank(compared.workers, compared.homes);
-  const isPromising = few.length > 0 && isWorthOffering(offerOf(few[0]));
-  // Where none of the few that were drawn will do, another one may.
-  const ranked = isPromising ? few : rank(board.candidates(service));
+  const sample = board.compared(service, arrival.promptParts);
+  const sampled = rank(sample.workers, sample.homes);
+  const isSampleUsable = sampled.length > 0 && isWorthOffering(createOffer(sampled[0]));
+  // If no worker of the sample is good enough, one of the others may be.
+  const ranked = isSampleUsable ? sampled : rank(board.candidates(service));
   if (ranked.length === 0) return { kind: "none" };
-  const offer = offerOf(ranked[0]);
+  const offer = createOffer(ranked[0]);
   if (!isWorthOffering(offer)) return { kind: "overloaded", offer, candidates: ranked.length };
   return {
     kind: "ranked",
-    *inTurn() {
+    *inOrder() {
       yield* ranked;
-      // All of the few may have as many connections as this instance may open there.
-      if (isPromising) yield* rank(board.candidates(service));
+      // All sampled workers may have as many connections as this instance may open to them.
+      if (isSampleUsable) yield* rank(board.candidates(service));
     },
   };
 }
