--- a/src/standin/backend_server.ts
+++ b/src/standin/backend_server.ts
@@ -1,3 +1,13 @@
+/**
+ * A simulated backend server for development and tests, reached over HTTP like a real one.
+ *
+ * It implements the engine protocol under `/engine/`: run, attach, cancel, ask, export, report and
+ * order. A dispatch to the chat-completions path runs on a simulated engine and streams the tokens
+ * ` word0 word1 …` as server-sent events. Every other path belongs to a plain service, which echoes
+ * the request. Both count their runs, so that a test can detect a request that ran twice.
+ *
+ * @module
+ */
 import { randomUUID } from "node:crypto";
 import type { IncomingMessage, ServerResponse } from "node:http";
 import polka from "polka";
@@ -5,47 +15,49 @@
 import { listenHttp, readBody, sendJson } from "../connection/index.ts";
 import type { Listener } from "../connection/index.ts";
 import type { Clock, Dispatch, EngineEvent, Order } from "../interface/index.ts";
-import { CHAT_PATH, formatCacheName } from "./engine_prompt.ts";
-import type { EngineSpeeds } from "./engine_model.ts";
-import { createPlainTable } from "./plain_table.ts";
-import type { PlainTable } from "./plain_table.ts";
+import { CHAT_PATH, formatCacheName } from "./engine_request.ts";
+import type { EngineCapacity } from "./engine_model.ts";
+import { createPlainService } from "./plain_service.ts";
+import type { PlainService } from "./plain_service.ts";
 import { createRequestTable } from "./request_table.ts";
-import type { Follower, RequestTable, RunRefusal } from "./request_table.ts";
-import { createConstantSource, createModelSource } from "./token_source.ts";
+import type { Subscriber, RequestTable, RunRefusal } from "./request_table.ts";
+import { createConstantRateSource, createEngineTokenSource } from "./token_source.ts";
 import type { TokenSource } from "./token_source.ts";
 
-/** What a backend server stand-in is made with. */
-export interface BackendStandin {
-  /** `IP:PORT` to listen on. */
+/** Options of a simulated backend server. */
+export interface BackendServerOptions {
+  /** Address and port to listen on, as `IP:PORT`. */
   readonly listen: string;
   readonly clock: Clock;
   /**
-   * Milliseconds between tokens, the same whatever else is in progress; 0 answers at once. Where it is
-   * absent, the engine model of the machine class sets the pace.
+   * Milliseconds between two tokens, whatever else is in progress; 0 sends the whole answer at
+   * once. If absent, the engine model determines the rate from `capacity`.
    */
   readonly tokenTime?: number;
-  /** What the machine class can do; an ordinary one if absent. */
-  readonly speeds?: EngineSpeeds;
-  /** How many times as fast as the clock the engine model runs; 1 if absent. */
-  readonly speed?: number;
-  /** Whether orders and dispatches with an old fencing number are refused; not so if absent. */
+  /** Throughput and memory of the machine class; defaults to 900 tokens per second. */
+  readonly capacity?: EngineCapacity;
+  /** Factor by which the engine model runs faster than the clock; defaults to 1. */
+  readonly timeScale?: number;
+  /** Whether orders and dispatches with an older fencing number are refused; defaults to false. */
   readonly checksFence?: boolean;
-  /** Models that are loaded at the start. */
-  readonly loaded?: readonly string[];
-  /** The worker's id in its load reports; its address if absent. */
+  /** Models that are loaded when the server starts; defaults to none. */
+  readonly loadedModels?: readonly string[];
+  /** Worker id in load reports; defaults to the server's address. */
   readonly worker?: string;
 }
 
-/** A running backend server stand-in. */
+/** A running simulated backend server. */
 export interface BackendListener extends Listener {
-  /** How often each request was begun here, by its id. */
+  /** Number of runs of each request that started here from its beginning, by request id. */
   readonly runs: ReadonlyMap<string, number>;
-  /** What it was last ordered to be. */
+  /** Returns the last order that was accepted. */
   order(): Order;
 }
 
-const BODY_LIMIT = 4_000_000;
-const ORDINARY: EngineSpeeds = {
+/** Maximum size of a request body in bytes. */
+const MAX_BODY_BYTES = 4_000_000;
+/** Capacity of an ordinary machine class. */
+const DEFAULT_CAPACITY: EngineCapacity = {
   tokensPerSecond: 900,
   prefillPerSecond: 8_000,
   cacheTokens: 120_000,
@@ -76,19 +88,24 @@
 });
 
 /**
- * Starts a small stand-in for a backend server: a model engine that answers ` word0 word1 …`, and a plain
- * service that answers with what it was sent.
+ * Starts a simulated backend server.
+ *
+ * It answers chat completions with the tokens ` word0 word1 …`, and requests of plain services with
+ * an echo of what was sent.
+ *
+ * @param settings Options of the server.
+ * @returns The server, once it is listening.
  */
-export async function startBackend(settings: BackendStandin): Promise<BackendListener> {
-  const source = sourceOf(settings);
+export async function startBackend(settings: BackendServerOptions): Promise<BackendListener> {
+  const source = createTokenSource(settings);
   const checksFence = settings.checksFence ?? false;
   const requests = createRequestTable(source, { checksFence });
-  const plain = createPlainTable();
-  let order: Order = { fence: 0, models: settings.loaded ?? [], role: "serve" };
+  const plain = createPlainService();
+  let order: Order = { fence: 0, models: settings.loadedModels ?? [], role: "serve" };
   let address = settings.listen;
   const app = polka({
     onNoMatch: (request, response) => {
-      void answerPlain(plain, request, response);
+      void answerPlainCall(plain, request, response);
     },
   });
   const route = <T>(
@@ -97,30 +114,31 @@
     handle: (body: T, response: ServerResponse) => void,
   ): void => {
     app.post(`/engine/${path}`, async (request, response) => {
-      const body = await readAs(request, schema);
+      const body = await readJsonBody(request, schema);
       if (body === undefined) sendJson(response, { error: "bad body" }, { status: BAD_REQUEST });
       else handle(body, response);
     });
   };
   route("run", dispatchSchema, (dispatch, response) => {
-    if (dispatch.path === CHAT_PATH) runModel(requests, dispatch, response);
-    else runPlain(plain, dispatch, response);
+    if (dispatch.path === CHAT_PATH) startModelRun(requests, dispatch, response);
+    else runPlainRequest(plain, dispatch, response);
   });
   route("attach", attachSchema, ({ id, fromToken }, response) => {
-    const follower = followerOf(response, requests, id);
-    if (requests.attach(id, fromToken, follower)) return;
-    sendJson(response, { error: `No request ${id}.` }, { status: NOT_FOUND });
+    const subscriber = createSubscriber(response, requests, id);
+    if (requests.attach(id, fromToken, subscriber)) return;
+    sendJson(response, { error: `Request ${id} not found.` }, { status: NOT_FOUND });
   });
   route("cancel", idSchema, ({ id }, response) => {
     requests.cancel(id);
     sendJson(response, {});
   });
   route("ask", askSchema, ({ id, bar }, response) => {
-    sendJson(response, { knowledge: plain.ask(id, bar) ?? requests.ask(id, bar) });
+    sendJson(response, { knowledge: plain.query(id, bar) ?? requests.query(id, bar) });
   });
   route("export", idSchema, ({ id }, response) => {
-    const tokens = source.exportable(id);
-    if (tokens === undefined) sendJson(response, { error: "Not running." }, { status: NOT_FOUND });
+    const tokens = source.exportableTokens(id);
+    if (tokens === undefined)
+      sendJson(response, { error: "The request is not running." }, { status: NOT_FOUND });
     else sendJson(response, { cache: formatCacheName(address, id, tokens) });
   });
   route("report", z.unknown(), (_body, response) => {
@@ -128,13 +146,13 @@
     const takenAt = settings.clock.now();
     sendJson(response, { worker, takenAt, ...source.load(), loaded: order.models });
   });
-  route("order", orderSchema, (given, response) => {
-    if (checksFence && given.fence < order.fence) {
-      const error = `Fencing number ${given.fence} is older than ${order.fence}.`;
+  route("order", orderSchema, (newOrder, response) => {
+    if (checksFence && newOrder.fence < order.fence) {
+      const error = `Fencing number ${newOrder.fence} is older than ${order.fence}.`;
       sendJson(response, { error }, { status: CONFLICT });
       return;
     }
-    order = given;
+    order = newOrder;
     sendJson(response, {});
   });
   const listener = await listenHttp(settings.listen, (request, response) => {
@@ -152,42 +170,55 @@
   };
 }
 
-function sourceOf(settings: BackendStandin): TokenSource {
-  const { clock, tokenTime, speeds = ORDINARY, speed = 1 } = settings;
+/**
+ * Creates a token source with the configured token interval, or else one that runs the engine
+ * model.
+ */
+function createTokenSource(settings: BackendServerOptions): TokenSource {
+  const { clock, tokenTime, capacity = DEFAULT_CAPACITY, timeScale = 1 } = settings;
   return tokenTime === undefined
-    ? createModelSource(clock, { speeds, speed })
-    : createConstantSource(clock, tokenTime);
+    ? createEngineTokenSource(clock, { capacity, timeScale })
+    : createConstantRateSource(clock, tokenTime);
 }
 
-/** Undefined for a body that is too long, not JSON or of another shape. */
-async function readAs<T>(request: IncomingMessage, schema: z.ZodType<T>): Promise<T | undefined> {
+/**
+ * Reads a JSON body. Returns undefined if it is too long, not JSON, or doesn't match the schema.
+ */
+async function readJsonBody<T>(
+  request: IncomingMessage,
+  schema: z.ZodType<T>,
+): Promise<T | undefined> {
   try {
-    return schema.parse(JSON.parse(await readBody(request, BODY_LIMIT)));
+    return schema.parse(JSON.parse(await readBody(request, MAX_BODY_BYTES)));
   } catch {
     return undefined;
   }
 }
 
-function runModel(requests: RequestTable, dispatch: Dispatch, response: ServerResponse): void {
-  const refusal = requests.run(dispatch, followerOf(response, requests, dispatch.id));
-  if (refusal !== undefined) sendJson(response, { error: refusal }, { status: statusOf(refusal) });
+function startModelRun(requests: RequestTable, dispatch: Dispatch, response: ServerResponse): void {
+  const refusal = requests.run(dispatch, createSubscriber(response, requests, dispatch.id));
+  if (refusal !== undefined)
+    sendJson(response, { error: refusal }, { status: httpStatusOf(refusal) });
 }
 
-function runPlain(plain: PlainTable, dispatch: Dispatch, response: ServerResponse): void {
+function runPlainRequest(plain: PlainService, dispatch: Dispatch, response: ServerResponse): void {
   const answer = plain.run(dispatch);
   if (answer === undefined) sendJson(response, { error: "barred" }, { status: CONFLICT });
   else sendEvents(response, [{ kind: "finished", reason: "stop", body: answer }]);
 }
 
-/** A plain service's ordinary HTTP call, told from its duplicates by the request id that comes with it. */
-async function answerPlain(
-  plain: PlainTable,
+/**
+ * Answers an ordinary HTTP call to a plain service. The `x-request-id` header identifies
+ * duplicates.
+ */
+async function answerPlainCall(
+  plain: PlainService,
   request: IncomingMessage,
   response: ServerResponse,
 ): Promise<void> {
   const { method = "GET", url = "/", headers } = request;
   try {
-    const body = await readBody(request, BODY_LIMIT);
+    const body = await readBody(request, MAX_BODY_BYTES);
     const id = String(headers["x-request-id"] ?? randomUUID());
     const answer = plain.run({ id, service: "", path: `${method} ${url}`, body });
     if (answer === undefined) sendJson(response, { error: "barred" }, { status: CONFLICT });
@@ -197,7 +228,7 @@
   }
 }
 
-function statusOf(refusal: RunRefusal): number {
+function httpStatusOf(refusal: RunRefusal): number {
   switch (refusal) {
     case "bad body":
       return BAD_REQUEST;
@@ -210,15 +241,22 @@
   }
 }
 
-function followerOf(response: ServerResponse, requests: RequestTable, id: string): Follower {
-  const follower: Follower = (events) => {
+/**
+ * Creates a subscriber that streams a request's events to the response until the connection closes.
+ */
+function createSubscriber(
+  response: ServerResponse,
+  requests: RequestTable,
+  id: string,
+): Subscriber {
+  const subscriber: Subscriber = (events) => {
     sendEvents(response, events);
   };
-  response.on("close", () => requests.leave(id, follower));
-  return follower;
+  response.on("close", () => requests.unsubscribe(id, subscriber));
+  return subscriber;
 }
 
-/** Sends events in one write, and ends the answer after the last. */
+/** Writes events in one call, and ends the response after the final event. */
 function sendEvents(response: ServerResponse, events: readonly EngineEvent[]): void {
   if (events.length === 0) return;
   if (!response.headersSent) response.writeHead(200, { "content-type": "text/event-stream" });
--- a/src/standin/memory/freezer.ts
+++ b/src/standin/memory/freezer.ts
@@ -1,21 +1,26 @@
 import type { Clock } from "../../interface/index.ts";
 
-/** One instance's own view of time, which can be frozen as a paused process is. */
+/** Pauses the clock and the incoming calls of one instance, as when its process is suspended. */
 export interface Freezer {
-  /** The clock that the instance is given. */
+  /** The clock that is passed to the instance. */
   readonly clock: Clock;
-  /** Resolves at once, or when the instance wakes: everything that reaches an instance passes here. */
+  /** Resolves when the instance is running. All calls to the instance wait for it. */
   gate(): Promise<void>;
+  /** Pauses the instance. */
   freeze(): void;
+  /** Resumes the instance and runs what was deferred, in order. */
   wake(): void;
 }
 
-/** Makes a freezer over a clock: while frozen, timers that come due wait for the waking. */
+/**
+ * Creates the control of an instance that uses a clock. While the instance is paused, timers that
+ * expire are deferred until it resumes.
+ */
 export function createFreezer(clock: Clock): Freezer {
-  let frozen = false;
-  const waiting: (() => void)[] = [];
-  const whenAwake = (run: () => void): void => {
-    if (frozen) waiting.push(run);
+  let isPaused = false;
+  const deferred: (() => void)[] = [];
+  const runOrDefer = (run: () => void): void => {
+    if (isPaused) deferred.push(run);
     else run();
   };
   return {
@@ -23,15 +28,15 @@
       now: () => clock.now(),
       date: () => clock.date(),
       after: (milliseconds, run) => {
-        let stopped = false;
+        let isClosed = false;
         const timer = clock.after(milliseconds, () => {
-          whenAwake(() => {
-            if (!stopped) run();
+          runOrDefer(() => {
+            if (!isClosed) run();
           });
         });
         return {
           close: () => {
-            stopped = true;
+            isClosed = true;
             timer.close();
           },
         };
@@ -39,14 +44,14 @@
     },
     gate: () =>
       new Promise((resolve) => {
-        whenAwake(resolve);
+        runOrDefer(resolve);
       }),
     freeze: () => {
-      frozen = true;
+      isPaused = true;
     },
     wake: () => {
-      frozen = false;
-      for (const run of waiting.splice(0)) run();
+      isPaused = false;
+      for (const run of deferred.splice(0)) run();
     },
   };
 }
--- a/src/standin/platform_server.ts
+++ b/src/standin/platform_server.ts
@@ -1,38 +1,50 @@
+/**
+ * A simulated platform for development and tests: the object API, the list of workers, the cloud
+ * and the weight store on one HTTP listener.
+ *
+ * `POST /standin/reclaim`, `/standin/outage` and `/standin/refuse` inject faults: they reclaim
+ * instances, make the object API unavailable, and refuse launches.
+ *
+ * @module
+ */
 import type { IncomingMessage, ServerResponse } from "node:http";
 import polka from "polka";
 import { z } from "zod";
 import { listenHttp, readBody, routeParameter, sendJson } from "../connection/index.ts";
 import type { Listener } from "../connection/index.ts";
 import { Purchase } from "../interface/index.ts";
-import { createCloudTable } from "./cloud_table.ts";
-import type { CloudStandin, CloudTable } from "./cloud_table.ts";
+import { createSimulatedCloud } from "./simulated_cloud.ts";
+import type { CloudOptions, SimulatedCloud } from "./simulated_cloud.ts";
 import { createObjectTable } from "./object_table.ts";
 import type { ObjectTable } from "./object_table.ts";
 import { createWeightStore } from "./weight_store.ts";
 
-/** Bound on a value, as the platform's. */
-const VALUE_LIMIT = 1_000_000;
-/** How long a watch waits before it is answered with nothing. */
-const WATCH_WAIT = 30_000;
-/** Bytes a second of the weight store where the settings say nothing. */
-const WEIGHT_RATE = 2_000_000_000;
+/** Maximum size of a value in bytes, as on the real platform. */
+const MAX_VALUE_BYTES = 1_000_000;
+/** Milliseconds after which a watch is answered if nothing has changed. */
+const WATCH_TIMEOUT = 30_000;
+/** Rate of the weight store in bytes per second if the options don't set it. */
+const DEFAULT_WEIGHT_BYTES_PER_SECOND = 2_000_000_000;
 const UNAVAILABLE = 503;
 const NOT_FOUND = 404;
-const CONFLICT = 412;
+const PRECONDITION_FAILED = 412;
 
-/** What the platform stand-in is made with. */
-export interface PlatformStandin extends CloudStandin {
-  /** `IP:PORT` to listen on. */
+/** Options of the simulated platform. */
+export interface PlatformServerOptions extends CloudOptions {
+  /** Address and port to listen on, as `IP:PORT`. */
   readonly listen: string;
-  /** Bytes a second that the weight store gives to all loads together. */
-  readonly weightRate?: number;
+  /** Bytes per second of the weight store, shared by all loads; defaults to 2 GB/s. */
+  readonly weightBytesPerSecond?: number;
 }
 
-/** A running platform stand-in. */
+/** A running simulated platform. */
 export interface PlatformListener extends Listener {
-  readonly cloud: CloudTable;
-  /** Takes the object API down, or up again: reads and writes are refused, watches go silent. */
-  setDown(down: boolean): void;
+  readonly cloud: SimulatedCloud;
+  /**
+   * Makes the object API unavailable or available again. While it is unavailable, reads and writes
+   * are refused, and watches get no response.
+   */
+  setDown(isUnavailable: boolean): void;
 }
 
 const launchSchema = z.object({
@@ -50,19 +62,21 @@
 const refuseSchema = z.strictObject({ zone: z.string().exactOptional(), refuse: z.boolean() });
 
 /**
- * Starts a small stand-in for the platform on one listener: object API, lagging instance list, cloud and
- * weight store. `POST /standin/reclaim`, `/standin/outage` and `/standin/refuse` make it fail.
+ * Starts a simulated platform.
+ *
+ * @param settings Options of the platform.
+ * @returns The platform, once it is listening.
  */
-export async function startPlatform(settings: PlatformStandin): Promise<PlatformListener> {
+export async function startPlatform(settings: PlatformServerOptions): Promise<PlatformListener> {
   const table = createObjectTable();
-  const cloud = createCloudTable(settings);
-  const state = { down: false };
+  const cloud = createSimulatedCloud(settings);
+  const state = { isUnavailable: false };
   const app = polka();
   addObjectRoutes(app, { table, state });
   addCloudRoutes(app, cloud);
   addWeightRoute(app, settings);
-  const setDown = (down: boolean): void => {
-    state.down = down;
+  const setDown = (isUnavailable: boolean): void => {
+    state.isUnavailable = isUnavailable;
   };
   addFaultRoutes(app, { cloud, setDown });
   const listener = await listenHttp(
@@ -80,27 +94,27 @@
 
 function addObjectRoutes(
   app: polka.Polka,
-  { table, state }: { table: ObjectTable; state: { readonly down: boolean } },
+  { table, state }: { table: ObjectTable; state: { readonly isUnavailable: boolean } },
 ): void {
-  const isDown = (): boolean => state.down;
+  const isUnavailable = (): boolean => state.isUnavailable;
   app.get("/objects/:key", async (request, response) => {
-    if (isDown()) {
+    if (isUnavailable()) {
       sendJson(response, {}, { status: UNAVAILABLE });
       return;
     }
     const key = routeParameter(request, "key");
     const { after } = request.query as { after?: string };
-    const found =
+    const object =
       after === undefined
         ? table.get(key)
-        : await table.changed(key, Number(after), AbortSignal.timeout(WATCH_WAIT));
-    if (isDown()) return;
-    if (found === undefined) sendJson(response, {}, { status: NOT_FOUND });
-    else sendJson(response, found);
+        : await table.waitForChange(key, Number(after), AbortSignal.timeout(WATCH_TIMEOUT));
+    if (isUnavailable()) return;
+    if (object === undefined) sendJson(response, {}, { status: NOT_FOUND });
+    else sendJson(response, object);
   });
   app.put("/objects/:key", async (request, response) => {
-    const value = await readBody(request, VALUE_LIMIT);
-    if (isDown()) {
+    const value = await readBody(request, MAX_VALUE_BYTES);
+    if (isUnavailable()) {
       sendJson(response, {}, { status: UNAVAILABLE });
       return;
     }
@@ -108,16 +122,16 @@
     const outcome = table.put(routeParameter(request, "key"), value, expect);
     if (outcome.kind === "written") sendJson(response, { version: outcome.version });
     else if (outcome.kind === "conflict") {
-      sendJson(response, outcome.current ?? {}, { status: CONFLICT });
+      sendJson(response, outcome.current ?? {}, { status: PRECONDITION_FAILED });
     }
   });
 }
 
-function addCloudRoutes(app: polka.Polka, cloud: CloudTable): void {
+function addCloudRoutes(app: polka.Polka, cloud: SimulatedCloud): void {
   app.get("/instances", (_request, response) => sendJson(response, cloud.list()));
   app.get("/cloud/notices", (_request, response) => sendJson(response, cloud.notices()));
   app.post("/cloud/instances", async (request, response) => {
-    const launch = await bodyOf(request, { schema: launchSchema, response });
+    const launch = await readJsonBody(request, { schema: launchSchema, response });
     if (launch !== undefined) sendJson(response, await cloud.launch(launch));
   });
   app.delete("/cloud/instances/:id", (request, response) => {
@@ -126,44 +140,49 @@
   });
 }
 
-function addWeightRoute(app: polka.Polka, { clock, weightRate }: PlatformStandin): void {
-  const weights = createWeightStore(clock, weightRate ?? WEIGHT_RATE);
+function addWeightRoute(
+  app: polka.Polka,
+  { clock, weightBytesPerSecond }: PlatformServerOptions,
+): void {
+  const weights = createWeightStore(clock, weightBytesPerSecond ?? DEFAULT_WEIGHT_BYTES_PER_SECOND);
   app.get("/weights/:model", async (request, response) => {
     const { bytes } = request.query as { bytes?: string };
-    await weights.load(Number(bytes ?? 0));
+    await weights.waitForLoad(Number(bytes ?? 0));
     sendJson(response, { model: routeParameter(request, "model"), loaded: true });
   });
 }
 
 function addFaultRoutes(
   app: polka.Polka,
-  { cloud, setDown }: { cloud: CloudTable; setDown: (down: boolean) => void },
+  { cloud, setDown }: { cloud: SimulatedCloud; setDown: (isUnavailable: boolean) => void },
 ): void {
   app.post("/standin/reclaim", async (request, response) => {
-    const reclaim = await bodyOf(request, { schema: reclaimSchema, response });
+    const reclaim = await readJsonBody(request, { schema: reclaimSchema, response });
     if (reclaim !== undefined) sendJson(response, { instances: cloud.reclaim(reclaim) });
   });
   app.post("/standin/outage", async (request, response) => {
-    const outage = await bodyOf(request, { schema: outageSchema, response });
+    const outage = await readJsonBody(request, { schema: outageSchema, response });
     if (outage === undefined) return;
     setDown(outage.down);
     sendJson(response, outage);
   });
   app.post("/standin/refuse", async (request, response) => {
-    const refusal = await bodyOf(request, { schema: refuseSchema, response });
+    const refusal = await readJsonBody(request, { schema: refuseSchema, response });
     if (refusal === undefined) return;
     cloud.refuse(refusal);
     sendJson(response, refusal);
   });
 }
 
-/** The body as the schema has it; otherwise the fault is answered and nothing returned. */
-async function bodyOf<T>(
+/**
+ * Reads a JSON body. If it doesn't match the schema, answers with status 400 and returns undefined.
+ */
+async function readJsonBody<T>(
   request: IncomingMessage,
   { schema, response }: { schema: z.ZodType<T>; response: ServerResponse },
 ): Promise<T | undefined> {
   try {
-    return schema.parse(JSON.parse(await readBody(request, VALUE_LIMIT)));
+    return schema.parse(JSON.parse(await readBody(request, MAX_VALUE_BYTES)));
   } catch (error) {
     sendJson(response, { fault: String(error) }, { status: 400 });
     return undefined;
--- a/src/standin/prefix_cache.ts
+++ b/src/standin/prefix_cache.ts
@@ -1,57 +1,59 @@
-/** Prompt tokens that one block of a prefix covers. */
+/** Prompt tokens in one block of a prefix. */
 export const BLOCK_TOKENS = 64;
 
-/** The blocks of prompts that an engine still has in memory, least recently used first out. */
+/** The prompt blocks that an engine keeps in memory, evicted in least-recently-used order. */
 export interface PrefixCache {
-  /** Blocks held. */
+  /** Returns the number of blocks in the cache. */
   size(): number;
   /**
-   * Counts how many leading blocks of a prompt are held, and marks them as used.
+   * Counts the leading blocks of a prompt that are in the cache, and marks them as used.
    *
-   * @param blocks Hashes, each over all blocks up to it.
+   * @param blocks Hashes of the blocks, each over all blocks up to its own.
    */
-  match(blocks: readonly string[]): number;
+  matchPrefix(blocks: readonly string[]): number;
   /**
-   * Takes in a prompt's blocks.
+   * Adds the blocks of a prompt.
    *
-   * @returns Those that were not held before.
+   * @returns The blocks that were not in the cache before.
    */
   store(blocks: readonly string[]): string[];
   /**
-   * Drops the least recently used blocks until at most `most` are left.
+   * Evicts the least recently used blocks until at most `maxBlocks` are left.
    *
-   * @returns The blocks dropped.
+   * @returns The evicted blocks.
    */
-  shrink(most: number): string[];
+  evictTo(maxBlocks: number): string[];
 }
 
-/** Makes an empty cache; its owner bounds it with {@linkcode PrefixCache.shrink}. */
+/** Creates an empty cache. Its owner limits its size with `evictTo`. */
 export function createPrefixCache(): PrefixCache {
-  // A set keeps its order of insertion: taking out and putting back makes an entry the latest used.
-  const held = new Set<string>();
-  const touch = (block: string): void => {
-    held.delete(block);
-    held.add(block);
+  // A set keeps its insertion order: deleting and adding an entry again makes it the most recently
+  // used.
+  const cachedBlocks = new Set<string>();
+  const markAsUsed = (block: string): void => {
+    cachedBlocks.delete(block);
+    cachedBlocks.add(block);
   };
   return {
-    size: () => held.size,
-    match: (blocks) => {
-      const missing = blocks.findIndex((block) => !held.has(block));
-      const found = missing < 0 ? blocks.length : missing;
-      // From the last to the first: a block is worth nothing once one before it has gone.
-      for (let index = found - 1; index >= 0; index--) touch(blocks[index] ?? "");
-      return found;
+    size: () => cachedBlocks.size,
+    matchPrefix: (blocks) => {
+      const missing = blocks.findIndex((block) => !cachedBlocks.has(block));
+      const matched = missing < 0 ? blocks.length : missing;
+      // The last block is marked first, so that it is evicted first: a block is useless without
+      // those before it.
+      for (let index = matched - 1; index >= 0; index--) markAsUsed(blocks[index] ?? "");
+      return matched;
     },
     store: (blocks) => {
-      const added = blocks.filter((block) => !held.has(block));
-      for (const block of blocks.toReversed()) touch(block);
+      const added = blocks.filter((block) => !cachedBlocks.has(block));
+      for (const block of blocks.toReversed()) markAsUsed(block);
       return added;
     },
-    shrink: (most) => {
+    evictTo: (maxBlocks) => {
       const dropped: string[] = [];
-      for (const block of held) {
-        if (held.size <= most) break;
-        held.delete(block);
+      for (const block of cachedBlocks) {
+        if (cachedBlocks.size <= maxBlocks) break;
+        cachedBlocks.delete(block);
         dropped.push(block);
       }
       return dropped;
--- a/src/standin/replay/sample.ts
+++ b/src/standin/replay/sample.ts
@@ -3,23 +3,28 @@
 import type { FleetControl } from "./fleet_control.ts";
 import type { GroupMeasurements, Measurements } from "./measurements.ts";
 
-/** What stands at a moment of a replay, for a plot. */
+/** State of a replay at one time, for a plot. */
 export interface Sample {
-  /** Milliseconds. */
+  /** Time in milliseconds. */
   readonly at: number;
-  /** Workers that take work, by how they are paid for. */
+  /** Live reclaimable workers. */
   readonly reclaimable: number;
+  /** Live on-demand workers. */
   readonly onDemand: number;
-  /** Euros so far. */
+  /** Cost so far in euros. */
   readonly cost: number;
-  /** 95th percentile of the time to the first token since the last sample, by `SERVICE/LANE`. */
+  /**
+   * 95th percentile in milliseconds of the time to first token since the previous sample, by
+   * `SERVICE/LANE`.
+   */
   readonly firstToken: Readonly<Record<string, number>>;
 }
 
+/** Milliseconds between two samples. */
 const SAMPLE_INTERVAL = 10_000;
 const PERCENTILE = 0.95;
 
-/** Takes samples at a steady interval from now on. */
+/** Takes a sample now and then at regular intervals. */
 export function takeSamples(options: {
   readonly fleet: FleetControl;
   readonly measurements: Measurements;
@@ -27,21 +32,24 @@
   readonly sample: (sample: Sample) => void;
 }): void {
   const { fleet, measurements, events, sample } = options;
-  const live = fleet.workers().filter(({ state }) => state === WorkerState.Live);
-  const bought = (purchase: Purchase): number =>
-    live.filter((worker) => worker.purchase === purchase).length;
-  const groups = [...measurements.groups].map(([name, group]) => [name, takeRecent(group)]);
+  const liveWorkers = fleet.workers().filter(({ state }) => state === WorkerState.Live);
+  const countByPurchase = (purchase: Purchase): number =>
+    liveWorkers.filter((worker) => worker.purchase === purchase).length;
+  const groups = [...measurements.groups].map(([name, group]) => [
+    name,
+    takeRecentFirstTokenPercentile(group),
+  ]);
   sample({
     at: events.now(),
-    reclaimable: bought(Purchase.Reclaimable),
-    onDemand: bought(Purchase.OnDemand),
-    cost: [...fleet.costs().values()].reduce((a, b) => a + b, 0),
+    reclaimable: countByPurchase(Purchase.Reclaimable),
+    onDemand: countByPurchase(Purchase.OnDemand),
+    cost: [...fleet.costByService().values()].reduce((a, b) => a + b, 0),
     firstToken: Object.fromEntries(groups) as Record<string, number>,
   });
   events.add(events.now() + SAMPLE_INTERVAL, () => takeSamples(options));
 }
 
-function takeRecent(group: GroupMeasurements): number {
+function takeRecentFirstTokenPercentile(group: GroupMeasurements): number {
   const sorted = group.recentFirstTokens.sort((a, b) => a - b);
   group.recentFirstTokens = [];
   return sorted[Math.floor(PERCENTILE * sorted.length)] ?? 0;
--- a/src/standin/replay/tracked_request.ts
+++ b/src/standin/replay/tracked_request.ts
@@ -3,54 +3,55 @@
 import type { GroupMeasurements } from "./measurements.ts";
 import type { TraceArrival } from "./trace.ts";
 
-/** A request of a trace on its way through an entry instance. */
+/** The state of a request of the trace in an entry instance. */
 export interface TrackedRequest {
   readonly arrival: TraceArrival;
   readonly group: GroupMeasurements;
-  /** As the scheduler knows it, with the tokens that the caller has. */
+  /** The job that the scheduler uses, with the number of tokens that the caller has. */
   job: Job;
-  /** Tokens that the caller has. */
-  produced: number;
-  /** Milliseconds from the arrival to the first token; 0 before. */
+  /** Tokens that the caller has received. */
+  deliveredTokens: number;
+  /** Milliseconds from the arrival to the first token; 0 before it. */
   firstTokenTime: number;
-  /** When the caller got the last token. */
+  /** Time at which the caller received the last token. */
   lastTokenAt: number;
-  /** Prompt and answer tokens that some engine has computed for it. */
-  computed: number;
-  /** Tokens of KV cache that the next run starts from. */
-  imported: number;
-  /** Why the next run is another one. */
-  cause: RetryCause;
-  /** Runs so far. */
+  /** Prompt and answer tokens that at least one engine has computed. */
+  computedTokens: number;
+  /** Tokens of KV cache that the next run imports. */
+  importedTokens: number;
+  /** Cause of the next run, if it isn't the first. */
+  retryCause: RetryCause;
+  /** Number of runs so far. */
   attempts: number;
   /** Runs in progress, by worker. */
   readonly runs: Map<string, Run>;
-  /** Workers that have failed it. */
-  readonly avoid: Set<string>;
-  ended: boolean;
+  /** Workers on which the request failed or from which it was moved. */
+  readonly avoidedWorkers: Set<string>;
+  hasEnded: boolean;
 }
 
-/** One attempt at a request, on one worker. */
+/** One run of a request on one worker. */
 export interface Run {
-  /** What the worker's engine knows it by. */
+  /** Id of the run in the worker's engine. */
   readonly id: string;
   readonly request: TrackedRequest;
-  /** Which of the request's runs it is, counted from 1. */
-  readonly number: number;
+  /** Number of the run within the request, starting at 1. */
+  readonly attempt: number;
   readonly worker: string;
   readonly dispatchedAt: number;
   readonly cause: RetryCause;
-  /** The worker has it: from here on it may have run. */
-  delivered: boolean;
-  /** Times that the engine has begun it, more than one after preemption. */
-  starts: number;
+  /** Whether the worker has received the request. From then on it may have run. */
+  isDelivered: boolean;
+  /** Number of times that the engine has started the run; more than 1 after a preemption. */
+  startCount: number;
   firstTokenAt: number | undefined;
-  tokens: number;
+  /** Tokens that this run has produced. */
+  tokenCount: number;
   lastTokenAt: number;
-  ended: boolean;
+  hasEnded: boolean;
 }
 
-/** Begins to track an admitted request. */
+/** Creates the state of an admitted request. */
 export function trackRequest(
   job: Job,
   { arrival, group }: { arrival: TraceArrival; group: GroupMeasurements },
@@ -59,20 +60,20 @@
     arrival,
     group,
     job,
-    produced: 0,
+    deliveredTokens: 0,
     firstTokenTime: 0,
     lastTokenAt: 0,
-    computed: 0,
-    imported: 0,
-    cause: RetryCause.WorkerLost,
+    computedTokens: 0,
+    importedTokens: 0,
+    retryCause: RetryCause.WorkerLost,
     attempts: 0,
     runs: new Map(),
-    avoid: new Set(),
-    ended: false,
+    avoidedWorkers: new Set(),
+    hasEnded: false,
   };
 }
 
-/** Begins another run of a request. */
+/** Creates another run of a request. */
 export function createRun(
   request: TrackedRequest,
   { worker, now, cause }: { worker: string; now: number; cause: RetryCause },
@@ -81,16 +82,16 @@
   const run: Run = {
     id: `${request.job.id}#${request.attempts}`,
     request,
-    number: request.attempts,
+    attempt: request.attempts,
     worker,
     dispatchedAt: now,
     cause,
-    delivered: false,
-    starts: 0,
+    isDelivered: false,
+    startCount: 0,
     firstTokenAt: undefined,
-    tokens: 0,
+    tokenCount: 0,
     lastTokenAt: now,
-    ended: false,
+    hasEnded: false,
   };
   request.runs.set(worker, run);
   return run;
--- a/src/standin/token_source.ts
+++ b/src/standin/token_source.ts
@@ -1,53 +1,71 @@
+/**
+ * Produces the tokens of a simulated backend server by a clock, either from the engine model or at
+ * a constant rate.
+ *
+ * @module
+ */
 import type { Clock, Timer } from "../interface/index.ts";
 import { createEngineModel } from "./engine_model.ts";
-import type { EngineLoad, EngineModelEvent, EngineRequest, EngineSpeeds } from "./engine_model.ts";
+import type {
+  EngineLoad,
+  EngineModelEvent,
+  EngineRequest,
+  EngineCapacity,
+} from "./engine_model.ts";
 
-/** Events of one request. */
+/** An engine event that belongs to one request. */
 export type RequestEvent = Extract<EngineModelEvent, { id: string }>;
 
-/** Where a backend server stand-in has its tokens from, by a clock. */
+/** Produces the tokens of a simulated backend server in real or virtual time. */
 export interface TokenSource {
   /**
-   * Begins a request.
+   * Starts a request.
    *
    * @param listener Called with the request's events as they happen.
-   * @returns False where the request can never fit.
+   * @returns False if the request exceeds the whole KV cache.
    */
   start(request: EngineRequest, listener: (events: readonly RequestEvent[]) => void): boolean;
+  /** Cancels a request. Its listener is not called again. */
   cancel(id: string): void;
-  /** Tokens of KV cache that an export of the request holds now, if it is running. */
-  exportable(id: string): number | undefined;
+  /**
+   * Returns the tokens of KV cache that an export of the request would hold now, or undefined if
+   * the request isn't running.
+   */
+  exportableTokens(id: string): number | undefined;
+  /** Returns the current load. */
   load(): EngineLoad;
+  /** Stops the timers. */
   close(): void;
 }
 
 /**
- * Has the engine model run by a clock.
+ * Creates a token source that runs the engine model on a clock.
  *
  * @param clock The clock.
- * @param options The machine class's speeds, and how many times as fast as the clock the engine runs.
+ * @param options Capacity of the machine class, and the factor by which the engine runs faster than
+ * the clock.
  */
-export function createModelSource(
+export function createEngineTokenSource(
   clock: Clock,
-  { speeds, speed }: { speeds: EngineSpeeds; speed: number },
+  { capacity, timeScale }: { capacity: EngineCapacity; timeScale: number },
 ): TokenSource {
-  const engine = createEngineModel(speeds);
+  const engine = createEngineModel(capacity);
   const listeners = new Map<string, (events: readonly RequestEvent[]) => void>();
-  const begun = clock.now();
+  const startedAt = clock.now();
   let timer: Timer | undefined;
-  const engineNow = (): number => (clock.now() - begun) * speed;
-  const arm = (): void => {
-    const next = engine.nextEventAt();
+  const engineNow = (): number => (clock.now() - startedAt) * timeScale;
+  const scheduleNextStep = (): void => {
+    const nextStepAt = engine.nextEventAt();
     timer?.close();
     timer = undefined;
-    if (next === undefined) return;
-    timer = clock.after(Math.max(0, next - engineNow()) / speed, () => {
-      // A timer may fire a little early: the step that it stands for ends all the same.
-      tell(engine.advanceTo(Math.max(next, engineNow())));
-      arm();
+    if (nextStepAt === undefined) return;
+    timer = clock.after(Math.max(0, nextStepAt - engineNow()) / timeScale, () => {
+      // A timer may fire slightly early. The step for which it was set ends nevertheless.
+      notifyListeners(engine.advanceTo(Math.max(nextStepAt, engineNow())));
+      scheduleNextStep();
     });
   };
-  const tell = (events: readonly EngineModelEvent[]): void => {
+  const notifyListeners = (events: readonly EngineModelEvent[]): void => {
     for (const event of events) {
       if ("id" in event) listeners.get(event.id)?.([event]);
       if (event.kind === "finished") listeners.delete(event.id);
@@ -56,44 +74,45 @@
   return {
     start: (request, listener) => {
       listeners.set(request.id, listener);
-      const taken = engine.submit(request, engineNow());
-      if (!taken) listeners.delete(request.id);
-      arm();
-      return taken;
+      const isAccepted = engine.submit(request, engineNow());
+      if (!isAccepted) listeners.delete(request.id);
+      scheduleNextStep();
+      return isAccepted;
     },
     cancel: (id) => {
       listeners.delete(id);
       engine.cancel(id, engineNow());
-      arm();
+      scheduleNextStep();
     },
-    exportable: (id) => engine.exportable(id),
+    exportableTokens: (id) => engine.exportableTokens(id),
     load: () => engine.load(),
     close: () => timer?.close(),
   };
 }
 
-/** Tokens of KV cache that a source of constant pace says it has. */
-const CONSTANT_CAPACITY = 100_000;
+/** KV cache capacity in tokens that a source with a constant rate reports. */
+const REPORTED_CACHE_CAPACITY = 100_000;
 
 /**
- * Gives each request its tokens at a constant pace, whatever else is in progress.
+ * Creates a token source that produces each request's tokens at a constant rate, whatever else is
+ * in progress.
  *
  * @param clock The clock.
- * @param tokenTime Milliseconds between tokens; 0 gives all at once.
+ * @param tokenInterval Milliseconds between tokens; 0 produces all tokens at once.
  */
-export function createConstantSource(clock: Clock, tokenTime: number): TokenSource {
+export function createConstantRateSource(clock: Clock, tokenInterval: number): TokenSource {
   const timers = new Map<string, Timer>();
-  const produced = new Map<string, number>();
-  const finish = (id: string): void => {
+  const cacheTokens = new Map<string, number>();
+  const forget = (id: string): void => {
     timers.delete(id);
-    produced.delete(id);
+    cacheTokens.delete(id);
   };
   return {
     start: (request, listener) => {
       const { id, answerTokens, resumedTokens, promptTokens } = request;
       const at = clock.now();
       const started: RequestEvent = { kind: "started", at, id, computed: promptTokens, cached: 0 };
-      if (tokenTime === 0) {
+      if (tokenInterval === 0) {
         const tokens: RequestEvent[] = Array.from(
           { length: Math.max(0, answerTokens - resumedTokens) },
           (_, index) => ({ kind: "token", at, id, index: resumedTokens + index }),
@@ -102,32 +121,32 @@
         return true;
       }
       listener([started]);
-      const next = (index: number): void => {
-        produced.set(id, promptTokens + index);
+      const scheduleToken = (index: number): void => {
+        cacheTokens.set(id, promptTokens + index);
         if (index >= answerTokens) {
-          finish(id);
+          forget(id);
           listener([{ kind: "finished", at: clock.now(), id }]);
           return;
         }
-        const timer = clock.after(tokenTime, () => {
+        const timer = clock.after(tokenInterval, () => {
           listener([{ kind: "token", at: clock.now(), id, index }]);
-          next(index + 1);
+          scheduleToken(index + 1);
         });
         timers.set(id, timer);
       };
-      next(resumedTokens);
+      scheduleToken(resumedTokens);
       return true;
     },
     cancel: (id) => {
       timers.get(id)?.close();
-      finish(id);
+      forget(id);
     },
-    exportable: (id) => produced.get(id),
+    exportableTokens: (id) => cacheTokens.get(id),
     load: () => ({
       running: timers.size,
       waiting: 0,
-      cacheTokens: [...produced.values()].reduce((sum, tokens) => sum + tokens, 0),
-      cacheCapacity: CONSTANT_CAPACITY,
+      cacheTokens: [...cacheTokens.values()].reduce((sum, tokens) => sum + tokens, 0),
+      cacheCapacity: REPORTED_CACHE_CAPACITY,
     }),
     close: () => {
       for (const timer of timers.values()) timer.close();
--- a/src/standin/weight_store.ts
+++ b/src/standin/weight_store.ts
@@ -1,19 +1,19 @@
 import { sleep } from "../interface/index.ts";
 import type { Clock } from "../interface/index.ts";
 
-/** A store of model weights whose rate all loads share. */
+/** A store of model weights with one rate for all loads together. */
 export interface WeightStore {
-  /** Resolves when the bytes have been given out, one load after another. */
-  load(bytes: number): Promise<void>;
+  /** Resolves when the bytes have been read. Loads are served one after another. */
+  waitForLoad(bytes: number): Promise<void>;
 }
 
-/** Makes a weight store that gives `bytesPerSecond` to all loads together. */
+/** Creates a weight store that reads `bytesPerSecond` for all loads together. */
 export function createWeightStore(clock: Clock, bytesPerSecond: number): WeightStore {
-  let freeAt = clock.now();
+  let idleAt = clock.now();
   return {
-    load: async (bytes) => {
-      freeAt = Math.max(freeAt, clock.now()) + (bytes / bytesPerSecond) * 1_000;
-      await sleep(clock, freeAt - clock.now());
+    waitForLoad: async (bytes) => {
+      idleAt = Math.max(idleAt, clock.now()) + (bytes / bytesPerSecond) * 1_000;
+      await sleep(clock, idleAt - clock.now());
     },
   };
 }
