--- a/src/cli/apply.ts
+++ b/src/cli/apply.ts
@@ -5,10 +5,10 @@
 import { faultLine, readText } from "./check.ts";
 import { OPERATOR_FLAGS } from "./operator_client.ts";
 
-/** `samphireshore apply`: puts a deployment document in force. */
+/** `samphireshore apply`: checks a deployment document and makes it the active configuration. */
 export class Apply extends Command {
   static override description =
-    "Put a deployment document in force everywhere. Says one of: accepted (exit 0), refused (1), conflict (3), not known (4).";
+    "Put a deployment document in force on every entry instance. Prints one of: accepted (exit code 0), refused (1), conflict (3), not known (4).";
   static override examples = [
     "samphireshore apply deployment.jsonc --wait --secrets secrets.jsonc",
   ];
@@ -16,9 +16,11 @@
   static override args = { file: Args.string({ required: true }) };
   static override flags = {
     ...OPERATOR_FLAGS,
-    wait: Flags.boolean({ description: "Wait until it is in force at every live entry instance." }),
+    wait: Flags.boolean({
+      description: "Wait until the document is in force on every live entry instance.",
+    }),
     base: Flags.integer({
-      description: "The revision that the document was edited from; the one in force if not given.",
+      description: "Revision that the document is based on; defaults to the revision in force.",
     }),
   };
 
--- a/src/cli/change.ts
+++ b/src/cli/change.ts
@@ -4,13 +4,13 @@
 import { reportChange } from "./change_report.ts";
 import { askOperator, OPERATOR_FLAGS } from "./operator_client.ts";
 
-/** `samphireshore change`: what became of a change whose answer was lost. */
+/** `samphireshore change`: shows the outcome of an earlier change whose response was lost. */
 export class Change extends Command {
-  static override description = "Ask what became of a change whose answer was lost.";
+  static override description = "Show the outcome of an earlier change whose response was lost.";
   static override examples = ["samphireshore change 5d0c… --secrets secrets.jsonc"];
   static override enableJsonFlag = true;
   static override args = {
-    id: Args.string({ description: "The id that apply or preset use printed.", required: true }),
+    id: Args.string({ description: "Change id printed by apply or preset use.", required: true }),
   };
   static override flags = OPERATOR_FLAGS;
 
--- a/src/cli/change_report.ts
+++ b/src/cli/change_report.ts
@@ -4,7 +4,7 @@
 import { callOperator, newChangeId } from "./operator_client.ts";
 import type { OperatorFlags } from "./operator_client.ts";
 
-/** Exit codes of commands that change something: each outcome has its own. */
+/** Exit codes of the commands that change the configuration, one for each outcome. */
 export enum ChangeExit {
   Accepted = 0,
   Refused = 1,
@@ -12,22 +12,26 @@
   NotKnown = 4,
 }
 
-/** A change that a command asks for. */
+/** A configuration change to request from an entry instance. */
 export interface ChangeRequest {
+  /** URL path of the operators' route. */
   readonly path: string;
+  /** JSON body without the change id. */
   readonly body: object;
-  /** Waits until it is in force at every live entry instance. */
+  /** Whether to wait until the change is in force on every live entry instance. */
   readonly wait: boolean;
 }
 
-/** How long a change with `--wait` may take, in milliseconds. */
+/** Timeout of a change with `--wait`, in milliseconds. */
 const WAIT_TIMEOUT = 30_000;
 
 /**
- * Asks for a change, prints its outcome and sets the exit code.
+ * Requests a change, prints its outcome and sets the exit code.
  *
- * The command draws the change's id itself: where the answer is lost on the way to the operator, the
- * outcome is "not known" with an id to ask with, never a guess.
+ * The command generates the change id itself. If the response is lost, the outcome is reported as
+ * "not known", and the operator can look it up later by this id.
+ *
+ * @returns The outcome, which `--json` prints.
  */
 export async function requestChange(
   command: Command,
@@ -74,7 +78,7 @@
       process.exitCode = ChangeExit.Refused;
       break;
     case "conflict":
-      command.log(`conflict with revision ${outcome.revision}, nothing was changed:`);
+      command.log(`conflict with revision ${outcome.revision}; nothing was changed:`);
       for (const { path, ours, theirs } of outcome.conflicts) {
         command.log(`  ${path}\n    yours:  ${shown(ours)}\n    theirs: ${shown(theirs)}`);
       }
@@ -82,7 +86,7 @@
       break;
     case "unknown":
       command.log(`not known: ${outcome.detail}`);
-      command.log(`ask later with: samphireshore change ${outcome.change}`);
+      command.log(`look up the outcome later with: samphireshore change ${outcome.change}`);
       process.exitCode = ChangeExit.NotKnown;
       break;
   }
@@ -90,9 +94,9 @@
 
 function whereOf({ everywhere }: { everywhere?: boolean | undefined }): string {
   if (everywhere === undefined) return "";
-  return everywhere ? ", at every live entry instance" : ", not yet at every live entry instance";
+  return everywhere ? ", on every live entry instance" : ", not yet on every live entry instance";
 }
 
 function shown(value: unknown): string {
-  return value === undefined ? "(not there)" : JSON.stringify(value);
+  return value === undefined ? "(absent)" : JSON.stringify(value);
 }
--- a/src/cli/check.ts
+++ b/src/cli/check.ts
@@ -5,17 +5,17 @@
 import { deploymentSchema, parseSettings } from "../version/index.ts";
 import type { SettingsFault } from "../version/index.ts";
 
-/** What a file can be checked as. */
+/** Schemas by the value of `--as`. */
 const SCHEMAS: Readonly<Record<string, z.ZodType>> = {
   deployment: deploymentSchema,
   entry: entrySettingsSchema,
   routed: routedSettingsSchema,
 };
 
-/** `samphireshore check`: every fault of a deployment document in one go. */
+/** `samphireshore check`: validates a deployment document or a settings file and prints all faults at once. */
 export class Check extends Command {
   static override description =
-    "Check a deployment document or settings: every fault in one go, each with file, line, what was found and what is expected.";
+    "Check a deployment document or a settings file. Prints all faults at once, each with file, line, the value found and the value expected.";
   static override examples = [
     "samphireshore check deployment.jsonc",
     "samphireshore check settings.jsonc --as routed",
@@ -25,7 +25,7 @@
   static override flags = {
     as: Flags.string({
       description:
-        "What the file is: a deployment document, or settings of an entry instance, plain or for routed requests.",
+        "Type of the file: a deployment document, the settings of an entry instance, or those of an entry instance for routed requests.",
       options: Object.keys(SCHEMAS),
       default: "deployment",
     }),
@@ -45,16 +45,16 @@
   }
 }
 
-/** A fault as one line, in the shape that editors jump to. */
+/** Formats a fault as one line, `FILE:LINE: PATH: MESSAGE`, which editors and terminals link to the place. */
 export function faultLine({ file, line, path, message }: SettingsFault): string {
   return path === "" ? `${file}:${line}: ${message}` : `${file}:${line}: ${path}: ${message}`;
 }
 
-/** Reads a file for a command, which ends with a plain sentence where it can't be read. */
+/** Reads a text file. If that fails, the command ends with an error message and exit code 2. */
 export async function readText(command: Command, file: string): Promise<string> {
   try {
     return await readFile(file, "utf8");
   } catch (cause) {
-    return command.error(`Reading ${file}: ${String(cause)}.`, { exit: 2 });
+    return command.error(`Can't read ${file}: ${String(cause)}.`, { exit: 2 });
   }
 }
--- a/src/cli/commands.ts
+++ b/src/cli/commands.ts
@@ -17,7 +17,7 @@
 import { Standin } from "./standin.ts";
 import { Status } from "./status.ts";
 
-/** Every command by its id; `:` stands where a person types a space. */
+/** All commands by id. A `:` in an id is typed as a space on the command line. */
 export const COMMANDS: Readonly<Record<string, Command.Class>> = {
   apply: Apply,
   change: Change,
--- a/src/cli/demo.ts
+++ b/src/cli/demo.ts
@@ -13,31 +13,35 @@
 import { textTable } from "./text_table.ts";
 
 const SEED = 1;
+/** Number of workers by service. */
 const WORKERS = { "entry-model": 4, "finish-desk": 4 };
-/** Euros an hour of a reclaimable worker, the mean of the document's offers. */
+/** Price of a reclaimable worker in euros per hour: the mean of the offers in the deployment document. */
 const PRICE = 0.85;
 
-/** What the demonstration came to. */
+/** Result of the demo run; `--json` prints it under these field names. */
 export interface DemoReport {
+  /** Number of requests by outcome and refusal reason. */
   readonly outcomes: Readonly<Record<string, number>>;
-  /** Tokens that had to be computed again, by cause. */
+  /** Number of tokens that were computed again, by cause. */
   readonly recomputed: Readonly<Record<string, number>>;
   /** Time to first token in milliseconds, by service. */
   readonly firstToken: Readonly<Record<string, Latency>>;
-  /** Euros for the workers over the run. */
+  /** Cost of the workers over the run, in euros. */
   readonly cost: number;
+  /** The checked guarantees. */
   readonly promises: readonly PromiseCheck[];
+  /** Whether every guarantee held. */
   readonly held: boolean;
 }
 
-/** `samphireshore demo`: a deployment under load, with a reclaim and a preset switch. */
+/** `samphireshore demo`: runs a deployment under load, with a zone reclaim and a preset switch. */
 export class Demo extends Command {
   static override description =
-    "Play a deployment in one process: a mixed load, an announced reclaim of a whole availability zone and a preset switch. Exits with 0 only if every promise holds.";
+    "Run a deployment in one process under a mixed load, with an announced reclaim of a whole availability zone and a preset switch. Exits with 0 only if every guarantee holds.";
   static override examples = ["samphireshore demo --json"];
   static override enableJsonFlag = true;
   static override flags = {
-    seed: Flags.integer({ description: "Seed of the load.", default: SEED }),
+    seed: Flags.integer({ description: "Seed of the random load.", default: SEED }),
   };
 
   override async run(): Promise<DemoReport> {
@@ -143,6 +147,7 @@
   };
 }
 
+/** Prefix of the counters that count recomputed tokens; the rest of the name is the cause. */
 const RECOMPUTED = "recomputed.";
 
 function recomputedOf({ entries }: EmbeddedDeployment): Record<string, number> {
--- a/src/cli/demo/caller.ts
+++ b/src/cli/demo/caller.ts
@@ -5,72 +5,77 @@
 import { Refusal, sleep } from "../../interface/index.ts";
 import type { Clock, Random } from "../../interface/index.ts";
 
-/** A request of the demonstration's load. */
+/** A request of the demo's load. */
 export interface Errand {
-  /** Idempotency key, unique in the run. */
+  /** Idempotency key, unique within the run. */
   readonly key: string;
   readonly service: string;
+  /** API key of the client account. */
   readonly clientKey: string;
   readonly prompt: string;
+  /** Number of tokens of the complete response. */
   readonly answerTokens: number;
-  /** False: to be run at most once. */
+  /** False if the request must run at most once. */
   readonly repeatable: boolean;
 }
 
-/** How an errand ended for its caller. */
+/** Outcome of a request as its caller observed it. */
 export enum ErrandEnd {
   Complete = "complete",
-  /** Refused, and certainly not run. */
+  /** Refused, with the statement that it has not run. */
   NotRun = "not-run",
-  /** Ended without an answer, and may have run. */
+  /** Ended without a complete response; it may have run. */
   MayHaveRun = "may-have-run",
-  /** No end within the caller's patience. */
+  /** No final response before the caller's timeout. */
   Unanswered = "unanswered",
 }
 
-/** What a caller saw of its errand. */
+/** Result of a request as its caller observed it. */
 export interface ErrandRecord {
   readonly errand: Errand;
   readonly end: ErrandEnd;
-  /** The id under which the system accepted it; empty where it never did. */
+  /** Request id assigned when the request was accepted; empty if it never was. */
   readonly id: string;
-  /** Texts of the tokens by index, each as often as it came. */
+  /** Received tokens in order, duplicates included. */
   readonly tokens: readonly { readonly index: number; readonly text: string }[];
-  /** Milliseconds from the first try to the first token; undefined where none came. */
+  /** Milliseconds from the first attempt to the first token; undefined if none was received. */
   readonly firstToken: number | undefined;
-  /** Tries on another connection after the first. */
+  /** Number of attempts after the first. */
   readonly reconnects: number;
-  /** The machine-readable reason of the last refusal; empty where there was none. */
+  /** Error code of the last refusal; empty if there was none. */
   readonly reason: string;
 }
 
-/** What a caller is made with. */
+/** Options of a caller. */
 export interface CallerOptions {
   readonly clock: Clock;
   readonly random: Random;
+  /** HTTP connection pool. */
   readonly agent: Agent;
-  /** Entry instances to begin with, `IP:PORT`. */
+  /** Addresses of entry instances, `IP:PORT`, used until one of them has returned a list of addresses. */
   readonly addresses: readonly string[];
-  /** Milliseconds after which the caller gives an errand up. */
+  /** Milliseconds after which the caller abandons a request. */
   readonly patience: number;
 }
 
 /**
- * A caller as the users' programs are: it asks which address to use, keeps the answer, connects there, and
- * after a broken connection asks again with the same key from the token where it was.
+ * A client that behaves as client programs should: it resolves the address to use, caches it, and after a
+ * broken connection retries with the same idempotency key, starting after the last token received.
  */
 export interface Caller {
+  /** Sends a request and retries it until its outcome is known or the timeout has passed. */
   run(errand: Errand): Promise<ErrandRecord>;
 }
 
-/** Reasons that are no end: the request's state isn't known at present, and the key tells it later. */
+/** Refusals that leave the outcome open: a retry with the same idempotency key returns it later. */
 const ASK_AGAIN: ReadonlySet<string> = new Set([
   Refusal.OwnerUnavailable,
   Refusal.BackupUnavailable,
 ]);
+/** Minimum and maximum delay before a retry in milliseconds; a random factor from 0.5 to 1.5 is applied. */
 const RETRY_PAUSE = 200;
 const MAX_RETRY_PAUSE = 2_000;
-/** Milliseconds without a byte after which a caller gives a connection up. */
+/** Milliseconds without received data after which a caller closes a connection. */
 const SILENCE = 10_000;
 
 const resolved = z.object({ addresses: z.array(z.string()), keepFor: z.number() });
@@ -86,6 +91,7 @@
   error: z.object({ code: z.string(), not_run: z.boolean().optional() }),
 });
 
+/** State of a request across its attempts. */
 interface Progress {
   id: string;
   firstToken: number | undefined;
@@ -95,12 +101,12 @@
   readonly tokens: { index: number; text: string }[];
 }
 
-/** What one try came to: an end, or a reason to try again after a pause. */
+/** Result of one attempt: a final outcome, or a delay in milliseconds before the next attempt. */
 type Try =
   | { readonly kind: "end"; readonly end: ErrandEnd }
   | { readonly kind: "again"; readonly pause: number };
 
-/** Makes a caller. */
+/** Creates a caller. */
 export function createCaller(options: CallerOptions): Caller {
   const { clock, random } = options;
   const addresses = createAddressBook(options);
@@ -131,13 +137,13 @@
 }
 
 interface AddressBook {
-  /** The address to use next: the first that was told, or after {@linkcode forget} another one. */
+  /** Returns the address to use. It is resolved again if its time to live has passed or after {@linkcode forget}. */
   next(errand: Errand): Promise<string>;
-  /** The last address didn't work: ask again. */
+  /** Expires the cached addresses after a failed attempt. */
   forget(): void;
 }
 
-/** Keeps what the system said of its addresses for as long as it said. */
+/** Resolves addresses for a service through `/v1/resolve` and caches them for the time to live in the response. */
 function createAddressBook({ clock, random, agent, addresses }: CallerOptions): AddressBook {
   let known: readonly string[] = addresses;
   let keepUntil = 0;
@@ -155,7 +161,7 @@
       known = told.addresses;
       keepUntil = clock.now() + told.keepFor * 1_000;
     } catch {
-      // That instance has gone: what was known at the start is tried again.
+      // The instance doesn't respond. The next attempt uses the initial addresses.
       known = addresses;
     }
   };
--- a/src/cli/demo/load.ts
+++ b/src/cli/demo/load.ts
@@ -1,37 +1,40 @@
 import type { Random } from "../../interface/index.ts";
 import type { Errand } from "./caller.ts";
 
-/** An errand with the time at which its caller begins, in milliseconds from the start. */
+/** A request and the time of its first attempt, in milliseconds since the start of the run. */
 export interface PlannedErrand {
   readonly at: number;
   readonly errand: Errand;
 }
 
-/** One kind of work in the load. */
+/** A class of requests in the load. */
 export interface Stream {
   readonly name: string;
   readonly service: string;
+  /** API keys of the client accounts that send the requests. */
   readonly clientKeys: readonly string[];
-  /** Requests a second. */
+  /** Requests per second. */
   readonly rate: number;
+  /** Minimum and maximum number of tokens of a response. */
   readonly answerTokens: { readonly least: number; readonly most: number };
-  /** Part of the requests that may not be repeated. */
+  /** Share of the requests that must run at most once, from 0 to 1. */
   readonly onceShare: number;
-  /** Prompts share a prefix within a client account. */
+  /** Number of words in the prefix that all prompts of a client account share. */
   readonly promptWords: number;
 }
 
-/** What the load is drawn with. */
+/** Options of {@linkcode planLoad}. */
 export interface LoadOptions {
   readonly random: Random;
-  /** Milliseconds over which requests arrive. */
+  /** Milliseconds during which requests are sent. */
   readonly duration: number;
 }
 
 /**
- * Draws a load: in each stream, requests come at random moments at the stream's rate.
+ * Generates a random load. The requests of each stream are distributed uniformly over the duration at the
+ * stream's mean rate.
  *
- * @returns The errands, in order of time.
+ * @returns The requests in order of time.
  */
 export function planLoad(streams: readonly Stream[], options: LoadOptions): PlannedErrand[] {
   const planned = streams.flatMap((stream) => planStream(stream, options));
--- a/src/cli/demo/promises.ts
+++ b/src/cli/demo/promises.ts
@@ -1,46 +1,49 @@
 import { ErrandEnd } from "./caller.ts";
 import type { ErrandRecord } from "./caller.ts";
 
-/** How often a request was begun, as a backend server itself recorded it. */
+/** Number of times that a backend server started a request, from the backend server's own record. */
 export interface RecordedRuns {
+  /** Request id. */
   readonly id: string;
   readonly worker: string;
   readonly count: number;
 }
 
-/** A backend server that was taken back, by its own record. */
+/** A reclaimed backend server, from its own record. */
 export interface LeavingServer {
   readonly worker: string;
-  /** Requests that it had begun by {@linkcode LEAVING_BOUND} after its notice, and at its end. */
+  /** Number of requests that it had started by {@linkcode LEAVING_BOUND} after its reclaim notice. */
   readonly begunByBound: number;
+  /** Number of requests that it had started by the end of the run. */
   readonly begunAtEnd: number;
 }
 
-/** What happened, from the callers' and the backend servers' own records. */
+/** Records of a run, kept by the callers and the backend servers independently of the entry instances. */
 export interface Evidence {
   readonly errands: readonly ErrandRecord[];
   readonly runs: readonly RecordedRuns[];
   readonly leaving: readonly LeavingServer[];
-  /** Milliseconds from the preset's acceptance until each entry instance had it in force. */
+  /** Milliseconds from the acceptance of the preset until it was in force, one value for each entry instance. */
   readonly presetDelays: readonly number[];
-  /** Presets that an entry instance showed after the switch, in order, each once. */
+  /** Distinct presets in force on the entry instances after the switch; more than one means that one reverted. */
   readonly presetsAfterSwitch: readonly string[];
 }
 
-/** One promise and whether it held. */
+/** Result of checking one guarantee; `--json` prints it under these field names. */
 export interface PromiseCheck {
+  /** The guarantee in words. */
   readonly promise: string;
   readonly held: boolean;
-  /** What was counted. */
+  /** The counts that the check is based on. */
   readonly detail: string;
 }
 
-/** How long after its notice a backend server may still receive new work, in milliseconds. */
+/** Milliseconds after its reclaim notice during which a backend server may still receive new requests. */
 export const LEAVING_BOUND = 3_000;
-/** How long an accepted preset may take to be in force everywhere, in milliseconds. */
+/** Maximum time from the acceptance of a preset until it is in force on every entry instance, in milliseconds. */
 const IN_FORCE_BOUND = 5_000;
 
-/** Checks each promise against the evidence. */
+/** Checks each guarantee against the records of a run. */
 export function checkPromises(evidence: Evidence): PromiseCheck[] {
   return [
     acceptedSurvive(evidence),
@@ -58,7 +61,7 @@
   );
   const accepted = errands.filter(({ id }) => id !== "").length;
   return check("accepted requests survive every announced reclaim", lost.length, {
-    detail: `${accepted} accepted, ${lost.length} without an answer`,
+    detail: `${accepted} accepted, ${lost.length} without a response`,
   });
 }
 
@@ -68,18 +71,18 @@
   const [first] = wrong;
   const example = first === undefined ? "" : `, such as ${describeAnswer(first)}`;
   return check("each caller gets its own whole answer, each token once", wrong.length, {
-    detail: `${complete.length} answers, ${wrong.length} not whole${example}`,
+    detail: `${complete.length} responses, ${wrong.length} incomplete or wrong${example}`,
   });
 }
 
 function describeAnswer({ errand, id, tokens, reconnects }: ErrandRecord): string {
   const at = tokens.findIndex(({ text }, index) => numberOf(text) !== index);
-  const place = at < 0 ? "" : `, the first wrong one at ${at}: "${tokens[at]?.text ?? ""}"`;
+  const place = at < 0 ? "" : `, the first wrong one at index ${at}: "${tokens[at]?.text ?? ""}"`;
   const got = `${tokens.length} of ${errand.answerTokens} tokens${place}`;
   return `${id} (${errand.service}, ${reconnects} reconnects) with ${got}`;
 }
 
-/** The stand-ins number the words of an answer from 0 on. */
+/** Whether the response has every token once and in order: the stand-ins number the words from 0. */
 function isWhole({ errand, tokens }: ErrandRecord): boolean {
   if (tokens.length !== errand.answerTokens) return false;
   return tokens.every(({ text }, index) => numberOf(text) === index);
@@ -94,7 +97,7 @@
   const told = errands.filter(({ end }) => end === ErrandEnd.NotRun);
   const untrue = told.filter(({ id }) => ran.has(id)).length;
   return check('"not run" is said only where it is true', untrue, {
-    detail: `${told.length} told, ${untrue} had run`,
+    detail: `${told.length} reported as not run, ${untrue} of them had run`,
   });
 }
 
@@ -104,14 +107,14 @@
   const once = errands.filter(({ errand }) => !errand.repeatable);
   const twice = once.filter(({ id }) => (counts.get(id) ?? 0) > 1).length;
   return check("what may not be repeated runs at most once", twice, {
-    detail: `${once.length} such requests, ${twice} ran more than once`,
+    detail: `${once.length} such requests, ${twice} run more than once`,
   });
 }
 
 function leavingGetNothing({ leaving }: Evidence): PromiseCheck {
   const late = leaving.reduce((sum, server) => sum + server.begunAtEnd - server.begunByBound, 0);
   return check("a leaving backend server gets no new work after 3 s", late, {
-    detail: `${leaving.length} left, ${late} late dispatches`,
+    detail: `${leaving.length} reclaimed, ${late} late dispatches`,
   });
 }
 
@@ -121,7 +124,7 @@
   const slowest = Math.max(0, ...presetDelays);
   const held = late + reverted;
   return check("an accepted preset is in force everywhere within 5 s and never reverts", held, {
-    detail: `${presetDelays.length} instances, the slowest after ${Math.round(slowest)} ms`,
+    detail: `${presetDelays.length} instances, slowest after ${Math.round(slowest)} ms`,
   });
 }
 
--- a/src/cli/demo/promises_test.ts
+++ b/src/cli/demo/promises_test.ts
@@ -34,18 +34,28 @@
   presetsAfterSwitch: ["peak"],
 };
 
+// A check that never fails would let the demo succeed with any of these faults.
 const WRONG: readonly [string, Evidence][] = [
-  ["an answer lost", { ...GOOD, errands: [{ ...ANSWERED, end: ErrandEnd.Unanswered }] }],
-  ["a token twice", withTokens([" word0", " word0"])],
-  ["a token missing", withTokens([" word0"])],
-  ["not run, though it ran", { ...GOOD, errands: [{ ...ANSWERED, end: ErrandEnd.NotRun }] }],
-  ["run twice at one server", { ...GOOD, runs: [{ id: "r1-a", worker: "w1", count: 2 }] }],
-  ["run at two servers", { ...GOOD, runs: [...GOOD.runs, { id: "r1-a", worker: "w2", count: 1 }] }],
+  ["a lost response", { ...GOOD, errands: [{ ...ANSWERED, end: ErrandEnd.Unanswered }] }],
+  ["a duplicate token", withTokens([" word0", " word0"])],
+  ["a missing token", withTokens([" word0"])],
   [
-    "late work for a leaving server",
+    "a request reported as not run that did run",
+    { ...GOOD, errands: [{ ...ANSWERED, end: ErrandEnd.NotRun }] },
+  ],
+  [
+    "a request run twice on one backend server",
+    { ...GOOD, runs: [{ id: "r1-a", worker: "w1", count: 2 }] },
+  ],
+  [
+    "a request run on two backend servers",
+    { ...GOOD, runs: [...GOOD.runs, { id: "r1-a", worker: "w2", count: 1 }] },
+  ],
+  [
+    "a late dispatch to a reclaimed backend server",
     { ...GOOD, leaving: [{ worker: "w1", begunByBound: 4, begunAtEnd: 5 }] },
   ],
-  ["a preset late", { ...GOOD, presetDelays: [20, 5_001] }],
+  ["a preset in force too late", { ...GOOD, presetDelays: [20, 5_001] }],
   ["a preset that reverted", { ...GOOD, presetsAfterSwitch: ["peak", "day"] }],
 ];
 
@@ -54,10 +64,10 @@
   return { ...GOOD, errands: [{ ...ANSWERED, tokens }] };
 }
 
-test("all promises hold where nothing went wrong", () => {
+test("every guarantee holds for a run without faults", () => {
   expect(checkPromises(GOOD).filter((found) => !found.held)).toEqual([]);
 });
 
-test.each(WRONG)("%s breaks exactly one promise", (_name, evidence) => {
+test.each(WRONG)("%s violates exactly one guarantee", (_name, evidence) => {
   expect(checkPromises(evidence).filter((found) => !found.held)).toHaveLength(1);
 });
--- a/src/cli/demo/scenario.ts
+++ b/src/cli/demo/scenario.ts
@@ -9,33 +9,35 @@
 import { LEAVING_BOUND } from "./promises.ts";
 import type { Evidence, LeavingServer, RecordedRuns } from "./promises.ts";
 
-/** What the demonstration plays. */
+/** The load and the disturbances of the demo run. Times are milliseconds since its start. */
 export interface Scenario {
   readonly streams: readonly Stream[];
-  /** Milliseconds over which requests arrive. */
+  /** Milliseconds during which requests are sent. */
   readonly duration: number;
-  /** The availability zone that is taken back, when, and at how much notice. */
+  /** The availability zone to reclaim, the time of the notice, and the notice period in milliseconds. */
   readonly reclaim: { readonly zone: string; readonly at: number; readonly within: number };
-  /** The preset that is put in force, and when. */
+  /** The preset to switch to, and the time of the switch. */
   readonly preset: { readonly name: string; readonly at: number };
-  /** Milliseconds after which a caller gives an errand up. */
+  /** Milliseconds after which a caller abandons a request. */
   readonly patience: number;
 }
 
-/** What playing needs besides the scenario. */
+/** The deployment and the sources of time and randomness that a scenario runs with. */
 export interface Stage {
   readonly deployment: EmbeddedDeployment;
   readonly operatorKey: string;
   readonly clock: Clock;
   readonly random: Random;
-  /** Told of what happens, a line each. */
+  /** Receives one line of text for each event of the run. */
   readonly progress: (line: string) => void;
 }
 
+/** Milliseconds between two checks whether a preset is in force. */
 const POLL = 50;
+/** Maximum number of connections to one entry instance. */
 const CONNECTIONS = 512;
 
-/** Plays the scenario; resolves once every errand has its end. */
+/** Runs the scenario; resolves once the outcome of every request is known. */
 export async function play(scenario: Scenario, stage: Stage): Promise<Evidence> {
   const { deployment, clock, random, progress } = stage;
   const agent = new Agent({ connections: CONNECTIONS });
@@ -69,14 +71,19 @@
   );
 }
 
-/** Takes the zone back; resolves, once the bound has passed, to what tells of its servers at the end. */
+/**
+ * Reclaims the zone and counts the requests started on its backend servers, first at {@linkcode LEAVING_BOUND}
+ * after the notice.
+ *
+ * @returns A function that counts again at the end of the run and returns both counts for each server.
+ */
 async function reclaimZone(
   { reclaim: { zone, at, within } }: Scenario,
   { deployment, clock, progress }: Stage,
 ): Promise<() => LeavingServer[]> {
   await sleep(clock, at);
   const taken = new Set(deployment.platform.cloud.reclaim({ zone, within }));
-  progress(`the cloud takes ${zone} back in ${within / 1_000} s: ${[...taken].join(", ")}`);
+  progress(`reclaim notice for ${zone}, ${within / 1_000} s ahead: ${[...taken].join(", ")}`);
   await sleep(clock, LEAVING_BOUND);
   const servers = deployment.backends.filter(({ worker }) => taken.has(worker.id));
   const byBound = servers.map(({ listener }) => begun(listener.runs));
@@ -98,7 +105,7 @@
   );
 }
 
-/** Switches the preset as an operator does, and watches when each instance has it in force. */
+/** Switches the preset through the operators' API and measures when each remaining instance has it in force. */
 async function switchPreset(
   { preset: { name, at }, reclaim }: Scenario,
   { deployment, operatorKey, clock, progress }: Stage,
--- a/src/cli/demo/summary.ts
+++ b/src/cli/demo/summary.ts
@@ -10,7 +10,7 @@
   readonly p99: number;
 }
 
-/** Number of errands by outcome, each outcome with its reason where it had one. */
+/** Counts requests by outcome. Outcomes other than complete are also split by refusal reason. */
 export function countOutcomes(errands: readonly ErrandRecord[]): Record<string, number> {
   const counts: Record<string, number> = {};
   for (const { end, reason } of errands) {
@@ -20,7 +20,7 @@
   return counts;
 }
 
-/** Time to first token of the errands of one service. */
+/** Computes the quantiles of the time to first token over the requests of one service. */
 export function latencyOf(errands: readonly ErrandRecord[], service: string): Latency {
   const histogram = build({ numberOfSignificantValueDigits: 3 });
   for (const { errand, firstToken } of errands) {
@@ -34,7 +34,7 @@
   };
 }
 
-/** What a fleet of workers costs: each is paid for from its start until it goes. */
+/** Computes the cost of workers in euros: the hourly price times the running time of each. */
 export function costOf(
   workers: readonly { readonly pricePerHour: number; readonly milliseconds: number }[],
 ): number {
--- a/src/cli/dev.ts
+++ b/src/cli/dev.ts
@@ -4,23 +4,24 @@
 import { untilStopped } from "./until_stopped.ts";
 
 const DEFAULT_PORT = 8080;
-/** The client account that `--client-key` is the key of. */
+/** The client account whose API key `--client-key` sets. */
 const CLIENT_ACCOUNT = "club-sofia";
 
-/** `samphireshore dev`: the embedded deployment, running until stopped. */
+/** `samphireshore dev`: runs the embedded deployment until stopped. */
 export class Dev extends Command {
   static override description =
-    "Run a whole deployment in one process on loopback sockets, with stand-ins, until stopped.";
+    "Run a whole deployment in one process on loopback sockets, with stand-ins for the platform and the backend servers, until stopped.";
   static override examples = ["samphireshore dev --port 8080 --client-key try-me"];
   static override flags = {
     port: Flags.integer({
-      description: "Port of the first entry instance; the others follow. 0 takes free ones.",
+      description:
+        "Port of the first entry instance; the others use the following ports. 0 selects free ports.",
       default: DEFAULT_PORT,
     }),
     "client-key": Flags.string({
-      description: `Key of the client account ${CLIENT_ACCOUNT}; random if not given.`,
+      description: `API key of the client account ${CLIENT_ACCOUNT}; random if not given.`,
     }),
-    "operator-key": Flags.string({ description: "Credential of operators; random if not given." }),
+    "operator-key": Flags.string({ description: "Operator credential; random if not given." }),
   };
 
   override async run(): Promise<void> {
--- a/src/cli/drain.ts
+++ b/src/cli/drain.ts
@@ -3,14 +3,17 @@
 import type { DrainMessage } from "../connection/index.ts";
 import { askOperator, OPERATOR_FLAGS } from "./operator_client.ts";
 
-/** `samphireshore drain`: a planned stop of an entry instance. */
+/** `samphireshore drain`: performs a planned stop of an entry instance. */
 export class Drain extends Command {
   static override description =
-    "Stop an entry instance as planned: it takes nothing new, finishes what it has, hands over and ends.";
+    "Perform a planned stop of an entry instance: it accepts no new requests, finishes those in progress, hands over its slots and exits.";
   static override examples = ["samphireshore drain entry-2 --secrets secrets.jsonc"];
   static override enableJsonFlag = true;
   static override args = {
-    instance: Args.string({ description: "Name or member id.", required: true }),
+    instance: Args.string({
+      description: "Name or member id of the entry instance.",
+      required: true,
+    }),
   };
   static override flags = OPERATOR_FLAGS;
 
--- a/src/cli/embedded_deployment.ts
+++ b/src/cli/embedded_deployment.ts
@@ -8,42 +8,54 @@
 import type { BackendListener, EntryPlace, PlatformListener } from "../standin/index.ts";
 import { formatRevision, REVISION_KEY } from "../version/index.ts";
 
-/** What an embedded deployment is made with. */
+/** Settings of an embedded deployment. */
 export interface EmbeddedSettings {
-  /** Port of the first entry instance, the others follow; 0 for free ones. */
+  /** Port of the first entry instance; the others use the following ports. 0 selects free ports. */
   readonly port: number;
+  /** Number of entry instances. */
   readonly entryInstances: number;
-  /** Workers by service. */
+  /** Number of workers by service. */
   readonly workers: Readonly<Record<string, number>>;
+  /** Availability zones, assigned in turn to the entry instances and to the workers of each service. */
   readonly zones: readonly string[];
-  /** The deployment document, as its file has it. */
+  /** The deployment document as a parsed value, not yet validated. */
   readonly source: unknown;
+  /** Name of the preset in the first revision. */
   readonly preset: string;
+  /** Operator credential; the entry instances also use it among each other. */
   readonly operatorKey: string;
 }
 
-/** A backend server's stand-in with the worker that it is. */
+/** A backend server stand-in and its entry in the platform's list of workers. */
 export interface EmbeddedBackend {
   readonly worker: Worker;
   readonly listener: BackendListener;
 }
 
-/** A whole deployment in one process: entry instances, and stand-ins for all that is outside. */
+/** A deployment in one process: entry instances, and stand-ins for the platform and the backend servers. */
 export interface EmbeddedDeployment {
   readonly entries: readonly EntryInstance[];
   readonly backends: readonly EmbeddedBackend[];
-  /** The platform's stand-in, which can take instances back and be down. */
+  /** The platform stand-in, which can reclaim instances and simulate an outage of its object API. */
   readonly platform: PlatformListener;
+  /** Stops the entry instances, the backend servers and the platform, in this order. */
   close(): Promise<void>;
 }
 
-/** How long a new deployment may take to give every slot its owners, and how often it is looked. */
+/** Maximum time to wait at startup until every slot has its owners, in milliseconds. */
 const FORMING_PATIENCE = 20_000;
+/** Interval between two checks of the slot maps, in milliseconds. */
 const FORMING_PERIOD = 20;
 const LOOPBACK = "127.0.0.1";
+/** Time between two tokens of a response, in milliseconds. */
 const TOKEN_TIME = 20;
 
-/** Starts a deployment on loopback sockets in this process. */
+/**
+ * Starts a deployment in this process on loopback sockets.
+ *
+ * @returns The deployment, once every slot has its owners or {@linkcode FORMING_PATIENCE} has passed.
+ * @throws {Error} If the first revision can't be written to the platform stand-in.
+ */
 export async function startEmbedded(settings: EmbeddedSettings): Promise<EmbeddedDeployment> {
   const backends = await startBackends(settings);
   const entries: EntryInstance[] = [];
@@ -53,7 +65,7 @@
     workers: backends.map(({ worker }) => worker),
     entries: entryNames(settings),
     taken: (instance) => {
-      // What the cloud takes ends at once, with whatever is still in progress on it.
+      // A reclaimed worker or entry instance stops immediately and loses its requests in progress.
       void backends.find(({ worker }) => worker.id === instance)?.listener.close();
       void entries.find(({ self }) => self.id.startsWith(`${instance}#`))?.close();
     },
@@ -88,7 +100,10 @@
   return Promise.all(started);
 }
 
-/** Waits until every slot has its owners: before that a request may find no second holder. */
+/**
+ * Waits until every slot has a primary and, with more than one instance, a backup. Before that, a request may be
+ * refused because no backup can store its record.
+ */
 async function untilFormed(entries: readonly EntryInstance[]): Promise<void> {
   const isOwned = ({ core }: EntryInstance): boolean =>
     core.configuration
@@ -130,7 +145,8 @@
   const value = formatRevision({ source, preset, changes: [] });
   const outcome = await store.put(REVISION_KEY, value, { expect: 0 });
   store.close();
-  if (outcome.kind !== "written") throw new Error(`Writing the first revision: ${outcome.kind}.`);
+  if (outcome.kind !== "written")
+    throw new Error(`Can't write the first revision to the store: ${outcome.kind}.`);
 }
 
 async function startEntries(
--- a/src/cli/embedded_deployment_test.ts
+++ b/src/cli/embedded_deployment_test.ts
@@ -15,7 +15,8 @@
   operatorKey: "operator-key-of-tests",
 };
 
-test("a caller with the unmodified openai client gets a streamed answer, each token once", async () => {
+test("the unmodified openai client receives a streamed response with each token once", async () => {
+  // Guards against response formats that the client library can't parse, and against lost or repeated tokens.
   const deployment = await startEmbedded(SETTINGS);
   const client = new OpenAI({
     baseURL: `http://${deployment.entries[0]?.self.callerAddress ?? ""}/v1`,
--- a/src/cli/embedded_operator_test.ts
+++ b/src/cli/embedded_operator_test.ts
@@ -36,7 +36,7 @@
   return { status: answer.status, text: await answer.text() };
 }
 
-/** The status once it is as expected: on a busy machine an instance may be late to answer another. */
+/** Polls the status until it is as expected: on a busy machine, instances may respond late to each other. */
 async function statusWhere(
   deployment: EmbeddedDeployment,
   isExpected: (status: StatusMessage) => boolean,
@@ -48,7 +48,7 @@
   }
 }
 
-/** What became of a change: "unknown" is true while the store hasn't answered, so it is asked again. */
+/** Polls the outcome of a change until it is known: it is "unknown" until the store has responded. */
 async function knownOutcome(deployment: EmbeddedDeployment, change: string): Promise<string> {
   for (;;) {
     const { text } = await call(deployment, `/v1/operator/changes/${change}`);
@@ -57,7 +57,8 @@
   }
 }
 
-test("operators switch presets, see where they are in force, and drain an instance", async () => {
+test("operators can switch presets, see where they are in force, and drain an instance", async () => {
+  // Guards the whole operators' API: the status codes, and the outcome in each response.
   const deployment = await startEmbedded(SETTINGS);
   try {
     const used = await call(deployment, "/v1/operator/preset/peak?wait=1", { method: "PUT" });
@@ -94,8 +95,9 @@
   }
 });
 
-test("without the operators' credential nothing is told or changed, and it is counted", async () => {
-  // Somebody who can reach the callers' port tries the operators' routes with a wrong key.
+test("operator routes reject a wrong credential without any effect and count the refusals", async () => {
+  // The operators' routes share a port with the callers, so any caller can reach them. With a wrong key they must
+  // neither return data nor change anything.
   const deployment = await startEmbedded(SETTINGS);
   try {
     const paths = ["/v1/operator/status", "/v1/operator/services", "/metrics"];
--- a/src/cli/embedded_reclaim_test.ts
+++ b/src/cli/embedded_reclaim_test.ts
@@ -6,9 +6,9 @@
 
 const CLIENT_KEY = "client-key-of-tests";
 
-test("a zone's notice makes its workers and its entry instance leave at every instance", async () => {
-  // The cloud takes a zone back. Callers of the other instances must get answers from other workers, and
-  // nobody may be told to use the entry instance that goes.
+test("after a reclaim notice for a zone, every instance marks its workers and its entry instance as leaving", async () => {
+  // The cloud reclaims a zone. The other instances must send requests to workers of other zones, and must no longer
+  // return the address of the leaving entry instance to callers.
   const deployment = await startEmbedded({
     port: 0,
     entryInstances: 3,
@@ -28,8 +28,8 @@
           core.workers.find("finish-desk-0")?.state === WorkerState.Leaving &&
           core.members.alive().length === 2,
       );
-    // However busy the machine is, it comes before the test's own limit; the time that it takes is tested
-    // on the virtual clock.
+    // There is no time limit here but the test's own, because the machine may be busy. Tests on the virtual clock
+    // check how long it takes.
     while (!isKnown()) await sleep(systemClock, 20);
     expect(deployment.platform.cloud.notices()).toHaveLength(2);
   } finally {
--- a/src/cli/fetch_routed_status.ts
+++ b/src/cli/fetch_routed_status.ts
@@ -3,10 +3,16 @@
 import { routedStatusSchema } from "../process/routed_status.ts";
 import type { RoutedStatus } from "../process/routed_status.ts";
 
-/** How long the instance may take to answer, in milliseconds. */
+/** Time limit for the response, in milliseconds. */
 const TIMEOUT = 5_000;
 
-/** Asks an instance at its metrics address; ends the command with 2 where it doesn't answer. */
+/**
+ * Fetches the status of an entry instance that serves routed requests. If the request fails or the response is
+ * invalid, the command ends with exit code 2.
+ *
+ * @param command The running command, which prints the error.
+ * @param address `IP:PORT` of the instance's metrics listener.
+ */
 export async function fetchRoutedStatus(command: Command, address: string): Promise<RoutedStatus> {
   try {
     const answer = await request(`http://${address}/status`, {
@@ -14,6 +20,6 @@
     });
     return routedStatusSchema.parse(await answer.body.json());
   } catch (cause) {
-    return command.error(`Asking ${address} for its status: ${String(cause)}.`, { exit: 2 });
+    return command.error(`Can't fetch the status from ${address}: ${String(cause)}.`, { exit: 2 });
   }
 }
--- a/src/cli/init.ts
+++ b/src/cli/init.ts
@@ -4,21 +4,25 @@
 import { ASSOCIATION, KORTFILM, settingsFiles } from "./template/index.ts";
 
 const TEMPLATES = { association: ASSOCIATION, kortfilm: KORTFILM };
+/** File modes: files with credentials are readable by their owner only, the others by everyone. */
 const OWNER_ONLY = 0o600;
 const EVERYONE_READS = 0o644;
 
-/** `samphireshore init`: writes a complete settings set. */
+/** `samphireshore init`: writes all settings files of a deployment. */
 export class Init extends Command {
   static override description =
-    "Write a complete commented settings set for a deployment, which serve, apply and standin accept as it is.";
+    "Write a complete, commented set of settings files for a deployment. The commands serve, apply and standin accept them unchanged.";
   static override examples = ["samphireshore init association ./association"];
   static override enableJsonFlag = true;
   static override args = {
     deployment: Args.string({ options: Object.keys(TEMPLATES), required: true }),
-    dir: Args.string({ description: "Folder to write to; files in it are kept.", required: true }),
+    dir: Args.string({
+      description: "Folder to write to. Existing files are not overwritten without --force.",
+      required: true,
+    }),
   };
   static override flags = {
-    force: Flags.boolean({ description: "Write over files that are there." }),
+    force: Flags.boolean({ description: "Overwrite existing files." }),
   };
 
   override async run(): Promise<{ files: string[] }> {
@@ -43,9 +47,12 @@
       const mode = secret ? OWNER_ONLY : EVERYONE_READS;
       await writeFile(path, text, { mode, flag: force ? "w" : "wx" });
     } catch (cause) {
-      this.error(`Writing ${path}: ${String(cause)}. With --force it is written over.`, {
-        exit: 1,
-      });
+      this.error(
+        `Can't write ${path}: ${String(cause)}. Use --force to overwrite existing files.`,
+        {
+          exit: 1,
+        },
+      );
     }
   }
 }
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -6,8 +6,8 @@
 const NAME = "samphireshore";
 
 /**
- * The command line's only plugin, made in memory: the one binary has no files on disk that could be
- * searched for commands.
+ * Creates the only oclif plugin in memory: the program is a single binary, so there are no files on disk in which
+ * oclif could look for commands.
  */
 function createPlugin(root: string, pjson: Interfaces.PJSON): Interfaces.Plugin {
   const commands = Object.entries(COMMANDS).map(([id, command]) => loadable(id, command));
@@ -36,7 +36,7 @@
 
 function commandOf(id: string): Command.Class {
   const command = COMMANDS[id];
-  if (command === undefined) throw new Error(`There is no command "${id}".`);
+  if (command === undefined) throw new Error(`Unknown command "${id}".`);
   return command;
 }
 
@@ -63,8 +63,8 @@
 }
 
 /**
- * Gives each argument or flag its own name. A plugin that is read from files gets them when it is loaded; without
- * them, asking for help on a command that takes arguments fails.
+ * Adds a `name` property to each argument or flag. For plugins loaded from files, oclif does this itself. Without
+ * the names, the help of a command that takes arguments fails.
  */
 function named<Part extends object>(parts: Readonly<Record<string, Part>>): Record<string, Part> {
   return Object.fromEntries(Object.entries(parts).map(([name, part]) => [name, { ...part, name }]));
--- a/src/cli/operator_client.ts
+++ b/src/cli/operator_client.ts
@@ -7,7 +7,7 @@
 import { readText } from "./check.ts";
 import { readSettings } from "./read_settings.ts";
 
-/** Flags of every command that talks to an entry instance. */
+/** Flags of every command that calls the operators' API of an entry instance. */
 export const OPERATOR_FLAGS = {
   entry: Flags.string({
     description: "IP:PORT of any entry instance.",
@@ -15,12 +15,15 @@
     env: "SAMPHIRESHORE_ENTRY",
   }),
   "operator-key": Flags.string({
-    description: "Credential of operators.",
+    description: "Operator credential.",
     env: "SAMPHIRESHORE_OPERATOR_KEY",
   }),
-  secrets: Flags.string({ description: "File with the credential, as init writes it." }),
+  secrets: Flags.string({
+    description: "File with the operator credential, in the format that init writes.",
+  }),
   ca: Flags.string({
-    description: "File with the certificate to trust, PEM; the entry instance is asked by HTTPS.",
+    description:
+      "PEM file with the CA certificate to trust; if given, the entry instance is called over HTTPS.",
     env: "SAMPHIRESHORE_CA",
   }),
 };
@@ -33,32 +36,38 @@
   readonly ca?: string | undefined;
 }
 
-/** A call on an operators' route. */
+/** A call of the operators' API. */
 export interface OperatorCall<T> {
   readonly method: "GET" | "PUT" | "POST";
   readonly path: string;
+  /** JSON body; none if absent. */
   readonly body?: object;
-  /** Shape of the answer, whatever its status. */
+  /** Schema of the response body, for every status code. */
   readonly schema: z.ZodType<T>;
-  /** Milliseconds for the answer. */
+  /** Time limit for the response in milliseconds; {@linkcode DEFAULT_TIMEOUT} if absent. */
   readonly timeout?: number;
 }
 
-/** How a call on an operators' route came out. */
+/** Result of a call of the operators' API. */
 export type OperatorAnswer<T> =
+  /** The response body matches the schema. */
   | { readonly kind: "answered"; readonly value: T; readonly status: number }
-  /** The entry instance turned the call away: it had no effect. */
+  /** The entry instance rejected the call, which had no effect. */
   | { readonly kind: "turned-away"; readonly detail: string }
-  /** No connection was made: the call had no effect. */
+  /** The connection was refused; the call had no effect. */
   | { readonly kind: "not-sent"; readonly detail: string }
-  /** The call was sent and its answer lost: it may have had its effect. */
+  /** The call may have been sent, but no response was received: it may have taken effect. */
   | { readonly kind: "lost"; readonly detail: string };
 
+/** Milliseconds. */
 const DEFAULT_TIMEOUT = 15_000;
 
 const refusalSchema = z.object({ error: z.object({ message: z.string() }) });
 
-/** Calls an operators' route of an entry instance. */
+/**
+ * Calls the operators' API of an entry instance. Failures of the call are returned as results; the command ends
+ * with an error only if the credential or the certificate can't be read.
+ */
 export async function callOperator<T>(
   command: Command,
   flags: OperatorFlags,
@@ -79,7 +88,7 @@
     });
     return answered(await answer.body.text(), { call, status: answer.statusCode, asked });
   } catch (cause) {
-    const detail = `Asking ${asked}: ${String(cause)}.`;
+    const detail = `${asked} failed: ${String(cause)}.`;
     return isRefused(cause) ? { kind: "not-sent", detail } : { kind: "lost", detail };
   } finally {
     await dispatcher.destroy();
@@ -94,7 +103,7 @@
   if (parsed.success) return { kind: "answered", value: parsed.data, status };
   const refusal = refusalSchema.safeParse(jsonOf(text));
   const found = refusal.success ? refusal.data.error.message : text;
-  const detail = `Asking ${asked}: it answered with status ${status}: ${found}`;
+  const detail = `${asked} returned status ${status}: ${found}`;
   return { kind: "turned-away", detail };
 }
 
@@ -114,13 +123,13 @@
   if (flags["operator-key"] !== undefined) return flags["operator-key"];
   if (flags.secrets === undefined) {
     const ways = "--operator-key, SAMPHIRESHORE_OPERATOR_KEY or --secrets FILE";
-    return command.error(`No credential of operators was given: use ${ways}.`, { exit: 2 });
+    return command.error(`The operator credential is missing: use ${ways}.`, { exit: 2 });
   }
   const secrets = await readSettings(command, flags.secrets, { schema: secretsSchema });
   return secrets.operatorKey;
 }
 
-/** The answer of a call that only asks, or the command's end with a plain sentence. */
+/** Makes a read-only call and returns the response body. If the call fails, the command ends with exit code 2. */
 export async function askOperator<T>(
   command: Command,
   flags: OperatorFlags,
@@ -130,7 +139,7 @@
   return answer.kind === "answered" ? answer.value : command.error(answer.detail, { exit: 2 });
 }
 
-/** An id that no other change has. */
+/** Creates a unique change id. */
 export function newChangeId(): string {
   return randomUUID();
 }
--- a/src/cli/preset_list.ts
+++ b/src/cli/preset_list.ts
@@ -4,9 +4,9 @@
 import { askServices } from "./services.ts";
 import { textTable } from "./text_table.ts";
 
-/** `samphireshore preset list`: the presets, and which one is in force. */
+/** `samphireshore preset list`: lists the presets and marks the one in force. */
 export class PresetList extends Command {
-  static override description = "List the presets, and show which one is in force.";
+  static override description = "List the presets. An asterisk marks the preset in force.";
   static override examples = ["samphireshore preset list --secrets secrets.jsonc"];
   static override enableJsonFlag = true;
   static override flags = OPERATOR_FLAGS;
--- a/src/cli/read_settings.ts
+++ b/src/cli/read_settings.ts
@@ -4,11 +4,12 @@
 import { faultLine, readText } from "./check.ts";
 
 /**
- * Reads a settings file for a command, which prints every fault and ends with exit code 1 where there is
- * one.
+ * Reads and validates a settings file. If it has faults, the command prints all of them and ends with exit code 1;
+ * if it can't be read, the exit code is 2.
  *
- * @param command The command, for its output.
- * @param file The file's path.
+ * @param command The running command, which prints the faults.
+ * @param file Path of the file.
+ * @param options The schema to validate against.
  */
 export async function readSettings<T>(
   command: Command,
--- a/src/cli/replay.ts
+++ b/src/cli/replay.ts
@@ -11,15 +11,17 @@
 } from "../standin/replay/index.ts";
 import type { Report, Sample, Trace } from "../standin/replay/index.ts";
 
+/** Value of `--policy` that selects every policy. */
 const ALL = "all";
+/** Exit codes. */
 const OUTCOME_FAILED = 1;
 const UNREADABLE = 2;
 
-/** `samphireshore replay`: plays recorded traces through the decisions. */
+/** `samphireshore replay`: replays recorded traces on a virtual clock. */
 export class Replay extends Command {
   static override description =
-    "Play traces through the decisions on a virtual clock, against a model of the engines. " +
-    "Exits with 0 if every stated outcome holds, 1 if one fails, 2 for a file that can't be read.";
+    "Replay traces through the scheduling decisions on a virtual clock, against a model of the engines. " +
+    "Exits with 0 if every outcome stated in the traces holds, 1 if one doesn't, 2 if a file can't be read.";
   static override examples = [
     "samphireshore replay dist/traces/association_calm.jsonl",
     "samphireshore replay dist/traces/kortfilm_wave.jsonl --policy all --json",
@@ -27,16 +29,16 @@
   static override strict = false;
   static override flags = {
     policy: Flags.string({
-      description: "Policy to play; all plays each and shows them side by side.",
+      description: 'Policy to replay with; "all" replays every policy and compares the results.',
       options: [...Object.values(PolicyName), ALL],
       default: PolicyName.Current,
     }),
-    seed: Flags.integer({ description: "Seed of the replay; the trace's own if not given." }),
+    seed: Flags.integer({ description: "Seed of the replay; defaults to the seed of the trace." }),
     plot: Flags.string({
       description:
-        "File for a plot (SVG) of the first trace under the first policy: latency, workers and cost.",
+        "SVG file to write a plot to: latency, workers and cost of the first trace under the first policy.",
     }),
-    json: Flags.boolean({ description: "Print the reports as JSON, one a line." }),
+    json: Flags.boolean({ description: "Print the reports as JSON, one per line." }),
   };
 
   override async run(): Promise<void> {
@@ -75,7 +77,7 @@
     try {
       text = await readFile(file, "utf8");
     } catch (error) {
-      return this.error(`${file}: Reading it failed: ${String(error)}.`, { exit: UNREADABLE });
+      return this.error(`Can't read ${file}: ${String(error)}.`, { exit: UNREADABLE });
     }
     const result = parseTrace(text, file);
     if (result.kind === "read") return result.trace;
--- a/src/cli/replay_test.ts
+++ b/src/cli/replay_test.ts
@@ -19,16 +19,17 @@
   }
 }
 
-test("the command ends with 0 where every stated outcome holds", async () => {
+// CI jobs rely on the exit code. A replay whose stated outcome fails must not exit with 0.
+test("exits with 0 if every stated outcome holds", async () => {
   expect(await exitOf([sampleHeader(), ARRIVAL])).toMatchObject({ code: 0 });
 });
 
-test("the command ends with 1 where a stated outcome fails", async () => {
+test("exits with 1 if a stated outcome doesn't hold", async () => {
   const header = sampleHeader({ lost: 0, cost: 0.000_001, services: {} });
   expect(await exitOf([header, ARRIVAL])).toMatchObject({ code: 1 });
 });
 
-test("the command ends with 2 and names the line of a file that it can't read", async () => {
+test("exits with 2 and names the invalid line of a trace", async () => {
   const { code, message } = await exitOf([sampleHeader(), ARRIVAL, "{"]);
   expect(code).toBe(2);
   expect(message).toContain("trace.jsonl:3:");
--- a/src/cli/request.ts
+++ b/src/cli/request.ts
@@ -3,9 +3,9 @@
 import type { RequestMessage } from "../connection/index.ts";
 import { askOperator, OPERATOR_FLAGS } from "./operator_client.ts";
 
-/** `samphireshore request`: where one request stands. */
+/** `samphireshore request`: shows the state of a request. */
 export class Request extends Command {
-  static override description = "Show where a request stands, and who owns it.";
+  static override description = "Show the state of a request, and which entry instances own it.";
   static override examples = ["samphireshore request r17-4f0c9a… --secrets secrets.jsonc"];
   static override enableJsonFlag = true;
   static override args = { id: Args.string({ required: true }) };
--- a/src/cli/rollout_status.ts
+++ b/src/cli/rollout_status.ts
@@ -5,17 +5,20 @@
 
 const MILLISECONDS = 1_000;
 
-/** `samphireshore rollout status`: how far orders to move services to new versions of their workers have come. */
+/** `samphireshore rollout status`: shows the progress of the orders to move services to other worker versions. */
 export class RolloutStatus extends Command {
   static override description =
-    "Show how far the orders to move services to other versions of their workers have come, as one entry instance knows it. Exits with 2 where it doesn't answer, and with 1 where the service has no order.";
+    "Show the progress of the orders to move services to other versions of their workers, as known to one entry instance. Exits with 2 if the instance doesn't respond, and with 1 if the service has no order.";
   static override examples = ["samphireshore rollout status entry-model --metrics 10.1.0.14:7600"];
   static override enableJsonFlag = true;
   static override args = {
-    service: Args.string({ description: "The service; all where none is named." }),
+    service: Args.string({ description: "Name of the service; all services if omitted." }),
   };
   static override flags = {
-    metrics: Flags.string({ description: "IP:PORT of its metrics listener.", required: true }),
+    metrics: Flags.string({
+      description: "IP:PORT of the entry instance's metrics listener.",
+      required: true,
+    }),
   };
 
   override async run(): Promise<RoutedStatus["rollouts"]> {
@@ -25,12 +28,12 @@
       ({ service }) => args.service === undefined || service === args.service,
     );
     if (found.length === 0 && args.service !== undefined) {
-      this.error(`The service ${args.service} has no order.`, { exit: 1 });
+      this.error(`No rollout has been ordered for the service ${args.service}.`, { exit: 1 });
     }
     const rows = found.map((one) => [
       one.service,
       `${one.base} to ${one.to}`,
-      one.state ?? "not begun",
+      one.state ?? "not started",
       one.phase ?? "",
       one.since === undefined ? "" : `${secondsOf(one.since)} of ${secondsOf(one.duration)}`,
       `${one.tried} of ${one.sent}`,
--- a/src/cli/routed.ts
+++ b/src/cli/routed.ts
@@ -6,14 +6,17 @@
 const PERCENT = 100;
 const MILLISECONDS = 1_000;
 
-/** `samphireshore routed`: what an entry instance that serves routed requests believes. */
+/** `samphireshore routed`: shows the status of an entry instance that serves routed requests. */
 export class Routed extends Command {
   static override description =
-    "Show what an entry instance that serves routed requests believes: the instances, routes and workers, and what runs where. Exits with 2 where it doesn't answer.";
+    "Show the state of an entry instance that serves routed requests: the instances, routes and workers that it knows, and the requests running on each worker. Exits with 2 if it doesn't respond.";
   static override examples = ["samphireshore routed --metrics 10.1.0.14:7600"];
   static override enableJsonFlag = true;
   static override flags = {
-    metrics: Flags.string({ description: "IP:PORT of its metrics listener.", required: true }),
+    metrics: Flags.string({
+      description: "IP:PORT of the entry instance's metrics listener.",
+      required: true,
+    }),
   };
 
   override async run(): Promise<RoutedStatus> {
@@ -37,9 +40,11 @@
       one.ready ? "ready" : "not ready",
       one.reachesStore ? "" : "store not reached",
       one.holdsLease ? "lease" : "",
-      one.age === undefined ? "by others" : `${one.age} ms`,
+      one.age === undefined ? "via peers" : `${one.age} ms`,
     ]);
-    this.log(textTable([["INSTANCE", "ZONE", "CALLERS", "STATE", "", "", "HEARD"], ...instances]));
+    this.log(
+      textTable([["INSTANCE", "ZONE", "CALLERS", "STATE", "", "", "LAST MESSAGE"], ...instances]),
+    );
     const routes = found.routes.map((route) => [
       route.name,
       route.host + route.pathPrefix,
@@ -65,7 +70,7 @@
       worker.leaving ? "leaving" : "",
       String(worker.running),
       `${Math.round(worker.failing * PERCENT)} %`,
-      worker.limit === undefined ? "" : `${worker.limit} a second`,
+      worker.limit === undefined ? "" : `${worker.limit} per second`,
     ]);
     const heads = [
       "WORKER",
--- a/src/cli/serve.ts
+++ b/src/cli/serve.ts
@@ -13,12 +13,12 @@
 import { readSettings } from "./read_settings.ts";
 import { untilStopped } from "./until_stopped.ts";
 
-/** `samphireshore serve`: one entry instance. */
+/** `samphireshore serve`: runs one entry instance. */
 export class Serve extends Command {
   static override description = "Run one entry instance until it is stopped.";
   static override examples = ["samphireshore serve --settings entry-1.jsonc"];
   static override flags = {
-    settings: Flags.string({ description: "Settings, JSON with comments.", required: true }),
+    settings: Flags.string({ description: "Settings file, JSON with comments.", required: true }),
   };
 
   override async run(): Promise<void> {
@@ -40,11 +40,11 @@
     }
     const { callerAddress, address } = entry.self;
     this.log(JSON.stringify({ ready: true, callers: callerAddress, peers: address }));
-    // A signal asks for a planned stop, which cuts no request in progress; further ones join it.
+    // A signal starts a planned stop, which lets requests in progress finish. Further signals have no effect.
     void untilStopped().then(() => entry.core.drain());
     await entry.core.whenDrained();
     await entry.close();
-    // Timers of slow periodic reads would hold the process for up to half a minute with nothing to do.
+    // Exit explicitly: timers of slow periodic reads would keep the idle process alive for up to 30 seconds.
     this.exit(0);
   }
 
@@ -55,7 +55,7 @@
   }
 }
 
-/** Paths of the certificate and its key, from the settings' folder on. */
+/** Resolves the paths of the certificate and its key relative to the folder of the settings file. */
 function tlsOf({ tls }: EntrySettingsFile, settingsFile: string): Pick<EntrySettingsFile, "tls"> {
   if (tls === undefined) return {};
   const folder = dirname(settingsFile);
--- a/src/cli/services.ts
+++ b/src/cli/services.ts
@@ -5,10 +5,10 @@
 import type { OperatorFlags } from "./operator_client.ts";
 import { textTable } from "./text_table.ts";
 
-/** `samphireshore services`: the services with their workers and the preset's bounds. */
+/** `samphireshore services`: lists the services with their workers and the limits set by the preset. */
 export class Services extends Command {
   static override description =
-    "List the services, with their workers by state and the preset's bounds.";
+    "List the services, with their workers by state and the preset's minimum and maximum number of workers.";
   static override examples = ["samphireshore services --secrets secrets.jsonc"];
   static override enableJsonFlag = true;
   static override flags = OPERATOR_FLAGS;
@@ -32,7 +32,7 @@
   }
 }
 
-/** Asks an entry instance for the services and presets. */
+/** Fetches the services and presets from an entry instance. If that fails, the command ends with exit code 2. */
 export function askServices(command: Command, flags: OperatorFlags): Promise<ServicesMessage> {
   const call = { method: "GET", path: "/v1/operator/services", schema: servicesMessage } as const;
   return askOperator(command, flags, call);
--- a/src/cli/standin.ts
+++ b/src/cli/standin.ts
@@ -15,9 +15,9 @@
 
 const platformSchema = z.strictObject({
   listen: z.string(),
-  /** How far the list of workers lags. */
+  /** Delay with which changes appear in the list of workers. */
   listLag: duration.exactOptional(),
-  /** Entry instances that a reclaim of their zone takes as well. */
+  /** Entry instances, which a reclaim of their zone also affects. */
   entries: z.array(z.strictObject({ name: z.string(), zone: z.string() })).exactOptional(),
   workers: z.array(
     z.strictObject({
@@ -32,9 +32,10 @@
   ),
 });
 
-/** `samphireshore standin`: stand-ins as a process of their own. */
+/** `samphireshore standin`: runs the stand-in for the platform or those for the backend servers. */
 export class Standin extends Command {
-  static override description = "Run the stand-in for the platform, or those for backend servers.";
+  static override description =
+    "Run the stand-in for the platform, or the stand-ins for the backend servers, until stopped.";
   static override examples = [
     "samphireshore standin platform --settings platform.jsonc",
     "samphireshore standin backend --settings backends.jsonc",
@@ -43,7 +44,7 @@
     kind: Args.string({ options: ["platform", "backend"], required: true }),
   };
   static override flags = {
-    settings: Flags.string({ description: "Settings, JSON with comments.", required: true }),
+    settings: Flags.string({ description: "Settings file, JSON with comments.", required: true }),
   };
 
   override async run(): Promise<void> {
--- a/src/cli/status.ts
+++ b/src/cli/status.ts
@@ -4,10 +4,13 @@
 import { askOperator, OPERATOR_FLAGS } from "./operator_client.ts";
 import { textTable } from "./text_table.ts";
 
-/** `samphireshore status`: who owns what, what is in force where, who leaves, what was refused. */
+/**
+ * `samphireshore status`: shows the entry instances with the slots that they own and the versions in force, the
+ * leaving backend servers, and the counts of refusals and retries.
+ */
 export class Status extends Command {
   static override description =
-    "Show who owns what, the versions in force at each entry instance, leaving backend servers, and refusals by reason.";
+    "Show the slots owned by each entry instance, the versions in force on each, the leaving backend servers, and the refusals and retries by reason.";
   static override examples = [
     "samphireshore status --entry 127.0.0.1:8080 --secrets secrets.jsonc",
   ];
@@ -28,7 +31,9 @@
       `${found.instance}: revision ${found.revision}, preset ${found.preset}, slot map ${found.slotMap}`,
     );
     if (found.cutOff)
-      this.log("cut off: it hears neither the store nor any peer, and takes no new work");
+      this.log(
+        "cut off: it receives messages from neither the store nor any peer, and accepts no new requests",
+      );
     const rows = found.instances.map((instance) => [
       instance.id,
       instance.zone,
--- a/src/cli/template/association.ts
+++ b/src/cli/template/association.ts
@@ -1,6 +1,6 @@
 import type { DeploymentTemplate } from "./deployment_template.ts";
 
-/** The Association's deployment at its sizes: four availability zones, a model service and a lookup desk. */
+/** The Association's deployment at full size: four availability zones, a model service and a lookup service. */
 export const ASSOCIATION: DeploymentTemplate = {
   region: "sofia",
   zones: ["sofia-a", "sofia-b", "sofia-c", "sofia-d"],
@@ -10,7 +10,7 @@
   preset: "day",
   document: (
     hashes,
-  ) => `// The deployment of the orienteering entries. Keep this file in version control and put it in force with
+  ) => `// The deployment for orienteering entries. Keep this file in version control and put it in force with
 //   samphireshore apply deployment.jsonc --wait
 {
   "deployment": "association",
@@ -18,19 +18,19 @@
   "zones": ["sofia-a", "sofia-b", "sofia-c", "sofia-d"],
 
   "services": {
-    // Drafts start lists and checks entries against the rules: long answers.
+    // Drafts start lists and checks entries against the rules: long responses.
     "entry-model": {
       "kind": "model",
-      // "weights" is the size in bytes that a worker loads from the weight store at its start.
+      // "weights" is the size in bytes of the weights that a worker loads from the weight store at startup.
       "models": [{ "name": "start-list", "version": "1", "adapters": [], "weights": 16000000000 }],
-      // What a caller may have sent again when it says nothing itself.
+      // Whether a request may run again after a failure, unless the caller states otherwise.
       "repeatable": true,
-      // These backend servers refuse orders with an old fencing number.
+      // These backend servers refuse orders with an outdated fencing token.
       "checksFence": true,
       "lane": "script",
       "target": { "firstToken": "1.6 s", "betweenTokens": "44 ms", "deadline": "5 min" }
     },
-    // Confirms a runner's chip or class while a queue waits: short answers, soon.
+    // Confirms a runner's chip or class while people wait in line: short responses at low latency.
     "finish-desk": {
       "kind": "model",
       "models": [{ "name": "desk", "version": "1", "adapters": [], "weights": 4000000000 }],
@@ -41,7 +41,7 @@
     }
   },
 
-  // The SHA-256 of each client account's key; the keys themselves are in no document.
+  // The SHA-256 of each client account's API key; the keys themselves are not stored in the document.
   "accounts": {
     "club-sofia": {
       "keySha256": "${hashes["club-sofia"] ?? ""}",
@@ -79,7 +79,7 @@
     }
   },
 
-  // Prices by availability zone and machine class.
+  // Prices for each availability zone and machine class.
   "offers": [
     { "zone": "sofia-a", "machineClass": "standard", "reclaimable": "0.8 EUR/h", "onDemand": "2.4 EUR/h" },
     { "zone": "sofia-b", "machineClass": "standard", "reclaimable": "0.9 EUR/h", "onDemand": "2.4 EUR/h" },
--- a/src/cli/template/deployment_template.ts
+++ b/src/cli/template/deployment_template.ts
@@ -1,29 +1,30 @@
 import { createHash, randomBytes } from "node:crypto";
 import { getNodeValue, parseTree } from "jsonc-parser";
 
-/** A deployment that `init` can write and `dev` and `demo` can run. */
+/** A sample deployment that `init` can write to files and `dev` and `demo` can run. */
 export interface DeploymentTemplate {
   readonly region: string;
+  /** Availability zones. */
   readonly zones: readonly string[];
   readonly machineClass: string;
-  /** Number of workers at the deployment's size, by service. */
+  /** Number of workers by service. */
   readonly workers: Readonly<Record<string, number>>;
-  /** Client accounts, the largest first. */
+  /** Names of the client accounts, the largest account first. */
   readonly accounts: readonly string[];
-  /** The preset that is in force first. */
+  /** Name of the preset in the first revision. */
   readonly preset: string;
-  /** The deployment document, JSON with comments, with the SHA-256 of each client account's key. */
+  /** Formats the deployment document, JSON with comments, from the SHA-256 of each client account's API key. */
   readonly document: (hashes: Readonly<Record<string, string>>) => string;
 }
 
 const KEY_BYTES = 16;
 
-/** A credential that nobody can guess. */
+/** Creates a random credential of 128 bits, in hexadecimal. */
 export function randomKey(): string {
   return randomBytes(KEY_BYTES).toString("hex");
 }
 
-/** A key for each client account of a template: the given ones, else random ones. */
+/** Returns an API key for each client account of a template: the given one, or else a random one. */
 export function accountKeys(
   template: DeploymentTemplate,
   given: Readonly<Record<string, string>> = {},
@@ -31,7 +32,7 @@
   return Object.fromEntries(template.accounts.map((name) => [name, given[name] ?? randomKey()]));
 }
 
-/** The text of a template's deployment document for the given keys of its client accounts. */
+/** Formats a template's deployment document, JSON with comments, for the given API keys of its client accounts. */
 export function documentText(
   template: DeploymentTemplate,
   keys: Readonly<Record<string, string>>,
@@ -40,7 +41,7 @@
   return template.document(Object.fromEntries(hashes));
 }
 
-/** The same document as a value. */
+/** Returns the same document as a parsed value, without its comments. */
 export function documentValue(
   template: DeploymentTemplate,
   keys: Readonly<Record<string, string>>,
--- a/src/cli/template/kortfilm.ts
+++ b/src/cli/template/kortfilm.ts
@@ -1,6 +1,6 @@
 import type { DeploymentTemplate } from "./deployment_template.ts";
 
-/** Kortfilm's deployment at its sizes: four availability zones, a model service and a plain one. */
+/** Kortfilm's deployment at full size: four availability zones, a model service and a plain HTTP service. */
 export const KORTFILM: DeploymentTemplate = {
   region: "be-flanders",
   zones: ["gent-a", "gent-b", "antw-a", "antw-b"],
@@ -10,7 +10,7 @@
   preset: "day",
   document: (
     hashes,
-  ) => `// The deployment of the reel assembly. Keep this file in version control and put it in force with
+  ) => `// The deployment for reel assembly. Keep this file in version control and put it in force with
 //   samphireshore apply deployment.jsonc --wait
 {
   "deployment": "kortfilm",
@@ -18,19 +18,19 @@
   "zones": ["gent-a", "gent-b", "antw-a", "antw-b"],
 
   "services": {
-    // Writes reel scripts and cue sheets in the night, and answers the desks in the morning.
+    // Writes reel scripts and cue sheets at night, and serves the desks in the morning.
     "samphire-pool": {
       "kind": "model",
-      // "weights" is the size in bytes that a worker loads from the weight store at its start.
+      // "weights" is the size in bytes of the weights that a worker loads from the weight store at startup.
       "models": [{ "name": "reel", "version": "1", "adapters": ["cue-sheet"], "weights": 14000000000 }],
-      // What a caller may have sent again when it says nothing itself.
+      // Whether a request may run again after a failure, unless the caller states otherwise.
       "repeatable": true,
-      // These backend servers refuse orders with an old fencing number.
+      // These backend servers refuse orders with an outdated fencing token.
       "checksFence": true,
       "lane": "script",
       "target": { "firstToken": "1.6 s", "betweenTokens": "44 ms", "deadline": "30 min" }
     },
-    // A plain service: bookings and slot status. A booking that ran twice bills two brands for one slot.
+    // A plain HTTP service for bookings and slot status. A booking that runs twice bills two brands for one slot.
     "booking-api": {
       "kind": "plain",
       "repeatable": false,
@@ -40,7 +40,7 @@
     }
   },
 
-  // The SHA-256 of each client account's key; the keys themselves are in no document.
+  // The SHA-256 of each client account's API key; the keys themselves are not stored in the document.
   "accounts": {
     "reel-scripts": {
       "keySha256": "${hashes["reel-scripts"] ?? ""}",
@@ -78,7 +78,7 @@
     }
   },
 
-  // Prices by availability zone and machine class.
+  // Prices for each availability zone and machine class.
   "offers": [
     { "zone": "gent-a", "machineClass": "standard", "reclaimable": "0.8 EUR/h", "onDemand": "2.3 EUR/h" },
     { "zone": "gent-b", "machineClass": "standard", "reclaimable": "0.8 EUR/h", "onDemand": "2.3 EUR/h" },
--- a/src/cli/template/settings_files.ts
+++ b/src/cli/template/settings_files.ts
@@ -1,25 +1,26 @@
 import { accountKeys, documentText, randomKey } from "./deployment_template.ts";
 import type { DeploymentTemplate } from "./deployment_template.ts";
 
-/** One file of a settings set. */
+/** One settings file of a deployment. */
 export interface SettingsFile {
   readonly name: string;
   readonly text: string;
-  /** True where it holds credentials: readable by its owner only. */
+  /** Whether the file holds credentials and must be readable by its owner only. */
   readonly secret: boolean;
 }
 
 const ENTRY_INSTANCES = 6;
 const LOOPBACK = "127.0.0.1";
+/** Ports of the first entry instance, of the platform and of the first worker; the others use the following ones. */
 const CALLER_PORT = 8080;
 const PEER_PORT = 9080;
 const PLATFORM_PORT = 7070;
 const BACKEND_PORT = 10_000;
 
 /**
- * A complete settings set for a deployment at its size, on loopback addresses.
+ * Creates all settings files of a deployment at full size, on loopback addresses.
  *
- * @returns The files: the deployment document, one for each entry instance, and those of the stand-ins.
+ * @returns The deployment document, the credentials, the settings of the stand-ins and of each entry instance.
  */
 export function settingsFiles(template: DeploymentTemplate): SettingsFile[] {
   const keys = accountKeys(template);
@@ -35,13 +36,14 @@
 }
 
 function secretsText(secrets: { operatorKey: string; peerKey: string }): string {
-  return `// Credentials: of operators, and of the entry instances to each other. Keep this file out of version control.
+  return `// The operator credential, and the credential that entry instances use among each other. Keep this file out of
+// version control.
 ${JSON.stringify(secrets, undefined, 2)}
 `;
 }
 
 function clientKeysText(keys: Readonly<Record<string, string>>): string {
-  return `// The key of each client account, to hand out. No process reads this file; keep it out of version control.
+  return `// The API key of each client account, for distribution. No process reads this file. Keep it out of version control.
 ${JSON.stringify(keys, undefined, 2)}
 `;
 }
@@ -51,23 +53,23 @@
   const seeds = [0, 1, 2]
     .filter((seed) => seed !== index)
     .map((seed) => `"${at(PEER_PORT + seed)}"`);
-  const text = `// One entry instance: what it can't learn from the platform. Addresses are IP:PORT by number.
+  const text = `// The settings of one entry instance that it can't obtain from the platform. Addresses are numeric, IP:PORT.
 {
   "name": "entry-${index + 1}",
   "zone": "${zone}",
   "region": "${template.region}",
-  // Callers and operators.
+  // Listen address for callers and operators.
   "callers": "${at(CALLER_PORT + index)}",
-  // Other entry instances.
+  // Listen address for other entry instances.
   "peers": "${at(PEER_PORT + index)}",
-  // A few other entry instances to join by.
+  // Peer addresses of a few other entry instances, contacted to join the fleet.
   "seeds": [${seeds.join(", ")}],
   "platform": {
     "objects": "${at(PLATFORM_PORT)}",
     "cloud": "${at(PLATFORM_PORT)}",
     "instances": "${at(PLATFORM_PORT)}"
   },
-  // A path beside this file, or { "operatorKey": …, "peerKey": … }.
+  // A path relative to this file, or { "operatorKey": …, "peerKey": … }.
   "secrets": "secrets.jsonc"
   // "tls": { "certificate": "entry.pem", "key": "entry.key" },
   // "statsd": "127.0.0.1:8125",
@@ -77,6 +79,7 @@
   return { name: `entry-${index + 1}.jsonc`, text, secret: false };
 }
 
+/** A worker of the deployment in the platform stand-in's list. */
 interface WorkerPlace {
   readonly id: string;
   readonly service: string;
@@ -119,7 +122,7 @@
   const lines = workerPlaces(template).map(({ address }) => `    { "listen": "${address}" }`);
   return `// The stand-ins for the backend servers: samphireshore standin backend --settings backends.jsonc
 {
-  // Between two tokens of one answer.
+  // Time between two tokens of a response.
   "tokenTime": "20 ms",
   "servers": [
 ${lines.join(",\n")}
--- a/src/cli/template/settings_files_test.ts
+++ b/src/cli/template/settings_files_test.ts
@@ -8,11 +8,11 @@
 describe.each([
   ["the Association", ASSOCIATION],
   ["Kortfilm", KORTFILM],
-])("the settings set of %s", (_name, template) => {
+])("the settings files of %s", (_name, template) => {
   const files = settingsFiles(template);
   const textOf = (name: string): string => files.find((file) => file.name === name)?.text ?? "";
 
-  test("has a deployment document without faults, at its size", () => {
+  test("has a valid deployment document with the expected number of workers, zones and accounts", () => {
     const file = "deployment.jsonc";
     const result = parseSettings(textOf(file), { schema: deploymentSchema, file });
     expect(result).toMatchObject({ kind: "valid" });
@@ -22,7 +22,7 @@
     expect(template.accounts).toHaveLength(5);
   });
 
-  test("has six entry instances whose settings hold no fault", () => {
+  test("has valid settings for six entry instances", () => {
     const entries = files.filter((file) => file.name.startsWith("entry-"));
     expect(entries).toHaveLength(6);
     for (const { name, text } of entries) {
@@ -31,7 +31,7 @@
     }
   });
 
-  test("keeps every credential in files of their own", () => {
+  test("keeps credentials in separate files", () => {
     const file = "secrets.jsonc";
     const result = parseSettings(textOf(file), { schema: secretsSchema, file });
     expect(result.kind).toBe("valid");
@@ -42,9 +42,9 @@
   });
 });
 
-test("a document with many faults shows each at its line", () => {
-  // An operator mistypes several things in one go. If only the first were shown, each try would cost a
-  // round, and a wrong unit that went through would set a target a thousand times too tight.
+test("reports every fault of a document with its line", () => {
+  // An operator makes several mistakes in one edit. If only the first were reported, each would need another run, and
+  // an accepted wrong unit could make a target a thousand times too strict.
   const text = settingsFiles(ASSOCIATION)[0]?.text ?? "";
   const broken = text
     .replace('"1.6 s"', '"1.6 seconds"')
--- a/src/cli/text_table.ts
+++ b/src/cli/text_table.ts
@@ -1,8 +1,8 @@
 /**
- * Lays rows out in columns for a terminal.
+ * Formats rows as a table with aligned columns for a terminal.
  *
- * @param rows The cells, the first row the headings.
- * @returns One line a row, each column as wide as its widest cell.
+ * @param rows The cells by row; the first row may hold headings.
+ * @returns One line per row, each column as wide as its widest cell.
  */
 export function textTable(rows: readonly (readonly string[])[]): string {
   const widths: number[] = [];
--- a/src/cli/until_stopped.ts
+++ b/src/cli/until_stopped.ts
@@ -1,4 +1,4 @@
-/** Resolves when the process is first asked to stop by SIGINT or SIGTERM; later ones change nothing. */
+/** Resolves when the process receives its first SIGINT or SIGTERM; further signals have no effect. */
 export function untilStopped(): Promise<void> {
   return new Promise((resolve) => {
     for (const signal of ["SIGINT", "SIGTERM"] as const) process.on(signal, () => resolve());
