--- a/src/cli/apply.ts
+++ b/src/cli/apply.ts
@@ -1,7 +1,7 @@
 import { Args, Command, Flags } from "@oclif/core";
 import type { ChangeOutcomeMessage } from "../connection/index.ts";
 import { deploymentSchema, parseSettings } from "../version/index.ts";
-import { requestChange } from "./change_report.ts";
+import { requestChange } from "./change_outcome.ts";
 import { faultLine, readText } from "./check.ts";
 import { OPERATOR_FLAGS } from "./operator_client.ts";
 
--- a/src/cli/change.ts
+++ b/src/cli/change.ts
@@ -1,7 +1,7 @@
 import { Args, Command } from "@oclif/core";
 import { changeOutcomeMessage } from "../connection/index.ts";
 import type { ChangeOutcomeMessage } from "../connection/index.ts";
-import { reportChange } from "./change_report.ts";
+import { reportChange } from "./change_outcome.ts";
 import { askOperator, OPERATOR_FLAGS } from "./operator_client.ts";
 
 /** `samphireshore change`: shows the outcome of an earlier change whose response was lost. */
--- a/src/cli/demo/promises_test.ts
+++ b/src/cli/demo/guarantees_test.ts
@@ -1,8 +1,8 @@
 import { expect, test } from "vitest";
 import { ErrandEnd } from "./caller.ts";
 import type { ErrandRecord } from "./caller.ts";
-import { checkPromises } from "./promises.ts";
-import type { Evidence } from "./promises.ts";
+import { checkPromises } from "./guarantees.ts";
+import type { Evidence } from "./guarantees.ts";
 
 const ERRAND = {
   key: "k",
--- a/src/cli/demo/scenario.ts
+++ b/src/cli/demo/scenario.ts
@@ -6,8 +6,8 @@
 import type { ErrandRecord } from "./caller.ts";
 import { planLoad } from "./load.ts";
 import type { PlannedErrand, Stream } from "./load.ts";
-import { LEAVING_BOUND } from "./promises.ts";
-import type { Evidence, LeavingServer, RecordedRuns } from "./promises.ts";
+import { LEAVING_BOUND } from "./guarantees.ts";
+import type { Evidence, LeavingServer, RecordedRuns } from "./guarantees.ts";
 
 /** The load and the disturbances of the demo run. Times are milliseconds since its start. */
 export interface Scenario {
--- a/src/cli/dev.ts
+++ b/src/cli/dev.ts
@@ -1,7 +1,7 @@
 import { Command, Flags } from "@oclif/core";
 import { startEmbedded } from "./embedded_deployment.ts";
 import { accountKeys, ASSOCIATION, documentValue, randomKey } from "./template/index.ts";
-import { untilStopped } from "./until_stopped.ts";
+import { untilStopped } from "./stop_signal.ts";
 
 const DEFAULT_PORT = 8080;
 /** The client account whose API key `--client-key` sets. */
--- a/src/cli/preset_use.ts
+++ b/src/cli/preset_use.ts
@@ -1,6 +1,6 @@
 import { Args, Command, Flags } from "@oclif/core";
 import type { ChangeOutcomeMessage } from "../connection/index.ts";
-import { requestChange } from "./change_report.ts";
+import { requestChange } from "./change_outcome.ts";
 import { OPERATOR_FLAGS } from "./operator_client.ts";
 
 /** `samphireshore preset use`: switches to another preset. */
--- a/src/cli/serve.ts
+++ b/src/cli/serve.ts
@@ -11,7 +11,7 @@
 } from "../process/index.ts";
 import type { EntrySettingsFile, Secrets } from "../process/index.ts";
 import { readSettings } from "./read_settings.ts";
-import { untilStopped } from "./until_stopped.ts";
+import { untilStopped } from "./stop_signal.ts";
 
 /** `samphireshore serve`: runs one entry instance. */
 export class Serve extends Command {
--- a/src/cli/standin.ts
+++ b/src/cli/standin.ts
@@ -6,7 +6,7 @@
 import { startBackend, startPlatform } from "../standin/index.ts";
 import { duration } from "../version/index.ts";
 import { readSettings } from "./read_settings.ts";
-import { untilStopped } from "./until_stopped.ts";
+import { untilStopped } from "./stop_signal.ts";
 
 const backendSchema = z.strictObject({
   tokenTime: duration,
