--- a/src/cli/apply.ts
+++ b/src/cli/apply.ts
@@ -2,7 +2,7 @@
 import type { ChangeOutcomeMessage } from "../connection/index.ts";
 import { deploymentSchema, parseSettings } from "../version/index.ts";
 import { requestChange } from "./change_outcome.ts";
-import { faultLine, readText } from "./check.ts";
+import { formatFault, readTextFile } from "./check.ts";
 import { OPERATOR_FLAGS } from "./operator_client.ts";
 
 /** `samphireshore apply`: checks a deployment document and makes it the active configuration. */
@@ -26,10 +26,10 @@
 
   override async run(): Promise<ChangeOutcomeMessage> {
     const { args, flags } = await this.parse(Apply);
-    const text = await readText(this, args.file);
+    const text = await readTextFile(this, args.file);
     const result = parseSettings(text, { schema: deploymentSchema, file: args.file });
     if (result.kind === "invalid") {
-      return this.error(result.faults.map(faultLine).join("\n"), { exit: 1 });
+      return this.error(result.faults.map(formatFault).join("\n"), { exit: 1 });
     }
     const { base, wait } = flags;
     const body = { source: result.source, ...(base === undefined ? {} : { base }) };
--- a/src/cli/change.ts
+++ b/src/cli/change.ts
@@ -1,8 +1,8 @@
 import { Args, Command } from "@oclif/core";
 import { changeOutcomeMessage } from "../connection/index.ts";
 import type { ChangeOutcomeMessage } from "../connection/index.ts";
-import { reportChange } from "./change_outcome.ts";
-import { askOperator, OPERATOR_FLAGS } from "./operator_client.ts";
+import { printOutcome } from "./change_outcome.ts";
+import { queryOperator, OPERATOR_FLAGS } from "./operator_client.ts";
 
 /** `samphireshore change`: shows the outcome of an earlier change whose response was lost. */
 export class Change extends Command {
@@ -18,8 +18,8 @@
     const { args, flags } = await this.parse(Change);
     const path = `/v1/operator/changes/${encodeURIComponent(args.id)}`;
     const call = { method: "GET", path, schema: changeOutcomeMessage } as const;
-    const outcome = await askOperator(this, flags, call);
-    reportChange(this, outcome);
+    const outcome = await queryOperator(this, flags, call);
+    printOutcome(this, outcome);
     return outcome;
   }
 }
--- a/src/cli/change_outcome.ts
+++ b/src/cli/change_outcome.ts
@@ -1,15 +1,15 @@
 import type { Command } from "@oclif/core";
 import { changeOutcomeMessage } from "../connection/index.ts";
 import type { ChangeOutcomeMessage } from "../connection/index.ts";
-import { callOperator, newChangeId } from "./operator_client.ts";
+import { callOperator, createChangeId } from "./operator_client.ts";
 import type { OperatorFlags } from "./operator_client.ts";
 
 /** Exit codes of the commands that change the configuration, one for each outcome. */
-export enum ChangeExit {
+export enum ChangeExitCode {
   Accepted = 0,
   Refused = 1,
   Conflict = 3,
-  NotKnown = 4,
+  Unknown = 4,
 }
 
 /** A configuration change to request from an entry instance. */
@@ -23,7 +23,7 @@
 }
 
 /** Timeout of a change with `--wait`, in milliseconds. */
-const WAIT_TIMEOUT = 30_000;
+const CHANGE_TIMEOUT = 30_000;
 
 /**
  * Requests a change, prints its outcome and sets the exit code.
@@ -38,65 +38,67 @@
   flags: OperatorFlags,
   { path, body, wait }: ChangeRequest,
 ): Promise<ChangeOutcomeMessage> {
-  const change = newChangeId();
-  const answer = await callOperator(command, flags, {
+  const change = createChangeId();
+  const result = await callOperator(command, flags, {
     method: "PUT",
     path: wait ? `${path}?wait=1` : path,
     body: { ...body, change },
     schema: changeOutcomeMessage,
-    ...(wait ? { timeout: WAIT_TIMEOUT } : {}),
+    ...(wait ? { timeout: CHANGE_TIMEOUT } : {}),
   });
-  const outcome = outcomeOf(answer, change);
-  reportChange(command, outcome);
+  const outcome = toChangeOutcome(result, change);
+  printOutcome(command, outcome);
   return outcome;
 }
 
-function outcomeOf(
-  answer: Awaited<ReturnType<typeof callOperator<ChangeOutcomeMessage>>>,
+function toChangeOutcome(
+  result: Awaited<ReturnType<typeof callOperator<ChangeOutcomeMessage>>>,
   change: string,
 ): ChangeOutcomeMessage {
-  switch (answer.kind) {
+  switch (result.kind) {
     case "answered":
-      return answer.value;
+      return result.value;
     case "turned-away":
     case "not-sent":
-      return { kind: "refused", change, reasons: [answer.detail] };
+      return { kind: "refused", change, reasons: [result.detail] };
     case "lost":
-      return { kind: "unknown", change, detail: answer.detail };
+      return { kind: "unknown", change, detail: result.detail };
   }
 }
 
 /** Prints a change's outcome and sets the exit code. */
-export function reportChange(command: Command, outcome: ChangeOutcomeMessage): void {
+export function printOutcome(command: Command, outcome: ChangeOutcomeMessage): void {
   switch (outcome.kind) {
     case "accepted":
-      command.log(`accepted: in force from revision ${outcome.revision}${whereOf(outcome)}`);
-      process.exitCode = ChangeExit.Accepted;
+      command.log(`accepted: in force from revision ${outcome.revision}${formatReach(outcome)}`);
+      process.exitCode = ChangeExitCode.Accepted;
       break;
     case "refused":
       command.log(`refused: ${outcome.reasons.join("\n         ")}`);
-      process.exitCode = ChangeExit.Refused;
+      process.exitCode = ChangeExitCode.Refused;
       break;
     case "conflict":
       command.log(`conflict with revision ${outcome.revision}; nothing was changed:`);
       for (const { path, ours, theirs } of outcome.conflicts) {
-        command.log(`  ${path}\n    yours:  ${shown(ours)}\n    theirs: ${shown(theirs)}`);
+        command.log(
+          `  ${path}\n    yours:  ${formatValue(ours)}\n    theirs: ${formatValue(theirs)}`,
+        );
       }
-      process.exitCode = ChangeExit.Conflict;
+      process.exitCode = ChangeExitCode.Conflict;
       break;
     case "unknown":
       command.log(`not known: ${outcome.detail}`);
       command.log(`look up the outcome later with: samphireshore change ${outcome.change}`);
-      process.exitCode = ChangeExit.NotKnown;
+      process.exitCode = ChangeExitCode.Unknown;
       break;
   }
 }
 
-function whereOf({ everywhere }: { everywhere?: boolean | undefined }): string {
+function formatReach({ everywhere }: { everywhere?: boolean | undefined }): string {
   if (everywhere === undefined) return "";
   return everywhere ? ", on every live entry instance" : ", not yet on every live entry instance";
 }
 
-function shown(value: unknown): string {
+function formatValue(value: unknown): string {
   return value === undefined ? "(absent)" : JSON.stringify(value);
 }
--- a/src/cli/check.ts
+++ b/src/cli/check.ts
@@ -6,7 +6,7 @@
 import type { SettingsFault } from "../version/index.ts";
 
 /** Schemas by the value of `--as`. */
-const SCHEMAS: Readonly<Record<string, z.ZodType>> = {
+const SCHEMAS_BY_TYPE: Readonly<Record<string, z.ZodType>> = {
   deployment: deploymentSchema,
   entry: entrySettingsSchema,
   routed: routedSettingsSchema,
@@ -26,32 +26,32 @@
     as: Flags.string({
       description:
         "Type of the file: a deployment document, the settings of an entry instance, or those of an entry instance for routed requests.",
-      options: Object.keys(SCHEMAS),
+      options: Object.keys(SCHEMAS_BY_TYPE),
       default: "deployment",
     }),
   };
 
   override async run(): Promise<{ valid: boolean; faults: readonly SettingsFault[] }> {
     const { args, flags } = await this.parse(Check);
-    const schema = SCHEMAS[flags.as] ?? deploymentSchema;
-    const result = parseSettings(await readText(this, args.file), { schema, file: args.file });
+    const schema = SCHEMAS_BY_TYPE[flags.as] ?? deploymentSchema;
+    const result = parseSettings(await readTextFile(this, args.file), { schema, file: args.file });
     if (result.kind === "valid") {
       this.log(`${args.file}: no faults`);
       return { valid: true, faults: [] };
     }
-    for (const fault of result.faults) this.logToStderr(faultLine(fault));
+    for (const fault of result.faults) this.logToStderr(formatFault(fault));
     process.exitCode = 1;
     return { valid: false, faults: result.faults };
   }
 }
 
 /** Formats a fault as one line, `FILE:LINE: PATH: MESSAGE`, which editors and terminals link to the place. */
-export function faultLine({ file, line, path, message }: SettingsFault): string {
+export function formatFault({ file, line, path, message }: SettingsFault): string {
   return path === "" ? `${file}:${line}: ${message}` : `${file}:${line}: ${path}: ${message}`;
 }
 
 /** Reads a text file. If that fails, the command ends with an error message and exit code 2. */
-export async function readText(command: Command, file: string): Promise<string> {
+export async function readTextFile(command: Command, file: string): Promise<string> {
   try {
     return await readFile(file, "utf8");
   } catch (cause) {
--- a/src/cli/demo/caller.ts
+++ b/src/cli/demo/caller.ts
@@ -6,21 +6,21 @@
 import type { Clock, Random } from "../../interface/index.ts";
 
 /** A request of the demo's load. */
-export interface Errand {
+export interface LoadRequest {
   /** Idempotency key, unique within the run. */
-  readonly key: string;
+  readonly idempotencyKey: string;
   readonly service: string;
   /** API key of the client account. */
   readonly clientKey: string;
   readonly prompt: string;
   /** Number of tokens of the complete response. */
-  readonly answerTokens: number;
+  readonly responseTokens: number;
   /** False if the request must run at most once. */
-  readonly repeatable: boolean;
+  readonly isRepeatable: boolean;
 }
 
 /** Outcome of a request as its caller observed it. */
-export enum ErrandEnd {
+export enum RequestOutcome {
   Complete = "complete",
   /** Refused, with the statement that it has not run. */
   NotRun = "not-run",
@@ -31,19 +31,19 @@
 }
 
 /** Result of a request as its caller observed it. */
-export interface ErrandRecord {
-  readonly errand: Errand;
-  readonly end: ErrandEnd;
+export interface RequestResult {
+  readonly loadRequest: LoadRequest;
+  readonly outcome: RequestOutcome;
   /** Request id assigned when the request was accepted; empty if it never was. */
-  readonly id: string;
+  readonly requestId: string;
   /** Received tokens in order, duplicates included. */
   readonly tokens: readonly { readonly index: number; readonly text: string }[];
   /** Milliseconds from the first attempt to the first token; undefined if none was received. */
-  readonly firstToken: number | undefined;
+  readonly timeToFirstToken: number | undefined;
   /** Number of attempts after the first. */
   readonly reconnects: number;
   /** Error code of the last refusal; empty if there was none. */
-  readonly reason: string;
+  readonly refusalCode: string;
 }
 
 /** Options of a caller. */
@@ -53,9 +53,9 @@
   /** HTTP connection pool. */
   readonly agent: Agent;
   /** Addresses of entry instances, `IP:PORT`, used until one of them has returned a list of addresses. */
-  readonly addresses: readonly string[];
+  readonly initialAddresses: readonly string[];
   /** Milliseconds after which the caller abandons a request. */
-  readonly patience: number;
+  readonly timeout: number;
 }
 
 /**
@@ -64,22 +64,22 @@
  */
 export interface Caller {
   /** Sends a request and retries it until its outcome is known or the timeout has passed. */
-  run(errand: Errand): Promise<ErrandRecord>;
+  send(loadRequest: LoadRequest): Promise<RequestResult>;
 }
 
 /** Refusals that leave the outcome open: a retry with the same idempotency key returns it later. */
-const ASK_AGAIN: ReadonlySet<string> = new Set([
+const INCONCLUSIVE_REFUSALS: ReadonlySet<string> = new Set([
   Refusal.OwnerUnavailable,
   Refusal.BackupUnavailable,
 ]);
 /** Minimum and maximum delay before a retry in milliseconds; a random factor from 0.5 to 1.5 is applied. */
-const RETRY_PAUSE = 200;
-const MAX_RETRY_PAUSE = 2_000;
+const MIN_RETRY_DELAY = 200;
+const MAX_RETRY_DELAY = 2_000;
 /** Milliseconds without received data after which a caller closes a connection. */
-const SILENCE = 10_000;
+const IDLE_TIMEOUT = 10_000;
 
-const resolved = z.object({ addresses: z.array(z.string()), keepFor: z.number() });
-const chunk = z.object({
+const resolveSchema = z.object({ addresses: z.array(z.string()), keepFor: z.number() });
+const chunkSchema = z.object({
   choices: z.array(
     z.object({
       delta: z.object({ content: z.string().optional() }),
@@ -87,163 +87,177 @@
     }),
   ),
 });
-const refusal = z.object({
+const refusalSchema = z.object({
   error: z.object({ code: z.string(), not_run: z.boolean().optional() }),
 });
 
 /** State of a request across its attempts. */
-interface Progress {
-  id: string;
-  firstToken: number | undefined;
+interface RequestProgress {
+  requestId: string;
+  timeToFirstToken: number | undefined;
   reconnects: number;
-  reason: string;
+  refusalCode: string;
   readonly startedAt: number;
   readonly tokens: { index: number; text: string }[];
 }
 
 /** Result of one attempt: a final outcome, or a delay in milliseconds before the next attempt. */
-type Try =
-  | { readonly kind: "end"; readonly end: ErrandEnd }
-  | { readonly kind: "again"; readonly pause: number };
+type AttemptResult =
+  | { readonly kind: "end"; readonly outcome: RequestOutcome }
+  | { readonly kind: "again"; readonly delay: number };
 
 /** Creates a caller. */
 export function createCaller(options: CallerOptions): Caller {
   const { clock, random } = options;
-  const addresses = createAddressBook(options);
+  const addressCache = createAddressCache(options);
   return {
-    run: async (errand) => {
-      const progress: Progress = {
-        id: "",
-        firstToken: undefined,
+    send: async (loadRequest) => {
+      const progress: RequestProgress = {
+        requestId: "",
+        timeToFirstToken: undefined,
         reconnects: -1,
-        reason: "",
+        refusalCode: "",
         startedAt: clock.now(),
         tokens: [],
       };
-      let end: ErrandEnd | undefined;
-      while (end === undefined && clock.now() - progress.startedAt < options.patience) {
+      let outcome: RequestOutcome | undefined;
+      while (outcome === undefined && clock.now() - progress.startedAt < options.timeout) {
         progress.reconnects++;
-        const address = await addresses.next(errand);
-        const outcome = await tryOnce(options, { errand, progress, address });
-        if (outcome.kind === "end") end = outcome.end;
+        const address = await addressCache.get(loadRequest);
+        const result = await sendAttempt(options, { loadRequest, progress, address });
+        if (result.kind === "end") outcome = result.outcome;
         else {
-          addresses.forget();
-          await sleep(clock, outcome.pause * (0.5 + random.next()));
+          addressCache.invalidate();
+          await sleep(clock, result.delay * (0.5 + random.next()));
         }
       }
-      return { errand, end: end ?? ErrandEnd.Unanswered, ...progress };
+      return { loadRequest, outcome: outcome ?? RequestOutcome.Unanswered, ...progress };
     },
   };
 }
 
-interface AddressBook {
-  /** Returns the address to use. It is resolved again if its time to live has passed or after {@linkcode forget}. */
-  next(errand: Errand): Promise<string>;
+/** Caches the addresses of entry instances for the services that one caller uses. */
+interface AddressCache {
+  /**
+   * Returns the address to use. Resolves the addresses again if their time to live has passed or after
+   * {@linkcode AddressCache.invalidate}.
+   */
+  get(loadRequest: LoadRequest): Promise<string>;
   /** Expires the cached addresses after a failed attempt. */
-  forget(): void;
+  invalidate(): void;
 }
 
 /** Resolves addresses for a service through `/v1/resolve` and caches them for the time to live in the response. */
-function createAddressBook({ clock, random, agent, addresses }: CallerOptions): AddressBook {
-  let known: readonly string[] = addresses;
-  let keepUntil = 0;
-  const ask = async (errand: Errand): Promise<void> => {
-    const from = known[Math.floor(random.next() * known.length)] ?? "";
+function createAddressCache({
+  clock,
+  random,
+  agent,
+  initialAddresses,
+}: CallerOptions): AddressCache {
+  let addresses: readonly string[] = initialAddresses;
+  let expiresAt = 0;
+  const refresh = async (loadRequest: LoadRequest): Promise<void> => {
+    const address = addresses[Math.floor(random.next() * addresses.length)] ?? "";
     try {
-      const query = `service=${errand.service}`;
-      const answer = await request(`http://${from}/v1/resolve?${query}`, {
+      const query = `service=${loadRequest.service}`;
+      const response = await request(`http://${address}/v1/resolve?${query}`, {
         dispatcher: agent,
-        headers: { authorization: `Bearer ${errand.clientKey}` },
-        signal: AbortSignal.timeout(SILENCE),
+        headers: { authorization: `Bearer ${loadRequest.clientKey}` },
+        signal: AbortSignal.timeout(IDLE_TIMEOUT),
       });
-      const told = resolved.parse(await answer.body.json());
-      if (told.addresses.length === 0) return;
-      known = told.addresses;
-      keepUntil = clock.now() + told.keepFor * 1_000;
+      const resolved = resolveSchema.parse(await response.body.json());
+      if (resolved.addresses.length === 0) return;
+      addresses = resolved.addresses;
+      expiresAt = clock.now() + resolved.keepFor * 1_000;
     } catch {
       // The instance doesn't respond. The next attempt uses the initial addresses.
-      known = addresses;
+      addresses = initialAddresses;
     }
   };
   return {
-    next: async (errand) => {
-      if (clock.now() >= keepUntil) await ask(errand);
-      return known[0] ?? "";
+    get: async (loadRequest) => {
+      if (clock.now() >= expiresAt) await refresh(loadRequest);
+      return addresses[0] ?? "";
     },
-    forget: () => {
-      keepUntil = 0;
+    invalidate: () => {
+      expiresAt = 0;
     },
   };
 }
 
-interface OneTry {
-  readonly errand: Errand;
-  readonly progress: Progress;
+/** One attempt to send a request to the entry instance at an address. */
+interface Attempt {
+  readonly loadRequest: LoadRequest;
+  readonly progress: RequestProgress;
   readonly address: string;
 }
 
-async function tryOnce(
+async function sendAttempt(
   options: CallerOptions,
-  { errand, progress, address }: OneTry,
-): Promise<Try> {
-  const had = progress.tokens.length;
+  { loadRequest, progress, address }: Attempt,
+): Promise<AttemptResult> {
+  const receivedCount = progress.tokens.length;
   try {
-    const answer = await request(`http://${address}/v1/chat/completions`, {
+    const response = await request(`http://${address}/v1/chat/completions`, {
       method: "POST",
       dispatcher: options.agent,
-      headersTimeout: SILENCE,
-      bodyTimeout: SILENCE,
+      headersTimeout: IDLE_TIMEOUT,
+      bodyTimeout: IDLE_TIMEOUT,
       headers: {
         "content-type": "application/json",
-        authorization: `Bearer ${errand.clientKey}`,
-        "idempotency-key": errand.key,
-        ...(errand.repeatable ? {} : { "x-samphireshore-repeat": "never" }),
-        ...(had === 0 ? {} : { "last-event-id": String(had - 1) }),
+        authorization: `Bearer ${loadRequest.clientKey}`,
+        "idempotency-key": loadRequest.idempotencyKey,
+        ...(loadRequest.isRepeatable ? {} : { "x-samphireshore-repeat": "never" }),
+        ...(receivedCount === 0 ? {} : { "last-event-id": String(receivedCount - 1) }),
       },
       body: JSON.stringify({
-        model: errand.service,
+        model: loadRequest.service,
         stream: true,
-        max_completion_tokens: errand.answerTokens,
-        messages: [{ role: "user", content: errand.prompt }],
+        max_completion_tokens: loadRequest.responseTokens,
+        messages: [{ role: "user", content: loadRequest.prompt }],
       }),
     });
-    const id = answer.headers["x-request-id"];
-    if (typeof id === "string") progress.id = id;
-    if (answer.statusCode !== 200) {
-      return refused(progress, await answer.body.text(), answer.headers["retry-after"]);
+    const requestId = response.headers["x-request-id"];
+    if (typeof requestId === "string") progress.requestId = requestId;
+    if (response.statusCode !== 200) {
+      return handleRefusal(progress, await response.body.text(), response.headers["retry-after"]);
     }
-    return await readAnswer(answer.body, { progress, clock: options.clock });
+    return await readResponse(response.body, { progress, clock: options.clock });
   } catch {
-    return { kind: "again", pause: RETRY_PAUSE };
+    return { kind: "again", delay: MIN_RETRY_DELAY };
   }
 }
 
-async function readAnswer(
+async function readResponse(
   body: AsyncIterable<Uint8Array>,
-  { progress, clock }: { progress: Progress; clock: Clock },
-): Promise<Try> {
+  { progress, clock }: { progress: RequestProgress; clock: Clock },
+): Promise<AttemptResult> {
   for await (const data of eventData(body)) {
-    if (data === "[DONE]") return { kind: "end", end: ErrandEnd.Complete };
-    const failure = refusal.safeParse(JSON.parse(data));
-    if (failure.success) return refused(progress, data, undefined);
-    const [choice] = chunk.parse(JSON.parse(data)).choices;
+    if (data === "[DONE]") return { kind: "end", outcome: RequestOutcome.Complete };
+    const failure = refusalSchema.safeParse(JSON.parse(data));
+    if (failure.success) return handleRefusal(progress, data, undefined);
+    const [choice] = chunkSchema.parse(JSON.parse(data)).choices;
     const text = choice?.delta.content;
     if (text === undefined || text === "") continue;
-    progress.firstToken ??= clock.now() - progress.startedAt;
+    progress.timeToFirstToken ??= clock.now() - progress.startedAt;
     progress.tokens.push({ index: progress.tokens.length, text });
   }
-  return { kind: "again", pause: RETRY_PAUSE };
+  return { kind: "again", delay: MIN_RETRY_DELAY };
 }
 
-function refused(progress: Progress, body: string, retryAfter: unknown): Try {
-  const parsed = refusal.safeParse(JSON.parse(body));
-  if (!parsed.success) return { kind: "again", pause: RETRY_PAUSE };
+function handleRefusal(
+  progress: RequestProgress,
+  body: string,
+  retryAfter: unknown,
+): AttemptResult {
+  const parsed = refusalSchema.safeParse(JSON.parse(body));
+  if (!parsed.success) return { kind: "again", delay: MIN_RETRY_DELAY };
   const { code, not_run: notRun } = parsed.data.error;
-  progress.reason = code;
-  const isOpen = ASK_AGAIN.has(code);
-  if (typeof retryAfter === "string" || notRun === undefined || isOpen) {
-    const pause = Math.min(MAX_RETRY_PAUSE, Number(retryAfter ?? 0) * 1_000);
-    return { kind: "again", pause: Math.max(RETRY_PAUSE, pause) };
+  progress.refusalCode = code;
+  const isInconclusive = INCONCLUSIVE_REFUSALS.has(code);
+  if (typeof retryAfter === "string" || notRun === undefined || isInconclusive) {
+    const delay = Math.min(MAX_RETRY_DELAY, Number(retryAfter ?? 0) * 1_000);
+    return { kind: "again", delay: Math.max(MIN_RETRY_DELAY, delay) };
   }
-  return { kind: "end", end: notRun ? ErrandEnd.NotRun : ErrandEnd.MayHaveRun };
+  return { kind: "end", outcome: notRun ? RequestOutcome.NotRun : RequestOutcome.MayHaveRun };
 }
--- a/src/cli/demo/guarantees.ts
+++ b/src/cli/demo/guarantees.ts
@@ -1,28 +1,31 @@
-import { ErrandEnd } from "./caller.ts";
-import type { ErrandRecord } from "./caller.ts";
+import { RequestOutcome } from "./caller.ts";
+import type { RequestResult } from "./caller.ts";
 
 /** Number of times that a backend server started a request, from the backend server's own record. */
-export interface RecordedRuns {
+export interface RunCount {
   /** Request id. */
-  readonly id: string;
+  readonly requestId: string;
   readonly worker: string;
   readonly count: number;
 }
 
 /** A reclaimed backend server, from its own record. */
-export interface LeavingServer {
+export interface ReclaimedServer {
   readonly worker: string;
-  /** Number of requests that it had started by {@linkcode LEAVING_BOUND} after its reclaim notice. */
-  readonly begunByBound: number;
+  /** Number of requests that it had started {@linkcode MAX_DISPATCH_TIME_AFTER_NOTICE} after its reclaim notice. */
+  readonly startedBeforeLimit: number;
   /** Number of requests that it had started by the end of the run. */
-  readonly begunAtEnd: number;
+  readonly startedAtEnd: number;
 }
 
 /** Records of a run, kept by the callers and the backend servers independently of the entry instances. */
-export interface Evidence {
-  readonly errands: readonly ErrandRecord[];
-  readonly runs: readonly RecordedRuns[];
-  readonly leaving: readonly LeavingServer[];
+export interface RunRecords {
+  /** Results of all requests, as their callers observed them. */
+  readonly results: readonly RequestResult[];
+  /** Numbers of runs by request and worker, from the backend servers. */
+  readonly runCounts: readonly RunCount[];
+  /** Backend servers that the scenario reclaimed. */
+  readonly reclaimedServers: readonly ReclaimedServer[];
   /** Milliseconds from the acceptance of the preset until it was in force, one value for each entry instance. */
   readonly presetDelays: readonly number[];
   /** Distinct presets in force on the entry instances after the switch; more than one means that one reverted. */
@@ -30,7 +33,7 @@
 }
 
 /** Result of checking one guarantee; `--json` prints it under these field names. */
-export interface PromiseCheck {
+export interface GuaranteeCheck {
   /** The guarantee in words. */
   readonly promise: string;
   readonly held: boolean;
@@ -39,95 +42,111 @@
 }
 
 /** Milliseconds after its reclaim notice during which a backend server may still receive new requests. */
-export const LEAVING_BOUND = 3_000;
+export const MAX_DISPATCH_TIME_AFTER_NOTICE = 3_000;
 /** Maximum time from the acceptance of a preset until it is in force on every entry instance, in milliseconds. */
-const IN_FORCE_BOUND = 5_000;
+const MAX_PRESET_DELAY = 5_000;
 
 /** Checks each guarantee against the records of a run. */
-export function checkPromises(evidence: Evidence): PromiseCheck[] {
+export function checkGuarantees(records: RunRecords): GuaranteeCheck[] {
   return [
-    acceptedSurvive(evidence),
-    wholeAnswers(evidence),
-    notRunIsTrue(evidence),
-    atMostOnce(evidence),
-    leavingGetNothing(evidence),
-    inForceInTime(evidence),
+    checkAcceptedRequests(records),
+    checkResponses(records),
+    checkNotRunReports(records),
+    checkAtMostOnce(records),
+    checkReclaimedServers(records),
+    checkPresetSwitch(records),
   ];
 }
 
-function acceptedSurvive({ errands }: Evidence): PromiseCheck {
-  const lost = errands.filter(
-    ({ id, end }) => id !== "" && end !== ErrandEnd.Complete && end !== ErrandEnd.NotRun,
+function checkAcceptedRequests({ results }: RunRecords): GuaranteeCheck {
+  const lost = results.filter(
+    ({ requestId, outcome }) =>
+      requestId !== "" && outcome !== RequestOutcome.Complete && outcome !== RequestOutcome.NotRun,
   );
-  const accepted = errands.filter(({ id }) => id !== "").length;
-  return check("accepted requests survive every announced reclaim", lost.length, {
+  const accepted = results.filter(({ requestId }) => requestId !== "").length;
+  return createCheck("accepted requests survive every announced reclaim", lost.length, {
     detail: `${accepted} accepted, ${lost.length} without a response`,
   });
 }
 
-function wholeAnswers({ errands }: Evidence): PromiseCheck {
-  const complete = errands.filter(({ end }) => end === ErrandEnd.Complete);
-  const wrong = complete.filter((record) => !isWhole(record));
+function checkResponses({ results }: RunRecords): GuaranteeCheck {
+  const complete = results.filter(({ outcome }) => outcome === RequestOutcome.Complete);
+  const wrong = complete.filter((record) => !isCompleteResponse(record));
   const [first] = wrong;
-  const example = first === undefined ? "" : `, such as ${describeAnswer(first)}`;
-  return check("each caller gets its own whole answer, each token once", wrong.length, {
+  const example = first === undefined ? "" : `, such as ${describeResponse(first)}`;
+  return createCheck("each caller gets its own whole answer, each token once", wrong.length, {
     detail: `${complete.length} responses, ${wrong.length} incomplete or wrong${example}`,
   });
 }
 
-function describeAnswer({ errand, id, tokens, reconnects }: ErrandRecord): string {
-  const at = tokens.findIndex(({ text }, index) => numberOf(text) !== index);
-  const place = at < 0 ? "" : `, the first wrong one at index ${at}: "${tokens[at]?.text ?? ""}"`;
-  const got = `${tokens.length} of ${errand.answerTokens} tokens${place}`;
-  return `${id} (${errand.service}, ${reconnects} reconnects) with ${got}`;
+function describeResponse({ loadRequest, requestId, tokens, reconnects }: RequestResult): string {
+  const wrongIndex = tokens.findIndex(({ text }, index) => parseWordNumber(text) !== index);
+  const wrongToken =
+    wrongIndex < 0
+      ? ""
+      : `, the first wrong one at index ${wrongIndex}: "${tokens[wrongIndex]?.text ?? ""}"`;
+  const received = `${tokens.length} of ${loadRequest.responseTokens} tokens${wrongToken}`;
+  return `${requestId} (${loadRequest.service}, ${reconnects} reconnects) with ${received}`;
 }
 
 /** Whether the response has every token once and in order: the stand-ins number the words from 0. */
-function isWhole({ errand, tokens }: ErrandRecord): boolean {
-  if (tokens.length !== errand.answerTokens) return false;
-  return tokens.every(({ text }, index) => numberOf(text) === index);
+function isCompleteResponse({ loadRequest, tokens }: RequestResult): boolean {
+  if (tokens.length !== loadRequest.responseTokens) return false;
+  return tokens.every(({ text }, index) => parseWordNumber(text) === index);
 }
 
-function numberOf(text: string): number {
+function parseWordNumber(text: string): number {
   return Number(/\d+/.exec(text)?.[0]);
 }
 
-function notRunIsTrue({ errands, runs }: Evidence): PromiseCheck {
-  const ran = new Set(runs.map((run) => run.id));
-  const told = errands.filter(({ end }) => end === ErrandEnd.NotRun);
-  const untrue = told.filter(({ id }) => ran.has(id)).length;
-  return check('"not run" is said only where it is true', untrue, {
-    detail: `${told.length} reported as not run, ${untrue} of them had run`,
+function checkNotRunReports({ results, runCounts }: RunRecords): GuaranteeCheck {
+  const startedIds = new Set(runCounts.map((run) => run.requestId));
+  const reported = results.filter(({ outcome }) => outcome === RequestOutcome.NotRun);
+  const falseReports = reported.filter(({ requestId }) => startedIds.has(requestId)).length;
+  return createCheck('"not run" is said only where it is true', falseReports, {
+    detail: `${reported.length} reported as not run, ${falseReports} of them had run`,
   });
 }
 
-function atMostOnce({ errands, runs }: Evidence): PromiseCheck {
+function checkAtMostOnce({ results, runCounts }: RunRecords): GuaranteeCheck {
   const counts = new Map<string, number>();
-  for (const { id, count } of runs) counts.set(id, (counts.get(id) ?? 0) + count);
-  const once = errands.filter(({ errand }) => !errand.repeatable);
-  const twice = once.filter(({ id }) => (counts.get(id) ?? 0) > 1).length;
-  return check("what may not be repeated runs at most once", twice, {
-    detail: `${once.length} such requests, ${twice} run more than once`,
+  for (const { requestId, count } of runCounts)
+    counts.set(requestId, (counts.get(requestId) ?? 0) + count);
+  const atMostOnce = results.filter(({ loadRequest }) => !loadRequest.isRepeatable);
+  const repeated = atMostOnce.filter(({ requestId }) => (counts.get(requestId) ?? 0) > 1).length;
+  return createCheck("what may not be repeated runs at most once", repeated, {
+    detail: `${atMostOnce.length} such requests, ${repeated} run more than once`,
   });
 }
 
-function leavingGetNothing({ leaving }: Evidence): PromiseCheck {
-  const late = leaving.reduce((sum, server) => sum + server.begunAtEnd - server.begunByBound, 0);
-  return check("a leaving backend server gets no new work after 3 s", late, {
-    detail: `${leaving.length} reclaimed, ${late} late dispatches`,
+function checkReclaimedServers({ reclaimedServers }: RunRecords): GuaranteeCheck {
+  const late = reclaimedServers.reduce(
+    (sum, server) => sum + server.startedAtEnd - server.startedBeforeLimit,
+    0,
+  );
+  return createCheck("a leaving backend server gets no new work after 3 s", late, {
+    detail: `${reclaimedServers.length} reclaimed, ${late} late dispatches`,
   });
 }
 
-function inForceInTime({ presetDelays, presetsAfterSwitch }: Evidence): PromiseCheck {
-  const late = presetDelays.filter((delay) => delay > IN_FORCE_BOUND).length;
+function checkPresetSwitch({ presetDelays, presetsAfterSwitch }: RunRecords): GuaranteeCheck {
+  const late = presetDelays.filter((delay) => delay > MAX_PRESET_DELAY).length;
   const reverted = presetsAfterSwitch.length > 1 ? 1 : 0;
   const slowest = Math.max(0, ...presetDelays);
-  const held = late + reverted;
-  return check("an accepted preset is in force everywhere within 5 s and never reverts", held, {
-    detail: `${presetDelays.length} instances, slowest after ${Math.round(slowest)} ms`,
-  });
+  const violations = late + reverted;
+  return createCheck(
+    "an accepted preset is in force everywhere within 5 s and never reverts",
+    violations,
+    {
+      detail: `${presetDelays.length} instances, slowest after ${Math.round(slowest)} ms`,
+    },
+  );
 }
 
-function check(promise: string, violations: number, { detail }: { detail: string }): PromiseCheck {
+function createCheck(
+  promise: string,
+  violations: number,
+  { detail }: { detail: string },
+): GuaranteeCheck {
   return { promise, held: violations === 0, detail };
 }
--- a/src/cli/demo/load.ts
+++ b/src/cli/demo/load.ts
@@ -1,29 +1,29 @@
 import type { Random } from "../../interface/index.ts";
-import type { Errand } from "./caller.ts";
+import type { LoadRequest } from "./caller.ts";
 
 /** A request and the time of its first attempt, in milliseconds since the start of the run. */
-export interface PlannedErrand {
-  readonly at: number;
-  readonly errand: Errand;
+export interface ScheduledRequest {
+  readonly startTime: number;
+  readonly loadRequest: LoadRequest;
 }
 
 /** A class of requests in the load. */
-export interface Stream {
+export interface RequestStream {
   readonly name: string;
   readonly service: string;
   /** API keys of the client accounts that send the requests. */
   readonly clientKeys: readonly string[];
   /** Requests per second. */
-  readonly rate: number;
+  readonly requestsPerSecond: number;
   /** Minimum and maximum number of tokens of a response. */
-  readonly answerTokens: { readonly least: number; readonly most: number };
+  readonly responseTokens: { readonly min: number; readonly max: number };
   /** Share of the requests that must run at most once, from 0 to 1. */
-  readonly onceShare: number;
+  readonly atMostOnceShare: number;
   /** Number of words in the prefix that all prompts of a client account share. */
-  readonly promptWords: number;
+  readonly promptPrefixWords: number;
 }
 
-/** Options of {@linkcode planLoad}. */
+/** Options of {@linkcode scheduleLoad}. */
 export interface LoadOptions {
   readonly random: Random;
   /** Milliseconds during which requests are sent. */
@@ -36,37 +36,49 @@
  *
  * @returns The requests in order of time.
  */
-export function planLoad(streams: readonly Stream[], options: LoadOptions): PlannedErrand[] {
-  const planned = streams.flatMap((stream) => planStream(stream, options));
-  return planned.sort((a, b) => a.at - b.at);
+export function scheduleLoad(
+  streams: readonly RequestStream[],
+  options: LoadOptions,
+): ScheduledRequest[] {
+  const scheduled = streams.flatMap((stream) => scheduleStream(stream, options));
+  return scheduled.sort((a, b) => a.startTime - b.startTime);
 }
 
-function planStream(stream: Stream, { random, duration }: LoadOptions): PlannedErrand[] {
-  const count = Math.round((stream.rate * duration) / 1_000);
+function scheduleStream(
+  stream: RequestStream,
+  { random, duration }: LoadOptions,
+): ScheduledRequest[] {
+  const count = Math.round((stream.requestsPerSecond * duration) / 1_000);
   return Array.from({ length: count }, (_, index) => ({
-    at: random.next() * duration,
-    errand: drawErrand(stream, { random, index }),
+    startTime: random.next() * duration,
+    loadRequest: createRequest(stream, { random, index }),
   }));
 }
 
-function drawErrand(stream: Stream, { random, index }: { random: Random; index: number }): Errand {
-  const { least, most } = stream.answerTokens;
+function createRequest(
+  stream: RequestStream,
+  { random, index }: { random: Random; index: number },
+): LoadRequest {
+  const { min, max } = stream.responseTokens;
   const account = Math.floor(random.next() * stream.clientKeys.length);
   const clientKey = stream.clientKeys[account] ?? "";
   return {
-    key: `${stream.name}-${index}-${Math.floor(random.next() * 1e9).toString(36)}`,
+    idempotencyKey: `${stream.name}-${index}-${Math.floor(random.next() * 1e9).toString(36)}`,
     service: stream.service,
     clientKey,
-    prompt: promptOf(stream, { account, index }),
-    answerTokens: Math.floor(least + random.next() * (most - least + 1)),
-    repeatable: random.next() >= stream.onceShare,
+    prompt: createPrompt(stream, { account, index }),
+    responseTokens: Math.floor(min + random.next() * (max - min + 1)),
+    isRepeatable: random.next() >= stream.atMostOnceShare,
   };
 }
 
-function promptOf(
-  { promptWords, name }: Stream,
+function createPrompt(
+  { promptPrefixWords, name }: RequestStream,
   { account, index }: { account: number; index: number },
 ): string {
-  const shared = Array.from({ length: promptWords }, (_, word) => `${name}${account}w${word}`);
-  return `${shared.join(" ")} number ${index}`;
+  const prefix = Array.from(
+    { length: promptPrefixWords },
+    (_, word) => `${name}${account}w${word}`,
+  );
+  return `${prefix.join(" ")} number ${index}`;
 }
--- a/src/cli/demo/summary.ts
+++ b/src/cli/demo/summary.ts
@@ -1,9 +1,9 @@
 import { build } from "hdr-histogram-js";
-import { ErrandEnd } from "./caller.ts";
-import type { ErrandRecord } from "./caller.ts";
+import { RequestOutcome } from "./caller.ts";
+import type { RequestResult } from "./caller.ts";
 
 /** Quantiles of the time to first token, in milliseconds. */
-export interface Latency {
+export interface LatencyQuantiles {
   readonly count: number;
   readonly p50: number;
   readonly p95: number;
@@ -11,20 +11,27 @@
 }
 
 /** Counts requests by outcome. Outcomes other than complete are also split by refusal reason. */
-export function countOutcomes(errands: readonly ErrandRecord[]): Record<string, number> {
+export function countOutcomes(results: readonly RequestResult[]): Record<string, number> {
   const counts: Record<string, number> = {};
-  for (const { end, reason } of errands) {
-    const name = end === ErrandEnd.Complete || reason === "" ? end : `${end}: ${reason}`;
+  for (const { outcome, refusalCode } of results) {
+    const name =
+      outcome === RequestOutcome.Complete || refusalCode === ""
+        ? outcome
+        : `${outcome}: ${refusalCode}`;
     counts[name] = (counts[name] ?? 0) + 1;
   }
   return counts;
 }
 
 /** Computes the quantiles of the time to first token over the requests of one service. */
-export function latencyOf(errands: readonly ErrandRecord[], service: string): Latency {
+export function computeFirstTokenLatency(
+  results: readonly RequestResult[],
+  service: string,
+): LatencyQuantiles {
   const histogram = build({ numberOfSignificantValueDigits: 3 });
-  for (const { errand, firstToken } of errands) {
-    if (errand.service === service && firstToken !== undefined) histogram.recordValue(firstToken);
+  for (const { loadRequest, timeToFirstToken } of results) {
+    if (loadRequest.service === service && timeToFirstToken !== undefined)
+      histogram.recordValue(timeToFirstToken);
   }
   return {
     count: histogram.totalCount,
@@ -35,12 +42,12 @@
 }
 
 /** Computes the cost of workers in euros: the hourly price times the running time of each. */
-export function costOf(
+export function computeWorkerCost(
   workers: readonly { readonly pricePerHour: number; readonly milliseconds: number }[],
 ): number {
-  const hours = 3_600_000;
+  const millisecondsPerHour = 3_600_000;
   return workers.reduce(
-    (sum, worker) => sum + (worker.pricePerHour * worker.milliseconds) / hours,
+    (sum, worker) => sum + (worker.pricePerHour * worker.milliseconds) / millisecondsPerHour,
     0,
   );
 }
--- a/src/cli/dev.ts
+++ b/src/cli/dev.ts
@@ -1,7 +1,7 @@
 import { Command, Flags } from "@oclif/core";
 import { startEmbedded } from "./embedded_deployment.ts";
-import { accountKeys, ASSOCIATION, documentValue, randomKey } from "./template/index.ts";
-import { untilStopped } from "./stop_signal.ts";
+import { accountKeys, ASSOCIATION, documentValue, createRandomKey } from "./template/index.ts";
+import { waitForStopSignal } from "./stop_signal.ts";
 
 const DEFAULT_PORT = 8080;
 /** The client account whose API key `--client-key` sets. */
@@ -26,8 +26,8 @@
 
   override async run(): Promise<void> {
     const { flags } = await this.parse(Dev);
-    const operatorKey = flags["operator-key"] ?? randomKey();
-    const clientKey = flags["client-key"] ?? randomKey();
+    const operatorKey = flags["operator-key"] ?? createRandomKey();
+    const clientKey = flags["client-key"] ?? createRandomKey();
     const keys = accountKeys(ASSOCIATION, { [CLIENT_ACCOUNT]: clientKey });
     const deployment = await startEmbedded({
       port: flags.port,
@@ -42,7 +42,7 @@
     this.log(
       JSON.stringify({ ready: true, callers, account: CLIENT_ACCOUNT, clientKey, operatorKey }),
     );
-    await untilStopped();
+    await waitForStopSignal();
     await deployment.close();
   }
 }
--- a/src/cli/drain.ts
+++ b/src/cli/drain.ts
@@ -1,7 +1,7 @@
 import { Args, Command } from "@oclif/core";
 import { drainMessage } from "../connection/index.ts";
 import type { DrainMessage } from "../connection/index.ts";
-import { askOperator, OPERATOR_FLAGS } from "./operator_client.ts";
+import { queryOperator, OPERATOR_FLAGS } from "./operator_client.ts";
 
 /** `samphireshore drain`: performs a planned stop of an entry instance. */
 export class Drain extends Command {
@@ -21,13 +21,13 @@
     const { args, flags } = await this.parse(Drain);
     const path = `/v1/operator/drain/${encodeURIComponent(args.instance)}`;
     const call = { method: "POST", path, schema: drainMessage } as const;
-    const found = await askOperator(this, flags, call);
+    const outcome = await queryOperator(this, flags, call);
     this.log(
-      found.kind === "unreachable"
-        ? `unreachable: ${found.detail}`
-        : `${found.instance}: ${found.kind}`,
+      outcome.kind === "unreachable"
+        ? `unreachable: ${outcome.detail}`
+        : `${outcome.instance}: ${outcome.kind}`,
     );
-    if (found.kind !== "draining") process.exitCode = 1;
-    return found;
+    if (outcome.kind !== "draining") process.exitCode = 1;
+    return outcome;
   }
 }
--- a/src/cli/embedded_deployment.ts
+++ b/src/cli/embedded_deployment.ts
@@ -43,9 +43,9 @@
 }
 
 /** Maximum time to wait at startup until every slot has its owners, in milliseconds. */
-const FORMING_PATIENCE = 20_000;
+const SLOT_ASSIGNMENT_TIMEOUT = 20_000;
 /** Interval between two checks of the slot maps, in milliseconds. */
-const FORMING_PERIOD = 20;
+const SLOT_POLL_INTERVAL = 20;
 const LOOPBACK = "127.0.0.1";
 /** Time between two tokens of a response, in milliseconds. */
 const TOKEN_TIME = 20;
@@ -53,7 +53,7 @@
 /**
  * Starts a deployment in this process on loopback sockets.
  *
- * @returns The deployment, once every slot has its owners or {@linkcode FORMING_PATIENCE} has passed.
+ * @returns The deployment, once every slot has its owners or {@linkcode SLOT_ASSIGNMENT_TIMEOUT} has passed.
  * @throws {Error} If the first revision can't be written to the platform stand-in.
  */
 export async function startEmbedded(settings: EmbeddedSettings): Promise<EmbeddedDeployment> {
@@ -63,16 +63,16 @@
     listen: `${LOOPBACK}:0`,
     clock: systemClock,
     workers: backends.map(({ worker }) => worker),
-    entries: entryNames(settings),
+    entries: createEntryPlaces(settings),
     taken: (instance) => {
       // A reclaimed worker or entry instance stops immediately and loses its requests in progress.
       void backends.find(({ worker }) => worker.id === instance)?.listener.close();
       void entries.find(({ self }) => self.id.startsWith(`${instance}#`))?.close();
     },
   });
-  await writeRevision(settings, platform.address);
-  for (const entry of await startEntries(settings, platform.address)) entries.push(entry);
-  await untilFormed(entries);
+  await writeFirstRevision(settings, platform.address);
+  for (const entry of await startEntryInstances(settings, platform.address)) entries.push(entry);
+  await waitForSlotOwners(entries);
   return {
     entries,
     backends,
@@ -86,16 +86,16 @@
 }
 
 async function startBackends(settings: EmbeddedSettings): Promise<EmbeddedBackend[]> {
-  const places = Object.entries(settings.workers).flatMap(([service, count]) =>
+  const workers = Object.entries(settings.workers).flatMap(([service, count]) =>
     Array.from({ length: count }, (_, index) => ({ service, index })),
   );
-  const started = places.map(async ({ service, index }) => {
+  const started = workers.map(async ({ service, index }) => {
     const listener = await startBackend({
       listen: `${LOOPBACK}:0`,
       tokenTime: TOKEN_TIME,
       clock: systemClock,
     });
-    return { listener, worker: workerAt(settings, { service, index, backend: listener }) };
+    return { listener, worker: createWorker(settings, { service, index, backend: listener }) };
   });
   return Promise.all(started);
 }
@@ -104,27 +104,27 @@
  * Waits until every slot has a primary and, with more than one instance, a backup. Before that, a request may be
  * refused because no backup can store its record.
  */
-async function untilFormed(entries: readonly EntryInstance[]): Promise<void> {
-  const isOwned = ({ core }: EntryInstance): boolean =>
+async function waitForSlotOwners(entries: readonly EntryInstance[]): Promise<void> {
+  const hasSlotOwners = ({ core }: EntryInstance): boolean =>
     core.configuration
       .slotMap()
       .slots.every(
         ({ primary, backup }) => primary !== "" && (backup !== "" || entries.length < 2),
       );
   const startedAt = systemClock.now();
-  while (!entries.every(isOwned) && systemClock.now() - startedAt < FORMING_PATIENCE) {
-    await sleep(systemClock, FORMING_PERIOD);
+  while (!entries.every(hasSlotOwners) && systemClock.now() - startedAt < SLOT_ASSIGNMENT_TIMEOUT) {
+    await sleep(systemClock, SLOT_POLL_INTERVAL);
   }
 }
 
-function entryNames({ entryInstances, zones }: EmbeddedSettings): EntryPlace[] {
+function createEntryPlaces({ entryInstances, zones }: EmbeddedSettings): EntryPlace[] {
   return Array.from({ length: entryInstances }, (_, index) => ({
     name: `entry-${index + 1}`,
     zone: zones[index % zones.length] ?? "",
   }));
 }
 
-function workerAt(
+function createWorker(
   { zones }: EmbeddedSettings,
   { service, index, backend }: { service: string; index: number; backend: Listener },
 ): Worker {
@@ -139,7 +139,7 @@
   };
 }
 
-async function writeRevision(settings: EmbeddedSettings, platform: string): Promise<void> {
+async function writeFirstRevision(settings: EmbeddedSettings, platform: string): Promise<void> {
   const store = createHttpObjectStore(platform);
   const { source, preset } = settings;
   const value = formatRevision({ source, preset, changes: [] });
@@ -149,7 +149,7 @@
     throw new Error(`Can't write the first revision to the store: ${outcome.kind}.`);
 }
 
-async function startEntries(
+async function startEntryInstances(
   settings: EmbeddedSettings,
   platform: string,
 ): Promise<EntryInstance[]> {
--- a/src/cli/embedded_deployment_test.ts
+++ b/src/cli/embedded_deployment_test.ts
@@ -28,8 +28,8 @@
     max_completion_tokens: 3,
     messages: [{ role: "user", content: "Is chip 9 read?" }],
   });
-  let answer = "";
-  for await (const chunk of stream) answer += chunk.choices[0]?.delta.content ?? "";
+  let response = "";
+  for await (const chunk of stream) response += chunk.choices[0]?.delta.content ?? "";
   await deployment.close();
-  expect(answer).toBe(" word0 word1 word2");
+  expect(response).toBe(" word0 word1 word2");
 });
--- a/src/cli/embedded_operator_test.ts
+++ b/src/cli/embedded_operator_test.ts
@@ -22,36 +22,36 @@
   operatorKey: OPERATOR_KEY,
 };
 
-async function call(
+async function callInstance(
   deployment: EmbeddedDeployment,
   path: string,
   options: { method?: string; key?: string; body?: unknown } = {},
 ): Promise<{ status: number; text: string }> {
   const address = deployment.entries[0]?.self.callerAddress ?? "";
-  const answer = await fetch(`http://${address}${path}`, {
+  const response = await fetch(`http://${address}${path}`, {
     method: options.method ?? "GET",
     headers: { authorization: `Bearer ${options.key ?? OPERATOR_KEY}` },
     ...(options.body === undefined ? {} : { body: JSON.stringify(options.body) }),
   });
-  return { status: answer.status, text: await answer.text() };
+  return { status: response.status, text: await response.text() };
 }
 
 /** Polls the status until it is as expected: on a busy machine, instances may respond late to each other. */
-async function statusWhere(
+async function pollStatus(
   deployment: EmbeddedDeployment,
   isExpected: (status: StatusMessage) => boolean,
 ): Promise<StatusMessage> {
   for (;;) {
-    const { text } = await call(deployment, "/v1/operator/status");
+    const { text } = await callInstance(deployment, "/v1/operator/status");
     const status = statusMessage.parse(JSON.parse(text));
     if (isExpected(status)) return status;
   }
 }
 
 /** Polls the outcome of a change until it is known: it is "unknown" until the store has responded. */
-async function knownOutcome(deployment: EmbeddedDeployment, change: string): Promise<string> {
+async function pollOutcome(deployment: EmbeddedDeployment, change: string): Promise<string> {
   for (;;) {
-    const { text } = await call(deployment, `/v1/operator/changes/${change}`);
+    const { text } = await callInstance(deployment, `/v1/operator/changes/${change}`);
     const { kind } = changeOutcomeMessage.parse(JSON.parse(text));
     if (kind !== "unknown") return kind;
   }
@@ -61,34 +61,40 @@
   // Guards the whole operators' API: the status codes, and the outcome in each response.
   const deployment = await startEmbedded(SETTINGS);
   try {
-    const used = await call(deployment, "/v1/operator/preset/peak?wait=1", { method: "PUT" });
-    const outcome = changeOutcomeMessage.parse(JSON.parse(used.text));
-    expect([used.status, outcome]).toMatchObject([200, { kind: "accepted", revision: 2 }]);
-    expect(await knownOutcome(deployment, outcome.change)).toBe("accepted");
+    const switched = await callInstance(deployment, "/v1/operator/preset/peak?wait=1", {
+      method: "PUT",
+    });
+    const outcome = changeOutcomeMessage.parse(JSON.parse(switched.text));
+    expect([switched.status, outcome]).toMatchObject([200, { kind: "accepted", revision: 2 }]);
+    expect(await pollOutcome(deployment, outcome.change)).toBe("accepted");
 
-    const bad = { ...(DOCUMENT as object), zones: [] };
-    const applied = await call(deployment, "/v1/operator/deployment", {
+    const invalidDocument = { ...(DOCUMENT as object), zones: [] };
+    const applied = await callInstance(deployment, "/v1/operator/deployment", {
       method: "PUT",
-      body: { source: bad },
+      body: { source: invalidDocument },
     });
     expect([applied.status, changeOutcomeMessage.parse(JSON.parse(applied.text)).kind]).toEqual([
       422,
       "refused",
     ]);
 
-    const status = await statusWhere(deployment, ({ instances }) =>
+    const status = await pollStatus(deployment, ({ instances }) =>
       instances.every(({ revision }) => revision === 2),
     );
     expect([status.preset, status.instances.length]).toEqual(["peak", 3]);
-    const services = await call(deployment, "/v1/operator/services");
+    const services = await callInstance(deployment, "/v1/operator/services");
     expect(servicesMessage.parse(JSON.parse(services.text)).services).toHaveLength(2);
 
-    const drained = await call(deployment, "/v1/operator/drain/entry-2", { method: "POST" });
+    const drained = await callInstance(deployment, "/v1/operator/drain/entry-2", {
+      method: "POST",
+    });
     expect([drained.status, JSON.parse(drained.text)]).toMatchObject([202, { kind: "draining" }]);
-    const nobody = await call(deployment, "/v1/operator/drain/entry-9", { method: "POST" });
-    expect(nobody.status).toBe(404);
+    const unknownInstance = await callInstance(deployment, "/v1/operator/drain/entry-9", {
+      method: "POST",
+    });
+    expect(unknownInstance.status).toBe(404);
 
-    const metrics = await call(deployment, "/metrics");
+    const metrics = await callInstance(deployment, "/metrics");
     expect(metrics.text).toContain('samphireshore_refused_total{name="queue-full"} 0');
   } finally {
     await deployment.close();
@@ -102,13 +108,13 @@
   try {
     const paths = ["/v1/operator/status", "/v1/operator/services", "/metrics"];
     for (const path of paths) {
-      expect((await call(deployment, path, { key: "wrong-key" })).status).toBe(401);
+      expect((await callInstance(deployment, path, { key: "wrong-key" })).status).toBe(401);
     }
-    const used = await call(deployment, "/v1/operator/preset/peak", {
+    const switched = await callInstance(deployment, "/v1/operator/preset/peak", {
       method: "PUT",
       key: "wrong-key",
     });
-    expect(used.status).toBe(401);
+    expect(switched.status).toBe(401);
     const core = deployment.entries[0]?.core;
     expect(core?.configuration.revision()?.preset).toBe("day");
     expect(core?.counters.values.get("refused.unauthenticated")).toBe(4);
--- a/src/cli/embedded_reclaim_test.ts
+++ b/src/cli/embedded_reclaim_test.ts
@@ -20,9 +20,9 @@
   });
   try {
     const zone = ASSOCIATION.zones[0] ?? "";
-    const taken = deployment.platform.cloud.reclaim({ zone, within: 600_000 });
-    expect(taken).toEqual(["finish-desk-0", "entry-1"]);
-    const isKnown = (): boolean =>
+    const reclaimed = deployment.platform.cloud.reclaim({ zone, within: 600_000 });
+    expect(reclaimed).toEqual(["finish-desk-0", "entry-1"]);
+    const isLeavingEverywhere = (): boolean =>
       deployment.entries.every(
         ({ core }) =>
           core.workers.find("finish-desk-0")?.state === WorkerState.Leaving &&
@@ -30,7 +30,7 @@
       );
     // There is no time limit here but the test's own, because the machine may be busy. Tests on the virtual clock
     // check how long it takes.
-    while (!isKnown()) await sleep(systemClock, 20);
+    while (!isLeavingEverywhere()) await sleep(systemClock, 20);
     expect(deployment.platform.cloud.notices()).toHaveLength(2);
   } finally {
     await deployment.close();
--- a/src/cli/fetch_routed_status.ts
+++ b/src/cli/fetch_routed_status.ts
@@ -4,7 +4,7 @@
 import type { RoutedStatus } from "../process/routed_status.ts";
 
 /** Time limit for the response, in milliseconds. */
-const TIMEOUT = 5_000;
+const REQUEST_TIMEOUT = 5_000;
 
 /**
  * Fetches the status of an entry instance that serves routed requests. If the request fails or the response is
@@ -15,10 +15,10 @@
  */
 export async function fetchRoutedStatus(command: Command, address: string): Promise<RoutedStatus> {
   try {
-    const answer = await request(`http://${address}/status`, {
-      signal: AbortSignal.timeout(TIMEOUT),
+    const response = await request(`http://${address}/status`, {
+      signal: AbortSignal.timeout(REQUEST_TIMEOUT),
     });
-    return routedStatusSchema.parse(await answer.body.json());
+    return routedStatusSchema.parse(await response.body.json());
   } catch (cause) {
     return command.error(`Can't fetch the status from ${address}: ${String(cause)}.`, { exit: 2 });
   }
--- a/src/cli/init.ts
+++ b/src/cli/init.ts
@@ -1,12 +1,12 @@
 import { mkdir, writeFile } from "node:fs/promises";
 import { join } from "node:path";
 import { Args, Command, Flags } from "@oclif/core";
-import { ASSOCIATION, KORTFILM, settingsFiles } from "./template/index.ts";
+import { ASSOCIATION, KORTFILM_TEMPLATE, createSettingsFiles } from "./template/index.ts";
 
-const TEMPLATES = { association: ASSOCIATION, kortfilm: KORTFILM };
+const TEMPLATES = { association: ASSOCIATION, kortfilm: KORTFILM_TEMPLATE };
 /** File modes: files with credentials are readable by their owner only, the others by everyone. */
-const OWNER_ONLY = 0o600;
-const EVERYONE_READS = 0o644;
+const OWNER_ONLY_MODE = 0o600;
+const WORLD_READABLE_MODE = 0o644;
 
 /** `samphireshore init`: writes all settings files of a deployment. */
 export class Init extends Command {
@@ -27,24 +27,24 @@
 
   override async run(): Promise<{ files: string[] }> {
     const { args, flags } = await this.parse(Init);
-    const template = args.deployment === "kortfilm" ? KORTFILM : ASSOCIATION;
+    const template = args.deployment === "kortfilm" ? KORTFILM_TEMPLATE : ASSOCIATION;
     await mkdir(args.dir, { recursive: true });
     const files: string[] = [];
-    for (const file of settingsFiles(template)) {
+    for (const file of createSettingsFiles(template)) {
       const path = join(args.dir, file.name);
-      await this.write(path, { ...file, force: flags.force });
+      await this.writeSettingsFile(path, { ...file, force: flags.force });
       files.push(path);
       this.log(path);
     }
     return { files };
   }
 
-  private async write(
+  private async writeSettingsFile(
     path: string,
-    { text, secret, force }: { text: string; secret: boolean; force: boolean },
+    { text, isSecret, force }: { text: string; isSecret: boolean; force: boolean },
   ): Promise<void> {
     try {
-      const mode = secret ? OWNER_ONLY : EVERYONE_READS;
+      const mode = isSecret ? OWNER_ONLY_MODE : WORLD_READABLE_MODE;
       await writeFile(path, text, { mode, flag: force ? "w" : "wx" });
     } catch (cause) {
       this.error(
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -10,14 +10,14 @@
  * oclif could look for commands.
  */
 function createPlugin(root: string, pjson: Interfaces.PJSON): Interfaces.Plugin {
-  const commands = Object.entries(COMMANDS).map(([id, command]) => loadable(id, command));
+  const commands = Object.entries(COMMANDS).map(([id, command]) => createLoadable(id, command));
   return {
     _base: "",
     alias: NAME,
     commandIDs: Object.keys(COMMANDS),
     commands,
     commandsDir: undefined,
-    findCommand: (id: string) => Promise.resolve(commandOf(id)),
+    findCommand: (id: string) => Promise.resolve(findCommand(id)),
     hasManifest: false,
     hooks: {},
     isRoot: true,
@@ -34,20 +34,20 @@
   } as unknown as Interfaces.Plugin;
 }
 
-function commandOf(id: string): Command.Class {
+function findCommand(id: string): Command.Class {
   const command = COMMANDS[id];
   if (command === undefined) throw new Error(`Unknown command "${id}".`);
   return command;
 }
 
-function loadable(id: string, command: Command.Class): Command.Loadable {
+function createLoadable(id: string, command: Command.Class): Command.Loadable {
   return {
     id,
     aliases: command.aliases,
-    args: named(command.args),
+    args: withNames(command.args),
     description: command.description,
     examples: command.examples,
-    flags: named({ ...command.baseFlags, ...command.flags }),
+    flags: withNames({ ...command.baseFlags, ...command.flags }),
     hidden: false,
     hiddenAliases: [],
     hasDynamicHelp: false,
@@ -66,7 +66,9 @@
  * Adds a `name` property to each argument or flag. For plugins loaded from files, oclif does this itself. Without
  * the names, the help of a command that takes arguments fails.
  */
-function named<Part extends object>(parts: Readonly<Record<string, Part>>): Record<string, Part> {
+function withNames<Part extends object>(
+  parts: Readonly<Record<string, Part>>,
+): Record<string, Part> {
   return Object.fromEntries(Object.entries(parts).map(([name, part]) => [name, { ...part, name }]));
 }
 
--- a/src/cli/operator_client.ts
+++ b/src/cli/operator_client.ts
@@ -4,7 +4,7 @@
 import { Agent, request } from "undici";
 import { z } from "zod";
 import { secretsSchema } from "../process/index.ts";
-import { readText } from "./check.ts";
+import { readTextFile } from "./check.ts";
 import { readSettings } from "./read_settings.ts";
 
 /** Flags of every command that calls the operators' API of an entry instance. */
@@ -49,7 +49,7 @@
 }
 
 /** Result of a call of the operators' API. */
-export type OperatorAnswer<T> =
+export type OperatorResult<T> =
   /** The response body matches the schema. */
   | { readonly kind: "answered"; readonly value: T; readonly status: number }
   /** The entry instance rejected the call, which had no effect. */
@@ -72,42 +72,50 @@
   command: Command,
   flags: OperatorFlags,
   call: OperatorCall<T>,
-): Promise<OperatorAnswer<T>> {
-  const key = await operatorKey(command, flags);
-  const asked = `${call.method} ${call.path} at ${flags.entry}`;
-  const ca = flags.ca === undefined ? undefined : await readText(command, flags.ca);
+): Promise<OperatorResult<T>> {
+  const key = await readOperatorKey(command, flags);
+  const callDescription = `${call.method} ${call.path} at ${flags.entry}`;
+  const ca = flags.ca === undefined ? undefined : await readTextFile(command, flags.ca);
   const scheme = ca === undefined ? "http" : "https";
   const dispatcher = new Agent(ca === undefined ? {} : { connect: { ca } });
   try {
-    const answer = await request(`${scheme}://${flags.entry}${call.path}`, {
+    const response = await request(`${scheme}://${flags.entry}${call.path}`, {
       method: call.method,
       dispatcher,
       headers: { authorization: `Bearer ${key}`, "content-type": "application/json" },
       body: call.body === undefined ? null : JSON.stringify(call.body),
       signal: AbortSignal.timeout(call.timeout ?? DEFAULT_TIMEOUT),
     });
-    return answered(await answer.body.text(), { call, status: answer.statusCode, asked });
+    return parseResponse(await response.body.text(), {
+      call,
+      status: response.statusCode,
+      callDescription,
+    });
   } catch (cause) {
-    const detail = `${asked} failed: ${String(cause)}.`;
-    return isRefused(cause) ? { kind: "not-sent", detail } : { kind: "lost", detail };
+    const detail = `${callDescription} failed: ${String(cause)}.`;
+    return isConnectionRefused(cause) ? { kind: "not-sent", detail } : { kind: "lost", detail };
   } finally {
     await dispatcher.destroy();
   }
 }
 
-function answered<T>(
+function parseResponse<T>(
   text: string,
-  { call, status, asked }: { call: OperatorCall<T>; status: number; asked: string },
-): OperatorAnswer<T> {
-  const parsed = call.schema.safeParse(jsonOf(text));
+  {
+    call,
+    status,
+    callDescription,
+  }: { call: OperatorCall<T>; status: number; callDescription: string },
+): OperatorResult<T> {
+  const parsed = call.schema.safeParse(parseJson(text));
   if (parsed.success) return { kind: "answered", value: parsed.data, status };
-  const refusal = refusalSchema.safeParse(jsonOf(text));
-  const found = refusal.success ? refusal.data.error.message : text;
-  const detail = `${asked} returned status ${status}: ${found}`;
+  const refusal = refusalSchema.safeParse(parseJson(text));
+  const message = refusal.success ? refusal.data.error.message : text;
+  const detail = `${callDescription} returned status ${status}: ${message}`;
   return { kind: "turned-away", detail };
 }
 
-function jsonOf(text: string): unknown {
+function parseJson(text: string): unknown {
   try {
     return JSON.parse(text);
   } catch {
@@ -115,31 +123,31 @@
   }
 }
 
-function isRefused(cause: unknown): boolean {
+function isConnectionRefused(cause: unknown): boolean {
   return cause instanceof Error && "code" in cause && cause.code === "ECONNREFUSED";
 }
 
-async function operatorKey(command: Command, flags: OperatorFlags): Promise<string> {
+async function readOperatorKey(command: Command, flags: OperatorFlags): Promise<string> {
   if (flags["operator-key"] !== undefined) return flags["operator-key"];
   if (flags.secrets === undefined) {
-    const ways = "--operator-key, SAMPHIRESHORE_OPERATOR_KEY or --secrets FILE";
-    return command.error(`The operator credential is missing: use ${ways}.`, { exit: 2 });
+    const sources = "--operator-key, SAMPHIRESHORE_OPERATOR_KEY or --secrets FILE";
+    return command.error(`The operator credential is missing: use ${sources}.`, { exit: 2 });
   }
   const secrets = await readSettings(command, flags.secrets, { schema: secretsSchema });
   return secrets.operatorKey;
 }
 
 /** Makes a read-only call and returns the response body. If the call fails, the command ends with exit code 2. */
-export async function askOperator<T>(
+export async function queryOperator<T>(
   command: Command,
   flags: OperatorFlags,
   call: OperatorCall<T>,
 ): Promise<T> {
-  const answer = await callOperator(command, flags, call);
-  return answer.kind === "answered" ? answer.value : command.error(answer.detail, { exit: 2 });
+  const result = await callOperator(command, flags, call);
+  return result.kind === "answered" ? result.value : command.error(result.detail, { exit: 2 });
 }
 
 /** Creates a unique change id. */
-export function newChangeId(): string {
+export function createChangeId(): string {
   return randomUUID();
 }
--- a/src/cli/preset_list.ts
+++ b/src/cli/preset_list.ts
@@ -1,8 +1,8 @@
 import { Command } from "@oclif/core";
 import type { ServicesMessage } from "../connection/index.ts";
 import { OPERATOR_FLAGS } from "./operator_client.ts";
-import { askServices } from "./services.ts";
-import { textTable } from "./text_table.ts";
+import { fetchServices } from "./services.ts";
+import { formatTable } from "./text_table.ts";
 
 /** `samphireshore preset list`: lists the presets and marks the one in force. */
 export class PresetList extends Command {
@@ -13,9 +13,9 @@
 
   override async run(): Promise<ServicesMessage["presets"]> {
     const { flags } = await this.parse(PresetList);
-    const { presets } = await askServices(this, flags);
+    const { presets } = await fetchServices(this, flags);
     this.log(
-      textTable(presets.map(({ name, about, inForce }) => [inForce ? "*" : "", name, about])),
+      formatTable(presets.map(({ name, about, inForce }) => [inForce ? "*" : "", name, about])),
     );
     return presets;
   }
--- a/src/cli/read_settings.ts
+++ b/src/cli/read_settings.ts
@@ -1,7 +1,7 @@
 import type { Command } from "@oclif/core";
 import type { z } from "zod";
 import { parseSettings } from "../version/index.ts";
-import { faultLine, readText } from "./check.ts";
+import { formatFault, readTextFile } from "./check.ts";
 
 /**
  * Reads and validates a settings file. If it has faults, the command prints all of them and ends with exit code 1;
@@ -16,7 +16,7 @@
   file: string,
   { schema }: { schema: z.ZodType<T> },
 ): Promise<T> {
-  const result = parseSettings(await readText(command, file), { schema, file });
+  const result = parseSettings(await readTextFile(command, file), { schema, file });
   if (result.kind === "valid") return result.settings;
-  return command.error(result.faults.map(faultLine).join("\n"), { exit: 1 });
+  return command.error(result.faults.map(formatFault).join("\n"), { exit: 1 });
 }
--- a/src/cli/replay.ts
+++ b/src/cli/replay.ts
@@ -12,10 +12,10 @@
 import type { Report, Sample, Trace } from "../standin/replay/index.ts";
 
 /** Value of `--policy` that selects every policy. */
-const ALL = "all";
+const ALL_POLICIES = "all";
 /** Exit codes. */
-const OUTCOME_FAILED = 1;
-const UNREADABLE = 2;
+const EXIT_OUTCOME_FAILED = 1;
+const EXIT_UNREADABLE = 2;
 
 /** `samphireshore replay`: replays recorded traces on a virtual clock. */
 export class Replay extends Command {
@@ -30,7 +30,7 @@
   static override flags = {
     policy: Flags.string({
       description: 'Policy to replay with; "all" replays every policy and compares the results.',
-      options: [...Object.values(PolicyName), ALL],
+      options: [...Object.values(PolicyName), ALL_POLICIES],
       default: PolicyName.Current,
     }),
     seed: Flags.integer({ description: "Seed of the replay; defaults to the seed of the trace." }),
@@ -43,45 +43,50 @@
 
   override async run(): Promise<void> {
     const { argv, flags } = await this.parse(Replay);
-    if (argv.length === 0) this.error("Found no file to replay.", { exit: UNREADABLE });
+    if (argv.length === 0) this.error("Found no file to replay.", { exit: EXIT_UNREADABLE });
     const traces: Trace[] = [];
-    for (const file of argv) traces.push(await this.read(String(file)));
-    const names = Object.values(PolicyName).filter((name) => [name, ALL].includes(flags.policy));
+    for (const file of argv) traces.push(await this.readTrace(String(file)));
+    const names = Object.values(PolicyName).filter((name) =>
+      [name, ALL_POLICIES].includes(flags.policy),
+    );
     const reports: Report[] = [];
     const samples: Sample[] = [];
     for (const trace of traces) {
       for (const name of names) {
         const seed = flags.seed ?? trace.header.seed;
-        const first = reports.length === 0;
-        const sample = (taken: Sample): void => {
-          if (first) samples.push(taken);
+        const isFirst = reports.length === 0;
+        const recordSample = (sample: Sample): void => {
+          if (isFirst) samples.push(sample);
         };
-        const report = replay(trace, { policy: policyOf(name), seed, sample });
+        const report = replay(trace, { policy: policyOf(name), seed, sample: recordSample });
         reports.push(report);
         if (flags.json) this.log(JSON.stringify(report));
       }
     }
     if (flags.plot !== undefined) await writePlot(flags.plot, { trace: traces[0], samples });
-    if (!flags.json) this.show(reports);
-    const judged = reports.filter(({ policy }) => names.length === 1 || policy === names[0]);
-    if (judged.some(({ holds }) => !holds)) this.exit(OUTCOME_FAILED);
+    if (!flags.json) this.printReports(reports);
+    // With several policies, the stated outcomes are checked for the first one only.
+    const checkedReports = reports.filter(
+      ({ policy }) => names.length === 1 || policy === names[0],
+    );
+    if (checkedReports.some(({ holds }) => !holds)) this.exit(EXIT_OUTCOME_FAILED);
   }
 
-  private show(reports: readonly Report[]): void {
+  private printReports(reports: readonly Report[]): void {
     for (const report of reports) this.log(formatReport(report));
     if (reports.length > 1) this.log(`\n${formatComparison(reports)}`);
   }
 
-  private async read(file: string): Promise<Trace> {
+  private async readTrace(file: string): Promise<Trace> {
     let text: string;
     try {
       text = await readFile(file, "utf8");
     } catch (error) {
-      return this.error(`Can't read ${file}: ${String(error)}.`, { exit: UNREADABLE });
+      return this.error(`Can't read ${file}: ${String(error)}.`, { exit: EXIT_UNREADABLE });
     }
     const result = parseTrace(text, file);
     if (result.kind === "read") return result.trace;
-    return this.error(`${file}:${result.line}: ${result.message}`, { exit: UNREADABLE });
+    return this.error(`${file}:${result.line}: ${result.message}`, { exit: EXIT_UNREADABLE });
   }
 }
 
--- a/src/cli/request.ts
+++ b/src/cli/request.ts
@@ -1,7 +1,7 @@
 import { Args, Command } from "@oclif/core";
 import { requestMessage } from "../connection/index.ts";
 import type { RequestMessage } from "../connection/index.ts";
-import { askOperator, OPERATOR_FLAGS } from "./operator_client.ts";
+import { queryOperator, OPERATOR_FLAGS } from "./operator_client.ts";
 
 /** `samphireshore request`: shows the state of a request. */
 export class Request extends Command {
@@ -15,14 +15,14 @@
     const { args, flags } = await this.parse(Request);
     const path = `/v1/operator/requests/${encodeURIComponent(args.id)}`;
     const call = { method: "GET", path, schema: requestMessage } as const;
-    const found = await askOperator(this, flags, call);
+    const status = await queryOperator(this, flags, call);
     const times = {
-      accepted: new Date(found.acceptedAt).toISOString(),
-      deadline: new Date(found.deadlineAt).toISOString(),
+      accepted: new Date(status.acceptedAt).toISOString(),
+      deadline: new Date(status.deadlineAt).toISOString(),
     };
-    for (const [name, value] of Object.entries({ ...found, ...times })) {
+    for (const [name, value] of Object.entries({ ...status, ...times })) {
       if (value !== "") this.log(`${name}: ${value}`);
     }
-    return found;
+    return status;
   }
 }
--- a/src/cli/rollout_status.ts
+++ b/src/cli/rollout_status.ts
@@ -1,9 +1,9 @@
 import { Args, Command, Flags } from "@oclif/core";
 import type { RoutedStatus } from "../process/routed_status.ts";
 import { fetchRoutedStatus } from "./fetch_routed_status.ts";
-import { textTable } from "./text_table.ts";
+import { formatTable } from "./text_table.ts";
 
-const MILLISECONDS = 1_000;
+const MILLISECONDS_PER_SECOND = 1_000;
 
 /** `samphireshore rollout status`: shows the progress of the orders to move services to other worker versions. */
 export class RolloutStatus extends Command {
@@ -24,27 +24,39 @@
   override async run(): Promise<RoutedStatus["rollouts"]> {
     const { args, flags } = await this.parse(RolloutStatus);
     const status = await fetchRoutedStatus(this, flags.metrics);
-    const found = status.rollouts.filter(
+    const rollouts = status.rollouts.filter(
       ({ service }) => args.service === undefined || service === args.service,
     );
-    if (found.length === 0 && args.service !== undefined) {
+    if (rollouts.length === 0 && args.service !== undefined) {
       this.error(`No rollout has been ordered for the service ${args.service}.`, { exit: 1 });
     }
-    const rows = found.map((one) => [
-      one.service,
-      `${one.base} to ${one.to}`,
-      one.state ?? "not started",
-      one.phase ?? "",
-      one.since === undefined ? "" : `${secondsOf(one.since)} of ${secondsOf(one.duration)}`,
-      `${one.tried} of ${one.sent}`,
-      one.verdict === undefined ? "" : `${one.verdict} (${(one.evidence ?? 0).toFixed(1)})`,
+    const rows = rollouts.map((rollout) => [
+      rollout.service,
+      `${rollout.base} to ${rollout.to}`,
+      rollout.state ?? "not started",
+      rollout.phase ?? "",
+      rollout.since === undefined
+        ? ""
+        : `${formatSeconds(rollout.since)} of ${formatSeconds(rollout.duration)}`,
+      `${rollout.tried} of ${rollout.sent}`,
+      rollout.verdict === undefined
+        ? ""
+        : `${rollout.verdict} (${(rollout.evidence ?? 0).toFixed(1)})`,
     ]);
-    const heads = ["SERVICE", "VERSIONS", "STATE", "PHASE", "TIME", "TRIED HERE", "VERDICT"];
-    this.log(textTable([heads, ...rows]));
-    return found;
+    const headings = [
+      "SERVICE",
+      "VERSIONS",
+      "STATE",
+      "PHASE",
+      "TIME",
+      "SENT TO NEW VERSION",
+      "VERDICT",
+    ];
+    this.log(formatTable([headings, ...rows]));
+    return rollouts;
   }
 }
 
-function secondsOf(milliseconds: number): string {
-  return `${(milliseconds / MILLISECONDS).toFixed(1)} s`;
+function formatSeconds(milliseconds: number): string {
+  return `${(milliseconds / MILLISECONDS_PER_SECOND).toFixed(1)} s`;
 }
--- a/src/cli/routed.ts
+++ b/src/cli/routed.ts
@@ -1,10 +1,10 @@
 import { Command, Flags } from "@oclif/core";
 import type { RoutedStatus } from "../process/routed_status.ts";
 import { fetchRoutedStatus } from "./fetch_routed_status.ts";
-import { textTable } from "./text_table.ts";
+import { formatTable } from "./text_table.ts";
 
 const PERCENT = 100;
-const MILLISECONDS = 1_000;
+const MILLISECONDS_PER_SECOND = 1_000;
 
 /** `samphireshore routed`: shows the status of an entry instance that serves routed requests. */
 export class Routed extends Command {
@@ -21,47 +21,47 @@
 
   override async run(): Promise<RoutedStatus> {
     const { flags } = await this.parse(Routed);
-    const found = await fetchRoutedStatus(this, flags.metrics);
-    this.show(found);
-    return found;
+    const status = await fetchRoutedStatus(this, flags.metrics);
+    this.printStatus(status);
+    return status;
   }
 
-  private show(found: RoutedStatus): void {
-    const { instance, zone, routing, inProgress } = found;
-    const state = found.stopping ? "stopping" : found.ready ? "ready" : "not ready";
-    const store = found.reachesStore ? "reached" : "not reached";
+  private printStatus(status: RoutedStatus): void {
+    const { instance, zone, routing, inProgress } = status;
+    const state = status.stopping ? "stopping" : status.ready ? "ready" : "not ready";
+    const store = status.reachesStore ? "reached" : "not reached";
     this.log(
-      `${instance} in ${zone}: ${state}, configuration ${routing ?? "unknown"}, ${inProgress} in progress, store ${store}${found.holdsLease ? ", holds the lease" : ""}`,
+      `${instance} in ${zone}: ${state}, configuration ${routing ?? "unknown"}, ${inProgress} in progress, store ${store}${status.holdsLease ? ", holds the lease" : ""}`,
     );
-    const instances = found.instances.map((one) => [
-      one.name,
-      one.zone,
-      one.callers,
-      one.ready ? "ready" : "not ready",
-      one.reachesStore ? "" : "store not reached",
-      one.holdsLease ? "lease" : "",
-      one.age === undefined ? "via peers" : `${one.age} ms`,
+    const instances = status.instances.map((member) => [
+      member.name,
+      member.zone,
+      member.callers,
+      member.ready ? "ready" : "not ready",
+      member.reachesStore ? "" : "store not reached",
+      member.holdsLease ? "lease" : "",
+      member.age === undefined ? "via peers" : `${member.age} ms`,
     ]);
     this.log(
-      textTable([["INSTANCE", "ZONE", "CALLERS", "STATE", "", "", "LAST MESSAGE"], ...instances]),
+      formatTable([["INSTANCE", "ZONE", "CALLERS", "STATE", "", "", "LAST MESSAGE"], ...instances]),
     );
-    const routes = found.routes.map((route) => [
+    const routes = status.routes.map((route) => [
       route.name,
       route.host + route.pathPrefix,
       route.services.join(", "),
       `${route.timeout} ms`,
       String(route.attempts),
     ]);
-    this.log(textTable([["ROUTE", "PREFIX", "SERVICES", "TIMEOUT", "ATTEMPTS"], ...routes]));
-    if (found.quarantine.length > 0) {
-      const kept = found.quarantine.map(({ print, crashes, since }) => [
+    this.log(formatTable([["ROUTE", "PREFIX", "SERVICES", "TIMEOUT", "ATTEMPTS"], ...routes]));
+    if (status.quarantine.length > 0) {
+      const quarantined = status.quarantine.map(({ print, crashes, since }) => [
         print,
         String(crashes),
-        `${Math.round(since / MILLISECONDS)} s ago`,
+        `${Math.round(since / MILLISECONDS_PER_SECOND)} s ago`,
       ]);
-      this.log(textTable([["QUARANTINED", "CRASHES", "SINCE"], ...kept]));
+      this.log(formatTable([["QUARANTINED", "CRASHES", "SINCE"], ...quarantined]));
     }
-    const workers = found.workers.map((worker) => [
+    const workers = status.workers.map((worker) => [
       worker.id,
       worker.service,
       worker.version,
@@ -72,7 +72,7 @@
       `${Math.round(worker.failing * PERCENT)} %`,
       worker.limit === undefined ? "" : `${worker.limit} per second`,
     ]);
-    const heads = [
+    const headings = [
       "WORKER",
       "SERVICE",
       "VERSION",
@@ -83,6 +83,6 @@
       "FAILING",
       "LIMIT",
     ];
-    this.log(textTable([heads, ...workers]));
+    this.log(formatTable([headings, ...workers]));
   }
 }
--- a/src/cli/serve.ts
+++ b/src/cli/serve.ts
@@ -11,7 +11,7 @@
 } from "../process/index.ts";
 import type { EntrySettingsFile, Secrets } from "../process/index.ts";
 import { readSettings } from "./read_settings.ts";
-import { untilStopped } from "./stop_signal.ts";
+import { waitForStopSignal } from "./stop_signal.ts";
 
 /** `samphireshore serve`: runs one entry instance. */
 export class Serve extends Command {
@@ -24,9 +24,9 @@
   override async run(): Promise<void> {
     const { flags } = await this.parse(Serve);
     const settings = await readSettings(this, flags.settings, { schema: entrySettingsSchema });
-    const secrets = await this.secretsOf(settings, flags.settings);
+    const secrets = await this.readSecrets(settings, flags.settings);
     const entry = await startEntry(
-      { ...settings, ...tlsOf(settings, flags.settings), secrets },
+      { ...settings, ...resolveTlsPaths(settings, flags.settings), secrets },
       {
         clock: systemClock,
         random: systemRandom,
@@ -41,14 +41,14 @@
     const { callerAddress, address } = entry.self;
     this.log(JSON.stringify({ ready: true, callers: callerAddress, peers: address }));
     // A signal starts a planned stop, which lets requests in progress finish. Further signals have no effect.
-    void untilStopped().then(() => entry.core.drain());
+    void waitForStopSignal().then(() => entry.core.drain());
     await entry.core.whenDrained();
     await entry.close();
     // Exit explicitly: timers of slow periodic reads would keep the idle process alive for up to 30 seconds.
     this.exit(0);
   }
 
-  private secretsOf({ secrets }: EntrySettingsFile, settingsFile: string): Promise<Secrets> {
+  private readSecrets({ secrets }: EntrySettingsFile, settingsFile: string): Promise<Secrets> {
     if (typeof secrets !== "string") return Promise.resolve(secrets);
     const file = resolve(dirname(settingsFile), secrets);
     return readSettings(this, file, { schema: secretsSchema });
@@ -56,7 +56,10 @@
 }
 
 /** Resolves the paths of the certificate and its key relative to the folder of the settings file. */
-function tlsOf({ tls }: EntrySettingsFile, settingsFile: string): Pick<EntrySettingsFile, "tls"> {
+function resolveTlsPaths(
+  { tls }: EntrySettingsFile,
+  settingsFile: string,
+): Pick<EntrySettingsFile, "tls"> {
   if (tls === undefined) return {};
   const folder = dirname(settingsFile);
   const certificate = resolve(folder, tls.certificate);
--- a/src/cli/services.ts
+++ b/src/cli/services.ts
@@ -1,9 +1,9 @@
 import { Command } from "@oclif/core";
 import { servicesMessage } from "../connection/index.ts";
 import type { ServicesMessage } from "../connection/index.ts";
-import { askOperator, OPERATOR_FLAGS } from "./operator_client.ts";
+import { queryOperator, OPERATOR_FLAGS } from "./operator_client.ts";
 import type { OperatorFlags } from "./operator_client.ts";
-import { textTable } from "./text_table.ts";
+import { formatTable } from "./text_table.ts";
 
 /** `samphireshore services`: lists the services with their workers and the limits set by the preset. */
 export class Services extends Command {
@@ -15,8 +15,8 @@
 
   override async run(): Promise<ServicesMessage> {
     const { flags } = await this.parse(Services);
-    const found = await askServices(this, flags);
-    const rows = found.services.map((service) => [
+    const response = await fetchServices(this, flags);
+    const rows = response.services.map((service) => [
       service.name,
       service.kind,
       service.models.join(" "),
@@ -26,14 +26,14 @@
         .map(([state, count]) => `${count} ${state}`)
         .join(", "),
     ]);
-    this.log(`revision ${found.revision}, preset ${found.preset}`);
-    this.log(textTable([["SERVICE", "KIND", "MODELS", "", "PRESET", "WORKERS"], ...rows]));
-    return found;
+    this.log(`revision ${response.revision}, preset ${response.preset}`);
+    this.log(formatTable([["SERVICE", "KIND", "MODELS", "", "PRESET", "WORKERS"], ...rows]));
+    return response;
   }
 }
 
 /** Fetches the services and presets from an entry instance. If that fails, the command ends with exit code 2. */
-export function askServices(command: Command, flags: OperatorFlags): Promise<ServicesMessage> {
+export function fetchServices(command: Command, flags: OperatorFlags): Promise<ServicesMessage> {
   const call = { method: "GET", path: "/v1/operator/services", schema: servicesMessage } as const;
-  return askOperator(command, flags, call);
+  return queryOperator(command, flags, call);
 }
--- a/src/cli/standin.ts
+++ b/src/cli/standin.ts
@@ -6,7 +6,7 @@
 import { startBackend, startPlatform } from "../standin/index.ts";
 import { duration } from "../version/index.ts";
 import { readSettings } from "./read_settings.ts";
-import { untilStopped } from "./stop_signal.ts";
+import { waitForStopSignal } from "./stop_signal.ts";
 
 const backendSchema = z.strictObject({
   tokenTime: duration,
@@ -55,7 +55,7 @@
         : await this.startBackends(flags.settings);
     const addresses = listeners.map((listener) => listener.address);
     this.log(JSON.stringify({ ready: true, addresses }));
-    await untilStopped();
+    await waitForStopSignal();
     await Promise.all(listeners.map((listener) => listener.close()));
   }
 
--- a/src/cli/status.ts
+++ b/src/cli/status.ts
@@ -1,8 +1,8 @@
 import { Command } from "@oclif/core";
 import { statusMessage } from "../connection/index.ts";
 import type { StatusMessage } from "../connection/index.ts";
-import { askOperator, OPERATOR_FLAGS } from "./operator_client.ts";
-import { textTable } from "./text_table.ts";
+import { queryOperator, OPERATOR_FLAGS } from "./operator_client.ts";
+import { formatTable } from "./text_table.ts";
 
 /**
  * `samphireshore status`: shows the entry instances with the slots that they own and the versions in force, the
@@ -20,21 +20,21 @@
   override async run(): Promise<StatusMessage> {
     const { flags } = await this.parse(Status);
     const call = { method: "GET", path: "/v1/operator/status", schema: statusMessage } as const;
-    const found = await askOperator(this, flags, call);
-    this.show(found);
-    return found;
+    const status = await queryOperator(this, flags, call);
+    this.printStatus(status);
+    return status;
   }
 
-  private show(found: StatusMessage): void {
-    const { slots } = found;
+  private printStatus(status: StatusMessage): void {
+    const { slots } = status;
     this.log(
-      `${found.instance}: revision ${found.revision}, preset ${found.preset}, slot map ${found.slotMap}`,
+      `${status.instance}: revision ${status.revision}, preset ${status.preset}, slot map ${status.slotMap}`,
     );
-    if (found.cutOff)
+    if (status.cutOff)
       this.log(
         "cut off: it receives messages from neither the store nor any peer, and accepts no new requests",
       );
-    const rows = found.instances.map((instance) => [
+    const rows = status.instances.map((instance) => [
       instance.id,
       instance.zone,
       instance.callers,
@@ -44,7 +44,7 @@
       String(instance.primaryOf),
       String(instance.backupOf),
     ]);
-    const heads = [
+    const headings = [
       "INSTANCE",
       "ZONE",
       "CALLERS",
@@ -54,19 +54,19 @@
       "PRIMARY",
       "BACKUP",
     ];
-    this.log(textTable([heads, ...rows]));
+    this.log(formatTable([headings, ...rows]));
     this.log(
       `slots: ${slots.unassigned} unassigned, ${slots.withoutBackup} without a backup, ${slots.historyLost} with lost history`,
     );
     this.log(
-      `leaving backend servers: ${found.leaving.length === 0 ? "none" : found.leaving.join(", ")}`,
+      `leaving backend servers: ${status.leaving.length === 0 ? "none" : status.leaving.join(", ")}`,
     );
-    this.log(`refusals: ${countsOf(found.refusals)}`);
-    this.log(`retries: ${countsOf(found.retries)}`);
+    this.log(`refusals: ${formatCounts(status.refusals)}`);
+    this.log(`retries: ${formatCounts(status.retries)}`);
   }
 }
 
-function countsOf(counts: Readonly<Record<string, number>>): string {
+function formatCounts(counts: Readonly<Record<string, number>>): string {
   const present = Object.entries(counts).filter(([, count]) => count > 0);
   if (present.length === 0) return "none";
   return present.map(([reason, count]) => `${reason} ${count}`).join(", ");
--- a/src/cli/template/association.ts
+++ b/src/cli/template/association.ts
@@ -8,7 +8,7 @@
   workers: { "entry-model": 13, "finish-desk": 4 },
   accounts: ["club-sofia", "federation", "finish-tent", "club-plovdiv", "club-varna"],
   preset: "day",
-  document: (
+  formatDocument: (
     hashes,
   ) => `// The deployment for orienteering entries. Keep this file in version control and put it in force with
 //   samphireshore apply deployment.jsonc --wait
--- a/src/cli/template/deployment_template.ts
+++ b/src/cli/template/deployment_template.ts
@@ -14,13 +14,13 @@
   /** Name of the preset in the first revision. */
   readonly preset: string;
   /** Formats the deployment document, JSON with comments, from the SHA-256 of each client account's API key. */
-  readonly document: (hashes: Readonly<Record<string, string>>) => string;
+  readonly formatDocument: (hashes: Readonly<Record<string, string>>) => string;
 }
 
 const KEY_BYTES = 16;
 
 /** Creates a random credential of 128 bits, in hexadecimal. */
-export function randomKey(): string {
+export function createRandomKey(): string {
   return randomBytes(KEY_BYTES).toString("hex");
 }
 
@@ -29,16 +29,18 @@
   template: DeploymentTemplate,
   given: Readonly<Record<string, string>> = {},
 ): Record<string, string> {
-  return Object.fromEntries(template.accounts.map((name) => [name, given[name] ?? randomKey()]));
+  return Object.fromEntries(
+    template.accounts.map((name) => [name, given[name] ?? createRandomKey()]),
+  );
 }
 
 /** Formats a template's deployment document, JSON with comments, for the given API keys of its client accounts. */
-export function documentText(
+export function formatTemplateDocument(
   template: DeploymentTemplate,
   keys: Readonly<Record<string, string>>,
 ): string {
   const hashes = Object.entries(keys).map(([name, key]) => [name, sha256(key)] as const);
-  return template.document(Object.fromEntries(hashes));
+  return template.formatDocument(Object.fromEntries(hashes));
 }
 
 /** Returns the same document as a parsed value, without its comments. */
@@ -46,7 +48,7 @@
   template: DeploymentTemplate,
   keys: Readonly<Record<string, string>>,
 ): unknown {
-  const tree = parseTree(documentText(template, keys));
+  const tree = parseTree(formatTemplateDocument(template, keys));
   return tree === undefined ? undefined : (getNodeValue(tree) as unknown);
 }
 
--- a/src/cli/template/kortfilm.ts
+++ b/src/cli/template/kortfilm.ts
@@ -1,14 +1,14 @@
 import type { DeploymentTemplate } from "./deployment_template.ts";
 
 /** Kortfilm's deployment at full size: four availability zones, a model service and a plain HTTP service. */
-export const KORTFILM: DeploymentTemplate = {
+export const KORTFILM_TEMPLATE: DeploymentTemplate = {
   region: "be-flanders",
   zones: ["gent-a", "gent-b", "antw-a", "antw-b"],
   machineClass: "standard",
   workers: { "samphire-pool": 13, "booking-api": 4 },
   accounts: ["reel-scripts", "traffic-desk", "sales", "partner-cinemas", "reporting"],
   preset: "day",
-  document: (
+  formatDocument: (
     hashes,
   ) => `// The deployment for reel assembly. Keep this file in version control and put it in force with
 //   samphireshore apply deployment.jsonc --wait
--- a/src/cli/template/settings_files.ts
+++ b/src/cli/template/settings_files.ts
@@ -1,4 +1,4 @@
-import { accountKeys, documentText, randomKey } from "./deployment_template.ts";
+import { accountKeys, formatTemplateDocument, createRandomKey } from "./deployment_template.ts";
 import type { DeploymentTemplate } from "./deployment_template.ts";
 
 /** One settings file of a deployment. */
@@ -6,68 +6,68 @@
   readonly name: string;
   readonly text: string;
   /** Whether the file holds credentials and must be readable by its owner only. */
-  readonly secret: boolean;
+  readonly isSecret: boolean;
 }
 
-const ENTRY_INSTANCES = 6;
+const ENTRY_INSTANCE_COUNT = 6;
 const LOOPBACK = "127.0.0.1";
 /** Ports of the first entry instance, of the platform and of the first worker; the others use the following ones. */
-const CALLER_PORT = 8080;
-const PEER_PORT = 9080;
+const FIRST_CALLER_PORT = 8080;
+const FIRST_PEER_PORT = 9080;
 const PLATFORM_PORT = 7070;
-const BACKEND_PORT = 10_000;
+const FIRST_BACKEND_PORT = 10_000;
 
 /**
  * Creates all settings files of a deployment at full size, on loopback addresses.
  *
  * @returns The deployment document, the credentials, the settings of the stand-ins and of each entry instance.
  */
-export function settingsFiles(template: DeploymentTemplate): SettingsFile[] {
+export function createSettingsFiles(template: DeploymentTemplate): SettingsFile[] {
   const keys = accountKeys(template);
-  const secrets = { operatorKey: randomKey(), peerKey: randomKey() };
+  const secrets = { operatorKey: createRandomKey(), peerKey: createRandomKey() };
   return [
-    { name: "deployment.jsonc", text: documentText(template, keys), secret: false },
-    { name: "secrets.jsonc", text: secretsText(secrets), secret: true },
-    { name: "client-keys.jsonc", text: clientKeysText(keys), secret: true },
-    { name: "platform.jsonc", text: platformText(template), secret: false },
-    { name: "backends.jsonc", text: backendsText(template), secret: false },
-    ...Array.from({ length: ENTRY_INSTANCES }, (_, index) => entryFile(template, index)),
+    { name: "deployment.jsonc", text: formatTemplateDocument(template, keys), isSecret: false },
+    { name: "secrets.jsonc", text: formatSecrets(secrets), isSecret: true },
+    { name: "client-keys.jsonc", text: formatClientKeys(keys), isSecret: true },
+    { name: "platform.jsonc", text: formatPlatformSettings(template), isSecret: false },
+    { name: "backends.jsonc", text: formatBackendSettings(template), isSecret: false },
+    ...Array.from({ length: ENTRY_INSTANCE_COUNT }, (_, index) => createEntryFile(template, index)),
   ];
 }
 
-function secretsText(secrets: { operatorKey: string; peerKey: string }): string {
+function formatSecrets(secrets: { operatorKey: string; peerKey: string }): string {
   return `// The operator credential, and the credential that entry instances use among each other. Keep this file out of
 // version control.
 ${JSON.stringify(secrets, undefined, 2)}
 `;
 }
 
-function clientKeysText(keys: Readonly<Record<string, string>>): string {
+function formatClientKeys(keys: Readonly<Record<string, string>>): string {
   return `// The API key of each client account, for distribution. No process reads this file. Keep it out of version control.
 ${JSON.stringify(keys, undefined, 2)}
 `;
 }
 
-function entryFile(template: DeploymentTemplate, index: number): SettingsFile {
+function createEntryFile(template: DeploymentTemplate, index: number): SettingsFile {
   const zone = template.zones[index % template.zones.length] ?? "";
   const seeds = [0, 1, 2]
     .filter((seed) => seed !== index)
-    .map((seed) => `"${at(PEER_PORT + seed)}"`);
+    .map((seed) => `"${loopbackAddress(FIRST_PEER_PORT + seed)}"`);
   const text = `// The settings of one entry instance that it can't obtain from the platform. Addresses are numeric, IP:PORT.
 {
   "name": "entry-${index + 1}",
   "zone": "${zone}",
   "region": "${template.region}",
   // Listen address for callers and operators.
-  "callers": "${at(CALLER_PORT + index)}",
+  "callers": "${loopbackAddress(FIRST_CALLER_PORT + index)}",
   // Listen address for other entry instances.
-  "peers": "${at(PEER_PORT + index)}",
+  "peers": "${loopbackAddress(FIRST_PEER_PORT + index)}",
   // Peer addresses of a few other entry instances, contacted to join the fleet.
   "seeds": [${seeds.join(", ")}],
   "platform": {
-    "objects": "${at(PLATFORM_PORT)}",
-    "cloud": "${at(PLATFORM_PORT)}",
-    "instances": "${at(PLATFORM_PORT)}"
+    "objects": "${loopbackAddress(PLATFORM_PORT)}",
+    "cloud": "${loopbackAddress(PLATFORM_PORT)}",
+    "instances": "${loopbackAddress(PLATFORM_PORT)}"
   },
   // A path relative to this file, or { "operatorKey": …, "peerKey": … }.
   "secrets": "secrets.jsonc"
@@ -76,41 +76,41 @@
   // "record": "traffic.jsonl"
 }
 `;
-  return { name: `entry-${index + 1}.jsonc`, text, secret: false };
+  return { name: `entry-${index + 1}.jsonc`, text, isSecret: false };
 }
 
 /** A worker of the deployment in the platform stand-in's list. */
-interface WorkerPlace {
+interface TemplateWorker {
   readonly id: string;
   readonly service: string;
   readonly address: string;
   readonly zone: string;
 }
 
-function workerPlaces({ workers, zones }: DeploymentTemplate): WorkerPlace[] {
-  const ids = Object.entries(workers).flatMap(([service, count]) =>
+function listWorkers({ workers, zones }: DeploymentTemplate): TemplateWorker[] {
+  const numbered = Object.entries(workers).flatMap(([service, count]) =>
     Array.from({ length: count }, (_, index) => ({
       service,
       id: `${service}-${index + 1}`,
       index,
     })),
   );
-  return ids.map(({ service, id, index }, place) => ({
+  return numbered.map(({ service, id, index }, offset) => ({
     id,
     service,
-    address: at(BACKEND_PORT + place),
+    address: loopbackAddress(FIRST_BACKEND_PORT + offset),
     zone: zones[index % zones.length] ?? "",
   }));
 }
 
-function platformText(template: DeploymentTemplate): string {
-  const lines = workerPlaces(template).map(
+function formatPlatformSettings(template: DeploymentTemplate): string {
+  const lines = listWorkers(template).map(
     ({ id, service, address, zone }) =>
       `    { "id": "${id}", "address": "http://${address}", "service": "${service}", "zone": "${zone}", "machineClass": "${template.machineClass}", "purchase": "reclaimable" }`,
   );
   return `// The stand-in for the platform: samphireshore standin platform --settings platform.jsonc
 {
-  "listen": "${at(PLATFORM_PORT)}",
+  "listen": "${loopbackAddress(PLATFORM_PORT)}",
   "workers": [
 ${lines.join(",\n")}
   ]
@@ -118,8 +118,8 @@
 `;
 }
 
-function backendsText(template: DeploymentTemplate): string {
-  const lines = workerPlaces(template).map(({ address }) => `    { "listen": "${address}" }`);
+function formatBackendSettings(template: DeploymentTemplate): string {
+  const lines = listWorkers(template).map(({ address }) => `    { "listen": "${address}" }`);
   return `// The stand-ins for the backend servers: samphireshore standin backend --settings backends.jsonc
 {
   // Time between two tokens of a response.
@@ -131,6 +131,6 @@
 `;
 }
 
-function at(port: number): string {
+function loopbackAddress(port: number): string {
   return `${LOOPBACK}:${port}`;
 }
--- a/src/cli/template/settings_files_test.ts
+++ b/src/cli/template/settings_files_test.ts
@@ -2,14 +2,14 @@
 import { entrySettingsSchema, secretsSchema } from "../../process/index.ts";
 import { deploymentSchema, parseSettings } from "../../version/index.ts";
 import { ASSOCIATION } from "./association.ts";
-import { KORTFILM } from "./kortfilm.ts";
-import { settingsFiles } from "./settings_files.ts";
+import { KORTFILM_TEMPLATE } from "./kortfilm.ts";
+import { createSettingsFiles } from "./settings_files.ts";
 
 describe.each([
   ["the Association", ASSOCIATION],
-  ["Kortfilm", KORTFILM],
+  ["Kortfilm", KORTFILM_TEMPLATE],
 ])("the settings files of %s", (_name, template) => {
-  const files = settingsFiles(template);
+  const files = createSettingsFiles(template);
   const textOf = (name: string): string => files.find((file) => file.name === name)?.text ?? "";
 
   test("has a valid deployment document with the expected number of workers, zones and accounts", () => {
@@ -35,17 +35,18 @@
     const file = "secrets.jsonc";
     const result = parseSettings(textOf(file), { schema: secretsSchema, file });
     expect(result.kind).toBe("valid");
-    expect(files.filter((found) => found.secret).map((found) => found.name)).toEqual([
-      "secrets.jsonc",
-      "client-keys.jsonc",
-    ]);
+    expect(
+      files
+        .filter((settingsFile) => settingsFile.isSecret)
+        .map((settingsFile) => settingsFile.name),
+    ).toEqual(["secrets.jsonc", "client-keys.jsonc"]);
   });
 });
 
 test("reports every fault of a document with its line", () => {
   // An operator makes several mistakes in one edit. If only the first were reported, each would need another run, and
   // an accepted wrong unit could make a target a thousand times too strict.
-  const text = settingsFiles(ASSOCIATION)[0]?.text ?? "";
+  const text = createSettingsFiles(ASSOCIATION)[0]?.text ?? "";
   const broken = text
     .replace('"1.6 s"', '"1.6 seconds"')
     .replace('"lane": "lookup"', '"lane": "lookup", "colour": 1')
--- a/src/cli/text_table.ts
+++ b/src/cli/text_table.ts
@@ -4,7 +4,7 @@
  * @param rows The cells by row; the first row may hold headings.
  * @returns One line per row, each column as wide as its widest cell.
  */
-export function textTable(rows: readonly (readonly string[])[]): string {
+export function formatTable(rows: readonly (readonly string[])[]): string {
   const widths: number[] = [];
   for (const row of rows) {
     row.forEach((cell, column) => {
