--- a/src/cli/demo/guarantees.ts
+++ b/src/cli/demo/guarantees.ts
@@ -18,7 +18,10 @@
   readonly startedAtEnd: number;
 }
 
-/** Records of a run, kept by the callers and the backend servers independently of the entry instances. */
+/**
+ * Records of a run. Requests are recorded by the callers and the backend servers, independently of the entry
+ * instances; the presets are read from the entry instances.
+ */
 export interface RunRecords {
   /** Results of all requests, as their callers observed them. */
   readonly results: readonly RequestResult[];
--- a/src/cli/demo/scenario.ts
+++ b/src/cli/demo/scenario.ts
@@ -32,7 +32,7 @@
   readonly logProgress: (line: string) => void;
 }
 
-/** Milliseconds between two checks whether a preset is in force. */
+/** Interval between two checks of the preset in force, in milliseconds. */
 const POLL_INTERVAL = 50;
 /** Maximum number of connections to one entry instance. */
 const MAX_CONNECTIONS = 512;
--- a/src/cli/embedded_operator_test.ts
+++ b/src/cli/embedded_operator_test.ts
@@ -58,7 +58,8 @@
 }
 
 test("operators can switch presets, see where they are in force, and drain an instance", async () => {
-  // Guards the whole operators' API: the status codes, and the outcome in each response.
+  // Runs the operators' routes through a whole deployment and checks the status code and body of each response, from
+  // which the commands derive their exit codes.
   const deployment = await startEmbedded(SETTINGS);
   try {
     const switched = await callInstance(deployment, "/v1/operator/preset/peak?wait=1", {
--- a/src/cli/operator_client.ts
+++ b/src/cli/operator_client.ts
@@ -28,7 +28,7 @@
   }),
 };
 
-/** Values of {@linkcode OPERATOR_FLAGS}. */
+/** Values of {@linkcode OPERATOR_FLAGS}. Calls require an operator key, given directly or in a secrets file. */
 export interface OperatorFlags {
   readonly entry: string;
   readonly "operator-key"?: string | undefined;
@@ -59,7 +59,7 @@
   /** The call may have been sent, but no response was received: it may have taken effect. */
   | { readonly kind: "lost"; readonly detail: string };
 
-/** Milliseconds. */
+/** Default time limit for a response, in milliseconds. */
 const DEFAULT_TIMEOUT = 15_000;
 
 const refusalSchema = z.object({ error: z.object({ message: z.string() }) });
@@ -137,7 +137,7 @@
   return secrets.operatorKey;
 }
 
-/** Makes a read-only call and returns the response body. If the call fails, the command ends with exit code 2. */
+/** Calls the operators' API and returns the response body. If the call fails, the command ends with exit code 2. */
 export async function queryOperator<T>(
   command: Command,
   flags: OperatorFlags,
--- a/src/cli/standin.ts
+++ b/src/cli/standin.ts
@@ -15,9 +15,9 @@
 
 const platformSchema = z.strictObject({
   listen: z.string(),
-  /** Delay with which changes appear in the list of workers. */
+  /** Delay before a change appears in the list of workers. */
   listLag: duration.exactOptional(),
-  /** Entry instances, which a reclaim of their zone also affects. */
+  /** Entry instances; a reclaim of their zone includes them. */
   entries: z.array(z.strictObject({ name: z.string(), zone: z.string() })).exactOptional(),
   workers: z.array(
     z.strictObject({
--- a/src/cli/template/settings_files.ts
+++ b/src/cli/template/settings_files.ts
@@ -11,7 +11,7 @@
 
 const ENTRY_INSTANCE_COUNT = 6;
 const LOOPBACK = "127.0.0.1";
-/** Ports of the first entry instance, of the platform and of the first worker; the others use the following ones. */
+/** Ports on the loopback address; further entry instances and backend servers use the ports after the first. */
 const FIRST_CALLER_PORT = 8080;
 const FIRST_PEER_PORT = 9080;
 const PLATFORM_PORT = 7070;
