--- a/src/process/count_history.ts
+++ b/src/process/count_history.ts
@@ -1,35 +1,47 @@
 import type { RunCounts } from "../decision/index.ts";
 
-type Sums = ReadonlyMap<number, RunCounts>;
+type CountsByKey = ReadonlyMap<number, RunCounts>;
 
-/** Sums as they stood at earlier moments. */
+/** Keeps snapshots of run counts at earlier times. */
 export interface CountHistory {
-  /** Keeps the sums of a moment, in milliseconds that only grow; of moments that follow close on another, the first. */
-  note(at: number, sums: Sums): void;
-  /** The latest sums that were kept of a moment no later than this, or else the first; undefined where there are none. */
-  at(moment: number): Sums | undefined;
+  /**
+   * Records the counts at a time in milliseconds, which must not decrease. A snapshot is skipped if
+   * the previous one is too recent.
+   */
+  note(at: number, sums: CountsByKey): void;
+  /**
+   * Returns the latest snapshot taken at or before `moment`, or the oldest one if all are later;
+   * undefined if there is none.
+   */
+  at(moment: number): CountsByKey | undefined;
 }
 
-/** Milliseconds between two moments that are kept, and how many are: an order of some minutes. */
-const PERIOD = 500;
-const GREATEST_KEPT = 512;
+/**
+ * Minimum milliseconds between two snapshots, and the maximum number of snapshots: together they
+ * cover a few minutes.
+ */
+const MIN_INTERVAL = 500;
+const MAX_SNAPSHOTS = 512;
 
-/** Makes a history of nothing. */
+/** Creates an empty history. */
 export function createCountHistory(): CountHistory {
-  const kept: { readonly at: number; readonly sums: Sums }[] = [];
+  const snapshots: { readonly at: number; readonly sums: CountsByKey }[] = [];
   return {
     note: (at, sums) => {
-      const last = kept.at(-1);
-      if (last !== undefined && at - last.at < PERIOD) return;
-      kept.push({ at, sums: new Map([...sums].map(([key, counts]) => [key, { ...counts }])) });
-      if (kept.length > GREATEST_KEPT) kept.shift();
+      const last = snapshots.at(-1);
+      if (last !== undefined && at - last.at < MIN_INTERVAL) return;
+      snapshots.push({ at, sums: new Map([...sums].map(([key, counts]) => [key, { ...counts }])) });
+      if (snapshots.length > MAX_SNAPSHOTS) snapshots.shift();
     },
-    at: (moment) => (kept.findLast(({ at }) => at <= moment) ?? kept[0])?.sums,
+    at: (moment) => (snapshots.findLast(({ at }) => at <= moment) ?? snapshots[0])?.sums,
   };
 }
 
-/** What was counted after earlier sums; sums may fall where those that counted have ended. */
-export function countsSince(now: Sums, before: Sums): Map<number, RunCounts> {
+/**
+ * Returns the increase from `before` to `now`. A count is never negative: totals decrease when an
+ * instance that contributed to them ends.
+ */
+export function countsSince(now: CountsByKey, before: CountsByKey): Map<number, RunCounts> {
   const found = new Map<number, RunCounts>();
   for (const [key, { runs, failures }] of now) {
     const earlier = before.get(key) ?? { runs: 0, failures: 0 };
--- a/src/process/group_totals.ts
+++ b/src/process/group_totals.ts
@@ -1,120 +1,134 @@
 import type { InstanceNews, WorkerUse } from "./digest.ts";
 import { NO_USE } from "./digest.ts";
 
-/** What is added up over instances. */
+/** Counts that are summed over instances. */
 export type GroupCounts = Pick<InstanceNews, "admitted" | "use">;
 
-/** The sums of what several instances, or groups of them, say. */
+/** Running sums of the counts received from several sources (instances or groups of instances). */
 export interface GroupTotals {
   /**
-   * Takes in news.
+   * Applies an update.
    *
-   * @param source Whose they are.
-   * @param isNew Whether the source has begun to count so lately that all that it has counted is new.
+   * @param source Id of the source.
+   * @param isNew Whether the source started counting so recently that its complete counts are new.
    */
-  heard(source: string, news: GroupCounts & { readonly isWhole: boolean }, isNew: boolean): void;
-  /** Forgets all other sources: what they had at workers has ended, and what they have counted stays. */
-  keepSources(sources: ReadonlySet<string>): void;
-  /** The sum at one worker, without what this instance has itself. */
-  useOf(worker: number): WorkerUse | undefined;
-  /** The sums with what this instance has itself. */
-  with(own: GroupCounts): GroupCounts;
+  receive(
+    source: string,
+    update: GroupCounts & { readonly isWhole: boolean },
+    isNew: boolean,
+  ): void;
+  /**
+   * Removes all sources that are not in `sources`. Their running work is subtracted; what they
+   * counted cumulatively stays in the sums.
+   */
+  retainSources(sources: ReadonlySet<string>): void;
+  /** Returns the sum for one worker, excluding this instance's own counts. */
+  countsOf(worker: number): WorkerUse | undefined;
+  /** Returns the sums including this instance's own counts. */
+  plus(own: GroupCounts): GroupCounts;
 }
 
-interface Said {
+interface SourceCounts {
   readonly admitted: Map<string, number>;
-  readonly use: Map<number, WorkerUse>;
+  readonly workerCounts: Map<number, WorkerUse>;
 }
 
 /**
- * Makes sums of nothing.
+ * Creates empty sums.
  *
- * What a source has at a worker counts while the source is there. What it counts up (requests admitted, runs ended)
- * counts from when it was first heard and stays: whoever is told the sums takes their growth for what happened, so they
- * may neither fall when an instance ends nor rise by what one that is newly heard did long ago.
+ * Work in progress counts while its source is present. Cumulative counts (admitted requests, ended
+ * runs) count from the first update of a source and remain afterwards. Receivers interpret the
+ * growth of these sums as new events, so the sums must not decrease when an instance ends, nor jump
+ * by the past counts of a newly received instance.
  */
 export function createGroupTotals(): GroupTotals {
-  const sources = new Map<string, Said>();
+  const sources = new Map<string, SourceCounts>();
   const admitted = new Map<string, number>();
-  const use = new Map<number, WorkerUse>();
-  /** By worker, how many sources name it. */
-  const named = new Map<number, number>();
+  const workerSums = new Map<number, WorkerUse>();
+  /** Number of sources that list each worker. */
+  const sourcesPerWorker = new Map<number, number>();
 
-  const add = (worker: number, by: WorkerUse): void => {
-    use.set(worker, addUse(use.get(worker) ?? NO_USE, by));
+  const add = (worker: number, delta: WorkerUse): void => {
+    workerSums.set(worker, addWorkerCounts(workerSums.get(worker) ?? NO_USE, delta));
   };
-  const name = (worker: number, by: number): void => {
-    const count = (named.get(worker) ?? 0) + by;
+  const adjustSourceCount = (worker: number, delta: number): void => {
+    const count = (sourcesPerWorker.get(worker) ?? 0) + delta;
     if (count > 0) {
-      named.set(worker, count);
+      sourcesPerWorker.set(worker, count);
       return;
     }
-    named.delete(worker);
-    use.delete(worker);
+    sourcesPerWorker.delete(worker);
+    workerSums.delete(worker);
   };
-  const forget = (source: string): void => {
-    for (const [worker, { running, unreadTokens }] of sources.get(source)?.use ?? []) {
+  const removeSource = (source: string): void => {
+    for (const [worker, { running, unreadTokens }] of sources.get(source)?.workerCounts ?? []) {
       add(worker, { ...NO_USE, running: -running, unreadTokens: -unreadTokens });
-      name(worker, -1);
+      adjustSourceCount(worker, -1);
     }
     sources.delete(source);
   };
-  const heardUse = (known: Said, worker: number, said: WorkerUse, counts: boolean): void => {
-    const before = known.use.get(worker);
-    const isGone = said.running === 0 && said.unreadTokens === 0 && said.runs === 0;
-    if (isGone && before === undefined) return;
+  const applyWorkerCounts = (
+    sourceCounts: SourceCounts,
+    worker: number,
+    latest: WorkerUse,
+    isCounted: boolean,
+  ): void => {
+    const before = sourceCounts.workerCounts.get(worker);
+    const isEmpty = latest.running === 0 && latest.unreadTokens === 0 && latest.runs === 0;
+    if (isEmpty && before === undefined) return;
     const { running, unreadTokens, runs, failures } = before ?? NO_USE;
     add(worker, {
-      running: said.running - running,
-      unreadTokens: said.unreadTokens - unreadTokens,
-      runs: counts ? Math.max(0, said.runs - runs) : 0,
-      failures: counts ? Math.max(0, said.failures - failures) : 0,
+      running: latest.running - running,
+      unreadTokens: latest.unreadTokens - unreadTokens,
+      runs: isCounted ? Math.max(0, latest.runs - runs) : 0,
+      failures: isCounted ? Math.max(0, latest.failures - failures) : 0,
     });
-    if (isGone) known.use.delete(worker);
-    else known.use.set(worker, said);
-    if (isGone) name(worker, -1);
-    else if (before === undefined) name(worker, 1);
+    if (isEmpty) sourceCounts.workerCounts.delete(worker);
+    else sourceCounts.workerCounts.set(worker, latest);
+    if (isEmpty) adjustSourceCount(worker, -1);
+    else if (before === undefined) adjustSourceCount(worker, 1);
   };
   return {
-    heard: (source, news, isNew) => {
+    receive: (source, update, isNew) => {
       const before = sources.get(source);
-      const known: Said = before ?? { admitted: new Map(), use: new Map() };
-      sources.set(source, known);
-      const counts = before !== undefined || isNew;
-      if (news.isWhole) {
-        for (const worker of known.use.keys()) {
-          if (!news.use.has(worker)) heardUse(known, worker, NO_USE, counts);
+      const sourceCounts: SourceCounts = before ?? { admitted: new Map(), workerCounts: new Map() };
+      sources.set(source, sourceCounts);
+      const isCounted = before !== undefined || isNew;
+      if (update.isWhole) {
+        for (const worker of sourceCounts.workerCounts.keys()) {
+          if (!update.use.has(worker)) applyWorkerCounts(sourceCounts, worker, NO_USE, isCounted);
         }
       }
-      for (const [worker, said] of news.use) heardUse(known, worker, said, counts);
-      for (const [account, count] of news.admitted) {
-        const more = count - (known.admitted.get(account) ?? 0);
-        known.admitted.set(account, count);
-        if (counts) admitted.set(account, (admitted.get(account) ?? 0) + more);
+      for (const [worker, latest] of update.use)
+        applyWorkerCounts(sourceCounts, worker, latest, isCounted);
+      for (const [account, count] of update.admitted) {
+        const increase = count - (sourceCounts.admitted.get(account) ?? 0);
+        sourceCounts.admitted.set(account, count);
+        if (isCounted) admitted.set(account, (admitted.get(account) ?? 0) + increase);
       }
     },
-    keepSources: (kept) => {
-      for (const source of sources.keys()) if (!kept.has(source)) forget(source);
+    retainSources: (retained) => {
+      for (const source of sources.keys()) if (!retained.has(source)) removeSource(source);
     },
-    useOf: (worker) => use.get(worker),
-    with: (own) => ({
-      admitted: addCounts(admitted, own.admitted),
-      use: addUses(use, own.use),
+    countsOf: (worker) => workerSums.get(worker),
+    plus: (own) => ({
+      admitted: addAccountCounts(admitted, own.admitted),
+      use: addAllWorkerCounts(workerSums, own.use),
     }),
   };
 }
 
-/** Adds up what two have at workers. */
-function addUses(
+/** Adds two sets of worker counts. */
+function addAllWorkerCounts(
   a: ReadonlyMap<number, WorkerUse>,
   b: ReadonlyMap<number, WorkerUse>,
 ): Map<number, WorkerUse> {
   const sums = new Map(a);
-  for (const [worker, use] of b) sums.set(worker, addUse(sums.get(worker) ?? NO_USE, use));
+  for (const [worker, use] of b) sums.set(worker, addWorkerCounts(sums.get(worker) ?? NO_USE, use));
   return sums;
 }
 
-function addUse(a: WorkerUse, b: WorkerUse): WorkerUse {
+function addWorkerCounts(a: WorkerUse, b: WorkerUse): WorkerUse {
   return {
     running: a.running + b.running,
     unreadTokens: a.unreadTokens + b.unreadTokens,
@@ -123,7 +137,7 @@
   };
 }
 
-function addCounts(
+function addAccountCounts(
   a: ReadonlyMap<string, number>,
   b: ReadonlyMap<string, number>,
 ): Map<string, number> {
--- a/src/process/member_table.ts
+++ b/src/process/member_table.ts
@@ -1,7 +1,10 @@
 import { MemberState } from "../interface/index.ts";
 import type { Member, MemberDelta, Random } from "../interface/index.ts";
 
-/** At the same rise, the state further on in this order overrides. */
+/**
+ * States in increasing precedence. At the same incarnation number (`rise`), a later state overrides
+ * an earlier one.
+ */
 const PRECEDENCE: readonly MemberState[] = [
   MemberState.Alive,
   MemberState.Suspect,
@@ -9,80 +12,92 @@
   MemberState.Dead,
 ];
 
-/** Deltas on one message: with at most this many a message's size doesn't grow with the fleet. */
-const MOST_DELTAS = 6;
-/** Each news is sent this many times per doubling of the fleet, which reaches everyone but for rare luck. */
+/** Maximum number of pending deltas per message, so that its size doesn't grow with the fleet. */
+const MAX_DELTAS = 6;
+/**
+ * Number of times each delta is sent per doubling of the fleet's size. With this many, it reaches
+ * all members with high probability.
+ */
 const SENDS_PER_DOUBLING = 3;
-/** How long what is dead or has left is remembered, so that late news of it changes nothing. */
-const REMEMBERED = 600_000;
+/**
+ * Milliseconds for which dead members and leaving backend servers are remembered, so that delayed
+ * deltas about them have no effect.
+ */
+const RETENTION_TIME = 600_000;
 
-/** What is known of one member or backend server. */
+/** State of one member or backend server. */
 export interface MemberEntry extends MemberDelta {
-  /** When this was learned, in the clock's milliseconds. */
-  readonly since: number;
+  /** When the state was recorded, in milliseconds of the clock that the caller uses. */
+  readonly changedAt: number;
 }
 
-/** All that one instance believes of the others, and the news that it has yet to pass on. */
+/**
+ * States of all other members as known to one instance, and the deltas that it still has to
+ * forward.
+ */
 export interface MemberTable {
-  /** Takes in what was heard; false where it is not newer than what is known. */
+  /** Applies a delta. Returns false if it is not newer than the known state. */
   merge(delta: MemberDelta, now: number): boolean;
   find(id: string): MemberEntry | undefined;
-  /** Entry instances, this one not included. */
+  /** Returns the entry instances other than this one. */
   members(): readonly MemberEntry[];
-  /** Ids of backend servers that are marked as leaving. */
+  /** Returns the ids of backend servers that are marked as leaving. */
   leavingWorkers(): ReadonlySet<string>;
-  /** News for one message, those sent least first, and one random entry against lost news. */
-  news(random: Random): readonly MemberDelta[];
-  /** Everything, for an instance that joins. */
+  /**
+   * Returns deltas for one message: those sent least often, and one random entry as a safeguard
+   * against lost messages.
+   */
+  nextDeltas(random: Random): readonly MemberDelta[];
+  /** Returns all entries, for an instance that joins. */
   all(): readonly MemberDelta[];
-  /** Forgets what has been dead or gone for long. */
-  forget(now: number): void;
+  /** Removes entries that have been dead or leaving for long enough. */
+  prune(now: number): void;
 }
 
-/** Makes an empty table. */
+/** Creates an empty table. */
 export function createMemberTable(): MemberTable {
   const entries = new Map<string, MemberEntry>();
-  const sends = new Map<string, number>();
+  const sendCounts = new Map<string, number>();
   let leaving: ReadonlySet<string> = new Set();
   const members = (): readonly MemberEntry[] =>
     [...entries.values()].filter((entry) => !entry.backend);
-  const listLeaving = (): void => {
+  const updateLeaving = (): void => {
     const marked = [...entries.values()].filter((entry) => entry.backend);
     leaving = new Set(marked.map((entry) => entry.member.id));
   };
-  const mostSends = (): number => SENDS_PER_DOUBLING * Math.ceil(Math.log2(entries.size + 2));
+  const maxSends = (): number => SENDS_PER_DOUBLING * Math.ceil(Math.log2(entries.size + 2));
   return {
     merge: (delta, now) => {
       if (!overrides(delta, entries.get(delta.member.id))) return false;
-      entries.set(delta.member.id, { ...delta, since: now });
-      sends.set(delta.member.id, 0);
-      if (delta.backend) listLeaving();
+      entries.set(delta.member.id, { ...delta, changedAt: now });
+      sendCounts.set(delta.member.id, 0);
+      if (delta.backend) updateLeaving();
       return true;
     },
     find: (id) => entries.get(id),
     members,
     leavingWorkers: () => leaving,
-    news: (random) => {
-      const fresh = [...sends.entries()].sort(([, a], [, b]) => a - b).slice(0, MOST_DELTAS);
-      for (const [id, count] of fresh) {
-        if (count + 1 >= mostSends()) sends.delete(id);
-        else sends.set(id, count + 1);
+    nextDeltas: (random) => {
+      const pending = [...sendCounts.entries()].sort(([, a], [, b]) => a - b).slice(0, MAX_DELTAS);
+      for (const [id, count] of pending) {
+        if (count + 1 >= maxSends()) sendCounts.delete(id);
+        else sendCounts.set(id, count + 1);
       }
       const known = [...entries.values()];
-      const any = known[Math.floor(random.next() * known.length)];
-      const ids = new Set(fresh.map(([id]) => id));
-      if (any !== undefined) ids.add(any.member.id);
+      const randomEntry = known[Math.floor(random.next() * known.length)];
+      const ids = new Set(pending.map(([id]) => id));
+      if (randomEntry !== undefined) ids.add(randomEntry.member.id);
       return [...ids].flatMap((id) => deltaOf(entries.get(id)));
     },
     all: () => [...entries.values()].flatMap(deltaOf),
-    forget: (now) => {
-      for (const [id, { state, backend, since }] of entries) {
-        const over = backend || state === MemberState.Dead;
-        if (!over || now - since < REMEMBERED) continue;
+    prune: (now) => {
+      for (const [id, { state, backend, changedAt }] of entries) {
+        const isFinal = backend || state === MemberState.Dead;
+        if (!isFinal || now - changedAt < RETENTION_TIME) continue;
         entries.delete(id);
-        sends.delete(id);
+        sendCounts.delete(id);
       }
-      listLeaving();
+      updateLeaving();
     },
   };
 }
@@ -99,7 +114,7 @@
   return [{ member, state, rise, backend }];
 }
 
-/** The part of a member id before its incarnation. */
+/** Returns the part of a member id before the incarnation. */
 export function nameOf(member: Member): string {
   return member.id.slice(0, member.id.lastIndexOf("#"));
 }
--- a/src/process/testing/news_fleet.ts
+++ b/src/process/testing/news_fleet.ts
@@ -15,7 +15,7 @@
 import { hashText, QuotaUnit } from "../../version/index.ts";
 import type { RoutedService } from "../../version/index.ts";
 import { createFleetNews } from "../fleet_news.ts";
-import type { FleetNews } from "../fleet_news.ts";
+import type { FleetSync } from "../fleet_news.ts";
 import { FleetRole } from "../fleet_tree.ts";
 import { createInstanceHashes } from "../instance_hashes.ts";
 import { createRoutedBoard } from "../routed_board.ts";
@@ -29,69 +29,75 @@
 import { createDatagramNetwork } from "./datagram_network.ts";
 import type { DatagramNetwork } from "./datagram_network.ts";
 
-/** The one service of the fleet's workers. */
+/** The only service of the fleet's workers. */
 export const NEWS_SERVICE = "desk";
-/** The kind of the store's objects. */
+/** Kind of the store's objects. */
 const KIND = "workers";
-/** A window of usage. */
-export const NEWS_WINDOW = 7;
+/** Number of the usage window in which all runs count. */
+export const FLEET_WINDOW = 7;
 const QUOTA = { unit: QuotaUnit.Tokens, unstatedTokens: 0, perSecond: 1_000, burst: 1e9 };
-/** How long an instance takes to send all objects, and how long one is waited for that doesn't, in milliseconds. */
+/**
+ * Milliseconds that an instance takes to send all its objects, and that a fetch waits for an
+ * instance that doesn't answer.
+ */
 const FETCH_TIME = 15;
-const UNANSWERED_TIME = 1_000;
+const FETCH_TIMEOUT = 1_000;
 const REPEATS = { ratio: 0.2, slack: 50, window: 10_000 };
 
-/** An instance with all that news come from and go to. */
+/** An instance with the components that its updates come from and go to. */
 export interface NewsMember {
   readonly zone: string;
-  readonly news: FleetNews;
+  readonly news: FleetSync;
   readonly board: RoutedBoard;
   readonly ledger: UsageLedger;
   readonly quota: SharedQuota;
-  /** What it knows of requests that crash workers. */
+  /** Known requests that crash workers. */
   readonly evidence: CrashEvidence;
-  /** What it knows of the store. */
+  /** The instance's view of the store. */
   readonly feed: FeedFollower;
-  /** Where the others reach it. */
+  /** Address for other instances. */
   readonly address: string;
-  /** Whether it goes on; the fleet doesn't know. */
+  /** Whether the instance runs. Setting this does not stop it. */
   isLive: boolean;
-  /** Whether others that fetch from it are answered. */
-  answersFetches: boolean;
+  /** Whether the instance answers fetches from other instances. */
+  canAnswerFetches: boolean;
 }
 
-/** Instances that tell each other news, without callers and workers, before a store of one kind of objects. */
+/**
+ * Instances that exchange digests, with a store of one kind of objects but without callers and
+ * workers.
+ */
 export interface NewsFleet {
   readonly store: MemoryFeed;
   readonly clock: ReturnType<typeof createVirtualClock>;
   readonly network: DatagramNetwork;
   readonly members: NewsMember[];
   readonly workers: readonly RoutedWorker[];
-  /** A run for the account begins at the worker. */
+  /** Starts a run for the account at the worker with the given index. */
   begin(member: NewsMember, run: { worker: number; account: string }): BoardRun;
-  /** Whether the account may have something more at the instance. */
-  hasRoom(member: NewsMember, account: string): boolean;
+  /** Whether the instance would admit another request of the account. */
+  canAdmit(member: NewsMember, account: string): boolean;
   close(): void;
 }
 
-/** What a fleet is made of. */
-export interface NewsFleetSize {
+/** Size of a fleet. */
+export interface SyncFleetSize {
   readonly instances: number;
   readonly workers: number;
   readonly accounts: readonly string[];
   readonly seed?: number;
 }
 
-/** Starts instances in four availability zones that know two of each other at first. */
-export async function startNewsFleet(size: NewsFleetSize): Promise<NewsFleet> {
+/** Starts instances in four availability zones. Each knows the addresses of the first two at first. */
+export async function startNewsFleet(size: SyncFleetSize): Promise<NewsFleet> {
   const clock = createVirtualClock();
   const random = createSeededRandom(size.seed ?? 1);
   const network = createDatagramNetwork(clock, random);
   const workers = Array.from({ length: size.workers }, (_, index) => workerAt(index));
   const store = createMemoryFeed(clock);
   const members: NewsMember[] = [];
-  for (let place = 0; place < size.instances; place++) {
-    members.push(startMember(place, { clock, random, network, store, members }));
+  for (let index = 0; index < size.instances; index++) {
+    members.push(startMember(index, { clock, random, network, store, members }));
   }
   for (const { board, quota, news, feed } of members) {
     board.setWorkers(workers);
@@ -101,8 +107,8 @@
     await news.start();
     feed.start();
   }
-  // What runs there doesn't matter for beginning a run: one list does for all.
-  const places: readonly BoardWorker[] = members[0]?.board.candidates(SERVICE) ?? [];
+  // A run starts the same way whatever the load, so one list of candidates serves all instances.
+  const candidates: readonly BoardWorker[] = members[0]?.board.candidates(SERVICE) ?? [];
   return {
     clock,
     network,
@@ -110,13 +116,13 @@
     members,
     workers,
     begin: ({ board, ledger, quota }, { worker, account }) => {
-      const found = places[worker];
+      const found = candidates[worker];
       if (found === undefined) throw new Error(`There is no worker ${worker}.`);
-      ledger.began(account, NEWS_WINDOW);
+      ledger.began(account, FLEET_WINDOW);
       quota.take({ account, quota: QUOTA, size: 100, now: clock.now() });
       return board.begin(found, { reads: 640, route: "desk" });
     },
-    hasRoom: ({ quota }, account) =>
+    canAdmit: ({ quota }, account) =>
       quota.take({ account, quota: QUOTA, size: 0, now: clock.now() }) === 0,
     close: () => {
       for (const { news, feed } of members) {
@@ -127,21 +133,21 @@
   };
 }
 
-/** Milliseconds between two looks at what the instances know, and the longest that they are looked at. */
-const LOOK = 20;
-const LONGEST_LOOK = 6_000;
-/** Characters of an object, about those of a worker's entry. */
+/** Milliseconds between two checks of the instances' objects, and the maximum time of checking. */
+const CHECK_INTERVAL = 20;
+const MAX_CHECK_TIME = 6_000;
+/** Size of an object's value in characters, similar to a worker's entry. */
 const OBJECT_SIZE = 240;
 
-/** Starts instances of which only what they know of the store matters, and waits until they know each other. */
+/** Starts a fleet for tests of store changes and waits until its instances know each other. */
 export async function startChangeFleet(instances: number, seed = 1): Promise<NewsFleet> {
   const fleet = await startNewsFleet({ instances, workers: 4, accounts: [], seed });
   await fleet.clock.advance(4_000);
   return fleet;
 }
 
-/** Writes objects and says how many milliseconds it took until all of the instances had the last one. */
-export async function knownIn(
+/** Writes objects and returns the milliseconds until all given instances have the last one. */
+export async function measurePropagation(
   { clock, store, members }: NewsFleet,
   objects: readonly string[],
   among: readonly NewsMember[] = members,
@@ -149,9 +155,9 @@
   for (const name of objects) store.put(name, `${name} ${"x".repeat(OBJECT_SIZE)}`);
   const last = objects.at(-1) ?? "";
   const startedAt = clock.now();
-  while (clock.now() - startedAt < LONGEST_LOOK) {
+  while (clock.now() - startedAt < MAX_CHECK_TIME) {
     if (among.every(({ feed }) => feed.objects.has(last))) break;
-    await clock.advance(LOOK);
+    await clock.advance(CHECK_INTERVAL);
   }
   return clock.now() - startedAt;
 }
@@ -163,8 +169,8 @@
   scaling: undefined,
 };
 
-function addressAt(place: number): string {
-  return `10.0.${place >> 8}.${place & 255}:9`;
+function addressAt(index: number): string {
+  return `10.0.${index >> 8}.${index & 255}:9`;
 }
 
 function workerAt(index: number): RoutedWorker {
@@ -184,19 +190,19 @@
 }
 
 function startMember(
-  place: number,
-  outside: Pick<NewsFleet, "clock" | "network" | "store" | "members"> & {
+  index: number,
+  environment: Pick<NewsFleet, "clock" | "network" | "store" | "members"> & {
     random: ReturnType<typeof createSeededRandom>;
   },
 ): NewsMember {
-  const { clock, random, network, store, members } = outside;
-  const name = `e${place}`;
-  const zone = `z${place % 4}`;
-  const address = addressAt(place);
+  const { clock, random, network, store, members } = environment;
+  const name = `e${index}`;
+  const zone = `z${index % 4}`;
+  const address = addressAt(index);
   const health = createWorkerHealth();
   const quota = createSharedQuota(clock.now());
   const ledger = createUsageLedger();
-  const evidence = createCrashEvidence((key) => news.sumOf(key));
+  const evidence = createCrashEvidence((key) => sync.sumOf(key));
   const board = createRoutedBoard({
     clock,
     random,
@@ -204,13 +210,13 @@
     health,
     members: () => 1,
     newsAge: () => 0,
-    onBegin: () => news.begun(),
+    onBegin: () => sync.begun(),
     counted: () => evidence.counts(clock.now()),
     time: () => clock.now(),
     limits: createWorkerLimits({
       time: () => clock.now(),
       self: hashText(address),
-      instances: createInstanceHashes({ clock, self: address, others: () => news.live() }),
+      instances: createInstanceHashes({ clock, self: address, others: () => sync.live() }),
     }),
   });
   const feed: FeedFollower = createFeedFollower({
@@ -218,31 +224,31 @@
     clock,
     random,
     feed: store.of(name),
-    isNeeded: () => !news.isFed() || catchUp.isBehind(KIND),
-    feedsOthers: () => news.role !== FleetRole.Equal,
-    onChange: () => news.changed(),
-    onReach: () => undefined,
+    isNeeded: () => !sync.isFed() || catchUp.isBehind(KIND),
+    feedsOthers: () => sync.role !== FleetRole.Mesh,
+    onChange: () => sync.reportStoreChange(),
+    onReachabilityChange: () => undefined,
   });
   const log = createRoutedLog({ instance: name, clock, write: () => undefined });
   const feeds = new Map([[KIND, feed]]);
   const catchUp = createPeerCatchUp({
     clock,
     random,
-    role: () => news.role,
+    role: () => sync.role,
     feeds,
     log,
     fetch: async (peer) => {
       await sleep(clock, FETCH_TIME);
       const found = members.find((one) => one.address === peer);
-      if (found?.isLive === true && found.answersFetches) {
+      if (found?.isLive === true && found.canAnswerFetches) {
         const { objects, version, changedAt, age } = found.feed;
         return { objects: [...objects.values()], version, changedAt, age };
       }
-      await sleep(clock, UNANSWERED_TIME);
+      await sleep(clock, FETCH_TIMEOUT);
       throw new Error(`${peer} doesn't answer.`);
     },
   });
-  const news: FleetNews = createFleetNews({
+  const sync: FleetSync = createFleetNews({
     settings: {
       name,
       zone,
@@ -264,9 +270,9 @@
     feeds,
     state: () => ({
       ready: true,
-      reachesStore: feed.isAnswered,
+      reachesStore: feed.isStoreAnswering,
       leaseVersion: 0,
-      storeReturned: false,
+      hasStoreReturned: false,
       plans: [],
       limits: board.limitStatements(),
     }),
@@ -277,9 +283,9 @@
     health,
     board,
     onHeard: (peer) => board.heardLimits(peer.limits),
-    onTold: (peer) => catchUp.heard(peer),
+    onTold: (peer) => catchUp.receive(peer),
     open: network.open,
   });
-  const parts = { zone, news, feed, address, board, ledger, quota, evidence };
-  return { ...parts, isLive: true, answersFetches: true };
+  const parts = { zone, news: sync, feed, address, board, ledger, quota, evidence };
+  return { ...parts, isLive: true, canAnswerFetches: true };
 }
