--- a/src/cli/demo/load.ts
+++ b/src/cli/demo/load.ts
@@ -1,69 +1,84 @@
 import type { Random } from "../../interface/index.ts";
-import type { Errand } from "./caller.ts";
+import type { LoadRequest } from "./caller.ts";
 
-/** An errand with the time at which its caller begins, in milliseconds from the start. */
-export interface PlannedErrand {
-  readonly at: number;
-  readonly errand: Errand;
+/** A request and the time of its first attempt, in milliseconds since the start of the run. */
+export interface ScheduledRequest {
+  readonly startTime: number;
+  readonly loadRequest: LoadRequest;
 }
 
-/** One kind of work in the load. */
-export interface Stream {
+/** A class of requests in the load. */
+export interface RequestStream {
   readonly name: string;
   readonly service: string;
+  /** API keys of the client accounts that send the requests. */
   readonly clientKeys: readonly string[];
-  /** Requests a second. */
-  readonly rate: number;
-  readonly answerTokens: { readonly least: number; readonly most: number };
-  /** Part of the requests that may not be repeated. */
-  readonly onceShare: number;
-  /** Prompts share a prefix within a client account. */
-  readonly promptWords: number;
+  /** Requests per second. */
+  readonly requestsPerSecond: number;
+  /** Minimum and maximum number of tokens of a response. */
+  readonly responseTokens: { readonly min: number; readonly max: number };
+  /** Share of the requests that must run at most once, from 0 to 1. */
+  readonly atMostOnceShare: number;
+  /** Number of words in the prefix that all prompts of a client account share. */
+  readonly promptPrefixWords: number;
 }
 
-/** What the load is drawn with. */
+/** Options of {@linkcode scheduleLoad}. */
 export interface LoadOptions {
   readonly random: Random;
-  /** Milliseconds over which requests arrive. */
+  /** Milliseconds during which requests are sent. */
   readonly duration: number;
 }
 
 /**
- * Draws a load: in each stream, requests come at random moments at the stream's rate.
+ * Generates a random load. The requests of each stream are distributed uniformly over the duration at the
+ * stream's mean rate.
  *
- * @returns The errands, in order of time.
+ * @returns The requests in order of time.
  */
-export function planLoad(streams: readonly Stream[], options: LoadOptions): PlannedErrand[] {
-  const planned = streams.flatMap((stream) => planStream(stream, options));
-  return planned.sort((a, b) => a.at - b.at);
+export function scheduleLoad(
+  streams: readonly RequestStream[],
+  options: LoadOptions,
+): ScheduledRequest[] {
+  const scheduled = streams.flatMap((stream) => scheduleStream(stream, options));
+  return scheduled.sort((a, b) => a.startTime - b.startTime);
 }
 
-function planStream(stream: Stream, { random, duration }: LoadOptions): PlannedErrand[] {
-  const count = Math.round((stream.rate * duration) / 1_000);
+function scheduleStream(
+  stream: RequestStream,
+  { random, duration }: LoadOptions,
+): ScheduledRequest[] {
+  const count = Math.round((stream.requestsPerSecond * duration) / 1_000);
   return Array.from({ length: count }, (_, index) => ({
-    at: random.next() * duration,
-    errand: drawErrand(stream, { random, index }),
+    startTime: random.next() * duration,
+    loadRequest: createRequest(stream, { random, index }),
   }));
 }
 
-function drawErrand(stream: Stream, { random, index }: { random: Random; index: number }): Errand {
-  const { least, most } = stream.answerTokens;
+function createRequest(
+  stream: RequestStream,
+  { random, index }: { random: Random; index: number },
+): LoadRequest {
+  const { min, max } = stream.responseTokens;
   const account = Math.floor(random.next() * stream.clientKeys.length);
   const clientKey = stream.clientKeys[account] ?? "";
   return {
-    key: `${stream.name}-${index}-${Math.floor(random.next() * 1e9).toString(36)}`,
+    idempotencyKey: `${stream.name}-${index}-${Math.floor(random.next() * 1e9).toString(36)}`,
     service: stream.service,
     clientKey,
-    prompt: promptOf(stream, { account, index }),
-    answerTokens: Math.floor(least + random.next() * (most - least + 1)),
-    repeatable: random.next() >= stream.onceShare,
+    prompt: createPrompt(stream, { account, index }),
+    responseTokens: Math.floor(min + random.next() * (max - min + 1)),
+    isRepeatable: random.next() >= stream.atMostOnceShare,
   };
 }
 
-function promptOf(
-  { promptWords, name }: Stream,
+function createPrompt(
+  { promptPrefixWords, name }: RequestStream,
   { account, index }: { account: number; index: number },
 ): string {
-  const shared = Array.from({ length: promptWords }, (_, word) => `${name}${account}w${word}`);
-  return `${shared.join(" ")} number ${index}`;
+  const prefix = Array.from(
+    { length: promptPrefixWords },
+    (_, word) => `${name}${account}w${word}`,
+  );
+  return `${prefix.join(" ")} number ${index}`;
 }
--- a/src/cli/dev.ts
+++ b/src/cli/dev.ts
@@ -1,32 +1,33 @@
 import { Command, Flags } from "@oclif/core";
 import { startEmbedded } from "./embedded_deployment.ts";
-import { accountKeys, ASSOCIATION, documentValue, randomKey } from "./template/index.ts";
-import { untilStopped } from "./until_stopped.ts";
+import { accountKeys, ASSOCIATION, documentValue, createRandomKey } from "./template/index.ts";
+import { waitForStopSignal } from "./stop_signal.ts";
 
 const DEFAULT_PORT = 8080;
-/** The client account that `--client-key` is the key of. */
+/** The client account whose API key `--client-key` sets. */
 const CLIENT_ACCOUNT = "club-sofia";
 
-/** `samphireshore dev`: the embedded deployment, running until stopped. */
+/** `samphireshore dev`: runs the embedded deployment until stopped. */
 export class Dev extends Command {
   static override description =
-    "Run a whole deployment in one process on loopback sockets, with stand-ins, until stopped.";
+    "Run a whole deployment in one process on loopback sockets, with stand-ins for the platform and the backend servers, until stopped.";
   static override examples = ["samphireshore dev --port 8080 --client-key try-me"];
   static override flags = {
     port: Flags.integer({
-      description: "Port of the first entry instance; the others follow. 0 takes free ones.",
+      description:
+        "Port of the first entry instance; the others use the following ports. 0 selects free ports.",
       default: DEFAULT_PORT,
     }),
     "client-key": Flags.string({
-      description: `Key of the client account ${CLIENT_ACCOUNT}; random if not given.`,
+      description: `API key of the client account ${CLIENT_ACCOUNT}; random if not given.`,
     }),
-    "operator-key": Flags.string({ description: "Credential of operators; random if not given." }),
+    "operator-key": Flags.string({ description: "Operator credential; random if not given." }),
   };
 
   override async run(): Promise<void> {
     const { flags } = await this.parse(Dev);
-    const operatorKey = flags["operator-key"] ?? randomKey();
-    const clientKey = flags["client-key"] ?? randomKey();
+    const operatorKey = flags["operator-key"] ?? createRandomKey();
+    const clientKey = flags["client-key"] ?? createRandomKey();
     const keys = accountKeys(ASSOCIATION, { [CLIENT_ACCOUNT]: clientKey });
     const deployment = await startEmbedded({
       port: flags.port,
@@ -41,7 +42,7 @@
     this.log(
       JSON.stringify({ ready: true, callers, account: CLIENT_ACCOUNT, clientKey, operatorKey }),
     );
-    await untilStopped();
+    await waitForStopSignal();
     await deployment.close();
   }
 }
--- a/src/cli/drain.ts
+++ b/src/cli/drain.ts
@@ -1,16 +1,19 @@
 import { Args, Command } from "@oclif/core";
 import { drainMessage } from "../connection/index.ts";
 import type { DrainMessage } from "../connection/index.ts";
-import { askOperator, OPERATOR_FLAGS } from "./operator_client.ts";
+import { queryOperator, OPERATOR_FLAGS } from "./operator_client.ts";
 
-/** `samphireshore drain`: a planned stop of an entry instance. */
+/** `samphireshore drain`: performs a planned stop of an entry instance. */
 export class Drain extends Command {
   static override description =
-    "Stop an entry instance as planned: it takes nothing new, finishes what it has, hands over and ends.";
+    "Perform a planned stop of an entry instance: it accepts no new requests, finishes those in progress, hands over its slots and exits.";
   static override examples = ["samphireshore drain entry-2 --secrets secrets.jsonc"];
   static override enableJsonFlag = true;
   static override args = {
-    instance: Args.string({ description: "Name or member id.", required: true }),
+    instance: Args.string({
+      description: "Name or member id of the entry instance.",
+      required: true,
+    }),
   };
   static override flags = OPERATOR_FLAGS;
 
@@ -18,13 +21,13 @@
     const { args, flags } = await this.parse(Drain);
     const path = `/v1/operator/drain/${encodeURIComponent(args.instance)}`;
     const call = { method: "POST", path, schema: drainMessage } as const;
-    const found = await askOperator(this, flags, call);
+    const outcome = await queryOperator(this, flags, call);
     this.log(
-      found.kind === "unreachable"
-        ? `unreachable: ${found.detail}`
-        : `${found.instance}: ${found.kind}`,
+      outcome.kind === "unreachable"
+        ? `unreachable: ${outcome.detail}`
+        : `${outcome.instance}: ${outcome.kind}`,
     );
-    if (found.kind !== "draining") process.exitCode = 1;
-    return found;
+    if (outcome.kind !== "draining") process.exitCode = 1;
+    return outcome;
   }
 }
--- a/src/cli/embedded_deployment_test.ts
+++ b/src/cli/embedded_deployment_test.ts
@@ -15,7 +15,8 @@
   operatorKey: "operator-key-of-tests",
 };
 
-test("a caller with the unmodified openai client gets a streamed answer, each token once", async () => {
+test("the unmodified openai client receives a streamed response with each token once", async () => {
+  // Guards against response formats that the client library can't parse, and against lost or repeated tokens.
   const deployment = await startEmbedded(SETTINGS);
   const client = new OpenAI({
     baseURL: `http://${deployment.entries[0]?.self.callerAddress ?? ""}/v1`,
@@ -27,8 +28,8 @@
     max_completion_tokens: 3,
     messages: [{ role: "user", content: "Is chip 9 read?" }],
   });
-  let answer = "";
-  for await (const chunk of stream) answer += chunk.choices[0]?.delta.content ?? "";
+  let response = "";
+  for await (const chunk of stream) response += chunk.choices[0]?.delta.content ?? "";
   await deployment.close();
-  expect(answer).toBe(" word0 word1 word2");
+  expect(response).toBe(" word0 word1 word2");
 });
--- a/src/cli/embedded_reclaim_test.ts
+++ b/src/cli/embedded_reclaim_test.ts
@@ -6,9 +6,9 @@
 
 const CLIENT_KEY = "client-key-of-tests";
 
-test("a zone's notice makes its workers and its entry instance leave at every instance", async () => {
-  // The cloud takes a zone back. Callers of the other instances must get answers from other workers, and
-  // nobody may be told to use the entry instance that goes.
+test("after a reclaim notice for a zone, every instance marks its workers and its entry instance as leaving", async () => {
+  // The cloud reclaims a zone. The other instances must send requests to workers of other zones, and must no longer
+  // return the address of the leaving entry instance to callers.
   const deployment = await startEmbedded({
     port: 0,
     entryInstances: 3,
@@ -20,17 +20,17 @@
   });
   try {
     const zone = ASSOCIATION.zones[0] ?? "";
-    const taken = deployment.platform.cloud.reclaim({ zone, within: 600_000 });
-    expect(taken).toEqual(["finish-desk-0", "entry-1"]);
-    const isKnown = (): boolean =>
+    const reclaimed = deployment.platform.cloud.reclaim({ zone, within: 600_000 });
+    expect(reclaimed).toEqual(["finish-desk-0", "entry-1"]);
+    const isLeavingEverywhere = (): boolean =>
       deployment.entries.every(
         ({ core }) =>
           core.workers.find("finish-desk-0")?.state === WorkerState.Leaving &&
           core.members.alive().length === 2,
       );
-    // However busy the machine is, it comes before the test's own limit; the time that it takes is tested
-    // on the virtual clock.
-    while (!isKnown()) await sleep(systemClock, 20);
+    // There is no time limit here but the test's own, because the machine may be busy. Tests on the virtual clock
+    // check how long it takes.
+    while (!isLeavingEverywhere()) await sleep(systemClock, 20);
     expect(deployment.platform.cloud.notices()).toHaveLength(2);
   } finally {
     await deployment.close();
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -6,18 +6,18 @@
 const NAME = "samphireshore";
 
 /**
- * The command line's only plugin, made in memory: the one binary has no files on disk that could be
- * searched for commands.
+ * Creates the only oclif plugin in memory: the program is a single binary, so there are no files on disk in which
+ * oclif could look for commands.
  */
 function createPlugin(root: string, pjson: Interfaces.PJSON): Interfaces.Plugin {
-  const commands = Object.entries(COMMANDS).map(([id, command]) => loadable(id, command));
+  const commands = Object.entries(COMMANDS).map(([id, command]) => createLoadable(id, command));
   return {
     _base: "",
     alias: NAME,
     commandIDs: Object.keys(COMMANDS),
     commands,
     commandsDir: undefined,
-    findCommand: (id: string) => Promise.resolve(commandOf(id)),
+    findCommand: (id: string) => Promise.resolve(findCommand(id)),
     hasManifest: false,
     hooks: {},
     isRoot: true,
@@ -34,20 +34,20 @@
   } as unknown as Interfaces.Plugin;
 }
 
-function commandOf(id: string): Command.Class {
+function findCommand(id: string): Command.Class {
   const command = COMMANDS[id];
-  if (command === undefined) throw new Error(`There is no command "${id}".`);
+  if (command === undefined) throw new Error(`Unknown command "${id}".`);
   return command;
 }
 
-function loadable(id: string, command: Command.Class): Command.Loadable {
+function createLoadable(id: string, command: Command.Class): Command.Loadable {
   return {
     id,
     aliases: command.aliases,
-    args: named(command.args),
+    args: withNames(command.args),
     description: command.description,
     examples: command.examples,
-    flags: named({ ...command.baseFlags, ...command.flags }),
+    flags: withNames({ ...command.baseFlags, ...command.flags }),
     hidden: false,
     hiddenAliases: [],
     hasDynamicHelp: false,
@@ -63,10 +63,12 @@
 }
 
 /**
- * Gives each argument or flag its own name. A plugin that is read from files gets them when it is loaded; without
- * them, asking for help on a command that takes arguments fails.
+ * Adds a `name` property to each argument or flag. For plugins loaded from files, oclif does this itself. Without
+ * the names, the help of a command that takes arguments fails.
  */
-function named<Part extends object>(parts: Readonly<Record<string, Part>>): Record<string, Part> {
+function withNames<Part extends object>(
+  parts: Readonly<Record<string, Part>>,
+): Record<string, Part> {
   return Object.fromEntries(Object.entries(parts).map(([name, part]) => [name, { ...part, name }]));
 }
 
--- a/src/cli/operator_client.ts
+++ b/src/cli/operator_client.ts
@@ -4,10 +4,10 @@
 import { Agent, request } from "undici";
 import { z } from "zod";
 import { secretsSchema } from "../process/index.ts";
-import { readText } from "./check.ts";
+import { readTextFile } from "./check.ts";
 import { readSettings } from "./read_settings.ts";
 
-/** Flags of every command that talks to an entry instance. */
+/** Flags of every command that calls the operators' API of an entry instance. */
 export const OPERATOR_FLAGS = {
   entry: Flags.string({
     description: "IP:PORT of any entry instance.",
@@ -15,17 +15,20 @@
     env: "SAMPHIRESHORE_ENTRY",
   }),
   "operator-key": Flags.string({
-    description: "Credential of operators.",
+    description: "Operator credential.",
     env: "SAMPHIRESHORE_OPERATOR_KEY",
   }),
-  secrets: Flags.string({ description: "File with the credential, as init writes it." }),
+  secrets: Flags.string({
+    description: "File with the operator credential, in the format that init writes.",
+  }),
   ca: Flags.string({
-    description: "File with the certificate to trust, PEM; the entry instance is asked by HTTPS.",
+    description:
+      "PEM file with the CA certificate to trust; if given, the entry instance is called over HTTPS.",
     env: "SAMPHIRESHORE_CA",
   }),
 };
 
-/** Values of {@linkcode OPERATOR_FLAGS}. */
+/** Values of {@linkcode OPERATOR_FLAGS}. Calls require an operator key, given directly or in a secrets file. */
 export interface OperatorFlags {
   readonly entry: string;
   readonly "operator-key"?: string | undefined;
@@ -33,72 +36,86 @@
   readonly ca?: string | undefined;
 }
 
-/** A call on an operators' route. */
+/** A call of the operators' API. */
 export interface OperatorCall<T> {
   readonly method: "GET" | "PUT" | "POST";
   readonly path: string;
+  /** JSON body; none if absent. */
   readonly body?: object;
-  /** Shape of the answer, whatever its status. */
+  /** Schema of the response body, for every status code. */
   readonly schema: z.ZodType<T>;
-  /** Milliseconds for the answer. */
+  /** Time limit for the response in milliseconds; {@linkcode DEFAULT_TIMEOUT} if absent. */
   readonly timeout?: number;
 }
 
-/** How a call on an operators' route came out. */
-export type OperatorAnswer<T> =
+/** Result of a call of the operators' API. */
+export type OperatorResult<T> =
+  /** The response body matches the schema. */
   | { readonly kind: "answered"; readonly value: T; readonly status: number }
-  /** The entry instance turned the call away: it had no effect. */
+  /** The entry instance rejected the call, which had no effect. */
   | { readonly kind: "turned-away"; readonly detail: string }
-  /** No connection was made: the call had no effect. */
+  /** The connection was refused; the call had no effect. */
   | { readonly kind: "not-sent"; readonly detail: string }
-  /** The call was sent and its answer lost: it may have had its effect. */
+  /** The call may have been sent, but no response was received: it may have taken effect. */
   | { readonly kind: "lost"; readonly detail: string };
 
+/** Default time limit for a response, in milliseconds. */
 const DEFAULT_TIMEOUT = 15_000;
 
 const refusalSchema = z.object({ error: z.object({ message: z.string() }) });
 
-/** Calls an operators' route of an entry instance. */
+/**
+ * Calls the operators' API of an entry instance. Failures of the call are returned as results; the command ends
+ * with an error only if the credential or the certificate can't be read.
+ */
 export async function callOperator<T>(
   command: Command,
   flags: OperatorFlags,
   call: OperatorCall<T>,
-): Promise<OperatorAnswer<T>> {
-  const key = await operatorKey(command, flags);
-  const asked = `${call.method} ${call.path} at ${flags.entry}`;
-  const ca = flags.ca === undefined ? undefined : await readText(command, flags.ca);
+): Promise<OperatorResult<T>> {
+  const key = await readOperatorKey(command, flags);
+  const callDescription = `${call.method} ${call.path} at ${flags.entry}`;
+  const ca = flags.ca === undefined ? undefined : await readTextFile(command, flags.ca);
   const scheme = ca === undefined ? "http" : "https";
   const dispatcher = new Agent(ca === undefined ? {} : { connect: { ca } });
   try {
-    const answer = await request(`${scheme}://${flags.entry}${call.path}`, {
+    const response = await request(`${scheme}://${flags.entry}${call.path}`, {
       method: call.method,
       dispatcher,
       headers: { authorization: `Bearer ${key}`, "content-type": "application/json" },
       body: call.body === undefined ? null : JSON.stringify(call.body),
       signal: AbortSignal.timeout(call.timeout ?? DEFAULT_TIMEOUT),
     });
-    return answered(await answer.body.text(), { call, status: answer.statusCode, asked });
+    return parseResponse(await response.body.text(), {
+      call,
+      status: response.statusCode,
+      callDescription,
+    });
   } catch (cause) {
-    const detail = `Asking ${asked}: ${String(cause)}.`;
-    return isRefused(cause) ? { kind: "not-sent", detail } : { kind: "lost", detail };
+    const detail = `${callDescription} failed: ${String(cause)}.`;
+    return isConnectionRefused(cause) ? { kind: "not-sent", detail } : { kind: "lost", detail };
   } finally {
     await dispatcher.destroy();
   }
 }
 
-function answered<T>(
+function parseResponse<T>(
   text: string,
-  { call, status, asked }: { call: OperatorCall<T>; status: number; asked: string },
-): OperatorAnswer<T> {
-  const parsed = call.schema.safeParse(jsonOf(text));
+  {
+    call,
+    status,
+    callDescription,
+  }: { call: OperatorCall<T>; status: number; callDescription: string },
+): OperatorResult<T> {
+  const parsed = call.schema.safeParse(parseJson(text));
   if (parsed.success) return { kind: "answered", value: parsed.data, status };
-  const refusal = refusalSchema.safeParse(jsonOf(text));
-  const found = refusal.success ? refusal.data.error.message : text;
-  const detail = `Asking ${asked}: it answered with status ${status}: ${found}`;
+  const refusal = refusalSchema.safeParse(parseJson(text));
+  const message = refusal.success ? refusal.data.error.message : text;
+  const detail = `${callDescription} returned status ${status}: ${message}`;
   return { kind: "turned-away", detail };
 }
 
-function jsonOf(text: string): unknown {
+function parseJson(text: string): unknown {
   try {
     return JSON.parse(text);
   } catch {
@@ -106,31 +123,31 @@
   }
 }
 
-function isRefused(cause: unknown): boolean {
+function isConnectionRefused(cause: unknown): boolean {
   return cause instanceof Error && "code" in cause && cause.code === "ECONNREFUSED";
 }
 
-async function operatorKey(command: Command, flags: OperatorFlags): Promise<string> {
+async function readOperatorKey(command: Command, flags: OperatorFlags): Promise<string> {
   if (flags["operator-key"] !== undefined) return flags["operator-key"];
   if (flags.secrets === undefined) {
-    const ways = "--operator-key, SAMPHIRESHORE_OPERATOR_KEY or --secrets FILE";
-    return command.error(`No credential of operators was given: use ${ways}.`, { exit: 2 });
+    const sources = "--operator-key, SAMPHIRESHORE_OPERATOR_KEY or --secrets FILE";
+    return command.error(`The operator credential is missing: use ${sources}.`, { exit: 2 });
   }
   const secrets = await readSettings(command, flags.secrets, { schema: secretsSchema });
   return secrets.operatorKey;
 }
 
-/** The answer of a call that only asks, or the command's end with a plain sentence. */
-export async function askOperator<T>(
+/** Calls the operators' API and returns the response body. If the call fails, the command ends with exit code 2. */
+export async function queryOperator<T>(
   command: Command,
   flags: OperatorFlags,
   call: OperatorCall<T>,
 ): Promise<T> {
-  const answer = await callOperator(command, flags, call);
-  return answer.kind === "answered" ? answer.value : command.error(answer.detail, { exit: 2 });
+  const result = await callOperator(command, flags, call);
+  return result.kind === "answered" ? result.value : command.error(result.detail, { exit: 2 });
 }
 
-/** An id that no other change has. */
-export function newChangeId(): string {
+/** Creates a unique change id. */
+export function createChangeId(): string {
   return randomUUID();
 }
--- a/src/cli/serve.ts
+++ b/src/cli/serve.ts
@@ -11,22 +11,22 @@
 } from "../process/index.ts";
 import type { EntrySettingsFile, Secrets } from "../process/index.ts";
 import { readSettings } from "./read_settings.ts";
-import { untilStopped } from "./until_stopped.ts";
+import { waitForStopSignal } from "./stop_signal.ts";
 
-/** `samphireshore serve`: one entry instance. */
+/** `samphireshore serve`: runs one entry instance. */
 export class Serve extends Command {
   static override description = "Run one entry instance until it is stopped.";
   static override examples = ["samphireshore serve --settings entry-1.jsonc"];
   static override flags = {
-    settings: Flags.string({ description: "Settings, JSON with comments.", required: true }),
+    settings: Flags.string({ description: "Settings file, JSON with comments.", required: true }),
   };
 
   override async run(): Promise<void> {
     const { flags } = await this.parse(Serve);
     const settings = await readSettings(this, flags.settings, { schema: entrySettingsSchema });
-    const secrets = await this.secretsOf(settings, flags.settings);
+    const secrets = await this.readSecrets(settings, flags.settings);
     const entry = await startEntry(
-      { ...settings, ...tlsOf(settings, flags.settings), secrets },
+      { ...settings, ...resolveTlsPaths(settings, flags.settings), secrets },
       {
         clock: systemClock,
         random: systemRandom,
@@ -40,23 +40,26 @@
     }
     const { callerAddress, address } = entry.self;
     this.log(JSON.stringify({ ready: true, callers: callerAddress, peers: address }));
-    // A signal asks for a planned stop, which cuts no request in progress; further ones join it.
-    void untilStopped().then(() => entry.core.drain());
+    // A signal starts a planned stop, which lets requests in progress finish. Further signals have no effect.
+    void waitForStopSignal().then(() => entry.core.drain());
     await entry.core.whenDrained();
     await entry.close();
-    // Timers of slow periodic reads would hold the process for up to half a minute with nothing to do.
+    // Exit explicitly: timers of slow periodic reads would keep the idle process alive for up to 30 seconds.
     this.exit(0);
   }
 
-  private secretsOf({ secrets }: EntrySettingsFile, settingsFile: string): Promise<Secrets> {
+  private readSecrets({ secrets }: EntrySettingsFile, settingsFile: string): Promise<Secrets> {
     if (typeof secrets !== "string") return Promise.resolve(secrets);
     const file = resolve(dirname(settingsFile), secrets);
     return readSettings(this, file, { schema: secretsSchema });
   }
 }
 
-/** Paths of the certificate and its key, from the settings' folder on. */
-function tlsOf({ tls }: EntrySettingsFile, settingsFile: string): Pick<EntrySettingsFile, "tls"> {
+/** Resolves the paths of the certificate and its key relative to the folder of the settings file. */
+function resolveTlsPaths(
+  { tls }: EntrySettingsFile,
+  settingsFile: string,
+): Pick<EntrySettingsFile, "tls"> {
   if (tls === undefined) return {};
   const folder = dirname(settingsFile);
   const certificate = resolve(folder, tls.certificate);
--- a/src/cli/standin.ts
+++ b/src/cli/standin.ts
@@ -6,7 +6,7 @@
 import { startBackend, startPlatform } from "../standin/index.ts";
 import { duration } from "../version/index.ts";
 import { readSettings } from "./read_settings.ts";
-import { untilStopped } from "./until_stopped.ts";
+import { waitForStopSignal } from "./stop_signal.ts";
 
 const backendSchema = z.strictObject({
   tokenTime: duration,
@@ -15,9 +15,9 @@
 
 const platformSchema = z.strictObject({
   listen: z.string(),
-  /** How far the list of workers lags. */
+  /** Delay before a change appears in the list of workers. */
   listLag: duration.exactOptional(),
-  /** Entry instances that a reclaim of their zone takes as well. */
+  /** Entry instances; a reclaim of their zone includes them. */
   entries: z.array(z.strictObject({ name: z.string(), zone: z.string() })).exactOptional(),
   workers: z.array(
     z.strictObject({
@@ -32,9 +32,10 @@
   ),
 });
 
-/** `samphireshore standin`: stand-ins as a process of their own. */
+/** `samphireshore standin`: runs the stand-in for the platform or those for the backend servers. */
 export class Standin extends Command {
-  static override description = "Run the stand-in for the platform, or those for backend servers.";
+  static override description =
+    "Run the stand-in for the platform, or the stand-ins for the backend servers, until stopped.";
   static override examples = [
     "samphireshore standin platform --settings platform.jsonc",
     "samphireshore standin backend --settings backends.jsonc",
@@ -43,7 +44,7 @@
     kind: Args.string({ options: ["platform", "backend"], required: true }),
   };
   static override flags = {
-    settings: Flags.string({ description: "Settings, JSON with comments.", required: true }),
+    settings: Flags.string({ description: "Settings file, JSON with comments.", required: true }),
   };
 
   override async run(): Promise<void> {
@@ -54,7 +55,7 @@
         : await this.startBackends(flags.settings);
     const addresses = listeners.map((listener) => listener.address);
     this.log(JSON.stringify({ ready: true, addresses }));
-    await untilStopped();
+    await waitForStopSignal();
     await Promise.all(listeners.map((listener) => listener.close()));
   }
 
