--- a/src/standin/replay/fleet_control.ts
+++ b/src/standin/replay/fleet_control.ts
@@ -347,8 +347,8 @@
       (sum, arrival) => sum + arrival.p * answerTokensPerPromptToken + arrival.n,
       0,
     );
-    const arriving = (work * 1_000) / Math.min(WARM_UP_TIME, header.duration);
-    const noJobs = { waitingJobs: 0, waitingWork: 0, runningJobs: 0, draining: 0 };
-    return { service, ...noJobs, arriving, arrivedBefore: arriving };
+    const arrivalRate = (work * 1_000) / Math.min(WARM_UP_TIME, header.duration);
+    const noJobs = { waitingJobs: 0, waitingWork: 0, runningJobs: 0, completionRate: 0 };
+    return { service, ...noJobs, arrivalRate, previousArrivalRate: arrivalRate };
   });
 }
