--- a/model/check_test.ts
+++ b/model/check_test.ts
@@ -1,58 +1,67 @@
 import { expect, test } from "vitest";
-import { boundsOf } from "./bounds.ts";
-import type { Difference } from "./bounds.ts";
+import { createBounds } from "./bounds.ts";
+import type { BoundsOverrides } from "./bounds.ts";
 import { check } from "./check.ts";
-import { explore, PROGRESS } from "./checker.ts";
+import { explore, PROGRESS_PROPERTY } from "./checker.ts";
 import type { Specification } from "./checker.ts";
 import { ALL_REVISION_RULES, revisionSpecification } from "./revision_specification.ts";
 import { RULE_NAMES, rulesWithout } from "./rule_names.ts";
 import { slotSpecification } from "./slot_specification.ts";
 
 const LIMITS = { maxStates: 400_000 };
-const TWICE = "what is not to be repeated runs at most once";
-const NOT_RUN = "told not run, never run";
+const RUNS_AT_MOST_ONCE = "a request that may not be repeated runs at most once";
+const NOT_RUN_REPORT_IS_TRUE = "a request reported as not run never runs";
 
-test("the protocol holds within the default bounds", async () => {
+test("all protocols satisfy their invariants within the default bounds", async () => {
   const reports = await check({ bound: "default" });
   expect(reports.flatMap(({ violations }) => violations)).toEqual([]);
   expect(reports.filter(({ complete }) => !complete)).toEqual([]);
 });
 
-/** For each rule, faults under which its absence is noticed, and how. */
-const NEEDED: Readonly<Record<string, { difference: Difference; violated: string }>> = {
-  "backup-ack": { difference: { faults: { crash: 1 } }, violated: TWICE },
-  "epoch-check": { difference: { epochs: 2, faults: { suspicion: 1 } }, violated: NOT_RUN },
-  "intent-blocks": { difference: { faults: { crash: 1 } }, violated: TWICE },
+/** For each rule, bounds in which its absence violates an invariant, and the invariant's name. */
+const RULE_CASES: Readonly<Record<string, { overrides: BoundsOverrides; violated: string }>> = {
+  "backup-ack": { overrides: { faults: { crash: 1 } }, violated: RUNS_AT_MOST_ONCE },
+  "epoch-check": {
+    overrides: { epochs: 2, faults: { suspicion: 1 } },
+    violated: NOT_RUN_REPORT_IS_TRUE,
+  },
+  "intent-blocks": { overrides: { faults: { crash: 1 } }, violated: RUNS_AT_MOST_ONCE },
   "not-run-ack": {
-    difference: { faults: { crash: 1 } },
-    violated: "told ends never contradict each other",
+    overrides: { faults: { crash: 1 } },
+    violated: "a request is reported with at most one end state",
   },
   "cede-to-named": {
-    difference: { cedesToAll: true, faults: { notice: 1 } },
-    violated: "one owner at each epoch",
+    overrides: { cedesToAll: true, faults: { notice: 1 } },
+    violated: "each epoch has at most one owner",
   },
   "acting-waits": {
-    difference: { instances: 2, epochs: 2, faults: { notice: 1, crash: 1 } },
-    violated: NOT_RUN,
+    overrides: { instances: 2, epochs: 2, faults: { notice: 1, crash: 1 } },
+    violated: NOT_RUN_REPORT_IS_TRUE,
+  },
+  "history-lost": {
+    overrides: { epochs: 3, faults: { crash: 2 } },
+    violated: NOT_RUN_REPORT_IS_TRUE,
   },
-  "history-lost": { difference: { epochs: 3, faults: { crash: 2 } }, violated: NOT_RUN },
   "copy-order": {
-    difference: { instances: 2, epochs: 3, faults: { suspicion: 1, crash: 1 } },
-    violated: NOT_RUN,
+    overrides: { instances: 2, epochs: 3, faults: { suspicion: 1, crash: 1 } },
+    violated: NOT_RUN_REPORT_IS_TRUE,
+  },
+  "fresh-copy": {
+    overrides: { epochs: 3, faults: { crash: 2 } },
+    violated: NOT_RUN_REPORT_IS_TRUE,
   },
-  "fresh-copy": { difference: { epochs: 3, faults: { crash: 2 } }, violated: NOT_RUN },
 };
 
-test("every rule has bounds in which it is needed", () => {
-  expect(Object.keys(NEEDED).sort()).toEqual([...RULE_NAMES].sort());
+test("every slot ownership rule has a case without it", () => {
+  expect(Object.keys(RULE_CASES).sort()).toEqual([...RULE_NAMES].sort());
 });
 
-test.each(Object.entries(NEEDED))(
-  "without %s a violation is found",
-  async (rule, { difference, violated }) => {
-    // A rule is left out of the running functions, and the faults come in the order that breadth-first
-    // search finds first. A user is told "not run" of an entry that runs, or pays for two.
-    const bounds = boundsOf(rule, difference, rulesWithout(rule));
+test.each(Object.entries(RULE_CASES))(
+  "the checker finds a violation without %s",
+  async (rule, { overrides, violated }) => {
+    // One rule is switched off in the production functions. Breadth-first search finds a shortest sequence
+    // of faults after which a caller gets "not run" for a request that runs, or pays for two runs.
+    const bounds = createBounds(rule, overrides, rulesWithout(rule));
     const { violations } = await explore(slotSpecification(bounds), LIMITS);
     expect(violations.map(({ invariant }) => invariant)).toEqual([violated]);
   },
@@ -62,33 +71,33 @@
   ["laterOnly", "a revision never reverts at any instance"],
   ["conditionalWrite", "an accepted change is in what follows, once"],
   ["changeId", "an accepted change is in what follows, once"],
-])("without %s an operator's change is undone", async (rule, violated) => {
-  // Two operators switch presets at once, or an answer is lost. A user sees a preset that was accepted go
-  // out of force again.
+])("an operator's change is lost or reverted without %s", async (rule, violated) => {
+  // Two operators switch presets concurrently, or a response is lost. A preset whose change was accepted
+  // is then replaced by an earlier one.
   const specification = revisionSpecification({ ...ALL_REVISION_RULES, [rule]: false });
   const { violations } = await explore(specification, LIMITS);
   expect(violations.map(({ invariant }) => invariant)).toEqual([violated]);
 });
 
-/** Counts up by one or two; from 3, which is a trap, nothing leads on. */
+/** Counts up to 5 in steps of one or two. State 3 has no transitions. */
 const COUNTING: Specification<number> = {
   name: "counting",
   initial: 0,
   steps: (state) =>
     [1, 2]
-      .filter((by) => state !== 3 && state + by <= 5)
-      .map((by) => ({ name: `add ${by}`, fault: false, next: state + by })),
+      .filter((increment) => state !== 3 && state + increment <= 5)
+      .map((increment) => ({ name: `add ${increment}`, isFault: false, next: state + increment })),
   encode: String,
   invariants: [{ name: "below 5", holds: (state) => state < 5 }],
-  goal: (state) => state === 4,
+  isGoal: (state) => state === 4,
 };
 
-test("a violation comes with a shortest trace", async () => {
+test("a violation is reported with a shortest trace", async () => {
   const { violations } = await explore(COUNTING, LIMITS);
   expect(violations).toEqual([{ invariant: "below 5", trace: ["add 2", "add 2", "add 1"] }]);
 });
 
-test("a state from which the goal can't be reached is found", async () => {
+test("a state from which no goal is reachable is reported", async () => {
   const { violations } = await explore({ ...COUNTING, invariants: [] }, LIMITS);
-  expect(violations[0]?.invariant).toBe(PROGRESS);
+  expect(violations[0]?.invariant).toBe(PROGRESS_PROPERTY);
 });
--- a/model/lease_specification.ts
+++ b/model/lease_specification.ts
@@ -1,10 +1,11 @@
 /**
- * The specification of the lease whose fence nobody checks: two instances that take, renew and lose it, are
- * suspended and wake, and give orders that are under way for a while. Its actions call the functions that the entry
- * instance executes.
+ * Specification of the lease that permits orders to the platform. The receiver of an order doesn't check
+ * its fence, so the lease alone must prevent an order of an earlier holder from arriving late. Two
+ * instances acquire, renew and lose the lease, are suspended and resumed, and send orders that take some
+ * time to arrive. The actions call the same functions as the entry instance.
  *
- * Time is counted in whole units of {@linkcode UNIT} milliseconds. An instance's steady clock stands still while it is
- * suspended; its time of day doesn't.
+ * Time advances in units of {@linkcode TIME_UNIT} milliseconds. While an instance is suspended, its
+ * monotonic clock stops but its time of day continues.
  *
  * @module
  */
@@ -12,252 +13,304 @@
 import type { HeldLease, LeaseMoment, LeaseRules } from "../src/version/index.ts";
 import type { Specification, Step } from "./checker.ts";
 
-const UNIT = 1_000;
-const ORDER_TIME = UNIT;
+/** Length of a time step in milliseconds. */
+const TIME_UNIT = 1_000;
+/** Maximum time from sending an order to its arrival, in milliseconds. */
+const ORDER_TIME = TIME_UNIT;
 
+/** An order in transit to the platform. */
 interface Order {
-  readonly by: string;
+  /** Name of the instance that sent it. */
+  readonly sender: string;
+  /** Fence of the lease under which it was sent. */
   readonly fence: number;
-  /** When it has arrived at the latest. */
-  readonly until: number;
+  /** Latest time of arrival. */
+  readonly arrivesBy: number;
 }
 
-interface Holder {
+/** An instance that may hold the lease. */
+interface Candidate {
   readonly name: string;
   readonly isSuspended: boolean;
-  /** For how long it has been suspended so far. */
-  readonly lag: number;
-  readonly held: HeldLease | undefined;
-  readonly seen: { readonly version: number; readonly since: number } | undefined;
+  /** Total time of suspension so far, by which the monotonic clock lags. */
+  readonly clockLag: number;
+  /** The lease that the instance believes to hold. */
+  readonly lease: HeldLease | undefined;
+  /** The latest lease version observed, and the monotonic time of its observation. */
+  readonly observed: { readonly version: number; readonly since: number } | undefined;
 }
 
-/** Everything, as plain data. */
+/** The complete state of the model, as plain data. Times are in milliseconds. */
 export interface LeaseState {
   readonly time: number;
-  readonly stored: { readonly version: number; readonly holder: string };
-  readonly holders: readonly Holder[];
-  readonly underWay: readonly Order[];
-  /** The highest fence that has arrived, and whether a lower one came after it. */
-  readonly highest: number;
-  readonly fell: boolean;
-  /** The holders of the last orders that arrived, each with the time of its last one. */
-  readonly last: { readonly name: string; readonly at: number } | undefined;
-  readonly beforeLast: { readonly name: string; readonly at: number } | undefined;
-  /** Whether an order arrived within a term of its holder's one before, with another's between them. */
-  readonly alternated: boolean;
-  readonly suspensions: number;
+  /** The lease in the store. An empty holder means that it is free. */
+  readonly storedLease: { readonly version: number; readonly holder: string };
+  readonly candidates: readonly Candidate[];
+  readonly pendingOrders: readonly Order[];
+  /** Highest fence of any order that has arrived. */
+  readonly highestFence: number;
+  /** Whether an order with a lower fence arrived afterward. */
+  readonly hasFenceDecreased: boolean;
+  /** Sender and arrival time of the latest order; only tracked if instances release the lease. */
+  readonly lastOrder: { readonly name: string; readonly at: number } | undefined;
+  /** Sender and arrival time of the latest order from a sender other than that of `lastOrder`. */
+  readonly previousOrder: { readonly name: string; readonly at: number } | undefined;
+  /** Whether two orders of one sender arrived within a term, with an order of another sender between them. */
+  readonly hasAlternated: boolean;
+  /** Number of suspensions that may still occur. */
+  readonly suspensionsLeft: number;
 }
 
-/** What is played. */
+/** Bounds of an exploration of the lease. */
 export interface LeaseBounds {
-  /** How often an instance may be suspended. */
+  /** Number of suspensions, over all instances. */
   readonly suspensions: number;
-  /** Whether instances give the lease back; many more states, so without suspensions. */
+  /** Whether instances release the lease. This adds many states, so it is explored without suspensions. */
   readonly givesBack: boolean;
-  /** For how many units a lease holds after each write. */
+  /** Duration of a lease after each write, in time units. */
   readonly term: number;
 }
 
-/** The bounds within which the lease is explored. */
+/** Bounds within which the lease is explored. */
 export const LEASE_BOUNDS: readonly LeaseBounds[] = [
   { suspensions: 1, givesBack: false, term: 3 },
-  // A unit has to pass before what arrives until a moment has arrived: there and back fit into no shorter term.
+  // Each order takes up to one time unit. In a shorter term, the lease can't change hands and return.
+
   { suspensions: 0, givesBack: true, term: 4 },
 ];
 
-/** Two instances within the bounds. */
+/** Creates the specification with two instances. */
 export function leaseSpecification(
   rules: LeaseRules,
   bounds: LeaseBounds,
 ): Specification<LeaseState> {
-  const holder = (name: string): Holder => ({
+  const candidate = (name: string): Candidate => ({
     name,
     isSuspended: false,
-    lag: 0,
-    held: undefined,
-    seen: undefined,
+    clockLag: 0,
+    lease: undefined,
+    observed: undefined,
   });
   return {
     name: "lease",
     initial: {
       time: 0,
-      stored: { version: 0, holder: "" },
-      holders: [holder("a"), holder("b")],
-      underWay: [],
-      highest: 0,
-      fell: false,
-      last: undefined,
-      beforeLast: undefined,
-      alternated: false,
-      suspensions: bounds.suspensions,
+      storedLease: { version: 0, holder: "" },
+      candidates: [candidate("a"), candidate("b")],
+      pendingOrders: [],
+      highestFence: 0,
+      hasFenceDecreased: false,
+      lastOrder: undefined,
+      previousOrder: undefined,
+      hasAlternated: false,
+      suspensionsLeft: bounds.suspensions,
     },
     steps: (state) => [
-      ...tick(state),
-      ...state.underWay.map((order) => arrive(state, order, bounds)),
-      ...state.holders.flatMap((one) => holderSteps(state, one, { rules, bounds })),
+      ...advanceTime(state),
+      ...state.pendingOrders.map((order) => deliverOrder(state, order, bounds)),
+      ...state.candidates.flatMap((one) => candidateSteps(state, one, { rules, bounds })),
     ],
     encode: (state) => encode(state, bounds),
     invariants: [
-      { name: "no order arrives after one of a later holder", holds: ({ fell }) => !fell },
-      { name: "holders don't act in turn within a term", holds: ({ alternated }) => !alternated },
+      {
+        name: "no order arrives after an order of a later holder",
+        holds: ({ hasFenceDecreased }) => !hasFenceDecreased,
+      },
+      {
+        name: "holders don't alternate within a term",
+        holds: ({ hasAlternated }) => !hasAlternated,
+      },
     ],
-    goal: ({ highest }) => highest > 0,
+    isGoal: ({ highestFence }) => highestFence > 0,
   };
 }
 
 /**
- * What the future depends on: fences by their order, versions by whether they are the stored one, and times by their
- * distance from now as far as it matters. With absolute ones no state would ever come again, and the exploration
- * never end.
+ * Encodes what future steps depend on: the order of the fences, whether a version is the stored one, and
+ * times relative to now, limited to the term. With absolute values no state would recur, and the
+ * exploration would not terminate.
  */
 function encode(state: LeaseState, { givesBack, term }: LeaseBounds): string {
-  const { stored, holders, underWay, highest, fell, suspensions, time } = state;
-  const { last, beforeLast, alternated } = state;
+  const {
+    storedLease,
+    candidates,
+    pendingOrders,
+    highestFence,
+    hasFenceDecreased,
+    suspensionsLeft,
+    time,
+  } = state;
+  const { lastOrder, previousOrder, hasAlternated } = state;
   const fences = [
-    highest,
-    ...underWay.map(({ fence }) => fence),
-    ...holders.map(({ held }) => held?.fence ?? 0),
+    highestFence,
+    ...pendingOrders.map(({ fence }) => fence),
+    ...candidates.map(({ lease }) => lease?.fence ?? 0),
   ];
   const ranks = [...new Set(fences)].sort((a, b) => a - b);
-  const units = (span: number): number => Math.max(-1, Math.min(term, span / UNIT));
-  const orders = underWay.map(
-    ({ by, fence, until }) => `${by} ${ranks.indexOf(fence)} ${until - time}`,
+  const units = (duration: number): number => Math.max(-1, Math.min(term, duration / TIME_UNIT));
+  const orders = pendingOrders.map(
+    ({ sender, fence, arrivesBy }) => `${sender} ${ranks.indexOf(fence)} ${arrivesBy - time}`,
   );
   return JSON.stringify([
-    stored.holder,
-    ranks.indexOf(highest),
-    fell,
-    suspensions,
+    storedLease.holder,
+    ranks.indexOf(highestFence),
+    hasFenceDecreased,
+    suspensionsLeft,
     orders.sort(),
-    alternated,
-    last?.name,
-    beforeLast && [beforeLast.name, units(time - beforeLast.at)],
-    last && units(time - last.at),
-    holders.map((holder) => {
-      const { held, seen, isSuspended, lag } = holder;
-      const { now } = steadyNow(state, holder);
-      const isSeen = seen?.version === stored.version;
+    hasAlternated,
+    lastOrder?.name,
+    previousOrder && [previousOrder.name, units(time - previousOrder.at)],
+    lastOrder && units(time - lastOrder.at),
+    candidates.map((candidate) => {
+      const { lease, observed, isSuspended, clockLag } = candidate;
+      const { now } = readClock(state, candidate);
+      const isCurrent = observed?.version === storedLease.version;
       return [
         isSuspended,
-        held && [
-          held.version === stored.version,
-          ranks.indexOf(held.fence),
-          units(held.until - now),
-          units(lag - held.dayOffset),
-          givesBack && held.ordersUntil !== undefined && units(held.ordersUntil - now),
-          givesBack && held.takenOverAt !== undefined && units(now - held.takenOverAt),
+        lease && [
+          lease.version === storedLease.version,
+          ranks.indexOf(lease.fence),
+          units(lease.until - now),
+          units(clockLag - lease.dayOffset),
+          givesBack && lease.ordersUntil !== undefined && units(lease.ordersUntil - now),
+          givesBack && lease.takenOverAt !== undefined && units(now - lease.takenOverAt),
         ],
-        isSeen && units(now - seen.since),
+        isCurrent && units(now - observed.since),
       ];
     }),
   ]);
 }
 
-function steadyNow({ time }: LeaseState, { lag }: Holder): LeaseMoment {
-  return { now: time - lag, dayOffset: lag };
+/** Returns the clock reading of an instance. */
+function readClock({ time }: LeaseState, { clockLag }: Candidate): LeaseMoment {
+  return { now: time - clockLag, dayOffset: clockLag };
 }
 
-/** Time goes on, but not past the moment at which an order has arrived at the latest. */
-function tick(state: LeaseState): Step<LeaseState>[] {
-  const { time, underWay, holders } = state;
-  if (underWay.some(({ until }) => until <= time)) return [];
-  const later = holders.map((one) => (one.isSuspended ? { ...one, lag: one.lag + UNIT } : one));
+/** Advances time by one unit, but not past the latest arrival time of a pending order. */
+function advanceTime(state: LeaseState): Step<LeaseState>[] {
+  const { time, pendingOrders, candidates } = state;
+  if (pendingOrders.some(({ arrivesBy }) => arrivesBy <= time)) return [];
+  const updated = candidates.map((one) =>
+    one.isSuspended ? { ...one, clockLag: one.clockLag + TIME_UNIT } : one,
+  );
   return [
-    { name: "time goes on", fault: false, next: { ...state, time: time + UNIT, holders: later } },
+    {
+      name: "time advances",
+      isFault: false,
+      next: { ...state, time: time + TIME_UNIT, candidates: updated },
+    },
   ];
 }
 
-function arrive(
+function deliverOrder(
   state: LeaseState,
   order: Order,
   { givesBack, term }: LeaseBounds,
 ): Step<LeaseState> {
-  const { time, last, beforeLast } = state;
-  const { by: name, fence } = order;
-  const isSame = last?.name === name;
-  const isBack = !isSame && beforeLast?.name === name && time - beforeLast.at < term * UNIT;
+  const { time, lastOrder, previousOrder } = state;
+  const { sender: name, fence } = order;
+  const isSameSender = lastOrder?.name === name;
+  const isAlternating =
+    !isSameSender && previousOrder?.name === name && time - previousOrder.at < term * TIME_UNIT;
   return {
     name: `the order with fence ${fence} arrives`,
-    fault: false,
+    isFault: false,
     next: {
       ...state,
-      underWay: state.underWay.filter((one) => one !== order),
-      highest: Math.max(state.highest, fence),
-      fell: state.fell || fence < state.highest,
-      last: givesBack ? { name, at: time } : undefined,
-      beforeLast: isSame ? beforeLast : last,
-      alternated: state.alternated || isBack,
+      pendingOrders: state.pendingOrders.filter((one) => one !== order),
+      highestFence: Math.max(state.highestFence, fence),
+      hasFenceDecreased: state.hasFenceDecreased || fence < state.highestFence,
+      lastOrder: givesBack ? { name, at: time } : undefined,
+      previousOrder: isSameSender ? previousOrder : lastOrder,
+      hasAlternated: state.hasAlternated || isAlternating,
     },
   };
 }
 
-function holderSteps(
+function candidateSteps(
   state: LeaseState,
-  holder: Holder,
+  candidate: Candidate,
   { rules, bounds }: { rules: LeaseRules; bounds: LeaseBounds },
 ): Step<LeaseState>[] {
-  const term = bounds.term * UNIT;
-  const become = (change: Partial<Holder>, more: Partial<LeaseState> = {}): LeaseState => ({
+  const term = bounds.term * TIME_UNIT;
+  const withChange = (change: Partial<Candidate>, more: Partial<LeaseState> = {}): LeaseState => ({
     ...state,
     ...more,
-    holders: state.holders.map((one) => (one === holder ? { ...one, ...change } : one)),
+    candidates: state.candidates.map((one) => (one === candidate ? { ...one, ...change } : one)),
   });
-  const step = (name: string, next: LeaseState, fault = false): Step<LeaseState> => ({
-    name: `${holder.name} ${name}`,
-    fault,
+  const step = (name: string, next: LeaseState, isFault = false): Step<LeaseState> => ({
+    name: `${candidate.name} ${name}`,
+    isFault,
     next,
   });
-  if (holder.isSuspended) return [step("wakes", become({ isSuspended: false }))];
-  const moment = steadyNow(state, holder);
+  if (candidate.isSuspended) return [step("resumes", withChange({ isSuspended: false }))];
+  const reading = readClock(state, candidate);
   const steps: Step<LeaseState>[] = [];
-  if (state.suspensions > 0) {
-    const suspended = become({ isSuspended: true }, { suspensions: state.suspensions - 1 });
+  if (state.suspensionsLeft > 0) {
+    const suspended = withChange(
+      { isSuspended: true },
+      { suspensionsLeft: state.suspensionsLeft - 1 },
+    );
     steps.push(step("is suspended", suspended, true));
   }
-  const { stored } = state;
-  const { held, seen } = holder;
-  if (seen?.version !== stored.version) {
-    const since = moment.now;
-    steps.push(step("looks", become({ seen: { version: stored.version, since } })));
+  const { storedLease } = state;
+  const { lease, observed } = candidate;
+  if (observed?.version !== storedLease.version) {
+    const since = reading.now;
+    steps.push(
+      step("reads the store", withChange({ observed: { version: storedLease.version, since } })),
+    );
   }
-  for (const { name, held: theirs } of state.holders) {
-    if (theirs === undefined || theirs.version <= (seen?.version ?? 0)) continue;
-    const since = moment.now;
-    steps.push(step(`hears of ${name}`, become({ seen: { version: theirs.version, since } })));
+  for (const { name, lease: peerLease } of state.candidates) {
+    if (peerLease === undefined || peerLease.version <= (observed?.version ?? 0)) continue;
+    const since = reading.now;
+    steps.push(
+      step(
+        `receives the version of ${name}`,
+        withChange({ observed: { version: peerLease.version, since } }),
+      ),
+    );
   }
-  const version = stored.version + 1;
-  const write = { stored: { version, holder: holder.name } };
-  const until = moment.now + term;
-  if (held !== undefined && leaseTimeLeft(held, moment, rules) <= 0) {
-    steps.push(step("lets it run out", become({ held: undefined })));
-  } else if (held !== undefined && held.version !== stored.version) {
-    steps.push(step("finds its renewal refused", become({ held: undefined })));
-  } else if (held !== undefined && held.until < until) {
-    const renewed = { ...held, version, until, dayOffset: moment.dayOffset };
-    steps.push(step("renews", become({ held: renewed }, write)));
+  const version = storedLease.version + 1;
+  const write = { storedLease: { version, holder: candidate.name } };
+  const until = reading.now + term;
+  if (lease !== undefined && leaseTimeLeft(lease, reading, rules) <= 0) {
+    steps.push(step("lets the lease expire", withChange({ lease: undefined })));
+  } else if (lease !== undefined && lease.version !== storedLease.version) {
+    steps.push(step("gets its renewal refused", withChange({ lease: undefined })));
+  } else if (lease !== undefined && lease.until < until) {
+    const renewed = { ...lease, version, until, dayOffset: reading.dayOffset };
+    steps.push(step("renews the lease", withChange({ lease: renewed }, write)));
   }
-  if (bounds.givesBack && held?.version === stored.version) {
-    if (giveBackIn(held, moment.now, { term, rules }) === 0) {
-      const free = { stored: { version, holder: "" } };
-      steps.push(step("gives it back", become({ held: undefined }, free)));
+  if (bounds.givesBack && lease?.version === storedLease.version) {
+    if (giveBackIn(lease, reading.now, { term, rules }) === 0) {
+      const release = { storedLease: { version, holder: "" } };
+      steps.push(step("releases the lease", withChange({ lease: undefined }, release)));
     }
   }
-  const isFree = stored.holder === "";
-  const isOver =
-    seen?.version === stored.version && hasRunOut({ since: seen.since, term }, moment.now, rules);
-  if (held === undefined && seen !== undefined && (isFree || isOver)) {
-    const { now, dayOffset } = moment;
-    const takenOverAt = stored.version > 0 && stored.holder !== holder.name ? now : undefined;
-    const terms = { until, ordersFrom: now, ordersUntil: undefined, takenOverAt };
-    const taken = { version, fence: version, dayOffset, ...terms };
-    steps.push(step("takes it", become({ held: taken }, write)));
+  const isFree = storedLease.holder === "";
+  const isExpired =
+    observed?.version === storedLease.version &&
+    hasRunOut({ since: observed.since, term }, reading.now, rules);
+  if (lease === undefined && observed !== undefined && (isFree || isExpired)) {
+    const { now, dayOffset } = reading;
+    const takenOverAt =
+      storedLease.version > 0 && storedLease.holder !== candidate.name ? now : undefined;
+    const times = { until, ordersFrom: now, ordersUntil: undefined, takenOverAt };
+    const acquired = { version, fence: version, dayOffset, ...times };
+    steps.push(step("acquires the lease", withChange({ lease: acquired }, write)));
   }
-  const mayAct = held !== undefined && mayOrder(held, moment, { orderTime: ORDER_TIME, rules });
-  if (mayAct && state.underWay.length < 2) {
-    const order = { by: holder.name, fence: held.fence, until: state.time + ORDER_TIME };
-    const ordering = { ...held, ordersUntil: moment.now + ORDER_TIME };
-    const underWay = [...state.underWay, order];
-    steps.push(step("gives an order", become({ held: ordering }, { underWay })));
+  const canOrder =
+    lease !== undefined && mayOrder(lease, reading, { orderTime: ORDER_TIME, rules });
+  if (canOrder && state.pendingOrders.length < 2) {
+    const order = {
+      sender: candidate.name,
+      fence: lease.fence,
+      arrivesBy: state.time + ORDER_TIME,
+    };
+    const withOrder = { ...lease, ordersUntil: reading.now + ORDER_TIME };
+    const pendingOrders = [...state.pendingOrders, order];
+    steps.push(step("sends an order", withChange({ lease: withOrder }, { pendingOrders })));
   }
   return steps;
 }
--- a/model/lease_test.ts
+++ b/model/lease_test.ts
@@ -4,34 +4,40 @@
 import { LEASE_BOUNDS, leaseSpecification } from "./lease_specification.ts";
 
 const LIMITS = { maxStates: 400_000 };
-const SUSPENDED = { suspensions: 1, givesBack: false, term: 3 };
-const IN_TURN = { suspensions: 0, givesBack: true, term: 4 };
-const FALLS = "no order arrives after one of a later holder";
+const SUSPENSION_BOUNDS = { suspensions: 1, givesBack: false, term: 3 };
+const RELEASE_BOUNDS = { suspensions: 0, givesBack: true, term: 4 };
+const LATE_ORDER = "no order arrives after an order of a later holder";
 
-test.each(LEASE_BOUNDS)("the lease holds with all its rules (%o)", async (bounds) => {
-  const found = await explore(leaseSpecification(ALL_LEASE_RULES, bounds), LIMITS);
-  expect(found.violations).toEqual([]);
-  expect(found.complete).toBe(true);
-});
+test.each(LEASE_BOUNDS)(
+  "the lease satisfies its invariants with all rules (%o)",
+  async (bounds) => {
+    const found = await explore(leaseSpecification(ALL_LEASE_RULES, bounds), LIMITS);
+    expect(found.violations).toEqual([]);
+    expect(found.complete).toBe(true);
+  },
+);
 
-// A rule is left out of the running functions. An order of a holder that has been followed by another arrives after
-// one of its successor, and nobody checks its fence: workers that were just sent away are ordered again.
+// One rule is switched off in the production functions. An order of a previous holder then arrives after an order of
+// its successor. The receiver doesn't check the fence, so workers that were just released are ordered again.
 test.each(["waitTerm", "countSuspension", "leaveRoom"] as const)(
-  "without %s an order of an earlier holder arrives after a later one's",
+  "an order of an earlier holder arrives after one of a later holder without %s",
   async (rule) => {
-    const specification = leaseSpecification({ ...ALL_LEASE_RULES, [rule]: false }, SUSPENDED);
+    const specification = leaseSpecification(
+      { ...ALL_LEASE_RULES, [rule]: false },
+      SUSPENSION_BOUNDS,
+    );
     const { violations } = await explore(specification, LIMITS);
-    expect(violations.map(({ invariant }) => invariant)).toContain(FALLS);
+    expect(violations.map(({ invariant }) => invariant)).toContain(LATE_ORDER);
   },
 );
 
-// Instances are restarted in turn, and each gives the lease back. A platform that doesn't check the fence then sees
-// the orders of both in turn.
+// Instances restart one after another, and each releases the lease. Without the rule, a platform that doesn't check
+// the fence receives an order of the earlier holder late, or orders of both holders alternately.
 test.each([
-  ["endOrders", FALLS],
-  ["keepTerm", "holders don't act in turn within a term"],
-] as const)("without %s a lease that is given back breaks it: %s", async (rule, broken) => {
-  const specification = leaseSpecification({ ...ALL_LEASE_RULES, [rule]: false }, IN_TURN);
+  ["endOrders", LATE_ORDER],
+  ["keepTerm", "holders don't alternate within a term"],
+] as const)("releasing the lease without %s violates: %s", async (rule, violated) => {
+  const specification = leaseSpecification({ ...ALL_LEASE_RULES, [rule]: false }, RELEASE_BOUNDS);
   const { violations } = await explore(specification, LIMITS);
-  expect(violations.map(({ invariant }) => invariant)).toContain(broken);
+  expect(violations.map(({ invariant }) => invariant)).toContain(violated);
 });
--- a/model/main.ts
+++ b/model/main.ts
@@ -2,11 +2,11 @@
 import { check } from "./check.ts";
 import type { Report } from "./check.ts";
 
-const HELP = `Checks the core protocol against its invariants.
+const HELP = `Checks the core protocols against their invariants.
 
   npm run model -- [--json] [--bound default|large] [--without RULE]
 
-Exit code 1 on a violation. Example: npm run model -- --without backup-ack`;
+Exits with code 1 on a violation. Example: npm run model -- --without backup-ack`;
 
 const { values } = parseArgs({
   options: {
@@ -24,17 +24,24 @@
   const { without } = values;
   const reports = await check(without === undefined ? { bound } : { bound, without });
   if (values.json) console.log(JSON.stringify({ bound, without, reports }, undefined, 2));
-  else reports.forEach((report) => console.log(textOf(report)));
+  else reports.forEach((report) => console.log(formatReport(report)));
   if (reports.some(({ violations }) => violations.length > 0)) process.exitCode = 1;
 }
 
-function textOf({ specification, states, depth, time, complete, violations }: Report): string {
-  const extent = complete ? "all states" : "stopped";
-  const head = `${specification}: ${states} states, depth ${depth}, ${time} ms, ${extent}`;
-  const found = violations.map(({ invariant, trace }) =>
+function formatReport({
+  specification,
+  states,
+  depth,
+  time,
+  complete,
+  violations,
+}: Report): string {
+  const outcome = complete ? "all states" : "stopped";
+  const summary = `${specification}: ${states} states, depth ${depth}, ${time} ms, ${outcome}`;
+  const traces = violations.map(({ invariant, trace }) =>
     [`  violated: ${invariant}`, ...trace.map((line, index) => `  ${index + 1}. ${line}`)].join(
       "\n",
     ),
   );
-  return [head, ...found].join("\n");
+  return [summary, ...traces].join("\n");
 }
--- a/model/revision_specification.ts
+++ b/model/revision_specification.ts
@@ -1,6 +1,8 @@
 /**
- * The specification of the revision: operators who race, instances that learn by watches, reads and
- * peers in any order. Its actions call the functions that the entry instance executes.
+ * Specification of the revision, which records the preset in force and the changes made by operators.
+ * Operators write it concurrently. Instances receive stored versions from watches, reads and peers in
+ * any order. The actions call the same functions as the entry instance, so the model checker explores
+ * the code that runs in production.
  *
  * @module
  */
@@ -8,65 +10,72 @@
 import type { Revision } from "../src/version/index.ts";
 import type { Specification, Step } from "./checker.ts";
 
-/** What may be switched off to show that it is needed. */
+/** The rules of the revision. The model checker can switch each one off to show that it is necessary. */
 export interface RevisionRules {
-  /** An instance keeps the later revision, whoever says another. */
+  /** An instance keeps the latest revision it has received, whatever the source of another one. */
   readonly laterOnly: boolean;
-  /** Operators write on condition of the version they read. */
+  /** An operator's write succeeds only if the stored version is the one that the operator read. */
   readonly conditionalWrite: boolean;
-  /** A write whose answer was lost is looked for by its change id before it is tried again. */
+  /** After a lost response, an operator looks for its change id in the store before it retries the write. */
   readonly changeId: boolean;
 }
 
-/** All rules in force. */
+/** All rules enabled, as in every running instance. */
 export const ALL_REVISION_RULES: RevisionRules = {
   laterOnly: true,
   conditionalWrite: true,
   changeId: true,
 };
 
-/** An operator who switches to the preset of the same name, once. */
+/** An operator who switches once to the preset of the same name. */
 interface Operator {
   readonly preset: string;
-  /** The revision it read, or undefined before the read. */
-  readonly read: Revision | undefined;
-  /** What the operator was told, or "lost" before the answer has been looked for. */
+  /** The revision that the operator read; undefined before the read. */
+  readonly readRevision: Revision | undefined;
+  /** The result known to the operator: empty while pending, "lost" from a lost response until the store is checked. */
   readonly outcome: "" | "lost" | "written" | "conflict";
 }
 
 interface Instance {
   readonly name: string;
-  readonly inForce: Revision | undefined;
-  /** True once it has applied a lower version than before. */
-  readonly reverted: boolean;
+  /** The revision in force at this instance; undefined before the first one is received. */
+  readonly current: Revision | undefined;
+  /** Whether the last update replaced a revision by one with a lower version. */
+  readonly hasReverted: boolean;
 }
 
-/** Everything, as plain data. */
+/** The complete state of the model, as plain data. */
 export interface RevisionState {
   readonly stored: Revision;
-  /** Every revision that was ever stored: a late watch or a slow peer may still bring any of them. */
+  /** Every revision ever stored. A delayed watch event or a slow peer can still deliver any of them. */
   readonly history: readonly Revision[];
   readonly operators: readonly Operator[];
   readonly instances: readonly Instance[];
-  readonly restarts: number;
+  /** Number of instance restarts that may still occur. */
+  readonly restartsLeft: number;
 }
 
-const FIRST = { version: 1, preset: "day", changes: [], source: {} } as unknown as Revision;
+const INITIAL_REVISION = {
+  version: 1,
+  preset: "day",
+  changes: [],
+  source: {},
+} as unknown as Revision;
 
-/** Two operators and two instances, one of which may start again. */
+/** Creates the specification with two operators, two instances and one instance restart. */
 export function revisionSpecification(rules: RevisionRules): Specification<RevisionState> {
   return {
     name: "revision",
     initial: {
-      stored: FIRST,
-      history: [FIRST],
+      stored: INITIAL_REVISION,
+      history: [INITIAL_REVISION],
       operators: ["peak", "maintenance"].map((preset) => ({
         preset,
-        read: undefined,
+        readRevision: undefined,
         outcome: "",
       })),
-      instances: ["a", "b"].map((name) => ({ name, inForce: undefined, reverted: false })),
-      restarts: 1,
+      instances: ["a", "b"].map((name) => ({ name, current: undefined, hasReverted: false })),
+      restartsLeft: 1,
     },
     steps: (state) => [
       ...state.operators.flatMap((operator) => operatorSteps(state, operator, rules)),
@@ -76,29 +85,29 @@
     invariants: [
       {
         name: "a revision never reverts at any instance",
-        holds: ({ instances }) => !instances.some(({ reverted }) => reverted),
+        holds: ({ instances }) => !instances.some(({ hasReverted }) => hasReverted),
       },
-      { name: "exactly one preset is in force at each version", holds: onePresetAVersion },
-      { name: "an accepted change is in what follows, once", holds: acceptedOnce },
+      { name: "exactly one preset is in force at each version", holds: hasOnePresetPerVersion },
+      { name: "an accepted change is in what follows, once", holds: areAcceptedChangesKept },
     ],
-    goal: ({ operators, instances, stored }) =>
+    isGoal: ({ operators, instances, stored }) =>
       operators.every(({ outcome }) => outcome === "written" || outcome === "conflict") &&
-      instances.every(({ inForce }) => inForce?.version === stored.version),
+      instances.every(({ current }) => current?.version === stored.version),
   };
 }
 
-function onePresetAVersion({ history, instances }: RevisionState): boolean {
-  const seen = [...history, ...instances.flatMap(({ inForce }) => inForce ?? [])];
-  return seen.every((one) =>
-    seen.every((other) => one.version !== other.version || one.preset === other.preset),
+function hasOnePresetPerVersion({ history, instances }: RevisionState): boolean {
+  const revisions = [...history, ...instances.flatMap(({ current }) => current ?? [])];
+  return revisions.every((one) =>
+    revisions.every((other) => one.version !== other.version || one.preset === other.preset),
   );
 }
 
-function acceptedOnce({ operators, stored, history }: RevisionState): boolean {
+function areAcceptedChangesKept({ operators, stored, history }: RevisionState): boolean {
   return operators.every(({ preset, outcome }) => {
-    const times = history.filter((one) => one.changes[0] === preset).length;
-    if (outcome === "conflict") return times === 0;
-    return outcome !== "written" || (times === 1 && stored.changes.includes(preset));
+    const count = history.filter((one) => one.changes[0] === preset).length;
+    if (outcome === "conflict") return count === 0;
+    return outcome !== "written" || (count === 1 && stored.changes.includes(preset));
   });
 }
 
@@ -107,44 +116,49 @@
   operator: Operator,
   rules: RevisionRules,
 ): Step<RevisionState>[] {
-  const { preset, read, outcome } = operator;
-  const become = (from: RevisionState, change: Partial<Operator>): RevisionState => ({
+  const { preset, readRevision, outcome } = operator;
+  const withChange = (from: RevisionState, change: Partial<Operator>): RevisionState => ({
     ...from,
     operators: from.operators.map((one) => (one === operator ? { ...one, ...change } : one)),
   });
-  const step = (name: string, next: RevisionState, fault = false): Step<RevisionState> => ({
+  const step = (name: string, next: RevisionState, isFault = false): Step<RevisionState> => ({
     name: `${preset}: ${name}`,
-    fault,
+    isFault,
     next,
   });
   if (outcome === "lost") {
     const found = rules.changeId && state.stored.changes.includes(preset);
     const next = found
       ? { outcome: "written" as const }
-      : { outcome: "" as const, read: undefined };
-    return [step("reads back", become(state, next))];
+      : { outcome: "" as const, readRevision: undefined };
+    return [step("checks whether the write took effect", withChange(state, next))];
   }
   if (outcome !== "") return [];
-  if (read === undefined) return [step("reads", become(state, { read: state.stored }))];
-  if (rules.conditionalWrite && read.version !== state.stored.version) {
+  if (readRevision === undefined)
+    return [step("reads", withChange(state, { readRevision: state.stored }))];
+  if (rules.conditionalWrite && readRevision.version !== state.stored.version) {
     return [
-      step("meets a conflict and reads again", become(state, { read: undefined })),
-      step("meets a conflict and gives up", become(state, { outcome: "conflict" })),
+      step("detects a conflict and reads again", withChange(state, { readRevision: undefined })),
+      step("detects a conflict and gives up", withChange(state, { outcome: "conflict" })),
     ];
   }
-  const written = withChange(state, { read, preset });
+  const written = storeChange(state, { readRevision, preset });
   return [
-    step("writes", become(written, { outcome: "written" })),
-    step("writes, the answer is lost", become(written, { outcome: "lost" }), true),
+    step("writes", withChange(written, { outcome: "written" })),
+    step("writes, but the response is lost", withChange(written, { outcome: "lost" }), true),
   ];
 }
 
-/** The store's next version, by way of the text that it holds. */
-function withChange(
+/** Stores a change as the next version. Goes through the stored text, as the entry instance does. */
+function storeChange(
   state: RevisionState,
-  { read, preset }: { read: Revision; preset: string },
+  { readRevision, preset }: { readRevision: Revision; preset: string },
 ): RevisionState {
-  const text = formatRevision({ source: read.source, preset, changes: [preset, ...read.changes] });
+  const text = formatRevision({
+    source: readRevision.source,
+    preset,
+    changes: [preset, ...readRevision.changes],
+  });
   const stored = { ...(JSON.parse(text) as Revision), version: state.stored.version + 1 };
   return { ...state, stored, history: [...state.history, stored] };
 }
@@ -154,18 +168,18 @@
   instance: Instance,
   rules: RevisionRules,
 ): Step<RevisionState>[] {
-  const become = (change: Partial<Instance>): RevisionState => ({
+  const withChange = (change: Partial<Instance>): RevisionState => ({
     ...state,
     instances: state.instances.map((one) => (one === instance ? { ...one, ...change } : one)),
   });
-  const { inForce } = instance;
-  const hear = state.history.map((heard) => {
-    const next = rules.laterOnly ? laterRevision(inForce, heard) : heard;
-    const reverted = inForce !== undefined && next.version < inForce.version;
-    const name = `${instance.name} hears version ${heard.version}`;
-    return { name, fault: false, next: become({ inForce: next, reverted }) };
+  const { current } = instance;
+  const receiveSteps = state.history.map((received) => {
+    const next = rules.laterOnly ? laterRevision(current, received) : received;
+    const hasReverted = current !== undefined && next.version < current.version;
+    const name = `${instance.name} receives version ${received.version}`;
+    return { name, isFault: false, next: withChange({ current: next, hasReverted }) };
   });
-  if (state.restarts === 0 || inForce === undefined) return hear;
-  const restarted = { ...become({ inForce: undefined }), restarts: state.restarts - 1 };
-  return [...hear, { name: `${instance.name} starts again`, fault: true, next: restarted }];
+  if (state.restartsLeft === 0 || current === undefined) return receiveSteps;
+  const restarted = { ...withChange({ current: undefined }), restartsLeft: state.restartsLeft - 1 };
+  return [...receiveSteps, { name: `${instance.name} restarts`, isFault: true, next: restarted }];
 }
--- a/model/rollout_specification.ts
+++ b/model/rollout_specification.ts
@@ -1,7 +1,8 @@
 /**
- * The specification of how an order to change the version of a service's workers ends: two instances that both take
- * themselves for the one that ends it and decide differently, an operator who orders once more meanwhile, and a store
- * that loses answers or does a write later. Its actions call the functions that the entry instance executes.
+ * Specification of how a rollout order ends. Such an order changes the version of a service's workers.
+ * Two instances both act as the lease holder that ends it and decide differently. Meanwhile the operator
+ * places another order, and the store loses responses or applies a write late. The actions call the same
+ * functions as the entry instance, so the model checker explores the code that runs in production.
  *
  * @module
  */
@@ -11,155 +12,188 @@
 import type { RolloutRules } from "../src/version/index.ts";
 import type { Specification, Step } from "./checker.ts";
 
-/** Versions that are ordered in turn. */
+/** Versions of the successive orders. */
 const VERSIONS = ["v2", "v3"];
 const SERVICE = "model";
+/** States that an instance may decide to write. */
 const DECISIONS = [RolloutState.Running, RolloutState.Completed, RolloutState.RolledBack];
 
+/** A conditional write of an order's status. */
 interface Write {
-  readonly over: number;
+  /** Version that the store must hold for the write to succeed. */
+  readonly expectedVersion: number;
   readonly status: RolloutStatus;
 }
 
-interface Holder {
+/** An instance that may end the order. */
+interface Candidate {
   readonly name: string;
-  readonly known: RolloutEntry | undefined;
+  /** The stored entry as last read; undefined if it must be read first. */
+  readonly readEntry: RolloutEntry | undefined;
 }
 
-/** An end that was written of an order. */
-interface End {
-  /** Counts the orders. */
-  readonly order: number;
+/** A final state that was written for an order. */
+interface OrderEnd {
+  /** Index of the order, from 0. */
+  readonly orderIndex: number;
   readonly state: RolloutState;
 }
 
-/** Everything, as plain data. */
-export interface RolloutWorld {
+/** The complete state of the model, as plain data. */
+export interface RolloutModelState {
   readonly stored: RolloutEntry;
-  /** Counts the orders. */
-  readonly order: number;
-  readonly holders: readonly Holder[];
-  /** Writes that the store may still do, though nobody waits for them. */
-  readonly late: readonly Write[];
-  readonly ends: readonly End[];
-  readonly lateWrites: number;
-  readonly restarts: number;
+  /** Index of the current order, from 0. */
+  readonly orderIndex: number;
+  readonly candidates: readonly Candidate[];
+  /** Writes that the store may still apply although the writer has given up waiting. */
+  readonly pendingWrites: readonly Write[];
+  /** Final states written so far, without duplicates. */
+  readonly ends: readonly OrderEnd[];
+  /** Number of writes that may still become late. */
+  readonly lateWritesLeft: number;
+  /** Number of instance restarts that may still occur. */
+  readonly restartsLeft: number;
 }
 
-/** Two instances, two orders, a write that is done late and a restart. */
-export function rolloutSpecification(rules: RolloutRules): Specification<RolloutWorld> {
-  const order = orderOf(0);
+/** Creates the specification with two instances, two orders, one late write and one restart. */
+export function rolloutSpecification(rules: RolloutRules): Specification<RolloutModelState> {
+  const order = createOrder(0);
   return {
     name: "roll-out",
     initial: {
       stored: { order, storeVersion: 1, status: undefined },
-      order: 0,
-      holders: [
-        { name: "a", known: undefined },
-        { name: "b", known: undefined },
+      orderIndex: 0,
+      candidates: [
+        { name: "a", readEntry: undefined },
+        { name: "b", readEntry: undefined },
       ],
-      late: [],
+      pendingWrites: [],
       ends: [],
-      lateWrites: 1,
-      restarts: 1,
+      lateWritesLeft: 1,
+      restartsLeft: 1,
     },
-    steps: (world) => [
-      ...world.late.map((write) => doLate(world, write, rules)),
-      ...world.holders.flatMap((one) => holderSteps(world, one, rules)),
-      ...operatorSteps(world),
+    steps: (state) => [
+      ...state.pendingWrites.map((write) => applyLateWrite(state, write, rules)),
+      ...state.candidates.flatMap((one) => candidateSteps(state, one, rules)),
+      ...operatorSteps(state),
     ],
-    encode: (world) => JSON.stringify(world),
+    encode: (state) => JSON.stringify(state),
     invariants: [
       {
-        name: "an order has one end",
-        holds: ({ ends }) => new Set(ends.map((end) => end.order)).size === ends.length,
+        name: "an order has at most one end",
+        holds: ({ ends }) => new Set(ends.map((end) => end.orderIndex)).size === ends.length,
       },
       {
-        name: "an order is taken for ended only after it was",
-        holds: (world) => !isFinal(stateOfOrder(world.stored, rules)) || hasEnd(world),
+        name: "an order is considered ended only after its end was written",
+        holds: (state) => !isFinal(stateOfOrder(state.stored, rules)) || hasEnd(state),
       },
     ],
-    goal: hasEnd,
+    isGoal: hasEnd,
   };
 }
 
-function orderOf(count: number): RolloutEntry["order"] {
-  return { service: SERVICE, to: VERSIONS[count] ?? "", duration: 1 };
+function createOrder(index: number): RolloutEntry["order"] {
+  return { service: SERVICE, to: VERSIONS[index] ?? "", duration: 1 };
 }
 
-function hasEnd({ ends, order }: RolloutWorld): boolean {
-  return ends.some((end) => end.order === order);
+/** Whether an end of the current order was written. */
+function hasEnd({ ends, orderIndex }: RolloutModelState): boolean {
+  return ends.some((end) => end.orderIndex === orderIndex);
 }
 
-/** The world after a write; undefined where its condition doesn't hold. */
-function written(
-  world: RolloutWorld,
-  { over, status }: Write,
+/** Returns the state after a write, or undefined if the stored version isn't the expected one. */
+function applyWrite(
+  state: RolloutModelState,
+  { expectedVersion, status }: Write,
   { expectVersion }: RolloutRules,
-): RolloutWorld | undefined {
-  const { stored, order, ends } = world;
-  if (expectVersion && over !== stored.storeVersion) return undefined;
+): RolloutModelState | undefined {
+  const { stored, orderIndex, ends } = state;
+  if (expectVersion && expectedVersion !== stored.storeVersion) return undefined;
   const isEnd = isFinal(status.state) && status.to === stored.order.to;
-  const isKnown = ends.some((end) => end.order === order && end.state === status.state);
+  const isRecorded = ends.some(
+    (end) => end.orderIndex === orderIndex && end.state === status.state,
+  );
   return {
-    ...world,
+    ...state,
     stored: { ...stored, status, storeVersion: stored.storeVersion + 1 },
-    ends: isEnd && !isKnown ? [...ends, { order, state: status.state }] : ends,
+    ends: isEnd && !isRecorded ? [...ends, { orderIndex, state: status.state }] : ends,
   };
 }
 
-function doLate(world: RolloutWorld, write: Write, rules: RolloutRules): Step<RolloutWorld> {
-  const rest = { ...world, late: world.late.filter((one) => one !== write) };
-  const next = written(rest, write, rules) ?? rest;
-  return { name: "the store does a write late", fault: false, next };
+/** Applies a pending write, which has no effect if its expected version is out of date. */
+function applyLateWrite(
+  state: RolloutModelState,
+  write: Write,
+  rules: RolloutRules,
+): Step<RolloutModelState> {
+  const remaining = { ...state, pendingWrites: state.pendingWrites.filter((one) => one !== write) };
+  const next = applyWrite(remaining, write, rules) ?? remaining;
+  return { name: "the store applies a delayed write", isFault: false, next };
 }
 
-function operatorSteps(world: RolloutWorld): Step<RolloutWorld>[] {
-  const { stored, order } = world;
-  if (order + 1 >= VERSIONS.length) return [];
-  const next = { ...stored, order: orderOf(order + 1), storeVersion: stored.storeVersion + 1 };
+function operatorSteps(state: RolloutModelState): Step<RolloutModelState>[] {
+  const { stored, orderIndex } = state;
+  if (orderIndex + 1 >= VERSIONS.length) return [];
+  const next = {
+    ...stored,
+    order: createOrder(orderIndex + 1),
+    storeVersion: stored.storeVersion + 1,
+  };
   return [
     {
-      name: "the operator orders",
-      fault: false,
-      next: { ...world, stored: next, order: order + 1 },
+      name: "the operator places another order",
+      isFault: false,
+      next: { ...state, stored: next, orderIndex: orderIndex + 1 },
     },
   ];
 }
 
-function holderSteps(
-  world: RolloutWorld,
-  holder: Holder,
+function candidateSteps(
+  state: RolloutModelState,
+  candidate: Candidate,
   rules: RolloutRules,
-): Step<RolloutWorld>[] {
-  const become = (
-    known: RolloutEntry | undefined,
-    more: Partial<RolloutWorld> = {},
-  ): RolloutWorld => ({
-    ...world,
+): Step<RolloutModelState>[] {
+  const withEntry = (
+    entry: RolloutEntry | undefined,
+    more: Partial<RolloutModelState> = {},
+  ): RolloutModelState => ({
+    ...state,
     ...more,
-    holders: world.holders.map((one) => (one === holder ? { ...one, known } : one)),
+    candidates: state.candidates.map((one) =>
+      one === candidate ? { ...one, readEntry: entry } : one,
+    ),
   });
-  const step = (name: string, next: RolloutWorld, fault = false): Step<RolloutWorld> => ({
-    name: `${holder.name} ${name}`,
-    fault,
+  const step = (
+    name: string,
+    next: RolloutModelState,
+    isFault = false,
+  ): Step<RolloutModelState> => ({
+    name: `${candidate.name} ${name}`,
+    isFault,
     next,
   });
-  const { known } = holder;
-  const steps = [step("reads", become(world.stored))];
-  if (world.restarts > 0) {
-    steps.push(step("is restarted", become(undefined, { restarts: world.restarts - 1 }), true));
+  const { readEntry } = candidate;
+  const steps = [step("reads", withEntry(state.stored))];
+  if (state.restartsLeft > 0) {
+    steps.push(
+      step("restarts", withEntry(undefined, { restartsLeft: state.restartsLeft - 1 }), true),
+    );
   }
-  if (known === undefined) return steps;
-  for (const decided of DECISIONS) {
-    const status = nextStatus(known, decided, rules);
+  if (readEntry === undefined) return steps;
+  for (const decision of DECISIONS) {
+    const status = nextStatus(readEntry, decision, rules);
     if (status === undefined) continue;
-    const write = { over: known.storeVersion, status };
-    const done = written(become(undefined), write, rules);
-    steps.push(step(`says ${decided}`, done ?? become(undefined)));
-    if (world.lateWrites === 0) continue;
-    const late = { late: [...world.late, write], lateWrites: world.lateWrites - 1 };
-    steps.push(step(`gives up saying ${decided}`, become(undefined, late), true));
+    const write = { expectedVersion: readEntry.storeVersion, status };
+    const written = applyWrite(withEntry(undefined), write, rules);
+    steps.push(step(`writes ${decision}`, written ?? withEntry(undefined)));
+    if (state.lateWritesLeft === 0) continue;
+    const pending = {
+      pendingWrites: [...state.pendingWrites, write],
+      lateWritesLeft: state.lateWritesLeft - 1,
+    };
+    steps.push(
+      step(`stops waiting for its write of ${decision}`, withEntry(undefined, pending), true),
+    );
   }
   return steps;
 }
--- a/model/rollout_test.ts
+++ b/model/rollout_test.ts
@@ -5,19 +5,19 @@
 
 const LIMITS = { maxStates: 400_000 };
 
-test("an order ends once, whoever ends it and however late", async () => {
+test("a rollout order ends once, whichever instance ends it and however late its write is applied", async () => {
   const found = await explore(rolloutSpecification(ALL_ROLLOUT_RULES), LIMITS);
   expect(found.violations).toEqual([]);
   expect(found.complete).toBe(true);
 });
 
-// A rule is left out of the running functions. The old workers stop after the new version was given up, or a version
-// serves everything that nobody has tried.
+// One rule is switched off in the production functions. The old workers then stop after the new version was rolled
+// back, or a version that was never tried serves all requests.
 test.each([
-  ["endOnce", "an order has one end"],
-  ["expectVersion", "an order has one end"],
-  ["matchOrder", "an order is taken for ended only after it was"],
-] as const)("without %s an order ends wrongly", async (rule, violated) => {
+  ["endOnce", "an order has at most one end"],
+  ["expectVersion", "an order has at most one end"],
+  ["matchOrder", "an order is considered ended only after its end was written"],
+] as const)("a rollout order ends incorrectly without %s", async (rule, violated) => {
   const specification = rolloutSpecification({ ...ALL_ROLLOUT_RULES, [rule]: false });
   const { violations } = await explore(specification, LIMITS);
   expect(violations.map(({ invariant }) => invariant)).toContain(violated);
--- a/model/slot_actions.ts
+++ b/model/slot_actions.ts
@@ -1,5 +1,8 @@
 /**
- * The actions of slot ownership: each calls the transition functions that the entry instance executes.
+ * The actions of the slot ownership specification. They submit requests, replicate records, send
+ * requests to the backend server, deliver messages, reassign the slot, and start and stop instances.
+ * Each action calls the transition functions that the entry instance executes, so the model checker
+ * explores the code that runs in production.
  *
  * @module
  */
@@ -29,46 +32,61 @@
 import type { Held, SlotReplica } from "../src/request/slot_replica.ts";
 import type { Assignment } from "../src/version/index.ts";
 import type { Step } from "./checker.ts";
-import { TOLD_ACCEPTED } from "./slot_invariants.ts";
-import { acceptedRecord, encodeRecord, freshNode, idOf, WORKER } from "./slot_state.ts";
-import type { Bounds, Demand, Faults, Message, Node, State } from "./slot_state.ts";
+import { REPORTED_ACCEPTED } from "./slot_invariants.ts";
+import { acceptedRecord, encodeRecord, createInstance, memberIdOf, WORKER } from "./slot_state.ts";
+import type {
+  Bounds,
+  CallerRequest,
+  FaultBudget,
+  Message,
+  InstanceState,
+  SlotState,
+} from "./slot_state.ts";
 
-/** All steps that can be taken from a state. */
-export function slotSteps(state: State, bounds: Bounds): Step<State>[] {
-  const alive = state.nodes.filter((node) => node.up);
+/** Returns all steps from a state. */
+export function slotSteps(state: SlotState, bounds: Bounds): Step<SlotState>[] {
+  const running = state.instances.filter((instance) => instance.isUp);
   return [
-    ...alive.flatMap((node) => callerSteps(state, { node, bounds })),
-    ...alive.flatMap((node) => ownerSteps(state, { node, bounds })),
+    ...running.flatMap((instance) => callerSteps(state, { instance, bounds })),
+    ...running.flatMap((instance) => ownerSteps(state, { instance, bounds })),
     ...[...state.messages].flatMap(([key, message]) => deliver(state, { key, message, bounds })),
-    ...alive.flatMap((node) => learn(state, { node, bounds })),
-    ...alive.flatMap((node) => writeMap(state, { node, bounds })),
-    ...state.nodes.flatMap((node) => leaveAndDie(state, { node, bounds })),
+    ...running.flatMap((instance) => learnAssignment(state, { instance, bounds })),
+    ...running.flatMap((instance) => writeSlotMap(state, { instance, bounds })),
+    ...state.instances.flatMap((instance) => lifecycleSteps(state, { instance, bounds })),
   ]
     .filter((one) => one.next !== state)
-    .map((one) => ({ ...one, next: withTold(withoutSpent(one.next, bounds), bounds) }));
+    .map((one) => ({
+      ...one,
+      next: withReports(dropIneffectiveMessages(one.next, bounds), bounds),
+    }));
 }
 
-/** Drops what can change nothing any more at its receiver, so that fewer states differ in nothing else. */
-function withoutSpent(state: State, { rules }: Bounds): State {
-  const isSpent = (message: Message): boolean => {
-    const node = state.nodes.find((one) => one.up && idOf(one) === message.to);
-    if (node === undefined) return true;
-    if (message.kind === "acknowledgement") return isHeard(node.replica, message);
-    if (message.kind === "cession") return isKept(node, message);
+/** Removes messages that can no longer change their receiver. This merges states that differ only in such messages. */
+function dropIneffectiveMessages(state: SlotState, { rules }: Bounds): SlotState {
+  const hasNoEffect = (message: Message): boolean => {
+    const instance = state.instances.find((one) => one.isUp && memberIdOf(one) === message.to);
+    if (instance === undefined) return true;
+    if (message.kind === "acknowledgement")
+      return isAcknowledgementApplied(instance.replica, message);
+    if (message.kind === "handover") return isHandoverApplied(instance, message);
     const { from, epoch, record } = message.message;
-    if (rules.epochCheck && epoch < node.replica.assignment.epoch) return true;
-    const sender = state.nodes.find((one) => one.up && idOf(one) === from);
-    const told = { kind: "acknowledgement", to: from, id: record.id, epoch } as const;
-    const answer = { ...told, sequence: record.sequence };
-    const isAnswered =
-      sender === undefined || isHeard(sender.replica, answer) || state.messages.has(keyOf(answer));
-    return isAnswered && covers(node.replica, record, epoch);
+    if (rules.epochCheck && epoch < instance.replica.assignment.epoch) return true;
+    const sender = state.instances.find((one) => one.isUp && memberIdOf(one) === from);
+    const identity = { kind: "acknowledgement", to: from, id: record.id, epoch } as const;
+    const acknowledgement = { ...identity, sequence: record.sequence };
+    const isAcknowledgementSent =
+      sender === undefined ||
+      isAcknowledgementApplied(sender.replica, acknowledgement) ||
+      state.messages.has(keyOf(acknowledgement));
+    return isAcknowledgementSent && holdsRecord(instance.replica, record, epoch);
   };
-  const live = [...state.messages].filter(([, message]) => !isSpent(message));
-  return live.length === state.messages.size ? state : { ...state, messages: new Map(live) };
+  const effective = [...state.messages].filter(([, message]) => !hasNoEffect(message));
+  return effective.length === state.messages.size
+    ? state
+    : { ...state, messages: new Map(effective) };
 }
 
-function isHeard(
+function isAcknowledgementApplied(
   { assignment, held }: SlotReplica,
   { id, sequence, epoch }: { id: string; sequence: number; epoch: number },
 ): boolean {
@@ -76,39 +94,47 @@
   return (held.get(id)?.acknowledged ?? 0) >= sequence;
 }
 
-/** A hand-over that the receiver has taken in, or that came too late for it. */
-function isKept({ replica }: Node, message: Message & { kind: "cession" }): boolean {
+/** Whether the receiver has applied a handover, or received it too late to apply it. */
+function isHandoverApplied(
+  { replica }: InstanceState,
+  message: Message & { kind: "handover" },
+): boolean {
   const { epoch, custody, complete, records } = message.message;
   if (!custody && (replica.assignment.epoch <= epoch || complete === true)) return false;
   if (complete === true && replica.completeTo < epoch) return false;
-  return records.every((record) => covers(replica, record, epoch));
+  return records.every((record) => holdsRecord(replica, record, epoch));
 }
 
-function covers({ held }: SlotReplica, record: RequestRecord, epoch: number): boolean {
-  const kept = held.get(record.id);
-  if (kept === undefined || epoch > kept.epoch) return false;
-  return epoch < kept.epoch || kept.record.sequence >= record.sequence;
+function holdsRecord({ held }: SlotReplica, record: RequestRecord, epoch: number): boolean {
+  const existing = held.get(record.id);
+  if (existing === undefined || epoch > existing.epoch) return false;
+  return epoch < existing.epoch || existing.record.sequence >= record.sequence;
 }
 
-interface At {
-  readonly node: Node;
+/** The acting instance and the bounds of the exploration. */
+interface ActionContext {
+  readonly instance: InstanceState;
   readonly bounds: Bounds;
 }
 
-function step(name: string, next: State, fault = false): Step<State> {
-  return { name, next, fault };
+function createStep(name: string, next: SlotState, isFault = false): Step<SlotState> {
+  return { name, next, isFault };
 }
 
-function withNode(state: State, node: Node, change: Partial<Node>): State {
-  const nodes = state.nodes.map((one) => (one === node ? { ...one, ...change } : one));
-  return { ...state, nodes };
+function withInstance(
+  state: SlotState,
+  instance: InstanceState,
+  change: Partial<InstanceState>,
+): SlotState {
+  const instances = state.instances.map((one) => (one === instance ? { ...one, ...change } : one));
+  return { ...state, instances };
 }
 
-function withReplica(state: State, node: Node, replica: SlotReplica): State {
-  return replica === node.replica ? state : withNode(state, node, { replica });
+function withReplica(state: SlotState, instance: InstanceState, replica: SlotReplica): SlotState {
+  return replica === instance.replica ? state : withInstance(state, instance, { replica });
 }
 
-function withMessage(state: State, message: Message): State {
+function withMessage(state: SlotState, message: Message): SlotState {
   const key = keyOf(message);
   if (state.messages.has(key)) return state;
   return { ...state, messages: new Map(state.messages).set(key, message) };
@@ -125,152 +151,184 @@
   return `c${path}${Number(custody)}${Number(complete)}${records.map(encodeRecord).sort().join()}`;
 }
 
-function tell(state: State, id: string, what: string): State {
-  const before = state.told[id] ?? [];
-  if (before.includes(what)) return state;
-  return { ...state, told: { ...state.told, [id]: [...before, what].sort() } };
+function report(state: SlotState, id: string, what: string): SlotState {
+  const reported = state.reported[id] ?? [];
+  if (reported.includes(what)) return state;
+  return { ...state, reported: { ...state.reported, [id]: [...reported, what].sort() } };
 }
 
-function spend(state: State, kind: keyof Faults): State {
-  return { ...state, faults: { ...state.faults, [kind]: state.faults[kind] - 1 } };
+function spendFault(state: SlotState, kind: keyof FaultBudget): SlotState {
+  return { ...state, faultsLeft: { ...state.faultsLeft, [kind]: state.faultsLeft[kind] - 1 } };
 }
 
 /**
- * Tells callers at once whatever they may be told. What was told feeds back into nothing, and each thing
- * told can only break more invariants: telling early is the worst case of telling late.
+ * Reports to callers immediately whatever may be reported. Reports don't affect any later step, and each
+ * one can only violate more invariants, so an early report is the worst case of a late one.
  */
-function withTold(state: State, bounds: Bounds): State {
+function withReports(state: SlotState, bounds: Bounds): SlotState {
   let next = state;
-  for (const { up, replica } of state.nodes) {
-    if (!up || !ownsSlot(replica)) continue;
+  for (const { isUp, replica } of state.instances) {
+    if (!isUp || !ownsSlot(replica)) continue;
     for (const [id, { record }] of replica.held) {
-      if (isAcknowledged(replica, id)) next = tell(next, id, TOLD_ACCEPTED);
-      if (mayTellEnd(replica, id, bounds.rules)) next = tell(next, id, record.state);
+      if (isAcknowledged(replica, id)) next = report(next, id, REPORTED_ACCEPTED);
+      if (mayTellEnd(replica, id, bounds.rules)) next = report(next, id, record.state);
     }
   }
   return next;
 }
 
-/** A caller brings a request, or a key again. */
-function callerSteps(state: State, { node, bounds }: At): Step<State>[] {
-  if (!ownsSlot(node.replica)) return [];
-  const unknown = bounds.demands.filter(({ id }) => !node.replica.held.has(id));
-  return unknown.flatMap((demand) => submit(state, { node, bounds, demand }));
+/** A caller submits a request, or submits a key again. */
+function callerSteps(state: SlotState, { instance, bounds }: ActionContext): Step<SlotState>[] {
+  if (!ownsSlot(instance.replica)) return [];
+  const unknown = bounds.demands.filter(({ id }) => !instance.replica.held.has(id));
+  return unknown.flatMap((demand) => submit(state, { instance, bounds, demand }));
 }
 
-function submit(state: State, { node, bounds, demand }: At & { demand: Demand }): Step<State>[] {
-  const { replica } = node;
-  const isBrought = state.told[demand.id] !== undefined;
-  if (node.leaving || (isBrought && !demand.keyed)) return [];
+function submit(
+  state: SlotState,
+  { instance, bounds, demand }: ActionContext & { demand: CallerRequest },
+): Step<SlotState>[] {
+  const { replica } = instance;
+  const isSubmitted = state.reported[demand.id] !== undefined;
+  if (instance.isLeaving || (isSubmitted && !demand.keyed)) return [];
   if (!mayAcceptUnknownKey(replica, demand.repeatable, bounds.rules)) return [];
-  const brought = isBrought ? state : { ...state, told: { ...state.told, [demand.id]: [] } };
-  const next = withReplica(brought, node, writeRecord(replica, acceptedRecord(demand)));
-  return [step(`${idOf(node)} takes ${demand.id}`, next)];
+  const submitted = isSubmitted
+    ? state
+    : { ...state, reported: { ...state.reported, [demand.id]: [] } };
+  const next = withReplica(submitted, instance, writeRecord(replica, acceptedRecord(demand)));
+  return [createStep(`${memberIdOf(instance)} accepts ${demand.id}`, next)];
 }
 
-/** What the owner does about each record: copies it, gets leave to send, sends, asks after it, ends it. */
-function ownerSteps(state: State, { node, bounds }: At): Step<State>[] {
-  const steps: Step<State>[] = [];
-  for (const id of node.permitted) steps.push(send(state, { node, id }));
-  if (!ownsSlot(node.replica)) return steps;
-  for (const [id, held] of node.replica.held) {
-    const message = isAcknowledged(node.replica, id) ? undefined : replicationOf(node.replica, id);
+/** Steps of the owner for each record: replicate it, obtain permission, send it, ask the server about it, end it. */
+function ownerSteps(state: SlotState, { instance, bounds }: ActionContext): Step<SlotState>[] {
+  const steps: Step<SlotState>[] = [];
+  for (const id of instance.permittedIds) steps.push(send(state, { instance, id }));
+  if (!ownsSlot(instance.replica)) return steps;
+  for (const [id, held] of instance.replica.held) {
+    const message = isAcknowledged(instance.replica, id)
+      ? undefined
+      : replicationOf(instance.replica, id);
     if (message !== undefined) {
-      const to = node.replica.assignment.backup;
+      const to = instance.replica.assignment.backup;
       const next = withMessage(state, { kind: "record", to, message });
-      steps.push(step(`${idOf(node)} sends ${id} (${held.record.state}) to ${to}`, next));
+      steps.push(
+        createStep(`${memberIdOf(instance)} sends ${id} (${held.record.state}) to ${to}`, next),
+      );
     }
-    if (!hasEnded(held.record.state)) steps.push(...advance(state, { node, bounds, held }));
+    if (!hasEnded(held.record.state)) steps.push(...advance(state, { instance, bounds, held }));
   }
   return steps;
 }
 
-function send(state: State, { node, id }: { node: Node; id: string }): Step<State> {
-  const permitted = node.permitted.filter((one) => one !== id);
-  const sent = [...node.sent, id].sort();
-  const next = withNode(state, node, { permitted, sent });
-  const isBarred = state.barred.includes(id);
+function send(
+  state: SlotState,
+  { instance, id }: { instance: InstanceState; id: string },
+): Step<SlotState> {
+  const permittedIds = instance.permittedIds.filter((one) => one !== id);
+  const sentIds = [...instance.sentIds, id].sort();
+  const next = withInstance(state, instance, { permittedIds, sentIds });
+  const isBarred = state.barredIds.includes(id);
   const runs = isBarred
     ? state.runs
     : { ...state.runs, [id]: Math.min(2, (state.runs[id] ?? 0) + 1) };
-  const name = `${idOf(node)} writes ${id} to the server, which ${isBarred ? "refuses" : "runs"} it`;
-  return step(name, { ...next, runs });
+  const name = `${memberIdOf(instance)} writes ${id} to the server, which ${isBarred ? "refuses" : "runs"} it`;
+  return createStep(name, { ...next, runs });
 }
 
-function advance(state: State, { node, bounds, held }: At & { held: Held }): Step<State>[] {
-  const { replica } = node;
+function advance(
+  state: SlotState,
+  { instance, bounds, held }: ActionContext & { held: Held },
+): Step<SlotState>[] {
+  const { replica } = instance;
   const { record } = held;
   const { id } = record;
-  const at = idOf(node);
-  const write = (name: string, change: Partial<RequestRecord>): Step<State> =>
-    step(
+  const at = memberIdOf(instance);
+  const write = (name: string, change: Partial<RequestRecord>): Step<SlotState> =>
+    createStep(
       `${at} ${name} ${id}`,
-      withReplica(state, node, writeRecord(replica, { ...record, ...change })),
+      withReplica(state, instance, writeRecord(replica, { ...record, ...change })),
     );
-  const isSent = node.sent.includes(id);
-  const isPermitted = node.permitted.includes(id);
-  if (isSent) return answered(state, { node, bounds, held });
-  const steps: Step<State>[] = [];
+  const isSent = instance.sentIds.includes(id);
+  const isPermitted = instance.permittedIds.includes(id);
+  if (isSent) return responseSteps(state, { instance, bounds, held });
+  const steps: Step<SlotState>[] = [];
   const permission = permissionToSend(replica, id, bounds.rules);
   const inheritance = held.own ? Inheritance.Run : inheritanceOf(record, bounds.rules);
-  if (inheritance === Inheritance.Inquire) return [inquire(state, { node, bounds, held })];
+  if (inheritance === Inheritance.Inquire) return [inquiryStep(state, { instance, bounds, held })];
   if (permission === Permission.NeedsIntent) {
-    steps.push(write("intends to send", { state: RequestState.DispatchIntent, worker: WORKER }));
+    steps.push(
+      write("records the intent to send", { state: RequestState.DispatchIntent, worker: WORKER }),
+    );
   }
   if (permission === Permission.Send && !isPermitted) {
-    const next = withNode(state, node, { permitted: [...node.permitted, id].sort() });
-    steps.push(step(`${at} finds that it may send ${id}`, next));
+    const next = withInstance(state, instance, {
+      permittedIds: [...instance.permittedIds, id].sort(),
+    });
+    steps.push(createStep(`${at} obtains permission to send ${id}`, next));
   }
   if (mayEndNotRun(replica, id, isPermitted)) {
-    steps.push(write("gives up, never sent,", { state: RequestState.NotRun }));
+    steps.push(write("records as not run:", { state: RequestState.NotRun }));
   }
   return steps;
 }
 
-/** After the write to the server: its answer, or its loss. */
-function answered(state: State, { node, held }: At & { held: Held }): Step<State>[] {
+/** Steps after the write to the server: the response arrives or is lost. */
+function responseSteps(
+  state: SlotState,
+  { instance, held }: ActionContext & { held: Held },
+): Step<SlotState>[] {
   const { record } = held;
-  const at = idOf(node);
-  const end = (to: RequestState): State =>
-    withReplica(state, node, writeRecord(node.replica, { ...record, state: to }));
-  const steps: Step<State>[] = [];
+  const at = memberIdOf(instance);
+  const end = (to: RequestState): SlotState =>
+    withReplica(state, instance, writeRecord(instance.replica, { ...record, state: to }));
+  const steps: Step<SlotState>[] = [];
   if ((state.runs[record.id] ?? 0) > 0) {
-    steps.push(step(`${at} has the whole answer to ${record.id}`, end(RequestState.Complete)));
+    steps.push(
+      createStep(`${at} receives the complete answer to ${record.id}`, end(RequestState.Complete)),
+    );
   }
-  const isRefused = state.barred.includes(record.id);
-  if (state.faults.lostAnswer > 0 || isRefused) {
+  const isRefused = state.barredIds.includes(record.id);
+  if (state.faultsLeft.lostAnswer > 0 || isRefused) {
     const next = end(RequestState.MayHaveRun);
     const name = `${at} loses the answer to ${record.id}`;
-    steps.push(step(name, isRefused ? next : spend(next, "lostAnswer"), !isRefused));
+    steps.push(createStep(name, isRefused ? next : spendFault(next, "lostAnswer"), !isRefused));
   }
   return steps;
 }
 
-/** Asks the server that the intent names, which from then on refuses the id. */
-function inquire(state: State, { node, held }: At & { held: Held }): Step<State> {
+/** Asks the server named in the intent whether the request ran. If not, the server refuses the id from then on. */
+function inquiryStep(
+  state: SlotState,
+  { instance, held }: ActionContext & { held: Held },
+): Step<SlotState> {
   const { record } = held;
   const hasRun = (state.runs[record.id] ?? 0) > 0;
   const end = hasRun ? RequestState.Complete : RequestState.NotRun;
-  const replica = writeRecord(node.replica, { ...record, state: end });
-  const barred = hasRun ? state.barred : [...new Set([...state.barred, record.id])].sort();
-  const name = `${idOf(node)} asks the server after ${record.id}: ${hasRun ? "it ran" : "barred"}`;
-  return step(name, withReplica({ ...state, barred }, node, replica));
+  const replica = writeRecord(instance.replica, { ...record, state: end });
+  const barredIds = hasRun ? state.barredIds : [...new Set([...state.barredIds, record.id])].sort();
+  const name = `${memberIdOf(instance)} asks the server about ${record.id}: ${hasRun ? "it ran" : "refused from now on"}`;
+  return createStep(name, withReplica({ ...state, barredIds }, instance, replica));
 }
 
-/** A message arrives. It stays under way, so that it may arrive again. */
+/** Delivers a message. It stays in transit, so it may arrive again. */
 function deliver(
-  state: State,
+  state: SlotState,
   { key, message, bounds }: { key: string; message: Message; bounds: Bounds },
-): Step<State>[] {
-  const node = state.nodes.find((one) => one.up && idOf(one) === message.to);
-  if (node === undefined) return [];
+): Step<SlotState>[] {
+  const instance = state.instances.find((one) => one.isUp && memberIdOf(one) === message.to);
+  if (instance === undefined) return [];
   if (message.kind === "acknowledgement") {
-    const replica = hearAcknowledgement(node.replica, message);
-    return [step(`${message.to} hears of the copy ${key}`, withReplica(state, node, replica))];
+    const replica = hearAcknowledgement(instance.replica, message);
+    return [
+      createStep(
+        `${message.to} receives the acknowledgement ${key}`,
+        withReplica(state, instance, replica),
+      ),
+    ];
   }
   if (message.kind === "record") {
-    const { replica, reply } = receiveRecord(node.replica, message.message, bounds.rules);
-    const taken = withReplica(state, node, replica);
+    const { replica, reply } = receiveRecord(instance.replica, message.message, bounds.rules);
+    const received = withReplica(state, instance, replica);
     const { id, sequence } = message.message.record;
     const acknowledgement: Message = {
       kind: "acknowledgement",
@@ -279,160 +337,194 @@
       sequence,
       epoch: message.message.epoch,
     };
-    const isTaken = reply.outcome === SlotOutcome.Acknowledged;
-    const next = isTaken ? withMessage(taken, acknowledgement) : taken;
-    return [step(`${message.to} answers ${reply.outcome} to ${key}`, next)];
+    const isAccepted = reply.outcome === SlotOutcome.Acknowledged;
+    const next = isAccepted ? withMessage(received, acknowledgement) : received;
+    return [createStep(`${message.to} replies ${reply.outcome} to ${key}`, next)];
   }
-  const { replica, reply } = receiveCession(node.replica, message.message, bounds.rules);
-  const name = `${message.to} answers ${reply.outcome} to ${key}`;
-  return [step(name, withReplica(state, node, replica))];
+  const { replica, reply } = receiveCession(instance.replica, message.message, bounds.rules);
+  const name = `${message.to} replies ${reply.outcome} to ${key}`;
+  return [createStep(name, withReplica(state, instance, replica))];
 }
 
-/** An instance learns of an assignment, from the store or from a peer. */
-function learn(state: State, { node, bounds }: At): Step<State>[] {
-  const peers = state.nodes.filter((one) => one.up).map((one) => one.replica.assignment);
-  const known = new Map([state.stored, ...peers].map((one) => [one.epoch, one]));
-  return [...known.values()].map((assignment) => {
-    const replica = hearAssignment(node.replica, assignment, bounds.rules);
+/** An instance receives an assignment from the store or from a peer. */
+function learnAssignment(state: SlotState, { instance, bounds }: ActionContext): Step<SlotState>[] {
+  const peers = state.instances.filter((one) => one.isUp).map((one) => one.replica.assignment);
+  const assignments = new Map([state.storedAssignment, ...peers].map((one) => [one.epoch, one]));
+  return [...assignments.values()].map((assignment) => {
+    const replica = hearAssignment(instance.replica, assignment, bounds.rules);
     const { epoch, primary, backup } = assignment;
-    const name = `${idOf(node)} learns epoch ${epoch}: ${primary}, ${backup}`;
-    return step(name, withReplica(state, node, replica));
+    const name = `${memberIdOf(instance)} receives epoch ${epoch}: ${primary}, ${backup}`;
+    return createStep(name, withReplica(state, instance, replica));
   });
 }
 
 /**
- * A conditional update of the slot map, by an instance that knows the present one. Its answer is never
- * heard here: the writer learns of it as all others do, so every lost answer is enumerated.
+ * An instance with the current slot map updates it conditionally. The response isn't modeled. The writer
+ * receives the new slot map the same way as all others, which covers every lost response.
  */
-function writeMap(state: State, { node, bounds }: At): Step<State>[] {
-  const { stored } = state;
-  if (node.replica.assignment.epoch !== stored.epoch || stored.epoch >= bounds.epochs) return [];
-  const able = state.nodes.filter((one) => one.up && !one.leaving).map(idOf);
-  const pairs = able.flatMap((primary) => {
-    const backups = able.filter((backup) => backup !== primary);
-    // A backup that is promoted has none of its own at first.
-    const promoted = primary === stored.backup ? ["", ...backups] : backups;
-    const known = backups.length === 0 ? [""] : promoted;
-    return known.map((backup) => ({ primary, backup }));
+function writeSlotMap(state: SlotState, { instance, bounds }: ActionContext): Step<SlotState>[] {
+  const { storedAssignment } = state;
+  if (
+    instance.replica.assignment.epoch !== storedAssignment.epoch ||
+    storedAssignment.epoch >= bounds.epochs
+  )
+    return [];
+  const eligible = state.instances.filter((one) => one.isUp && !one.isLeaving).map(memberIdOf);
+  const pairs = eligible.flatMap((primary) => {
+    const backups = eligible.filter((backup) => backup !== primary);
+    // A promoted backup has no backup of its own at first.
+    const promoted = primary === storedAssignment.backup ? ["", ...backups] : backups;
+    const choices = backups.length === 0 ? [""] : promoted;
+    return choices.map((backup) => ({ primary, backup }));
   });
-  return pairs.flatMap((pair) => reassign(state, { node, pair }));
+  return pairs.flatMap((pair) => reassign(state, { instance, pair }));
 }
 
 function reassign(
-  state: State,
-  { node, pair }: { node: Node; pair: Pick<Assignment, "primary" | "backup"> },
-): Step<State>[] {
-  const { stored } = state;
+  state: SlotState,
+  { instance, pair }: { instance: InstanceState; pair: Pick<Assignment, "primary" | "backup"> },
+): Step<SlotState>[] {
+  const { storedAssignment } = state;
   const { primary, backup } = pair;
-  if (stored.primary === primary && stored.backup === backup) return [];
-  const suspected = suspects(state, pair);
-  if (suspected > state.faults.suspicion) return [];
-  const isNew = stored.epoch > 0 && primary !== stored.primary && primary !== stored.backup;
-  // Whoever is left of the two has the records, and is the primary.
-  if (isNew && (backup === stored.primary || backup === stored.backup)) return [];
-  // Only the writer can know that it was left everything in custody; for others the history is lost.
-  const inCustody = primary === idOf(node) && node.replica.completeTo >= stored.epoch;
-  const historyLostAt = isNew && !inCustody ? stored.epoch + 1 : stored.historyLostAt;
-  const assignment = { epoch: stored.epoch + 1, primary, backup, historyLostAt };
-  const faults = { ...state.faults, suspicion: state.faults.suspicion - suspected };
-  const name = `${idOf(node)} writes epoch ${assignment.epoch}: ${primary}, ${backup}`;
-  return [step(name, { ...state, stored: assignment, faults }, suspected > 0)];
+  if (storedAssignment.primary === primary && storedAssignment.backup === backup) return [];
+  const suspected = countSuspected(state, pair);
+  if (suspected > state.faultsLeft.suspicion) return [];
+  const isNew =
+    storedAssignment.epoch > 0 &&
+    primary !== storedAssignment.primary &&
+    primary !== storedAssignment.backup;
+  // If one of the two owners remains, it has the records and becomes the primary.
+  if (isNew && (backup === storedAssignment.primary || backup === storedAssignment.backup))
+    return [];
+  // Only the writer can know that it received all records in custody. For other instances the history is lost.
+  const hasFullHistory =
+    primary === memberIdOf(instance) && instance.replica.completeTo >= storedAssignment.epoch;
+  const historyLostAt =
+    isNew && !hasFullHistory ? storedAssignment.epoch + 1 : storedAssignment.historyLostAt;
+  const assignment = { epoch: storedAssignment.epoch + 1, primary, backup, historyLostAt };
+  const faultsLeft = { ...state.faultsLeft, suspicion: state.faultsLeft.suspicion - suspected };
+  const name = `${memberIdOf(instance)} writes epoch ${assignment.epoch}: ${primary}, ${backup}`;
+  return [createStep(name, { ...state, storedAssignment: assignment, faultsLeft }, suspected > 0)];
 }
 
-/** How many living instances lose their part without having left: each was wrongly taken for dead. */
-function suspects(state: State, { primary, backup }: { primary: string; backup: string }): number {
-  const { stored } = state;
-  const losers = [
-    ...(stored.primary === primary ? [] : [stored.primary]),
-    ...(stored.backup === primary || stored.backup === backup ? [] : [stored.backup]),
+/** Counts the running instances that lose their role without having left. Each was wrongly considered dead. */
+function countSuspected(
+  state: SlotState,
+  { primary, backup }: { primary: string; backup: string },
+): number {
+  const { storedAssignment } = state;
+  const replaced = [
+    ...(storedAssignment.primary === primary ? [] : [storedAssignment.primary]),
+    ...(storedAssignment.backup === primary || storedAssignment.backup === backup
+      ? []
+      : [storedAssignment.backup]),
   ];
-  return state.nodes.filter(
-    (node) =>
-      node.up &&
-      losers.includes(idOf(node)) &&
-      !node.leaving &&
-      node.replica.stance !== Stance.Ceded,
+  return state.instances.filter(
+    (instance) =>
+      instance.isUp &&
+      replaced.includes(memberIdOf(instance)) &&
+      !instance.isLeaving &&
+      instance.replica.stance !== Stance.Ceded,
   ).length;
 }
 
-const MOST_INCARNATIONS = 4;
+/** Maximum number of starts of an instance. Bounds the state space. */
+const MAX_INCARNATIONS = 4;
 
-/** Notices with the hand-over that follows, deaths, and new incarnations. */
-function leaveAndDie(state: State, { node, bounds }: At): Step<State>[] {
-  const at = idOf(node);
-  if (!node.up) {
-    const next = withNode(state, node, freshNode(node.name, node.incarnation + 1));
-    const alive = state.nodes.filter((one) => one.up && !one.leaving).length;
-    return node.incarnation < MOST_INCARNATIONS && alive < 2
-      ? [step(`${node.name} starts again`, next)]
+/** Reclaim notices with the handover that follows, crashes and restarts. */
+function lifecycleSteps(state: SlotState, { instance, bounds }: ActionContext): Step<SlotState>[] {
+  const at = memberIdOf(instance);
+  if (!instance.isUp) {
+    const next = withInstance(
+      state,
+      instance,
+      createInstance(instance.name, instance.incarnation + 1),
+    );
+    const alive = state.instances.filter((one) => one.isUp && !one.isLeaving).length;
+    return instance.incarnation < MAX_INCARNATIONS && alive < 2
+      ? [createStep(`${instance.name} restarts`, next)]
       : [];
   }
-  const steps: Step<State>[] = [];
-  const down = { up: false, permitted: [], sent: [], leaving: false };
-  const others = state.nodes.filter((one) => one.up && !one.leaving && one !== node);
-  if (state.faults.crash > 0) {
-    steps.push(step(`${at} dies`, spend(died(state, node, down), "crash"), true));
+  const steps: Step<SlotState>[] = [];
+  const stopped = { isUp: false, permittedIds: [], sentIds: [], isLeaving: false };
+  const others = state.instances.filter((one) => one.isUp && !one.isLeaving && one !== instance);
+  if (state.faultsLeft.crash > 0) {
+    steps.push(
+      createStep(`${at} crashes`, spendFault(terminate(state, instance, stopped), "crash"), true),
+    );
   }
-  if (state.faults.notice > 0 && !node.leaving && others.length > 0) {
-    const next = spend(withNode(state, node, { leaving: true }), "notice");
-    steps.push(step(`${at} is put under notice`, next, true));
+  if (state.faultsLeft.notice > 0 && !instance.isLeaving && others.length > 0) {
+    const next = spendFault(withInstance(state, instance, { isLeaving: true }), "notice");
+    steps.push(createStep(`${at} receives a reclaim notice`, next, true));
   }
-  steps.push(...handOver(state, { node, bounds, others }));
-  // It is known that the hand-over arrived, by its acknowledgement or by that of another copy.
-  const isSafe = [...node.replica.held.values()].every(({ record, epoch }) =>
-    others.some((other) => covers(other.replica, record, epoch)),
+  steps.push(...handoverSteps(state, { instance, bounds, others }));
+  // The instance waits until each record is held elsewhere, which an acknowledgement confirms.
+  const isSafe = [...instance.replica.held.values()].every(({ record, epoch }) =>
+    others.some((other) => holdsRecord(other.replica, record, epoch)),
   );
-  if (node.leaving && isSafe && !ownsSlot(node.replica)) {
-    steps.push(step(`${at} is taken away`, died(state, node, down)));
+  if (instance.isLeaving && isSafe && !ownsSlot(instance.replica)) {
+    steps.push(createStep(`${at} is reclaimed`, terminate(state, instance, stopped)));
   }
   return steps;
 }
 
-function handOver(
-  state: State,
-  { node, bounds, others }: At & { others: readonly Node[] },
-): Step<State>[] {
-  const { replica } = node;
+function handoverSteps(
+  state: SlotState,
+  { instance, bounds, others }: ActionContext & { others: readonly InstanceState[] },
+): Step<SlotState>[] {
+  const { replica } = instance;
   const { primary, backup } = replica.assignment;
-  const steps: Step<State>[] = [];
-  const cede = (to: string): void => {
-    const cession = cedeSlot(replica, to, bounds.rules);
-    if (isUnderWay(state, { from: replica.self, to, epoch: cession.message.epoch })) return;
-    const next = withReplica(state, node, cession.replica);
-    const sent = withMessage(next, { kind: "cession", to, message: cession.message });
-    steps.push(step(`${idOf(node)} cedes to ${to}`, sent));
+  const steps: Step<SlotState>[] = [];
+  const handOverTo = (to: string): void => {
+    const handover = cedeSlot(replica, to, bounds.rules);
+    if (isInTransit(state, { from: replica.self, to, epoch: handover.message.epoch })) return;
+    const next = withReplica(state, instance, handover.replica);
+    const withHandover = withMessage(next, { kind: "handover", to, message: handover.message });
+    steps.push(createStep(`${memberIdOf(instance)} hands over to ${to}`, withHandover));
   };
-  const keeps = isKeeper(replica);
-  const named = others.filter((other) => idOf(other) === backup);
+  const isKeeping = isKeeper(replica);
+  const named = others.filter((other) => memberIdOf(other) === backup);
   const targets = named.length > 0 && !bounds.cedesToAll ? named : others;
-  const hands = ownsSlot(replica) || keeps;
-  if (node.leaving && hands) targets.forEach((other) => cede(idOf(other)));
-  else if (keeps && hands && primary !== replica.self) cede(primary);
-  // The first backup knows from the start that there is no history.
+  const hasRecords = ownsSlot(replica) || isKeeping;
+  if (instance.isLeaving && hasRecords) targets.forEach((other) => handOverTo(memberIdOf(other)));
+  else if (isKeeping && hasRecords && primary !== replica.self) handOverTo(primary);
+  // At epoch 1 the backup already knows that there is no history.
   const message = replica.assignment.epoch > 1 ? completionOf(replica) : undefined;
   if (message !== undefined) {
-    const next = withMessage(state, { kind: "cession", to: backup, message });
-    steps.push(step(`${idOf(node)} tells ${backup} that it has all`, next));
+    const next = withMessage(state, { kind: "handover", to: backup, message });
+    steps.push(
+      createStep(`${memberIdOf(instance)} notifies ${backup} that its records are complete`, next),
+    );
   }
   return steps;
 }
 
-function isUnderWay(state: State, path: { from: string; to: string; epoch: number }): boolean {
+function isInTransit(
+  state: SlotState,
+  handover: { from: string; to: string; epoch: number },
+): boolean {
   return [...state.messages.values()].some(
     (one) =>
-      one.kind === "cession" &&
-      one.to === path.to &&
-      one.message.from === path.from &&
-      one.message.epoch === path.epoch,
+      one.kind === "handover" &&
+      one.to === handover.to &&
+      one.message.from === handover.from &&
+      one.message.epoch === handover.epoch,
   );
 }
 
-/** A dead incarnation, without the messages that nobody will ever take in. */
-function died(state: State, node: Node, down: Partial<Node>): State {
-  const at = idOf(node);
+/** Stops an incarnation and removes the messages to it, which can no longer be received. */
+function terminate(
+  state: SlotState,
+  instance: InstanceState,
+  stopped: Partial<InstanceState>,
+): SlotState {
+  const at = memberIdOf(instance);
   const messages = new Map([...state.messages].filter(([, { to }]) => to !== at));
   return {
-    ...withNode(state, node, { ...down, replica: freshNode(node.name, 0).replica }),
+    ...withInstance(state, instance, {
+      ...stopped,
+      replica: createInstance(instance.name, 0).replica,
+    }),
     messages,
   };
 }
--- a/model/slot_specification.ts
+++ b/model/slot_specification.ts
@@ -1,17 +1,17 @@
 import type { Specification } from "./checker.ts";
 import { slotSteps } from "./slot_actions.ts";
-import { allEnded, slotInvariants } from "./slot_invariants.ts";
+import { haveAllEnded, slotInvariants } from "./slot_invariants.ts";
 import { encodeState, initialState } from "./slot_state.ts";
-import type { Bounds, State } from "./slot_state.ts";
+import type { Bounds, SlotState } from "./slot_state.ts";
 
-/** The specification of slot ownership within bounds. */
-export function slotSpecification(within: Bounds): Specification<State> {
+/** Creates the specification of slot ownership within bounds. */
+export function slotSpecification(bounds: Bounds): Specification<SlotState> {
   return {
-    name: within.name,
-    initial: initialState(within),
-    steps: (state) => slotSteps(state, within),
+    name: bounds.name,
+    initial: initialState(bounds),
+    steps: (state) => slotSteps(state, bounds),
     encode: encodeState,
-    invariants: slotInvariants(within),
-    goal: (state) => allEnded(state, within),
+    invariants: slotInvariants(bounds),
+    isGoal: (state) => haveAllEnded(state, bounds),
   };
 }
--- a/model/slot_state.ts
+++ b/model/slot_state.ts
@@ -4,61 +4,73 @@
 import type { Rules, SlotReplica } from "../src/request/slot_replica.ts";
 import type { Assignment } from "../src/version/index.ts";
 
-/** The one backend server of the specification: a request that runs twice there runs twice. */
+/** Name of the only backend server. It runs a request once for each time that it receives it. */
 export const WORKER = "w";
 
-/** A request that callers may bring. */
-export interface Demand {
+/** A request that a caller may submit. */
+export interface CallerRequest {
   readonly id: string;
+  /** Whether the request may run more than once. */
   readonly repeatable: boolean;
-  /** The caller may bring it again, to any instance. */
+  /** Whether the request has an idempotency key. If so, the caller may submit it again to any instance. */
   readonly keyed: boolean;
+  /** Whether the caller doesn't wait for the answer. */
   readonly detached: boolean;
 }
 
-/** How many of each fault may happen on the way. */
-export interface Faults {
-  /** Deaths without notice. */
+/** How many faults of each kind may occur. */
+export interface FaultBudget {
+  /** Instance crashes without a reclaim notice. */
   readonly crash: number;
-  /** Living instances taken for dead by a writer of the slot map. */
+  /** Running instances that a writer of the slot map wrongly considers dead. */
   readonly suspicion: number;
-  /** Instances put under notice. */
+  /** Reclaim notices to instances. */
   readonly notice: number;
-  /** Answers of the backend server that are lost. */
+  /** Lost responses of the backend server. */
   readonly lostAnswer: number;
 }
 
-/** What is enumerated. */
+/** Bounds of an exploration of slot ownership. */
 export interface Bounds {
+  /** Name under which the exploration is reported. */
   readonly name: string;
+  /** Number of instances, at most 3. */
   readonly instances: number;
-  readonly demands: readonly Demand[];
-  readonly faults: Faults;
-  /** An instance under notice cedes to others too, though its backup could take the slot. */
+  /** Requests that callers may submit. */
+  readonly demands: readonly CallerRequest[];
+  readonly faults: FaultBudget;
+  /** Whether an instance with a reclaim notice hands the slot over to all others, even if its backup is available. */
   readonly cedesToAll: boolean;
-  /** Highest epoch of the slot map. */
+  /** Maximum epoch of the slot map. */
   readonly epochs: number;
   readonly rules: Rules;
 }
 
-/** An entry instance. A pause needs no flag: it is every interleaving in which the instance takes no step. */
-export interface Node {
+/**
+ * An entry instance. A pause needs no flag. It is covered by the interleavings in which the instance
+ * takes no step.
+ */
+export interface InstanceState {
   readonly name: string;
+  /** Number of starts under this name. */
   readonly incarnation: number;
-  readonly up: boolean;
-  /** Under notice. */
-  readonly leaving: boolean;
+  readonly isUp: boolean;
+  /** Whether the instance has received a reclaim notice. */
+  readonly isLeaving: boolean;
   readonly replica: SlotReplica;
-  /** A permission to send that was asked for and given; the write to the socket is a later step. */
-  readonly permitted: readonly string[];
-  /** Ids that this incarnation has written to the server's socket. */
-  readonly sent: readonly string[];
+  /** Ids of requests with permission to be sent. The write to the socket is a later step. */
+  readonly permittedIds: readonly string[];
+  /** Ids of requests that this incarnation has written to the backend server's socket. */
+  readonly sentIds: readonly string[];
 }
 
-/** A message under way. It stays: delivered twice it is a duplicate, late it is reordered, never it is lost. */
+/**
+ * A message in transit. It stays in transit after delivery, so the exploration covers duplicates
+ * (delivered twice), reordering (delivered late) and loss (never delivered).
+ */
 export type Message =
   | { readonly kind: "record"; readonly to: string; readonly message: ReplicateMessage }
-  | { readonly kind: "cession"; readonly to: string; readonly message: CedeMessage }
+  | { readonly kind: "handover"; readonly to: string; readonly message: CedeMessage }
   | {
       readonly kind: "acknowledgement";
       readonly to: string;
@@ -67,58 +79,61 @@
       readonly epoch: number;
     };
 
-/** Everything, as plain data. */
-export interface State {
-  readonly nodes: readonly Node[];
-  /** The slot's assignment in the platform's store; a store that is down is one that nobody reaches. */
-  readonly stored: Assignment;
+/** The complete state of the model, as plain data. */
+export interface SlotState {
+  readonly instances: readonly InstanceState[];
+  /** The slot's assignment in the platform's store. An unavailable store is one that no instance reaches. */
+  readonly storedAssignment: Assignment;
+  /** Messages in transit by key. */
   readonly messages: ReadonlyMap<string, Message>;
-  /** Runs by request id, as the backend server counted them, up to 2. */
+  /** Number of runs at the backend server by request id, counted up to 2. */
   readonly runs: Readonly<Record<string, number>>;
-  readonly barred: readonly string[];
-  /** What callers were told, by request id. */
-  readonly told: Readonly<Record<string, readonly string[]>>;
-  readonly faults: Faults;
+  /** Ids of requests that the backend server refuses to run. */
+  readonly barredIds: readonly string[];
+  /** States reported to callers, by request id. An entry exists once the request was submitted. */
+  readonly reported: Readonly<Record<string, readonly string[]>>;
+  /** Faults that may still occur. */
+  readonly faultsLeft: FaultBudget;
 }
 
-/** The id by which an incarnation is known. */
-export function idOf(node: Node): string {
-  return `${node.name}#${node.incarnation}`;
+/** Returns the member id of an incarnation, for example `a#1`. */
+export function memberIdOf(instance: InstanceState): string {
+  return `${instance.name}#${instance.incarnation}`;
 }
 
-/** Instances a, b, …; all know that a is the slot's first primary, and b its backup. */
-export function initialState({ instances, faults }: Bounds): State {
+/** Creates the instances a, b and c, up to the bound. All have received the first assignment: primary a, backup b. */
+export function initialState({ instances, faults }: Bounds): SlotState {
   const stored = { epoch: 1, primary: "a#1", backup: "b#1", historyLostAt: 0 };
-  const nodes = ["a", "b", "c"].slice(0, instances).map((name) => {
-    const node = freshNode(name, 1);
-    return { ...node, replica: hearAssignment(node.replica, stored) };
+  const initialInstances = ["a", "b", "c"].slice(0, instances).map((name) => {
+    const instance = createInstance(name, 1);
+    return { ...instance, replica: hearAssignment(instance.replica, stored) };
   });
   return {
-    nodes,
-    stored,
+    instances: initialInstances,
+    storedAssignment: stored,
     messages: new Map(),
     runs: {},
-    barred: [],
-    told: {},
-    faults,
+    barredIds: [],
+    reported: {},
+    faultsLeft: faults,
   };
 }
 
-/** An incarnation that has just started and knows nothing. */
-export function freshNode(name: string, incarnation: number): Node {
+/** Creates an incarnation that has just started and has received nothing. */
+export function createInstance(name: string, incarnation: number): InstanceState {
   return {
     name,
     incarnation,
-    up: true,
-    leaving: false,
+    isUp: true,
+    isLeaving: false,
     replica: emptyReplica(`${name}#${incarnation}`, 0),
-    permitted: [],
-    sent: [],
+    permittedIds: [],
+    sentIds: [],
   };
 }
 
-/** A record as the accepting instance first writes it. */
-export function acceptedRecord({ id, repeatable, keyed, detached }: Demand): RequestRecord {
+/** Creates the record that an instance writes when it accepts a request. */
+export function acceptedRecord({ id, repeatable, keyed, detached }: CallerRequest): RequestRecord {
   return {
     id,
     slot: 0,
@@ -143,28 +158,29 @@
   };
 }
 
-/** A text that two states share exactly when they are the same. */
-export function encodeState(state: State): string {
-  const { stored, runs, barred, told, faults } = state;
-  const nodes = state.nodes.map((node) => remembered(node, encodeNode)).join("|");
-  const messages = remembered(state.messages, encodeMessages);
-  const spent = `${faults.crash}${faults.suspicion}${faults.notice}${faults.lostAnswer}`;
-  const outside = JSON.stringify([runs, barred, told]);
-  return `${nodes}/${encodeAssignment(stored)}/${messages}/${outside}/${spent}`;
+/** Encodes a state. Two states have the same encoding if and only if they are equal. */
+export function encodeState(state: SlotState): string {
+  const { storedAssignment, runs, barredIds, reported, faultsLeft } = state;
+  const instances = state.instances.map((instance) => memoize(instance, encodeInstance)).join("|");
+  const messages = memoize(state.messages, encodeMessages);
+  const faults = `${faultsLeft.crash}${faultsLeft.suspicion}${faultsLeft.notice}${faultsLeft.lostAnswer}`;
+  const outside = JSON.stringify([runs, barredIds, reported]);
+  return `${instances}/${encodeAssignment(storedAssignment)}/${messages}/${outside}/${faults}`;
 }
 
-const texts = new WeakMap<object, string>();
+/** Cached encodings of immutable parts of states. */
+const encodings = new WeakMap<object, string>();
 
-/** States share most of their parts, and nothing in them is ever changed. */
-function remembered<T extends object>(part: T, encode: (part: T) => string): string {
-  const known = texts.get(part);
-  if (known !== undefined) return known;
-  const text = encode(part);
-  texts.set(part, text);
-  return text;
+/** Encodes a part once and caches the result. States share most of their parts, and parts are immutable. */
+function memoize<T extends object>(part: T, encode: (part: T) => string): string {
+  const cached = encodings.get(part);
+  if (cached !== undefined) return cached;
+  const encoding = encode(part);
+  encodings.set(part, encoding);
+  return encoding;
 }
 
-function encodeMessages(messages: State["messages"]): string {
+function encodeMessages(messages: SlotState["messages"]): string {
   return [...messages.keys()].sort().join(" ");
 }
 
@@ -172,18 +188,18 @@
   return `${epoch}${primary}${backup}${historyLostAt}`;
 }
 
-function encodeNode(node: Node): string {
-  const { replica, up, leaving, permitted, sent } = node;
-  if (!up) return `${idOf(node)}-`;
+function encodeInstance(instance: InstanceState): string {
+  const { replica, isUp, isLeaving, permittedIds, sentIds } = instance;
+  if (!isUp) return `${memberIdOf(instance)}-`;
   const held = [...replica.held.entries()]
     .map(([id, one]) => `${id}${JSON.stringify({ ...one, record: encodeRecord(one.record) })}`)
     .sort()
     .join();
-  const own = `${encodeAssignment(replica.assignment)}${replica.stance}${replica.completeTo}`;
-  return `${idOf(node)}${Number(leaving)}${own}[${held}]${permitted.join()};${sent.join()}`;
+  const ownState = `${encodeAssignment(replica.assignment)}${replica.stance}${replica.completeTo}`;
+  return `${memberIdOf(instance)}${Number(isLeaving)}${ownState}[${held}]${permittedIds.join()};${sentIds.join()}`;
 }
 
-/** The parts of a record that change in the specification. */
+/** Encodes the fields of a record that change in the specification. */
 export function encodeRecord({ id, state, worker, sequence }: RequestRecord): string {
   return `${id}${state}${worker}${sequence}`;
 }
--- a/model/usage_specification.ts
+++ b/model/usage_specification.ts
@@ -1,7 +1,8 @@
 /**
- * The specification of the usage report: two instances that both take themselves for the one that reports, learn of
- * runs late, and write to a store that loses answers or does a write later. Its actions call the functions that the
- * entry instance executes.
+ * Specification of the usage report. Two instances both act as the one that reports a window, and receive
+ * the window's runs late. The store loses responses or applies a write late. A window must still be
+ * reported with a single count, because two counts would be two bills. The actions call the same
+ * functions as the entry instance, so the model checker explores the code that runs in production.
  *
  * @module
  */
@@ -11,62 +12,72 @@
 
 const WINDOW = 1;
 const ACCOUNT = "a";
-/** Runs of the window, each of which an instance may hear of or not. */
-const RUNS = 2;
+/** Number of runs in the window. An instance may receive any number of them before it reports. */
+const RUN_COUNT = 2;
 
+/** A conditional write of the usage record. */
 interface Write {
+  /** Version that the store must hold for the write to succeed. */
   readonly expect: number;
   readonly record: UsageRecord;
 }
 
+/** An instance that may report the window. */
 interface Reporter {
   readonly name: string;
-  /** Runs of the window that it has heard of. */
-  readonly heard: number;
-  readonly known: KnownUsage | undefined;
+  /** Number of runs of the window received so far. */
+  readonly receivedRuns: number;
+  /** The stored record as last read or written; undefined if it must be read first. */
+  readonly knownUsage: KnownUsage | undefined;
 }
 
-/** Everything, as plain data. */
+/** The complete state of the model, as plain data. */
 export interface UsageState {
   readonly stored: KnownUsage;
   readonly reporters: readonly Reporter[];
-  /** Writes that the store may still do, though nobody waits for them. */
-  readonly late: readonly Write[];
-  /** The counts that the platform has accepted for the window. */
-  readonly reported: readonly number[];
-  readonly lostAnswers: number;
-  readonly lateWrites: number;
-  readonly restarts: number;
+  /** Writes that the store may still apply although the writer has given up waiting. */
+  readonly pendingWrites: readonly Write[];
+  /** Distinct counts that the platform has accepted for the window. */
+  readonly reportedCounts: readonly number[];
+  /** Number of responses that may still be lost. */
+  readonly lostAnswersLeft: number;
+  /** Number of writes that may still become late. */
+  readonly lateWritesLeft: number;
+  /** Number of instance restarts that may still occur. */
+  readonly restartsLeft: number;
 }
 
-/** Two instances, a lost answer, a write that is done late and a restart. */
+/** Creates the specification with two instances, one lost response, one late write and one restart. */
 export function usageSpecification(rules: UsageRules): Specification<UsageState> {
-  const reporter = (name: string): Reporter => ({ name, heard: 0, known: undefined });
+  const reporter = (name: string): Reporter => ({ name, receivedRuns: 0, knownUsage: undefined });
   return {
     name: "usage report",
     initial: {
       stored: { version: 0, record: { reports: [] } },
       reporters: [reporter("a"), reporter("b")],
-      late: [],
-      reported: [],
-      lostAnswers: 1,
-      lateWrites: 1,
-      restarts: 1,
+      pendingWrites: [],
+      reportedCounts: [],
+      lostAnswersLeft: 1,
+      lateWritesLeft: 1,
+      restartsLeft: 1,
     },
     steps: (state) => [
-      ...state.late.map((write) => doLate(state, write, rules)),
+      ...state.pendingWrites.map((write) => applyLateWrite(state, write, rules)),
       ...state.reporters.flatMap((one) => reporterSteps(state, one, rules)),
     ],
     encode: (state) => JSON.stringify(state),
     invariants: [
-      { name: "a window is reported with one count", holds: ({ reported }) => reported.length < 2 },
+      {
+        name: "a window is reported with one count",
+        holds: ({ reportedCounts }) => reportedCounts.length < 2,
+      },
     ],
-    goal: ({ reported }) => reported.length > 0,
+    isGoal: ({ reportedCounts }) => reportedCounts.length > 0,
   };
 }
 
-/** What the store holds after a write; it does none whose condition doesn't hold. */
-function storedAfter(
+/** Returns the stored record after a write, or undefined if the stored version isn't the expected one. */
+function applyWrite(
   stored: KnownUsage,
   { expect, record }: Write,
   { expectVersion }: UsageRules,
@@ -75,10 +86,15 @@
   return { version: stored.version + 1, record };
 }
 
-function doLate(state: UsageState, write: Write, rules: UsageRules): Step<UsageState> {
-  const late = state.late.filter((one) => one !== write);
-  const stored = storedAfter(state.stored, write, rules) ?? state.stored;
-  return { name: "the store does a write late", fault: false, next: { ...state, late, stored } };
+/** Applies a pending write, which has no effect if its expected version is out of date. */
+function applyLateWrite(state: UsageState, write: Write, rules: UsageRules): Step<UsageState> {
+  const pendingWrites = state.pendingWrites.filter((one) => one !== write);
+  const stored = applyWrite(state.stored, write, rules) ?? state.stored;
+  return {
+    name: "the store applies a delayed write",
+    isFault: false,
+    next: { ...state, pendingWrites, stored },
+  };
 }
 
 function reporterSteps(
@@ -86,57 +102,73 @@
   reporter: Reporter,
   rules: UsageRules,
 ): Step<UsageState>[] {
-  const become = (change: Partial<Reporter>, more: Partial<UsageState> = {}): UsageState => ({
+  const withChange = (change: Partial<Reporter>, more: Partial<UsageState> = {}): UsageState => ({
     ...state,
     ...more,
     reporters: state.reporters.map((one) => (one === reporter ? { ...one, ...change } : one)),
   });
-  const step = (name: string, next: UsageState, fault = false): Step<UsageState> => ({
+  const step = (name: string, next: UsageState, isFault = false): Step<UsageState> => ({
     name: `${reporter.name} ${name}`,
-    fault,
+    isFault,
     next,
   });
-  const { heard, known } = reporter;
+  const { receivedRuns, knownUsage } = reporter;
   const steps: Step<UsageState>[] = [];
-  if (heard < RUNS) steps.push(step("hears of a run", become({ heard: heard + 1 })));
-  if (state.restarts > 0) {
-    const restarted = become({ heard: 0, known: undefined }, { restarts: state.restarts - 1 });
-    steps.push(step("is restarted", restarted, true));
+  if (receivedRuns < RUN_COUNT)
+    steps.push(step("receives a run", withChange({ receivedRuns: receivedRuns + 1 })));
+  if (state.restartsLeft > 0) {
+    const restarted = withChange(
+      { receivedRuns: 0, knownUsage: undefined },
+      { restartsLeft: state.restartsLeft - 1 },
+    );
+    steps.push(step("restarts", restarted, true));
   }
-  const fixSteps = (write: Write): Step<UsageState>[] => {
+  const writeSteps = (write: Write): Step<UsageState>[] => {
     const { record } = write;
-    const doubt = { known: knownAfterFix(record, undefined, rules) };
-    const stored = storedAfter(state.stored, write, rules);
+    const uncertain = { knownUsage: knownAfterFix(record, undefined, rules) };
+    const stored = applyWrite(state.stored, write, rules);
     const outcomes = [
       stored === undefined
-        ? step("finds its write refused", become(doubt))
+        ? step("gets its write refused", withChange(uncertain))
         : step(
             "writes",
-            become({ known: knownAfterFix(record, stored.version, rules) }, { stored }),
+            withChange({ knownUsage: knownAfterFix(record, stored.version, rules) }, { stored }),
           ),
     ];
-    if (stored !== undefined && state.lostAnswers > 0) {
-      const lostAnswers = state.lostAnswers - 1;
-      outcomes.push(step("writes, unanswered", become(doubt, { stored, lostAnswers }), true));
+    if (stored !== undefined && state.lostAnswersLeft > 0) {
+      const lostAnswersLeft = state.lostAnswersLeft - 1;
+      outcomes.push(
+        step(
+          "writes, but the response is lost",
+          withChange(uncertain, { stored, lostAnswersLeft }),
+          true,
+        ),
+      );
     }
-    if (state.lateWrites > 0) {
-      const late = [...state.late, write];
-      const lateWrites = state.lateWrites - 1;
-      outcomes.push(step("gives up a write", become(doubt, { late, lateWrites }), true));
+    if (state.lateWritesLeft > 0) {
+      const pendingWrites = [...state.pendingWrites, write];
+      const lateWritesLeft = state.lateWritesLeft - 1;
+      outcomes.push(
+        step(
+          "stops waiting for its write",
+          withChange(uncertain, { pendingWrites, lateWritesLeft }),
+          true,
+        ),
+      );
     }
     return outcomes;
   };
-  const own = { window: WINDOW, counts: { [ACCOUNT]: heard } };
-  const next = nextUsageStep(known, own, rules);
+  const own = { window: WINDOW, counts: { [ACCOUNT]: receivedRuns } };
+  const next = nextUsageStep(knownUsage, own, rules);
   switch (next.kind) {
     case "read":
-      return [...steps, step("reads", become({ known: state.stored }))];
+      return [...steps, step("reads", withChange({ knownUsage: state.stored }))];
     case "send": {
       const count = next.counts[ACCOUNT] ?? 0;
-      const reported = [...new Set([...state.reported, count])].sort();
-      return [...steps, step(`reports ${count}`, become({}, { reported }))];
+      const reportedCounts = [...new Set([...state.reportedCounts, count])].sort();
+      return [...steps, step(`reports ${count}`, withChange({}, { reportedCounts }))];
     }
     case "fix":
-      return [...steps, ...fixSteps(next)];
+      return [...steps, ...writeSteps(next)];
   }
 }
--- a/traces/association.ts
+++ b/traces/association.ts
@@ -1,33 +1,39 @@
-import { accountOf, hill, modelService, STANDARD, swell } from "./common.ts";
-import type { RequestKind, Workload } from "./workload.ts";
+import {
+  createAccount,
+  raisedCosine,
+  createModelService,
+  STANDARD_MACHINE_CLASS,
+  dailyVariation,
+} from "./common.ts";
+import type { RequestProfile, Workload } from "./workload.ts";
 
 const MINUTE = 60_000;
 
 const SERVICES = ["entry-model", "finish-desk"];
 
-/** The Association's deployment document, with prices that differ by availability zone. */
+/** The association's deployment document. Prices differ by availability zone. */
 export const ASSOCIATION_DEPLOYMENT = {
   deployment: "association",
   region: "sofia",
   zones: ["sofia-a", "sofia-b", "sofia-c", "sofia-d"],
   services: {
-    "entry-model": modelService(
+    "entry-model": createModelService(
       { name: "start-list", weights: 16_000_000_000 },
       { checksFence: true, lane: "script", firstToken: "1.6 s", deadline: "5 min" },
     ),
-    "finish-desk": modelService(
+    "finish-desk": createModelService(
       { name: "desk", weights: 4_000_000_000 },
       { checksFence: false, lane: "lookup", firstToken: "400 ms", deadline: "20 s" },
     ),
   },
   accounts: {
-    "club-sofia": accountOf(3, SERVICES),
-    "club-varna": accountOf(3, SERVICES),
-    federation: accountOf(2, SERVICES),
-    "club-ruse": accountOf(1, SERVICES),
-    schools: accountOf(1, SERVICES),
+    "club-sofia": createAccount(3, SERVICES),
+    "club-varna": createAccount(3, SERVICES),
+    federation: createAccount(2, SERVICES),
+    "club-ruse": createAccount(1, SERVICES),
+    schools: createAccount(1, SERVICES),
   },
-  machineClasses: { standard: STANDARD },
+  machineClasses: { standard: STANDARD_MACHINE_CLASS },
   offers: [
     { zone: "sofia-a", machineClass: "standard", reclaimable: "0.8 EUR/h", onDemand: "2.4 EUR/h" },
     { zone: "sofia-b", machineClass: "standard", reclaimable: "0.9 EUR/h", onDemand: "2.4 EUR/h" },
@@ -52,51 +58,51 @@
   },
 } as const;
 
-const KINDS: readonly RequestKind[] = [
+const PROFILES: readonly RequestProfile[] = [
   // Drafts of start lists from long club rosters.
   {
     service: "entry-model",
-    rate: 0.45,
-    prompt: [1_300, 3_200],
-    answer: [500, 2_600],
-    prefixes: 8,
+    arrivalsPerSecond: 0.45,
+    promptTokens: [1_300, 3_200],
+    answerTokens: [500, 2_600],
+    prefixCount: 8,
     prefixTokens: 1_280,
-    bounded: 0.5,
+    maxTokensShare: 0.5,
   },
-  // Questions of secretaries about courses and categories.
+  // Questions from club secretaries about courses and categories.
   {
     service: "entry-model",
-    rate: 0.45,
-    prompt: [560, 900],
-    answer: [80, 400],
-    prefixes: 3,
+    arrivalsPerSecond: 0.45,
+    promptTokens: [560, 900],
+    answerTokens: [80, 400],
+    prefixCount: 3,
     prefixTokens: 512,
-    bounded: 0.2,
+    maxTokensShare: 0.2,
   },
-  // Entries checked against the rules: each at most once.
+  // Checks of entries against the rules. Each runs at most once.
   {
     service: "entry-model",
-    rate: 0.25,
-    prompt: [560, 1_000],
-    answer: [30, 120],
-    prefixes: 2,
+    arrivalsPerSecond: 0.25,
+    promptTokens: [560, 1_000],
+    answerTokens: [30, 120],
+    prefixCount: 2,
     prefixTokens: 448,
     repeatable: false,
-    bounded: 0.2,
+    maxTokensShare: 0.2,
   },
-  // The finish tent: a runner's chip or class.
+  // Lookups from the finish area: the chip or class of a runner.
   {
     service: "finish-desk",
-    rate: 0.8,
-    prompt: [150, 260],
-    answer: [10, 40],
-    prefixes: 1,
+    arrivalsPerSecond: 0.8,
+    promptTokens: [150, 260],
+    answerTokens: [10, 40],
+    prefixCount: 1,
     prefixTokens: 128,
-    bounded: 0.5,
+    maxTokensShare: 0.5,
   },
 ];
 
-const ACCOUNTS = {
+const ACCOUNT_SHARES = {
   "club-sofia": 0.38,
   "club-varna": 0.27,
   federation: 0.2,
@@ -105,24 +111,25 @@
 };
 
 const DURATION = 20 * MINUTE;
-/** Finish times of a course: a burst of lookups every few minutes. */
-const FINISH_BURSTS = 5;
+/** Number of bursts of finish lookups over the duration, one every 4 minutes. */
+const FINISH_BURST_COUNT = 5;
+/** At its maximum, a burst adds this multiple of the peak's additional lookup rate. */
 const BURST_FACTOR = 1.5;
 
-/** A weekend of the Association, its hours pressed into minutes. */
+/** A weekend of the association, compressed from hours to minutes. */
 export const ASSOCIATION_CALM: Workload = {
-  kinds: KINDS,
-  accounts: ACCOUNTS,
+  profiles: PROFILES,
+  accountShares: ACCOUNT_SHARES,
   duration: DURATION,
-  curve: (_kind, part) => swell(part),
+  rateFactor: (_profile, progress) => dailyVariation(progress),
 };
 
-/** Entries close in the first half; the finish tent is busy in the second, in bursts. */
+/** The entry deadline raises the load in the first half. Bursts of finish lookups follow in the second half. */
 export const ASSOCIATION_PEAK: Workload = {
   ...ASSOCIATION_CALM,
-  curve: (kind, part) => {
-    if (kind.service === "entry-model") return 1 + 2 * hill(part, 0.4);
-    const burst = Math.max(0, Math.sin(2 * Math.PI * FINISH_BURSTS * part));
-    return 1 + hill(part, 0.7) * (1 + BURST_FACTOR * burst);
+  rateFactor: (profile, progress) => {
+    if (profile.service === "entry-model") return 1 + 2 * raisedCosine(progress, 0.4);
+    const burst = Math.max(0, Math.sin(2 * Math.PI * FINISH_BURST_COUNT * progress));
+    return 1 + raisedCosine(progress, 0.7) * (1 + BURST_FACTOR * burst);
   },
 };
--- a/traces/catalogue.ts
+++ b/traces/catalogue.ts
@@ -6,24 +6,27 @@
 import { drawArrivals } from "./workload.ts";
 import type { Workload } from "./workload.ts";
 
-/** A trace as it is written to a file. */
+/** A generated trace and its name. */
 export interface GeneratedTrace {
+  /** File name without extension. */
   readonly name: string;
+  /** The trace as JSON lines. */
   readonly text: string;
 }
 
-interface Plan {
+/** Parameters of a trace to generate. */
+interface TracePlan {
   readonly name: string;
   readonly deployment: Deployment;
   readonly preset: string;
   readonly workload: Workload;
   readonly faults: readonly TraceFault[];
-  /** Which arrivals are kept; all where absent. */
-  readonly keep?: (arrival: TraceArrival) => boolean;
-  /** Least part of the requests of a group that are answered; absent in saturation. */
-  readonly answered?: number;
-  /** Tokens that may be computed again, as a part of what is in progress when a fault strikes. */
-  readonly recomputedPart: number;
+  /** Selects the arrivals to keep. If absent, all are kept. */
+  readonly includes?: (arrival: TraceArrival) => boolean;
+  /** Minimum fraction of the requests of a group that must be answered. Absent for saturation. */
+  readonly minAnswered?: number;
+  /** Maximum recomputed tokens, as a fraction of the tokens in progress at the fault, or of all tokens without a fault. */
+  readonly maxRecomputed: number;
 }
 
 type Deployment = typeof ASSOCIATION_DEPLOYMENT | typeof KORTFILM_DEPLOYMENT;
@@ -31,26 +34,27 @@
 const MINUTE = 60_000;
 const SECOND = 1_000;
 
-/** The latency target: 95 in 100. */
-const WITHIN_TARGET = 0.95;
-/** Of the accepted and refused together, the part that is answered whole outside of saturation. */
-const ANSWERED = 0.99;
-/** The aim for cost over the lower bound. */
-const COST_OVER_BOUND = 1.25;
-/** The aim for recomputed tokens in a wave against beginning again. */
-const RECOMPUTED_OVER_RESTART = 0.1;
-/** The aim for goodput in saturation against the best. */
-const GOODPUT_OVER_BEST = 0.95;
-/** Where no fault takes work away, what hedges and a full KV cache may cost: one in a thousand tokens. */
-const RECOMPUTED_CALM = 0.001;
-/** Milliseconds a token at the latency target's upper end, to see what is in progress at a time. */
+/** Minimum fraction of requests within the latency target. */
+const MIN_WITHIN_TARGET = 0.95;
+/** Minimum fraction of accepted and refused requests with a complete answer, except in saturation. */
+const MIN_ANSWERED = 0.99;
+/** Maximum ratio of the cost to its lower bound. */
+const MAX_COST_RATIO = 1.25;
+/** Maximum recomputed tokens after a fault, as a fraction of those recomputed by a full restart. */
+const MAX_RECOMPUTED_AFTER_FAULT = 0.1;
+/** Minimum ratio of the goodput in saturation to the best possible one. */
+const MIN_GOODPUT_RATIO = 0.95;
+/** Maximum fraction of tokens recomputed without a fault, because of hedges or a full KV cache. */
+const MAX_RECOMPUTED_CALM = 0.001;
+/** Milliseconds per token near the limit of the latency target; used to estimate the tokens in progress. */
 const TOKEN_TIME = 30;
-/** How many times what all workers can do arrives in saturation. */
-const SATURATION = 2;
-const SATURATED_TIME = 10 * MINUTE;
+/** Ratio of the arriving work to the capacity of all workers in saturation. */
+const SATURATION_FACTOR = 2;
+/** Duration of a saturation trace in milliseconds. */
+const SATURATION_DURATION = 10 * MINUTE;
 
-/** A wave: a whole availability zone with little notice, and launches refused there and next to it. */
-function wave(zone: string, next: string): TraceFault[] {
+/** Reclaims a whole availability zone at 15 s notice. Launches are refused there and in a second zone. */
+function zoneReclaimFaults(zone: string, next: string): TraceFault[] {
   const at = 8 * MINUTE;
   return [
     { kind: "reclaim", t: at, within: 15 * SECOND, zone },
@@ -59,18 +63,20 @@
   ];
 }
 
-function slow(service: string): TraceFault[] {
+/** Slows one worker of the service down by a factor of 5 for 8 minutes. */
+function slowWorkerFaults(service: string): TraceFault[] {
   return [{ kind: "slow", t: 5 * MINUTE, until: 13 * MINUTE, service, index: 1, factor: 5 }];
 }
 
-/** Half of the peak's rise, so that the wave meets a busy fleet. */
-function halfPeak({ peak, calm }: { peak: Workload; calm: Workload }): Workload {
-  const curve: Workload["curve"] = (kind, part) =>
-    (peak.curve(kind, part) + calm.curve(kind, part)) / 2;
-  return { ...calm, curve };
+/** Averages the calm and the peak rates, so that the reclaim hits a busy fleet. */
+function averageCalmAndPeak({ peak, calm }: { peak: Workload; calm: Workload }): Workload {
+  const rateFactor: Workload["rateFactor"] = (profile, progress) =>
+    (peak.rateFactor(profile, progress) + calm.rateFactor(profile, progress)) / 2;
+  return { ...calm, rateFactor };
 }
 
-function plansOf(user: {
+/** Creates the plans of one user: calm, peak, reclaim, slow worker, peak lookups and saturation. */
+function createPlans(user: {
   readonly name: string;
   readonly deployment: Deployment;
   readonly calm: Workload;
@@ -78,9 +84,9 @@
   readonly presets: { readonly calm: string; readonly peak: string };
   readonly service: string;
   readonly zones: readonly [string, string];
-}): Plan[] {
+}): TracePlan[] {
   const { name, deployment, calm, peak, presets, service, zones } = user;
-  const base = { deployment, answered: ANSWERED, recomputedPart: RECOMPUTED_CALM };
+  const base = { deployment, minAnswered: MIN_ANSWERED, maxRecomputed: MAX_RECOMPUTED_CALM };
   const isLookup = (arrival: TraceArrival): boolean =>
     arrival.l === Lane.Lookup || arrival.s !== service;
   const atPeak = { ...base, preset: presets.peak, workload: peak, faults: [] };
@@ -91,60 +97,69 @@
       ...base,
       name: `${name}_wave`,
       preset: presets.peak,
-      workload: halfPeak(user),
-      faults: wave(...zones),
-      recomputedPart: RECOMPUTED_OVER_RESTART,
+      workload: averageCalmAndPeak(user),
+      faults: zoneReclaimFaults(...zones),
+      maxRecomputed: MAX_RECOMPUTED_AFTER_FAULT,
     },
     {
       ...base,
       name: `${name}_slow`,
       preset: presets.calm,
       workload: calm,
-      faults: slow(service),
-      recomputedPart: RECOMPUTED_OVER_RESTART,
+      faults: slowWorkerFaults(service),
+      maxRecomputed: MAX_RECOMPUTED_AFTER_FAULT,
     },
-    { ...atPeak, name: `${name}_peak_lookups`, keep: isLookup },
-    saturationPlan(user),
+    { ...atPeak, name: `${name}_peak_lookups`, includes: isLookup },
+    createSaturationPlan(user),
   ];
 }
 
-/** Twice what the service's most workers can do, over a short time: with few workers, to stay small. */
-function saturationPlan(user: {
+/** Twice the capacity of all workers of the service, for a short time. Only 3 workers, to keep the trace small. */
+function createSaturationPlan(user: {
   name: string;
   deployment: Deployment;
   calm: Workload;
   service: string;
-}): Plan {
+}): TracePlan {
   const { name, deployment, calm, service } = user;
-  const most = 3;
+  const maxWorkers = 3;
   const presets = {
     saturated: {
       about: "Few workers, to be saturated.",
       services: Object.fromEntries(
-        Object.keys(deployment.services).map((key) => [key, { least: most, most, reclaimable: 1 }]),
+        Object.keys(deployment.services).map((key) => [
+          key,
+          { least: maxWorkers, most: maxWorkers, reclaimable: 1 },
+        ]),
       ),
     },
   };
-  const kinds = calm.kinds.filter((kind) => kind.service === service);
-  const mean = ([least, greatest]: readonly [number, number]): number =>
-    least + (greatest - least) / 3;
-  const work = kinds.reduce((sum, kind) => sum + kind.rate * mean(kind.answer), 0);
-  const capacity = most * deployment.machineClasses.standard.tokensPerSecond;
-  const factor = (SATURATION * capacity) / work;
+  const profiles = calm.profiles.filter((profile) => profile.service === service);
+  const mean = ([min, max]: readonly [number, number]): number => min + (max - min) / 3;
+  const tokensPerSecond = profiles.reduce(
+    (sum, profile) => sum + profile.arrivalsPerSecond * mean(profile.answerTokens),
+    0,
+  );
+  const capacity = maxWorkers * deployment.machineClasses.standard.tokensPerSecond;
+  const factor = (SATURATION_FACTOR * capacity) / tokensPerSecond;
   return {
     name: `${name}_saturation`,
-    recomputedPart: RECOMPUTED_CALM,
+    maxRecomputed: MAX_RECOMPUTED_CALM,
     deployment: { ...deployment, presets } as unknown as Deployment,
     preset: "saturated",
-    workload: { ...calm, kinds, duration: SATURATED_TIME, curve: () => factor },
+    workload: { ...calm, profiles, duration: SATURATION_DURATION, rateFactor: () => factor },
     faults: [],
   };
 }
 
-/** Generates all traces. */
+/**
+ * Generates all traces.
+ *
+ * @param seed Seed of the random numbers. The same seed generates the same traces.
+ */
 export function generateTraces(seed: number): GeneratedTrace[] {
   const plans = [
-    ...plansOf({
+    ...createPlans({
       name: "association",
       deployment: ASSOCIATION_DEPLOYMENT,
       calm: ASSOCIATION_CALM,
@@ -153,7 +168,7 @@
       service: "entry-model",
       zones: ["sofia-c", "sofia-a"],
     }),
-    ...plansOf({
+    ...createPlans({
       name: "kortfilm",
       deployment: KORTFILM_DEPLOYMENT,
       calm: KORTFILM_CALM,
@@ -163,12 +178,12 @@
       zones: ["gent-a", "antw-a"],
     }),
   ];
-  return plans.map((plan) => ({ name: plan.name, text: generate(plan, seed) }));
+  return plans.map((plan) => ({ name: plan.name, text: generateTrace(plan, seed) }));
 }
 
-function generate(plan: Plan, seed: number): string {
-  const { name, deployment, preset, workload, faults, keep } = plan;
-  const arrivals = drawArrivals(workload, seed).filter((arrival) => keep?.(arrival) ?? true);
+function generateTrace(plan: TracePlan, seed: number): string {
+  const { name, deployment, preset, workload, faults, includes } = plan;
+  const arrivals = drawArrivals(workload, seed).filter((arrival) => includes?.(arrival) ?? true);
   const header = {
     kind: "header",
     name,
@@ -185,66 +200,71 @@
     [JSON.stringify({ ...header, outcomes }), ...lines, ""].join("\n");
   const read = parseTrace(write({ lost: 0, services: {} }), name);
   if (read.kind === "unreadable") throw new Error(`${name}:${read.line}: ${read.message}`);
-  return write(outcomesOf(plan, read.trace));
+  return write(requiredOutcomes(plan, read.trace));
 }
 
-/** Outcomes follow from the targets and from the trace itself, never from what a replay came to. */
-function outcomesOf(plan: Plan, trace: Trace): object {
-  const saturated = plan.answered === undefined;
+/** Derives the required outcomes from the targets and the trace, never from the result of a replay. */
+function requiredOutcomes(plan: TracePlan, trace: Trace): object {
+  const isSaturation = plan.minAnswered === undefined;
   const { deployment } = trace.header;
   const groups = new Set(
     trace.arrivals.map(({ s, l }) => `${s}/${l ?? deployment.services[s]?.lane ?? "script"}`),
   );
   const service = {
-    firstToken: WITHIN_TARGET,
-    betweenTokens: WITHIN_TARGET,
-    ...(saturated ? {} : { answered: plan.answered }),
+    firstToken: MIN_WITHIN_TARGET,
+    betweenTokens: MIN_WITHIN_TARGET,
+    ...(isSaturation ? {} : { answered: plan.minAnswered }),
   };
   return {
     lost: 0,
-    recomputed: recomputedBound(plan, trace),
-    ...(saturated
-      ? { goodput: Math.floor(GOODPUT_OVER_BEST * bestGoodput(trace)) }
-      : { cost: round(COST_OVER_BOUND * lowerBoundOf(trace).total) }),
+    recomputed: maxRecomputedTokens(plan, trace),
+    ...(isSaturation
+      ? { goodput: Math.floor(MIN_GOODPUT_RATIO * bestGoodput(trace)) }
+      : { cost: roundCost(MAX_COST_RATIO * lowerBoundOf(trace).total) }),
     services: Object.fromEntries([...groups].sort().map((group) => [group, service])),
   };
 }
 
-function recomputedBound({ recomputedPart }: Plan, trace: Trace): number {
-  const strike = trace.faults.find(({ kind }) => kind === "reclaim" || kind === "slow");
-  if (strike === undefined) {
+/** Returns the maximum number of tokens that a replay may recompute. */
+function maxRecomputedTokens({ maxRecomputed }: TracePlan, trace: Trace): number {
+  const fault = trace.faults.find(({ kind }) => kind === "reclaim" || kind === "slow");
+  if (fault === undefined) {
     const all = trace.arrivals.reduce((sum, { p, n }) => sum + p + n, 0);
-    return Math.floor(recomputedPart * all);
+    return Math.floor(maxRecomputed * all);
   }
   const { services, zones } = trace.header.deployment;
-  const within = strike.kind === "slow" ? [strike.service] : Object.keys(services);
-  const parts = strike.kind === "slow" ? 1 : zones.length;
-  return Math.floor((recomputedPart * inProgressAt(trace, strike.t, within)) / parts);
+  const affectedServices = fault.kind === "slow" ? [fault.service] : Object.keys(services);
+  const zoneCount = fault.kind === "slow" ? 1 : zones.length;
+  return Math.floor(
+    (maxRecomputed * tokensInProgressAt(trace, fault.t, affectedServices)) / zoneCount,
+  );
 }
 
-/** Prompt and answer tokens of what is in progress at a time if each request runs at the usual pace. */
-function inProgressAt(trace: Trace, at: number, services: readonly string[]): number {
+/** Estimates the prompt and answer tokens in progress at a time, at {@linkcode TOKEN_TIME} per answer token. */
+function tokensInProgressAt(trace: Trace, at: number, services: readonly string[]): number {
   return trace.arrivals.reduce((sum, { t, s, p, n }) => {
     const produced = (at - t) / TOKEN_TIME;
-    const running = services.includes(s) && produced >= 0 && produced < n;
-    return running ? sum + p + produced : sum;
+    const isRunning = services.includes(s) && produced >= 0 && produced < n;
+    return isRunning ? sum + p + produced : sum;
   }, 0);
 }
 
-/** Answer tokens a second if all workers always ran full batches and computed each prompt's own part. */
+/** Returns the answer tokens per second if all workers always run full batches and compute only uncached prompt tokens. */
 function bestGoodput(trace: Trace): number {
   const { presets, machineClasses } = trace.header.deployment;
   const services = new Set(trace.arrivals.map(({ s }) => s));
-  const bounds = presets[trace.header.preset]?.services ?? {};
-  const workers = [...services].reduce((sum, name) => sum + (bounds[name]?.most ?? 0), 0);
-  const answer = trace.arrivals.reduce((sum, { n }) => sum + n, 0);
-  const prompt = trace.arrivals.reduce((sum, { p, xt }) => sum + p - (xt ?? 0), 0);
-  const speeds = machineClasses["standard"];
-  if (speeds === undefined) return 0;
-  const time = answer / speeds.tokensPerSecond + prompt / speeds.prefillPerSecond;
-  return (workers * answer) / time;
+  const scaling = presets[trace.header.preset]?.services ?? {};
+  const workers = [...services].reduce((sum, name) => sum + (scaling[name]?.most ?? 0), 0);
+  const answerTokens = trace.arrivals.reduce((sum, { n }) => sum + n, 0);
+  const promptTokens = trace.arrivals.reduce((sum, { p, xt }) => sum + p - (xt ?? 0), 0);
+  const machineClass = machineClasses["standard"];
+  if (machineClass === undefined) return 0;
+  const time =
+    answerTokens / machineClass.tokensPerSecond + promptTokens / machineClass.prefillPerSecond;
+  return (workers * answerTokens) / time;
 }
 
-function round(euros: number): number {
+/** Rounds a cost to a thousandth of a euro. */
+function roundCost(euros: number): number {
   return Math.round(euros * 1_000) / 1_000;
 }
--- a/traces/common.ts
+++ b/traces/common.ts
@@ -1,20 +1,21 @@
-const KEY = "9f86d081884c7d659a2feaa0c55ad015a3bf4f1b2b0b822cd15d6c15b0f00a08";
+/** SHA-256 of the API key that all accounts of the traces share. */
+const KEY_SHA256 = "9f86d081884c7d659a2feaa0c55ad015a3bf4f1b2b0b822cd15d6c15b0f00a08";
 
-/** A client account that may use the given services, with bounds that an ordinary day doesn't reach. */
-export function accountOf(weight: number, services: readonly string[]): object {
-  return { keySha256: KEY, weight, maxRequests: 400, maxTokens: 800_000, services };
+/** Creates a client account for the given services, with limits that the traces' usual load doesn't reach. */
+export function createAccount(weight: number, services: readonly string[]): object {
+  return { keySha256: KEY_SHA256, weight, maxRequests: 400, maxTokens: 800_000, services };
 }
 
-/** A small machine class: with few tokens a second, a dozen workers are busy with short traces. */
-export const STANDARD = {
+/** A slow machine class. Its low token rate keeps a dozen workers busy with short traces. */
+export const STANDARD_MACHINE_CLASS = {
   tokensPerSecond: 225,
   prefillPerSecond: 4_000,
   cacheTokens: 40_000,
   startUp: "40 s",
 } as const;
 
-/** A model service that generates for people who wait. */
-export function modelService(
+/** Creates a model service with 44 ms between tokens, for callers that wait for the answer. */
+export function createModelService(
   model: { name: string; weights: number },
   fields: { checksFence: boolean; lane: "lookup" | "script"; firstToken: string; deadline: string },
 ): object {
@@ -29,13 +30,13 @@
   };
 }
 
-/** The day's gentle rise and fall. */
-export function swell(part: number): number {
-  return 1 + 0.2 * Math.sin(2 * Math.PI * part);
+/** Sine wave between 0.8 and 1.2 over the duration. */
+export function dailyVariation(progress: number): number {
+  return 1 + 0.2 * Math.sin(2 * Math.PI * progress);
 }
 
-/** Rises from 0 to 1 at `top` and falls again, over three tenths of the duration to each side. */
-export function hill(part: number, top: number): number {
-  const distance = Math.abs(part - top) / 0.3;
+/** Raised cosine with its maximum of 1 at `center`. It is 0 from a distance of 0.3 of the duration. */
+export function raisedCosine(progress: number, center: number): number {
+  const distance = Math.abs(progress - center) / 0.3;
   return distance >= 1 ? 0 : 0.5 + 0.5 * Math.cos(Math.PI * distance);
 }
--- a/traces/generate.ts
+++ b/traces/generate.ts
@@ -1,6 +1,6 @@
 /**
- * Writes the traces: `npm run traces -- [--seed N] [--out DIRECTORY]`, by default to `dist/traces`.
- * The same seed writes the same bytes.
+ * Generates all traces and writes them to files: `npm run traces -- [--seed N] [--out DIRECTORY]`.
+ * The default directory is `dist/traces`. The same seed always generates the same bytes.
  *
  * @module
  */
--- a/traces/kortfilm.ts
+++ b/traces/kortfilm.ts
@@ -1,18 +1,24 @@
-import { accountOf, hill, modelService, STANDARD, swell } from "./common.ts";
+import {
+  createAccount,
+  raisedCosine,
+  createModelService,
+  STANDARD_MACHINE_CLASS,
+  dailyVariation,
+} from "./common.ts";
 import { Lane } from "../src/decision/index.ts";
-import type { RequestKind, Workload } from "./workload.ts";
+import type { RequestProfile, Workload } from "./workload.ts";
 
 const MINUTE = 60_000;
 
 const SERVICES = ["samphire-pool", "booking-api"];
 
-/** Kortfilm's deployment document: a pool for scripts and lookups, and a plain service. */
+/** Kortfilm's deployment document: a model service for scripts and lookups, and a plain service. */
 export const KORTFILM_DEPLOYMENT = {
   deployment: "kortfilm",
   region: "be-flanders",
   zones: ["gent-a", "gent-b", "antw-a", "antw-b"],
   services: {
-    "samphire-pool": modelService(
+    "samphire-pool": createModelService(
       { name: "reel", weights: 16_000_000_000 },
       { checksFence: false, lane: "script", firstToken: "1.6 s", deadline: "10 min" },
     ),
@@ -25,13 +31,13 @@
     },
   },
   accounts: {
-    "traffic-desk": accountOf(3, SERVICES),
-    sales: accountOf(3, SERVICES),
-    "cinema-gent": accountOf(2, SERVICES),
-    "cinema-antwerp": accountOf(2, SERVICES),
-    projection: accountOf(1, SERVICES),
+    "traffic-desk": createAccount(3, SERVICES),
+    sales: createAccount(3, SERVICES),
+    "cinema-gent": createAccount(2, SERVICES),
+    "cinema-antwerp": createAccount(2, SERVICES),
+    projection: createAccount(1, SERVICES),
   },
-  machineClasses: { standard: STANDARD },
+  machineClasses: { standard: STANDARD_MACHINE_CLASS },
   offers: [
     { zone: "gent-a", machineClass: "standard", reclaimable: "0.7 EUR/h", onDemand: "2.2 EUR/h" },
     { zone: "gent-b", machineClass: "standard", reclaimable: "0.8 EUR/h", onDemand: "2.2 EUR/h" },
@@ -56,66 +62,66 @@
   },
 } as const;
 
-const KINDS: readonly RequestKind[] = [
-  // Reel scripts: nobody waits at night, and each must arrive whole.
+const PROFILES: readonly RequestProfile[] = [
+  // Reel scripts at night. No caller waits, and each answer must be complete.
   {
     service: "samphire-pool",
-    rate: 0.3,
-    prompt: [700, 2_200],
-    answer: [700, 3_000],
-    prefixes: 4,
+    arrivalsPerSecond: 0.3,
+    promptTokens: [700, 2_200],
+    answerTokens: [700, 3_000],
+    prefixCount: 4,
     prefixTokens: 640,
     detached: true,
     deadline: 20 * MINUTE,
-    bounded: 0.3,
+    maxTokensShare: 0.3,
   },
   // Drafts of cue sheets, due in the morning.
   {
     service: "samphire-pool",
-    rate: 0.25,
-    prompt: [500, 1_200],
-    answer: [200, 800],
-    prefixes: 4,
+    arrivalsPerSecond: 0.25,
+    promptTokens: [500, 1_200],
+    answerTokens: [200, 800],
+    prefixCount: 4,
     prefixTokens: 448,
     detached: true,
-    bounded: 0.3,
+    maxTokensShare: 0.3,
   },
-  // Summaries of spots are billed: each at most once.
+  // Summaries of spots. They are billed, so each runs at most once.
   {
     service: "samphire-pool",
-    rate: 0.2,
-    prompt: [400, 900],
-    answer: [80, 300],
-    prefixes: 2,
+    arrivalsPerSecond: 0.2,
+    promptTokens: [400, 900],
+    answerTokens: [80, 300],
+    prefixCount: 2,
     prefixTokens: 384,
     repeatable: false,
-    bounded: 0.4,
+    maxTokensShare: 0.4,
   },
-  // Slot-status lookups of cinema managers, beside the scripts.
+  // Slot status lookups by cinema managers, concurrent with the scripts.
   {
     service: "samphire-pool",
     lane: Lane.Lookup,
-    rate: 0.6,
-    prompt: [150, 300],
-    answer: [12, 50],
-    prefixes: 1,
+    arrivalsPerSecond: 0.6,
+    promptTokens: [150, 300],
+    answerTokens: [12, 50],
+    prefixCount: 1,
     prefixTokens: 128,
     deadline: 20_000,
-    bounded: 0.5,
+    maxTokensShare: 0.5,
   },
-  // Bookings: a plain service whose calls may not be repeated.
+  // Bookings at a plain service, whose calls may not be repeated.
   {
     service: "booking-api",
-    rate: 0.6,
-    prompt: [8, 16],
-    answer: [1, 3],
-    prefixes: 0,
+    arrivalsPerSecond: 0.6,
+    promptTokens: [8, 16],
+    answerTokens: [1, 3],
+    prefixCount: 0,
     prefixTokens: 0,
-    bounded: 0,
+    maxTokensShare: 0,
   },
 ];
 
-const ACCOUNTS = {
+const ACCOUNT_SHARES = {
   "traffic-desk": 0.4,
   sales: 0.25,
   "cinema-gent": 0.17,
@@ -125,17 +131,19 @@
 
 const DURATION = 20 * MINUTE;
 
-/** A night of Kortfilm, its hours pressed into minutes. */
+/** A night at Kortfilm, compressed from hours to minutes. */
 export const KORTFILM_CALM: Workload = {
-  kinds: KINDS,
-  accounts: ACCOUNTS,
+  profiles: PROFILES,
+  accountShares: ACCOUNT_SHARES,
   duration: DURATION,
-  curve: (_kind, part) => swell(part),
+  rateFactor: (_profile, progress) => dailyVariation(progress),
 };
 
-/** Scripts come in the evening, the desks and cinemas in the morning. */
+/** Scripts peak in the evening, requests of the desks and cinemas in the morning. */
 export const KORTFILM_PEAK: Workload = {
   ...KORTFILM_CALM,
-  curve: (kind, part) =>
-    kind.detached === true ? 1 + 1.5 * hill(part, 0.35) : 1 + 2 * hill(part, 0.65),
+  rateFactor: (profile, progress) =>
+    profile.detached === true
+      ? 1 + 1.5 * raisedCosine(progress, 0.35)
+      : 1 + 2 * raisedCosine(progress, 0.65),
 };
--- a/traces/traces_test.ts
+++ b/traces/traces_test.ts
@@ -7,20 +7,20 @@
 const SEED = 7;
 const TRACES = generateTraces(SEED);
 
-function traceOf(name: string, seed = SEED): Trace {
+function loadTrace(name: string, seed = SEED): Trace {
   const traces = seed === SEED ? TRACES : generateTraces(seed);
   const text = traces.find((trace) => trace.name === name)?.text ?? "";
-  const result = parseTrace(text, name);
-  if (result.kind === "read") return result.trace;
-  throw new Error(`${name}:${result.line}: ${result.message}`);
+  const parsed = parseTrace(text, name);
+  if (parsed.kind === "read") return parsed.trace;
+  throw new Error(`${name}:${parsed.line}: ${parsed.message}`);
 }
 
-function play(name: string, seed?: number): Report {
-  return replay(traceOf(name, seed), { policy: policyOf(PolicyName.Current), seed: SEED });
+function replayTrace(name: string, seed?: number): Report {
+  return replay(loadTrace(name, seed), { policy: policyOf(PolicyName.Current), seed: SEED });
 }
 
-/** SHA-256 of each trace as it was when the figures in the documents were measured. */
-const CHECKSUMS: Readonly<Record<string, string>> = {
+/** SHA-256 of each trace with which the figures in the documentation were measured. */
+const EXPECTED_SHA256: Readonly<Record<string, string>> = {
   association_calm: "2bdbd5f520435461be81d4a7fb5c9d8e1e971a7b0af9fcdb2aa44c8d314788ee",
   association_peak: "45f431892de20e2447b06c5d49194d3cd72875fabc7e5e181a231124cb96c90f",
   association_peak_lookups: "53292139fcc180ebcdad36c55e1b5e97b206c43a2d6d6efeb33e80abbd757ad1",
@@ -35,42 +35,42 @@
   kortfilm_wave: "1af1276064129d2e492142e95416b40f1367fbca72c548bb5324bc45cd391eee",
 };
 
-// Traces aren't kept but made where they are played. A figure that can't be had again, because the trace comes out
-// otherwise, would compare nothing.
+// Traces aren't stored but generated before each replay. If a change of the generator altered a trace, new figures
+// could not be compared with documented ones.
 test.each(TRACES.map(({ name, text }) => [name, text]))(
-  "%s comes out as it was measured",
+  "%s has the checksum of the measured trace",
   (name, text) => {
-    expect(createHash("sha256").update(text).digest("hex")).toBe(CHECKSUMS[name]);
+    expect(createHash("sha256").update(text).digest("hex")).toBe(EXPECTED_SHA256[name]);
   },
 );
 
 test.each(["association_wave", "kortfilm_wave"])(
-  "%s: an availability zone is taken, and requests end whole, in time and hardly computed again",
+  "%s: after the reclaim of an availability zone, requests are complete and in time with little recomputed",
   (name) => {
-    // The cloud takes all reclaimable instances of a zone at fifteen seconds' notice and refuses launches
-    // there. Without triage and resumption, entries vanish, scripts are missing in the morning, and what was
-    // in progress is computed from its beginning while finish-tent lookups wait.
-    const { fleet, outcomes } = play(name);
+    // The cloud reclaims all reclaimable workers of a zone at 15 s notice and refuses launches there. Without
+    // triage and resumption, requests are lost, and those in progress are recomputed from the start while
+    // lookups wait.
+    const { fleet, outcomes } = replayTrace(name);
     expect(fleet.reclaimed).toBeGreaterThan(0);
-    const failed = outcomes.filter((check) => isAboutWave(check.name) && !check.holds);
+    const failed = outcomes.filter((check) => isReclaimOutcome(check.name) && !check.holds);
     expect(failed).toEqual([]);
   },
 );
 
-/** The other outcomes, cost and the part answered, are the command's to judge: see its exit code. */
-function isAboutWave(outcome: string): boolean {
+/** Selects the outcomes checked here. The replay command checks the others, cost and fraction answered, by its exit code. */
+function isReclaimOutcome(outcome: string): boolean {
   return /^lost$|^recomputed$|Token/.test(outcome);
 }
 
-test("the lookups of a peak alone meet every stated outcome", () => {
-  const report = play("kortfilm_peak_lookups");
+test("a trace with only the lookups of a peak meets all required outcomes", () => {
+  const report = replayTrace("kortfilm_peak_lookups");
   expect(report.outcomes.filter(({ holds }) => !holds)).toEqual([]);
   expect(report.outcomes.length).toBeGreaterThan(5);
 });
 
-test("another seed of the generator makes another course of events, and nothing is lost there either", () => {
-  const [usual, other] = [traceOf("association_wave"), traceOf("association_wave", 8)];
+test("a different generator seed gives different arrivals, and no request is lost", () => {
+  const [usual, other] = [loadTrace("association_wave"), loadTrace("association_wave", 8)];
   expect(other.arrivals).not.toEqual(usual.arrivals);
-  const groups = Object.values(play("association_wave", 8).groups);
+  const groups = Object.values(replayTrace("association_wave", 8).groups);
   expect(groups.reduce((sum, { lost }) => sum + lost, 0)).toBe(0);
 });
