--- a/model/check.ts
+++ b/model/check.ts
@@ -12,7 +12,10 @@
 
 /** Options of a check. */
 export interface CheckOptions {
-  /** Size of the explored bounds. `large` adds the larger bounds of slot ownership to the default ones. */
+  /**
+   * Size of the explored bounds. `large` adds the larger bounds of slot ownership to the default
+   * ones.
+   */
   readonly bound: "default" | "large";
   /** Name of a rule to switch off, in kebab case. */
   readonly without?: string;
--- a/model/check_test.ts
+++ b/model/check_test.ts
@@ -59,8 +59,9 @@
 test.each(Object.entries(RULE_CASES))(
   "the checker finds a violation without %s",
   async (rule, { overrides, violated }) => {
-    // One rule is switched off in the production functions. Breadth-first search finds a shortest sequence
-    // of faults after which a caller gets "not run" for a request that runs, or pays for two runs.
+    // One rule is switched off in the production functions. Breadth-first search finds a shortest
+    // sequence of faults after which a caller gets "not run" for a request that runs, or pays for
+    // two runs.
     const bounds = createBounds(rule, overrides, rulesWithout(rule));
     const { violations } = await explore(slotSpecification(bounds), LIMITS);
     expect(violations.map(({ invariant }) => invariant)).toEqual([violated]);
@@ -72,8 +73,8 @@
   ["conditionalWrite", "an accepted change is in what follows, once"],
   ["changeId", "an accepted change is in what follows, once"],
 ])("an operator's change is lost or reverted without %s", async (rule, violated) => {
-  // Two operators switch presets concurrently, or a response is lost. A preset whose change was accepted
-  // is then replaced by an earlier one.
+  // Two operators switch presets concurrently, or a response is lost. A preset whose change was
+  // accepted is then replaced by an earlier one.
   const specification = revisionSpecification({ ...ALL_REVISION_RULES, [rule]: false });
   const { violations } = await explore(specification, LIMITS);
   expect(violations.map(({ invariant }) => invariant)).toEqual([violated]);
--- a/model/checker.ts
+++ b/model/checker.ts
@@ -1,7 +1,7 @@
 /**
  * An explicit-state model checker. It visits every state that a specification can reach, in
- * breadth-first order, so the trace to the first violation is a shortest one. Afterward it checks that
- * every state can reach a goal state without further faults.
+ * breadth-first order, so the trace to the first violation is a shortest one. Afterward it checks
+ * that every state can reach a goal state without further faults.
  *
  * @module
  */
@@ -33,7 +33,9 @@
   /** Encodes a state. Two states have the same encoding if and only if they are equal. */
   readonly encode: (state: State) => string;
   readonly invariants: readonly Invariant<State>[];
-  /** Whether the state is a goal. A goal must be reachable from every state without further faults. */
+  /**
+   * Whether the state is a goal. A goal must be reachable from every state without further faults.
+   */
   readonly isGoal: (state: State) => boolean;
 }
 
@@ -161,7 +163,10 @@
   return trace;
 }
 
-/** Finds the first state from which no goal is reachable without faults, by a backward search from all goals. */
+/**
+ * Finds the first state from which no goal is reachable without faults, by a backward search from
+ * all goals.
+ */
 function findStuckState(graph: StateGraph): Violation[] {
   const predecessorLists = predecessors(graph);
   const reaches = new Uint8Array(graph.parents.length);
@@ -188,8 +193,8 @@
 }
 
 /**
- * Lists the fault-free predecessors of each state. Those of state n are the elements of `sources` from
- * index `first[n]` up to, but not including, `first[n + 1]`.
+ * Lists the fault-free predecessors of each state. Those of state n are the elements of `sources`
+ * from index `first[n]` up to, but not including, `first[n + 1]`.
  */
 function predecessors({ edges, parents }: StateGraph): {
   first: Uint32Array;
--- a/model/lease_specification.ts
+++ b/model/lease_specification.ts
@@ -1,8 +1,8 @@
 /**
- * Specification of the lease that permits orders to the platform. The receiver of an order doesn't check
- * its fence, so the lease alone must prevent an order of an earlier holder from arriving late. Two
- * instances acquire, renew and lose the lease, are suspended and resumed, and send orders that take some
- * time to arrive. The actions call the same functions as the entry instance.
+ * Specification of the lease that permits orders to the platform. The receiver of an order doesn't
+ * check its fence, so the lease alone must prevent an order of an earlier holder from arriving
+ * late. Two instances acquire, renew and lose the lease, are suspended and resumed, and send orders
+ * that take some time to arrive. The actions call the same functions as the entry instance.
  *
  * Time advances in units of {@linkcode TIME_UNIT} milliseconds. While an instance is suspended, its
  * monotonic clock stops but its time of day continues.
@@ -34,7 +34,7 @@
   readonly isSuspended: boolean;
   /** Total time of suspension so far, by which the monotonic clock lags. */
   readonly clockLag: number;
-  /** The lease that the instance believes to hold. */
+  /** The lease as this instance last wrote it. The stored one may have changed since. */
   readonly lease: HeldLease | undefined;
   /** The latest lease version observed, and the monotonic time of its observation. */
   readonly observed: { readonly version: number; readonly since: number } | undefined;
@@ -55,7 +55,10 @@
   readonly lastOrder: { readonly name: string; readonly at: number } | undefined;
   /** Sender and arrival time of the latest order from a sender other than that of `lastOrder`. */
   readonly previousOrder: { readonly name: string; readonly at: number } | undefined;
-  /** Whether two orders of one sender arrived within a term, with an order of another sender between them. */
+  /**
+   * Whether two orders of one sender arrived within a term, with an order of another sender between
+   * them.
+   */
   readonly hasAlternated: boolean;
   /** Number of suspensions that may still occur. */
   readonly suspensionsLeft: number;
@@ -65,7 +68,10 @@
 export interface LeaseBounds {
   /** Number of suspensions, over all instances. */
   readonly suspensions: number;
-  /** Whether instances release the lease. This adds many states, so it is explored without suspensions. */
+  /**
+   * Whether instances release the lease. This adds many states, so it is explored without
+   * suspensions.
+   */
   readonly givesBack: boolean;
   /** Duration of a lease after each write, in time units. */
   readonly term: number;
@@ -74,7 +80,8 @@
 /** Bounds within which the lease is explored. */
 export const LEASE_BOUNDS: readonly LeaseBounds[] = [
   { suspensions: 1, givesBack: false, term: 3 },
-  // Each order takes up to one time unit. In a shorter term, the lease can't change hands and return.
+  // Each order takes up to one time unit. In a shorter term, the lease can't change hands and
+  // return.
 
   { suspensions: 0, givesBack: true, term: 4 },
 ];
@@ -126,9 +133,9 @@
 }
 
 /**
- * Encodes what future steps depend on: the order of the fences, whether a version is the stored one, and
- * times relative to now, limited to the term. With absolute values no state would recur, and the
- * exploration would not terminate.
+ * Encodes what future steps depend on: the order of the fences, whether a version is the stored
+ * one, and times relative to now, limited to the term. With absolute values no state would recur,
+ * and the exploration would not terminate.
  */
 function encode(state: LeaseState, { givesBack, term }: LeaseBounds): string {
   const {
--- a/model/lease_test.ts
+++ b/model/lease_test.ts
@@ -17,8 +17,9 @@
   },
 );
 
-// One rule is switched off in the production functions. An order of a previous holder then arrives after an order of
-// its successor. The receiver doesn't check the fence, so workers that were just released are ordered again.
+// One rule is switched off in the production functions. An order of a previous holder then arrives
+// after an order of its successor. The receiver doesn't check the fence, so workers that were just
+// released are ordered again.
 test.each(["waitTerm", "countSuspension", "leaveRoom"] as const)(
   "an order of an earlier holder arrives after one of a later holder without %s",
   async (rule) => {
@@ -31,8 +32,9 @@
   },
 );
 
-// Instances restart one after another, and each releases the lease. Without the rule, a platform that doesn't check
-// the fence receives an order of the earlier holder late, or orders of both holders alternately.
+// Instances restart one after another, and each releases the lease. Without the rule, a platform
+// that doesn't check the fence receives an order of the earlier holder late, or orders of both
+// holders alternately.
 test.each([
   ["endOrders", LATE_ORDER],
   ["keepTerm", "holders don't alternate within a term"],
--- a/model/revision_specification.ts
+++ b/model/revision_specification.ts
@@ -1,8 +1,8 @@
 /**
- * Specification of the revision, which records the preset in force and the changes made by operators.
- * Operators write it concurrently. Instances receive stored versions from watches, reads and peers in
- * any order. The actions call the same functions as the entry instance, so the model checker explores
- * the code that runs in production.
+ * Specification of the revision, which records the preset in force and the changes made by
+ * operators. Operators write it concurrently. Instances receive stored versions from watches, reads
+ * and peers in any order. The actions call the same functions as the entry instance, so the model
+ * checker explores the code that runs in production.
  *
  * @module
  */
@@ -10,13 +10,19 @@
 import type { Revision } from "../src/version/index.ts";
 import type { Specification, Step } from "./checker.ts";
 
-/** The rules of the revision. The model checker can switch each one off to show that it is necessary. */
+/**
+ * The rules of the revision. The model checker can switch each one off to show that it is
+ * necessary.
+ */
 export interface RevisionRules {
   /** An instance keeps the latest revision it has received, whatever the source of another one. */
   readonly laterOnly: boolean;
   /** An operator's write succeeds only if the stored version is the one that the operator read. */
   readonly conditionalWrite: boolean;
-  /** After a lost response, an operator looks for its change id in the store before it retries the write. */
+  /**
+   * After a lost response, an operator looks for its change id in the store before it retries the
+   * write.
+   */
   readonly changeId: boolean;
 }
 
@@ -32,10 +38,14 @@
   readonly preset: string;
   /** The revision that the operator read; undefined before the read. */
   readonly readRevision: Revision | undefined;
-  /** The result known to the operator: empty while pending, "lost" from a lost response until the store is checked. */
+  /**
+   * The result known to the operator: empty while pending, "lost" from a lost response until the
+   * store is checked.
+   */
   readonly outcome: "" | "lost" | "written" | "conflict";
 }
 
+/** An entry instance that applies revisions. */
 interface Instance {
   readonly name: string;
   /** The revision in force at this instance; undefined before the first one is received. */
@@ -47,7 +57,9 @@
 /** The complete state of the model, as plain data. */
 export interface RevisionState {
   readonly stored: Revision;
-  /** Every revision ever stored. A delayed watch event or a slow peer can still deliver any of them. */
+  /**
+   * Every revision ever stored. A delayed watch event or a slow peer can still deliver any of them.
+   */
   readonly history: readonly Revision[];
   readonly operators: readonly Operator[];
   readonly instances: readonly Instance[];
@@ -149,7 +161,9 @@
   ];
 }
 
-/** Stores a change as the next version. Goes through the stored text, as the entry instance does. */
+/**
+ * Stores a change as the next version. Goes through the stored text, as the entry instance does.
+ */
 function storeChange(
   state: RevisionState,
   { readRevision, preset }: { readRevision: Revision; preset: string },
--- a/model/rollout_specification.ts
+++ b/model/rollout_specification.ts
@@ -1,8 +1,9 @@
 /**
- * Specification of how a rollout order ends. Such an order changes the version of a service's workers.
- * Two instances both act as the lease holder that ends it and decide differently. Meanwhile the operator
- * places another order, and the store loses responses or applies a write late. The actions call the same
- * functions as the entry instance, so the model checker explores the code that runs in production.
+ * Specification of how a rollout order ends. Such an order changes the version of a service's
+ * workers. Two instances both act as the lease holder that ends it and decide differently.
+ * Meanwhile the operator places another order, and the store loses responses or applies a write
+ * late. The actions call the same functions as the entry instance, so the model checker explores
+ * the code that runs in production.
  *
  * @module
  */
--- a/model/rollout_test.ts
+++ b/model/rollout_test.ts
@@ -11,8 +11,8 @@
   expect(found.complete).toBe(true);
 });
 
-// One rule is switched off in the production functions. The old workers then stop after the new version was rolled
-// back, or a version that was never tried serves all requests.
+// One rule is switched off in the production functions. The old workers then stop after the new
+// version was rolled back, or a version that was never tried serves all requests.
 test.each([
   ["endOnce", "an order has at most one end"],
   ["expectVersion", "an order has at most one end"],
--- a/model/rule_names.ts
+++ b/model/rule_names.ts
@@ -1,7 +1,10 @@
 import { ALL_RULES } from "../src/request/slot_replica.ts";
 import type { Rules } from "../src/request/slot_replica.ts";
 
-/** Names of the slot ownership rules in kebab case, as accepted on the command line, such as `backup-ack`. */
+/**
+ * Names of the slot ownership rules in kebab case, as accepted on the command line, such as
+ * `backup-ack`.
+ */
 export const RULE_NAMES: readonly string[] = Object.keys(ALL_RULES).map(toKebabCase);
 
 /**
--- a/model/slot_actions.ts
+++ b/model/slot_actions.ts
@@ -1,8 +1,8 @@
 /**
  * The actions of the slot ownership specification. They submit requests, replicate records, send
- * requests to the backend server, deliver messages, reassign the slot, and start and stop instances.
- * Each action calls the transition functions that the entry instance executes, so the model checker
- * explores the code that runs in production.
+ * requests to the backend server, deliver messages, reassign the slot, and start and stop
+ * instances. Each action calls the transition functions that the entry instance executes, so the
+ * model checker explores the code that runs in production.
  *
  * @module
  */
@@ -49,9 +49,11 @@
   return [
     ...running.flatMap((instance) => callerSteps(state, { instance, bounds })),
     ...running.flatMap((instance) => ownerSteps(state, { instance, bounds })),
-    ...[...state.messages].flatMap(([key, message]) => deliver(state, { key, message, bounds })),
-    ...running.flatMap((instance) => learnAssignment(state, { instance, bounds })),
-    ...running.flatMap((instance) => writeSlotMap(state, { instance, bounds })),
+    ...[...state.messages].flatMap(([key, message]) =>
+      deliverySteps(state, { key, message, bounds }),
+    ),
+    ...running.flatMap((instance) => assignmentSteps(state, { instance, bounds })),
+    ...running.flatMap((instance) => slotMapSteps(state, { instance, bounds })),
     ...state.instances.flatMap((instance) => lifecycleSteps(state, { instance, bounds })),
   ]
     .filter((one) => one.next !== state)
@@ -61,13 +63,15 @@
     }));
 }
 
-/** Removes messages that can no longer change their receiver. This merges states that differ only in such messages. */
+/**
+ * Removes messages that can no longer change their receiver. This merges states that differ only in
+ * such messages.
+ */
 function dropIneffectiveMessages(state: SlotState, { rules }: Bounds): SlotState {
   const hasNoEffect = (message: Message): boolean => {
     const instance = state.instances.find((one) => one.isUp && memberIdOf(one) === message.to);
     if (instance === undefined) return true;
-    if (message.kind === "acknowledgement")
-      return isAcknowledgementApplied(instance.replica, message);
+    if (message.kind === "acknowledgement") return isAckApplied(instance.replica, message);
     if (message.kind === "handover") return isHandoverApplied(instance, message);
     const { from, epoch, record } = message.message;
     if (rules.epochCheck && epoch < instance.replica.assignment.epoch) return true;
@@ -76,8 +80,8 @@
     const acknowledgement = { ...identity, sequence: record.sequence };
     const isAcknowledgementSent =
       sender === undefined ||
-      isAcknowledgementApplied(sender.replica, acknowledgement) ||
-      state.messages.has(keyOf(acknowledgement));
+      isAckApplied(sender.replica, acknowledgement) ||
+      state.messages.has(messageKey(acknowledgement));
     return isAcknowledgementSent && holdsRecord(instance.replica, record, epoch);
   };
   const effective = [...state.messages].filter(([, message]) => !hasNoEffect(message));
@@ -86,7 +90,8 @@
     : { ...state, messages: new Map(effective) };
 }
 
-function isAcknowledgementApplied(
+/** Whether the owner has applied an acknowledgement, or received it too late to apply it. */
+function isAckApplied(
   { assignment, held }: SlotReplica,
   { id, sequence, epoch }: { id: string; sequence: number; epoch: number },
 ): boolean {
@@ -105,6 +110,7 @@
   return records.every((record) => holdsRecord(replica, record, epoch));
 }
 
+/** Whether the instance holds the record in this or a later version. */
 function holdsRecord({ held }: SlotReplica, record: RequestRecord, epoch: number): boolean {
   const existing = held.get(record.id);
   if (existing === undefined || epoch > existing.epoch) return false;
@@ -135,12 +141,13 @@
 }
 
 function withMessage(state: SlotState, message: Message): SlotState {
-  const key = keyOf(message);
+  const key = messageKey(message);
   if (state.messages.has(key)) return state;
   return { ...state, messages: new Map(state.messages).set(key, message) };
 }
 
-function keyOf(message: Message): string {
+/** Returns a key that identical messages share. */
+function messageKey(message: Message): string {
   if (message.kind === "acknowledgement") {
     return `k${message.to}${message.id}.${message.sequence}@${message.epoch}`;
   }
@@ -151,10 +158,10 @@
   return `c${path}${Number(custody)}${Number(complete)}${records.map(encodeRecord).sort().join()}`;
 }
 
-function report(state: SlotState, id: string, what: string): SlotState {
+function report(state: SlotState, id: string, reportedState: string): SlotState {
   const reported = state.reported[id] ?? [];
-  if (reported.includes(what)) return state;
-  return { ...state, reported: { ...state.reported, [id]: [...reported, what].sort() } };
+  if (reported.includes(reportedState)) return state;
+  return { ...state, reported: { ...state.reported, [id]: [...reported, reportedState].sort() } };
 }
 
 function spendFault(state: SlotState, kind: keyof FaultBudget): SlotState {
@@ -162,8 +169,8 @@
 }
 
 /**
- * Reports to callers immediately whatever may be reported. Reports don't affect any later step, and each
- * one can only violate more invariants, so an early report is the worst case of a late one.
+ * Reports to callers immediately whatever may be reported. Reports don't affect any later step, and
+ * each one can only violate more invariants, so an early report is the worst case of a late one.
  */
 function withReports(state: SlotState, bounds: Bounds): SlotState {
   let next = state;
@@ -181,10 +188,10 @@
 function callerSteps(state: SlotState, { instance, bounds }: ActionContext): Step<SlotState>[] {
   if (!ownsSlot(instance.replica)) return [];
   const unknown = bounds.demands.filter(({ id }) => !instance.replica.held.has(id));
-  return unknown.flatMap((demand) => submit(state, { instance, bounds, demand }));
+  return unknown.flatMap((demand) => submitSteps(state, { instance, bounds, demand }));
 }
 
-function submit(
+function submitSteps(
   state: SlotState,
   { instance, bounds, demand }: ActionContext & { demand: CallerRequest },
 ): Step<SlotState>[] {
@@ -199,10 +206,13 @@
   return [createStep(`${memberIdOf(instance)} accepts ${demand.id}`, next)];
 }
 
-/** Steps of the owner for each record: replicate it, obtain permission, send it, ask the server about it, end it. */
+/**
+ * Steps of the owner for each record: replicate it, obtain permission, send it, ask the server
+ * about it, end it.
+ */
 function ownerSteps(state: SlotState, { instance, bounds }: ActionContext): Step<SlotState>[] {
   const steps: Step<SlotState>[] = [];
-  for (const id of instance.permittedIds) steps.push(send(state, { instance, id }));
+  for (const id of instance.permittedIds) steps.push(sendStep(state, { instance, id }));
   if (!ownsSlot(instance.replica)) return steps;
   for (const [id, held] of instance.replica.held) {
     const message = isAcknowledged(instance.replica, id)
@@ -215,12 +225,14 @@
         createStep(`${memberIdOf(instance)} sends ${id} (${held.record.state}) to ${to}`, next),
       );
     }
-    if (!hasEnded(held.record.state)) steps.push(...advance(state, { instance, bounds, held }));
+    if (!hasEnded(held.record.state))
+      steps.push(...requestSteps(state, { instance, bounds, held }));
   }
   return steps;
 }
 
-function send(
+/** Writes a permitted request to the socket of the backend server. */
+function sendStep(
   state: SlotState,
   { instance, id }: { instance: InstanceState; id: string },
 ): Step<SlotState> {
@@ -235,17 +247,18 @@
   return createStep(name, { ...next, runs });
 }
 
-function advance(
+/** Steps of the owner for a record that has not ended. */
+function requestSteps(
   state: SlotState,
   { instance, bounds, held }: ActionContext & { held: Held },
 ): Step<SlotState>[] {
   const { replica } = instance;
   const { record } = held;
   const { id } = record;
-  const at = memberIdOf(instance);
+  const memberId = memberIdOf(instance);
   const write = (name: string, change: Partial<RequestRecord>): Step<SlotState> =>
     createStep(
-      `${at} ${name} ${id}`,
+      `${memberId} ${name} ${id}`,
       withReplica(state, instance, writeRecord(replica, { ...record, ...change })),
     );
   const isSent = instance.sentIds.includes(id);
@@ -253,8 +266,9 @@
   if (isSent) return responseSteps(state, { instance, bounds, held });
   const steps: Step<SlotState>[] = [];
   const permission = permissionToSend(replica, id, bounds.rules);
-  const inheritance = held.own ? Inheritance.Run : inheritanceOf(record, bounds.rules);
-  if (inheritance === Inheritance.Inquire) return [inquiryStep(state, { instance, bounds, held })];
+  const takeoverAction = held.own ? Inheritance.Run : inheritanceOf(record, bounds.rules);
+  if (takeoverAction === Inheritance.Inquire)
+    return [inquiryStep(state, { instance, bounds, held })];
   if (permission === Permission.NeedsIntent) {
     steps.push(
       write("records the intent to send", { state: RequestState.DispatchIntent, worker: WORKER }),
@@ -264,7 +278,7 @@
     const next = withInstance(state, instance, {
       permittedIds: [...instance.permittedIds, id].sort(),
     });
-    steps.push(createStep(`${at} obtains permission to send ${id}`, next));
+    steps.push(createStep(`${memberId} obtains permission to send ${id}`, next));
   }
   if (mayEndNotRun(replica, id, isPermitted)) {
     steps.push(write("records as not run:", { state: RequestState.NotRun }));
@@ -278,40 +292,46 @@
   { instance, held }: ActionContext & { held: Held },
 ): Step<SlotState>[] {
   const { record } = held;
-  const at = memberIdOf(instance);
-  const end = (to: RequestState): SlotState =>
-    withReplica(state, instance, writeRecord(instance.replica, { ...record, state: to }));
+  const memberId = memberIdOf(instance);
+  const endAs = (finalState: RequestState): SlotState =>
+    withReplica(state, instance, writeRecord(instance.replica, { ...record, state: finalState }));
   const steps: Step<SlotState>[] = [];
   if ((state.runs[record.id] ?? 0) > 0) {
     steps.push(
-      createStep(`${at} receives the complete answer to ${record.id}`, end(RequestState.Complete)),
+      createStep(
+        `${memberId} receives the complete answer to ${record.id}`,
+        endAs(RequestState.Complete),
+      ),
     );
   }
   const isRefused = state.barredIds.includes(record.id);
   if (state.faultsLeft.lostAnswer > 0 || isRefused) {
-    const next = end(RequestState.MayHaveRun);
-    const name = `${at} loses the answer to ${record.id}`;
+    const next = endAs(RequestState.MayHaveRun);
+    const name = `${memberId} loses the answer to ${record.id}`;
     steps.push(createStep(name, isRefused ? next : spendFault(next, "lostAnswer"), !isRefused));
   }
   return steps;
 }
 
-/** Asks the server named in the intent whether the request ran. If not, the server refuses the id from then on. */
+/**
+ * Asks the server named in the intent whether the request ran. If not, the server refuses the id
+ * from then on.
+ */
 function inquiryStep(
   state: SlotState,
   { instance, held }: ActionContext & { held: Held },
 ): Step<SlotState> {
   const { record } = held;
   const hasRun = (state.runs[record.id] ?? 0) > 0;
-  const end = hasRun ? RequestState.Complete : RequestState.NotRun;
-  const replica = writeRecord(instance.replica, { ...record, state: end });
+  const endState = hasRun ? RequestState.Complete : RequestState.NotRun;
+  const replica = writeRecord(instance.replica, { ...record, state: endState });
   const barredIds = hasRun ? state.barredIds : [...new Set([...state.barredIds, record.id])].sort();
   const name = `${memberIdOf(instance)} asks the server about ${record.id}: ${hasRun ? "it ran" : "refused from now on"}`;
   return createStep(name, withReplica({ ...state, barredIds }, instance, replica));
 }
 
 /** Delivers a message. It stays in transit, so it may arrive again. */
-function deliver(
+function deliverySteps(
   state: SlotState,
   { key, message, bounds }: { key: string; message: Message; bounds: Bounds },
 ): Step<SlotState>[] {
@@ -347,7 +367,7 @@
 }
 
 /** An instance receives an assignment from the store or from a peer. */
-function learnAssignment(state: SlotState, { instance, bounds }: ActionContext): Step<SlotState>[] {
+function assignmentSteps(state: SlotState, { instance, bounds }: ActionContext): Step<SlotState>[] {
   const peers = state.instances.filter((one) => one.isUp).map((one) => one.replica.assignment);
   const assignments = new Map([state.storedAssignment, ...peers].map((one) => [one.epoch, one]));
   return [...assignments.values()].map((assignment) => {
@@ -359,65 +379,60 @@
 }
 
 /**
- * An instance with the current slot map updates it conditionally. The response isn't modeled. The writer
- * receives the new slot map the same way as all others, which covers every lost response.
+ * An instance with the current slot map updates it conditionally. The response isn't modeled. The
+ * writer receives the new slot map the same way as all others, which covers every lost response.
  */
-function writeSlotMap(state: SlotState, { instance, bounds }: ActionContext): Step<SlotState>[] {
-  const { storedAssignment } = state;
-  if (
-    instance.replica.assignment.epoch !== storedAssignment.epoch ||
-    storedAssignment.epoch >= bounds.epochs
-  )
+function slotMapSteps(state: SlotState, { instance, bounds }: ActionContext): Step<SlotState>[] {
+  const { storedAssignment: stored } = state;
+  if (instance.replica.assignment.epoch !== stored.epoch || stored.epoch >= bounds.epochs)
     return [];
   const eligible = state.instances.filter((one) => one.isUp && !one.isLeaving).map(memberIdOf);
   const pairs = eligible.flatMap((primary) => {
     const backups = eligible.filter((backup) => backup !== primary);
     // A promoted backup has no backup of its own at first.
-    const promoted = primary === storedAssignment.backup ? ["", ...backups] : backups;
+    const promoted = primary === stored.backup ? ["", ...backups] : backups;
     const choices = backups.length === 0 ? [""] : promoted;
     return choices.map((backup) => ({ primary, backup }));
   });
-  return pairs.flatMap((pair) => reassign(state, { instance, pair }));
+  return pairs.flatMap((pair) => reassignSteps(state, { instance, pair }));
 }
 
-function reassign(
+/** Writes a new primary and backup to the store, within the remaining wrong suspicions. */
+function reassignSteps(
   state: SlotState,
   { instance, pair }: { instance: InstanceState; pair: Pick<Assignment, "primary" | "backup"> },
 ): Step<SlotState>[] {
-  const { storedAssignment } = state;
+  const { storedAssignment: stored } = state;
   const { primary, backup } = pair;
-  if (storedAssignment.primary === primary && storedAssignment.backup === backup) return [];
+  if (stored.primary === primary && stored.backup === backup) return [];
   const suspected = countSuspected(state, pair);
   if (suspected > state.faultsLeft.suspicion) return [];
-  const isNew =
-    storedAssignment.epoch > 0 &&
-    primary !== storedAssignment.primary &&
-    primary !== storedAssignment.backup;
+  const isNew = stored.epoch > 0 && primary !== stored.primary && primary !== stored.backup;
   // If one of the two owners remains, it has the records and becomes the primary.
-  if (isNew && (backup === storedAssignment.primary || backup === storedAssignment.backup))
-    return [];
-  // Only the writer can know that it received all records in custody. For other instances the history is lost.
+  if (isNew && (backup === stored.primary || backup === stored.backup)) return [];
+  // Only the writer can know that it received all records in custody. For other instances the
+  // history is lost.
   const hasFullHistory =
-    primary === memberIdOf(instance) && instance.replica.completeTo >= storedAssignment.epoch;
-  const historyLostAt =
-    isNew && !hasFullHistory ? storedAssignment.epoch + 1 : storedAssignment.historyLostAt;
-  const assignment = { epoch: storedAssignment.epoch + 1, primary, backup, historyLostAt };
+    primary === memberIdOf(instance) && instance.replica.completeTo >= stored.epoch;
+  const historyLostAt = isNew && !hasFullHistory ? stored.epoch + 1 : stored.historyLostAt;
+  const assignment = { epoch: stored.epoch + 1, primary, backup, historyLostAt };
   const faultsLeft = { ...state.faultsLeft, suspicion: state.faultsLeft.suspicion - suspected };
   const name = `${memberIdOf(instance)} writes epoch ${assignment.epoch}: ${primary}, ${backup}`;
   return [createStep(name, { ...state, storedAssignment: assignment, faultsLeft }, suspected > 0)];
 }
 
-/** Counts the running instances that lose their role without having left. Each was wrongly considered dead. */
+/**
+ * Counts the running instances that lose their role without having left. Each was wrongly
+ * considered dead.
+ */
 function countSuspected(
   state: SlotState,
   { primary, backup }: { primary: string; backup: string },
 ): number {
-  const { storedAssignment } = state;
+  const { storedAssignment: stored } = state;
   const replaced = [
-    ...(storedAssignment.primary === primary ? [] : [storedAssignment.primary]),
-    ...(storedAssignment.backup === primary || storedAssignment.backup === backup
-      ? []
-      : [storedAssignment.backup]),
+    ...(stored.primary === primary ? [] : [stored.primary]),
+    ...(stored.backup === primary || stored.backup === backup ? [] : [stored.backup]),
   ];
   return state.instances.filter(
     (instance) =>
@@ -433,15 +448,15 @@
 
 /** Reclaim notices with the handover that follows, crashes and restarts. */
 function lifecycleSteps(state: SlotState, { instance, bounds }: ActionContext): Step<SlotState>[] {
-  const at = memberIdOf(instance);
+  const memberId = memberIdOf(instance);
   if (!instance.isUp) {
     const next = withInstance(
       state,
       instance,
       createInstance(instance.name, instance.incarnation + 1),
     );
-    const alive = state.instances.filter((one) => one.isUp && !one.isLeaving).length;
-    return instance.incarnation < MAX_INCARNATIONS && alive < 2
+    const runningCount = state.instances.filter((one) => one.isUp && !one.isLeaving).length;
+    return instance.incarnation < MAX_INCARNATIONS && runningCount < 2
       ? [createStep(`${instance.name} restarts`, next)]
       : [];
   }
@@ -450,24 +465,32 @@
   const others = state.instances.filter((one) => one.isUp && !one.isLeaving && one !== instance);
   if (state.faultsLeft.crash > 0) {
     steps.push(
-      createStep(`${at} crashes`, spendFault(terminate(state, instance, stopped), "crash"), true),
+      createStep(
+        `${memberId} crashes`,
+        spendFault(terminate(state, instance, stopped), "crash"),
+        true,
+      ),
     );
   }
   if (state.faultsLeft.notice > 0 && !instance.isLeaving && others.length > 0) {
     const next = spendFault(withInstance(state, instance, { isLeaving: true }), "notice");
-    steps.push(createStep(`${at} receives a reclaim notice`, next, true));
+    steps.push(createStep(`${memberId} receives a reclaim notice`, next, true));
   }
   steps.push(...handoverSteps(state, { instance, bounds, others }));
-  // The instance waits until each record is held elsewhere, which an acknowledgement confirms.
-  const isSafe = [...instance.replica.held.values()].every(({ record, epoch }) =>
+  // Acknowledgements of the handover or of other copies confirm that each record is held elsewhere.
+  const areAllHeldElsewhere = [...instance.replica.held.values()].every(({ record, epoch }) =>
     others.some((other) => holdsRecord(other.replica, record, epoch)),
   );
-  if (instance.isLeaving && isSafe && !ownsSlot(instance.replica)) {
-    steps.push(createStep(`${at} is reclaimed`, terminate(state, instance, stopped)));
+  if (instance.isLeaving && areAllHeldElsewhere && !ownsSlot(instance.replica)) {
+    steps.push(createStep(`${memberId} is reclaimed`, terminate(state, instance, stopped)));
   }
   return steps;
 }
 
+/**
+ * An instance hands over records that it leaves behind or keeps for others, or reports them as
+ * complete.
+ */
 function handoverSteps(
   state: SlotState,
   { instance, bounds, others }: ActionContext & { others: readonly InstanceState[] },
@@ -483,11 +506,11 @@
     steps.push(createStep(`${memberIdOf(instance)} hands over to ${to}`, withHandover));
   };
   const isKeeping = isKeeper(replica);
-  const named = others.filter((other) => memberIdOf(other) === backup);
-  const targets = named.length > 0 && !bounds.cedesToAll ? named : others;
-  const hasRecords = ownsSlot(replica) || isKeeping;
-  if (instance.isLeaving && hasRecords) targets.forEach((other) => handOverTo(memberIdOf(other)));
-  else if (isKeeping && hasRecords && primary !== replica.self) handOverTo(primary);
+  const assignedBackup = others.filter((other) => memberIdOf(other) === backup);
+  const targets = assignedBackup.length > 0 && !bounds.cedesToAll ? assignedBackup : others;
+  const canHandOver = ownsSlot(replica) || isKeeping;
+  if (instance.isLeaving && canHandOver) targets.forEach((other) => handOverTo(memberIdOf(other)));
+  else if (isKeeping && canHandOver && primary !== replica.self) handOverTo(primary);
   // At epoch 1 the backup already knows that there is no history.
   const message = replica.assignment.epoch > 1 ? completionOf(replica) : undefined;
   if (message !== undefined) {
@@ -518,8 +541,8 @@
   instance: InstanceState,
   stopped: Partial<InstanceState>,
 ): SlotState {
-  const at = memberIdOf(instance);
-  const messages = new Map([...state.messages].filter(([, { to }]) => to !== at));
+  const memberId = memberIdOf(instance);
+  const messages = new Map([...state.messages].filter(([, { to }]) => to !== memberId));
   return {
     ...withInstance(state, instance, {
       ...stopped,
--- a/model/slot_invariants.ts
+++ b/model/slot_invariants.ts
@@ -27,13 +27,15 @@
     },
     { name: "each epoch has at most one owner", holds: hasOneOwnerPerEpoch },
     {
-      name: "an accepted request survives announced reclaims and one crash",
+      name: "an accepted request survives announced reclaims or one crash",
       holds: forEachRequest((state, demand) => doesAcceptedSurvive(state, demand, faults)),
     },
   ];
 }
 
-/** Goal of the progress check: each accepted request has ended, or was lost with both its owners. */
+/**
+ * Goal of the progress check: each accepted request has ended, or was lost with both its owners.
+ */
 export function haveAllEnded(state: SlotState, { demands, faults }: Bounds): boolean {
   return demands.every(({ id }) => {
     const reported = state.reported[id] ?? [];
@@ -55,7 +57,10 @@
   return (state.reported[id] ?? []).filter(isEnd).length <= 1;
 }
 
-/** A former owner may exist at an earlier epoch, or after a handover. Two owners must not act at the same epoch. */
+/**
+ * A former owner may exist at an earlier epoch, or after a handover. Two owners must not act at the
+ * same epoch.
+ */
 function hasOneOwnerPerEpoch(state: SlotState): boolean {
   const epochs = state.instances
     .filter(({ isUp, replica }) => isUp && ownsSlot(replica))
@@ -77,9 +82,9 @@
 }
 
 /**
- * Whether the faults so far permit the loss of an accepted request. Two crashes can remove both holders
- * of its record. So can one crash while the other holder is leaving, because an instance that received a
- * slot by handover is its only holder until the slot map names a backup.
+ * Whether the faults so far permit the loss of an accepted request. Two crashes can remove both
+ * holders of its record. So can one crash while the other holder is leaving, because an instance
+ * that received a slot by handover is its only holder until the slot map names a backup.
  */
 function isLossPermitted(state: SlotState, faults: Bounds["faults"]): boolean {
   const crashes = faults.crash - state.faultsLeft.crash;
--- a/model/slot_state.ts
+++ b/model/slot_state.ts
@@ -12,7 +12,10 @@
   readonly id: string;
   /** Whether the request may run more than once. */
   readonly repeatable: boolean;
-  /** Whether the request has an idempotency key. If so, the caller may submit it again to any instance. */
+  /**
+   * Whether the request has an idempotency key. If so, the caller may submit it again to any
+   * instance.
+   */
   readonly keyed: boolean;
   /** Whether the caller doesn't wait for the answer. */
   readonly detached: boolean;
@@ -39,7 +42,10 @@
   /** Requests that callers may submit. */
   readonly demands: readonly CallerRequest[];
   readonly faults: FaultBudget;
-  /** Whether an instance with a reclaim notice hands the slot over to all others, even if its backup is available. */
+  /**
+   * Whether an instance with a reclaim notice hands the slot over to all others, even if its backup
+   * is available.
+   */
   readonly cedesToAll: boolean;
   /** Maximum epoch of the slot map. */
   readonly epochs: number;
@@ -47,8 +53,8 @@
 }
 
 /**
- * An entry instance. A pause needs no flag. It is covered by the interleavings in which the instance
- * takes no step.
+ * An entry instance. A pause needs no flag. It is covered by the interleavings in which the
+ * instance takes no step.
  */
 export interface InstanceState {
   readonly name: string;
@@ -82,7 +88,10 @@
 /** The complete state of the model, as plain data. */
 export interface SlotState {
   readonly instances: readonly InstanceState[];
-  /** The slot's assignment in the platform's store. An unavailable store is one that no instance reaches. */
+  /**
+   * The slot's assignment in the platform's store. An unavailable store is one that no instance
+   * reaches.
+   */
   readonly storedAssignment: Assignment;
   /** Messages in transit by key. */
   readonly messages: ReadonlyMap<string, Message>;
@@ -101,7 +110,10 @@
   return `${instance.name}#${instance.incarnation}`;
 }
 
-/** Creates the instances a, b and c, up to the bound. All have received the first assignment: primary a, backup b. */
+/**
+ * Creates the instances a, b and c, up to the bound. All have received the first assignment:
+ * primary a, backup b.
+ */
 export function initialState({ instances, faults }: Bounds): SlotState {
   const stored = { epoch: 1, primary: "a#1", backup: "b#1", historyLostAt: 0 };
   const initialInstances = ["a", "b", "c"].slice(0, instances).map((name) => {
@@ -171,7 +183,10 @@
 /** Cached encodings of immutable parts of states. */
 const encodings = new WeakMap<object, string>();
 
-/** Encodes a part once and caches the result. States share most of their parts, and parts are immutable. */
+/**
+ * Encodes a part once and caches the result. States share most of their parts, and parts are
+ * immutable.
+ */
 function memoize<T extends object>(part: T, encode: (part: T) => string): string {
   const cached = encodings.get(part);
   if (cached !== undefined) return cached;
--- a/model/usage_specification.ts
+++ b/model/usage_specification.ts
@@ -1,8 +1,9 @@
 /**
- * Specification of the usage report. Two instances both act as the one that reports a window, and receive
- * the window's runs late. The store loses responses or applies a write late. A window must still be
- * reported with a single count, because two counts would be two bills. The actions call the same
- * functions as the entry instance, so the model checker explores the code that runs in production.
+ * Specification of the usage report. Two instances both act as the one that reports a window, and
+ * receive the window's runs late. The store loses responses or applies a write late. A window must
+ * still be reported with a single count, because two counts would be two bills. The actions call
+ * the same functions as the entry instance, so the model checker explores the code that runs in
+ * production.
  *
  * @module
  */
@@ -47,7 +48,9 @@
   readonly restartsLeft: number;
 }
 
-/** Creates the specification with two instances, one lost response, one late write and one restart. */
+/**
+ * Creates the specification with two instances, one lost response, one late write and one restart.
+ */
 export function usageSpecification(rules: UsageRules): Specification<UsageState> {
   const reporter = (name: string): Reporter => ({ name, receivedRuns: 0, knownUsage: undefined });
   return {
@@ -76,7 +79,10 @@
   };
 }
 
-/** Returns the stored record after a write, or undefined if the stored version isn't the expected one. */
+/**
+ * Returns the stored record after a write, or undefined if the stored version isn't the expected
+ * one.
+ */
 function applyWrite(
   stored: KnownUsage,
   { expect, record }: Write,
--- a/model/usage_test.ts
+++ b/model/usage_test.ts
@@ -11,8 +11,8 @@
   expect(found.complete).toBe(true);
 });
 
-// One rule is switched off in the production functions. The window is then reported a second time with a different
-// count, which results in a second bill.
+// One rule is switched off in the production functions. The window is then reported a second time
+// with a different count, which results in a second bill.
 test.each(["fixFirst", "expectVersion", "readAfterDoubt"] as const)(
   "a window is reported with two counts without %s",
   async (rule) => {
--- a/traces/association.ts
+++ b/traces/association.ts
@@ -124,7 +124,10 @@
   rateFactor: (_profile, progress) => dailyVariation(progress),
 };
 
-/** The entry deadline raises the load in the first half. Bursts of finish lookups follow in the second half. */
+/**
+ * The entry deadline raises the load in the first half. Bursts of finish lookups follow in the
+ * second half.
+ */
 export const ASSOCIATION_PEAK: Workload = {
   ...ASSOCIATION_CALM,
   rateFactor: (profile, progress) => {
--- a/traces/catalogue.ts
+++ b/traces/catalogue.ts
@@ -25,7 +25,10 @@
   readonly includes?: (arrival: TraceArrival) => boolean;
   /** Minimum fraction of the requests of a group that must be answered. Absent for saturation. */
   readonly minAnswered?: number;
-  /** Maximum recomputed tokens, as a fraction of the tokens in progress at the fault, or of all tokens without a fault. */
+  /**
+   * Maximum recomputed tokens, as a fraction of the tokens in progress at the fault, or of all
+   * tokens without a fault.
+   */
   readonly maxRecomputed: number;
 }
 
@@ -36,7 +39,9 @@
 
 /** Minimum fraction of requests within the latency target. */
 const MIN_WITHIN_TARGET = 0.95;
-/** Minimum fraction of accepted and refused requests with a complete answer, except in saturation. */
+/**
+ * Minimum fraction of accepted and refused requests with a complete answer, except in saturation.
+ */
 const MIN_ANSWERED = 0.99;
 /** Maximum ratio of the cost to its lower bound. */
 const MAX_COST_RATIO = 1.25;
@@ -46,14 +51,20 @@
 const MIN_GOODPUT_RATIO = 0.95;
 /** Maximum fraction of tokens recomputed without a fault, because of hedges or a full KV cache. */
 const MAX_RECOMPUTED_CALM = 0.001;
-/** Milliseconds per token near the limit of the latency target; used to estimate the tokens in progress. */
+/**
+ * Milliseconds per token at the upper end of the latency target, to estimate the tokens in
+ * progress.
+ */
 const TOKEN_TIME = 30;
 /** Ratio of the arriving work to the capacity of all workers in saturation. */
 const SATURATION_FACTOR = 2;
 /** Duration of a saturation trace in milliseconds. */
 const SATURATION_DURATION = 10 * MINUTE;
 
-/** Reclaims a whole availability zone at 15 s notice. Launches are refused there and in a second zone. */
+/**
+ * Reclaims a whole availability zone at 15 s notice. Launches are refused there and in a second
+ * zone.
+ */
 function zoneReclaimFaults(zone: string, next: string): TraceFault[] {
   const at = 8 * MINUTE;
   return [
@@ -68,14 +79,17 @@
   return [{ kind: "slow", t: 5 * MINUTE, until: 13 * MINUTE, service, index: 1, factor: 5 }];
 }
 
-/** Averages the calm and the peak rates, so that the reclaim hits a busy fleet. */
+/** Averages the calm and the peak rates, so that the reclaim occurs while the fleet is busy. */
 function averageCalmAndPeak({ peak, calm }: { peak: Workload; calm: Workload }): Workload {
   const rateFactor: Workload["rateFactor"] = (profile, progress) =>
     (peak.rateFactor(profile, progress) + calm.rateFactor(profile, progress)) / 2;
   return { ...calm, rateFactor };
 }
 
-/** Creates the plans of one user: calm, peak, reclaim, slow worker, peak lookups and saturation. */
+/**
+ * Creates the plans of one user: calm, peak, zone reclaim (wave), slow worker, peak lookups and
+ * saturation.
+ */
 function createPlans(user: {
   readonly name: string;
   readonly deployment: Deployment;
@@ -114,7 +128,10 @@
   ];
 }
 
-/** Twice the capacity of all workers of the service, for a short time. Only 3 workers, to keep the trace small. */
+/**
+ * Twice the capacity of all workers of the service, for a short time. Only 3 workers, to keep the
+ * trace small.
+ */
 function createSaturationPlan(user: {
   name: string;
   deployment: Deployment;
@@ -203,7 +220,9 @@
   return write(requiredOutcomes(plan, read.trace));
 }
 
-/** Derives the required outcomes from the targets and the trace, never from the result of a replay. */
+/**
+ * Derives the required outcomes from the targets and the trace, never from the result of a replay.
+ */
 function requiredOutcomes(plan: TracePlan, trace: Trace): object {
   const isSaturation = plan.minAnswered === undefined;
   const { deployment } = trace.header;
@@ -240,7 +259,10 @@
   );
 }
 
-/** Estimates the prompt and answer tokens in progress at a time, at {@linkcode TOKEN_TIME} per answer token. */
+/**
+ * Estimates the prompt and answer tokens in progress at a time, at {@linkcode TOKEN_TIME} per
+ * answer token.
+ */
 function tokensInProgressAt(trace: Trace, at: number, services: readonly string[]): number {
   return trace.arrivals.reduce((sum, { t, s, p, n }) => {
     const produced = (at - t) / TOKEN_TIME;
@@ -249,7 +271,10 @@
   }, 0);
 }
 
-/** Returns the answer tokens per second if all workers always run full batches and compute only uncached prompt tokens. */
+/**
+ * Returns the answer tokens per second if all workers always run full batches and compute only
+ * uncached prompt tokens.
+ */
 function bestGoodput(trace: Trace): number {
   const { presets, machineClasses } = trace.header.deployment;
   const services = new Set(trace.arrivals.map(({ s }) => s));
--- a/traces/common.ts
+++ b/traces/common.ts
@@ -1,7 +1,10 @@
 /** SHA-256 of the API key that all accounts of the traces share. */
 const KEY_SHA256 = "9f86d081884c7d659a2feaa0c55ad015a3bf4f1b2b0b822cd15d6c15b0f00a08";
 
-/** Creates a client account for the given services, with limits that the traces' usual load doesn't reach. */
+/**
+ * Creates a client account for the given services, with limits that the traces' usual load doesn't
+ * reach.
+ */
 export function createAccount(weight: number, services: readonly string[]): object {
   return { keySha256: KEY_SHA256, weight, maxRequests: 400, maxTokens: 800_000, services };
 }
@@ -35,7 +38,9 @@
   return 1 + 0.2 * Math.sin(2 * Math.PI * progress);
 }
 
-/** Raised cosine with its maximum of 1 at `center`. It is 0 from a distance of 0.3 of the duration. */
+/**
+ * Raised cosine with its maximum of 1 at `center`. It is 0 from a distance of 0.3 of the duration.
+ */
 export function raisedCosine(progress: number, center: number): number {
   const distance = Math.abs(progress - center) / 0.3;
   return distance >= 1 ? 0 : 0.5 + 0.5 * Math.cos(Math.PI * distance);
--- a/traces/traces_test.ts
+++ b/traces/traces_test.ts
@@ -35,8 +35,8 @@
   kortfilm_wave: "1af1276064129d2e492142e95416b40f1367fbca72c548bb5324bc45cd391eee",
 };
 
-// Traces aren't stored but generated before each replay. If a change of the generator altered a trace, new figures
-// could not be compared with documented ones.
+// Traces aren't stored but generated before each replay. If a change of the generator altered a
+// trace, new figures could not be compared with documented ones.
 test.each(TRACES.map(({ name, text }) => [name, text]))(
   "%s has the checksum of the measured trace",
   (name, text) => {
@@ -47,9 +47,9 @@
 test.each(["association_wave", "kortfilm_wave"])(
   "%s: after the reclaim of an availability zone, requests are complete and in time with little recomputed",
   (name) => {
-    // The cloud reclaims all reclaimable workers of a zone at 15 s notice and refuses launches there. Without
-    // triage and resumption, requests are lost, and those in progress are recomputed from the start while
-    // lookups wait.
+    // The cloud reclaims all reclaimable workers of a zone at 15 s notice and refuses launches
+    // there. Without triage and resumption, requests are lost, and those in progress are recomputed
+    // from the start while lookups wait.
     const { fleet, outcomes } = replayTrace(name);
     expect(fleet.reclaimed).toBeGreaterThan(0);
     const failed = outcomes.filter((check) => isReclaimOutcome(check.name) && !check.holds);
@@ -57,7 +57,10 @@
   },
 );
 
-/** Selects the outcomes checked here. The replay command checks the others, cost and fraction answered, by its exit code. */
+/**
+ * Selects the outcomes checked here. The replay command checks the others, cost and fraction
+ * answered, by its exit code.
+ */
 function isReclaimOutcome(outcome: string): boolean {
   return /^lost$|^recomputed$|Token/.test(outcome);
 }
--- a/traces/workload.ts
+++ b/traces/workload.ts
@@ -3,7 +3,9 @@
 import type { Random } from "../src/interface/index.ts";
 import type { TraceArrival } from "../src/standin/replay/index.ts";
 
-/** The requests of one kind in a workload. Token ranges are drawn with most values near the minimum. */
+/**
+ * The requests of one kind in a workload. Token ranges are drawn with most values near the minimum.
+ */
 export interface RequestProfile {
   readonly service: string;
   /** Lane stated by the caller. If absent, the service's lane applies. */
@@ -24,7 +26,10 @@
   readonly detached?: boolean;
   /** Deadline in milliseconds after the arrival. */
   readonly deadline?: number;
-  /** Fraction of requests with a limit on answer tokens. The limit is 1.1 to 2.1 times the answer's length. */
+  /**
+   * Fraction of requests with a limit on answer tokens. The limit is 1.1 to 2.1 times the answer's
+   * length.
+   */
   readonly maxTokensShare: number;
 }
 
@@ -35,7 +40,10 @@
   readonly accountShares: Readonly<Record<string, number>>;
   /** Duration in milliseconds. */
   readonly duration: number;
-  /** Factor on a profile's arrival rate. `progress` is the elapsed fraction of the duration, from 0 to 1. */
+  /**
+   * Factor on a profile's arrival rate. `progress` is the elapsed fraction of the duration, from 0
+   * to 1.
+   */
   readonly rateFactor: (profile: RequestProfile, progress: number) => number;
 }
 
@@ -117,7 +125,10 @@
   return Math.round(min + (max - min) * random.next() ** 2);
 }
 
-/** Draws from a Poisson distribution by Knuth's method, whose time is proportional to the mean. The means here are small. */
+/**
+ * Draws from a Poisson distribution by Knuth's method, whose time is proportional to the mean. The
+ * means here are small.
+ */
 function drawPoisson(mean: number, random: Random): number {
   const threshold = Math.exp(-mean);
   let count = 0;
