--- a/model/check_test.ts
+++ b/model/check_test.ts
@@ -52,7 +52,7 @@
   },
 };
 
-test("every slot ownership rule has a case without it", () => {
+test("every slot ownership rule has a test case without it", () => {
   expect(Object.keys(RULE_CASES).sort()).toEqual([...RULE_NAMES].sort());
 });
 
@@ -70,8 +70,8 @@
 
 test.each([
   ["laterOnly", "a revision never reverts at any instance"],
-  ["conditionalWrite", "an accepted change is in what follows, once"],
-  ["changeId", "an accepted change is in what follows, once"],
+  ["conditionalWrite", "an accepted change is stored once and kept"],
+  ["changeId", "an accepted change is stored once and kept"],
 ])("an operator's change is lost or reverted without %s", async (rule, violated) => {
   // Two operators switch presets concurrently, or a response is lost. A preset whose change was
   // accepted is then replaced by an earlier one.
--- a/model/checker.ts
+++ b/model/checker.ts
@@ -91,10 +91,10 @@
  * Explores a specification.
  *
  * States are distinguished by 53 bits of a hash. With a million states, the probability that two of
- * them collide is about 1 in 20,000. A collision can hide a violation.
+ * them collide is about 1 in 20,000. A collision can hide a violation but can't cause a false one.
  *
- * @returns The size of the explored state space, and the first invariant violation, or else the first
- * progress violation.
+ * @returns The size of the explored state space, and the first invariant violation, or else the
+ * first progress violation.
  */
 export async function explore<State>(
   specification: Specification<State>,
--- a/model/revision_specification.ts
+++ b/model/revision_specification.ts
@@ -100,7 +100,7 @@
         holds: ({ instances }) => !instances.some(({ hasReverted }) => hasReverted),
       },
       { name: "exactly one preset is in force at each version", holds: hasOnePresetPerVersion },
-      { name: "an accepted change is in what follows, once", holds: areAcceptedChangesKept },
+      { name: "an accepted change is stored once and kept", holds: areAcceptedChangesKept },
     ],
     isGoal: ({ operators, instances, stored }) =>
       operators.every(({ outcome }) => outcome === "written" || outcome === "conflict") &&
--- a/model/slot_state.ts
+++ b/model/slot_state.ts
@@ -176,8 +176,8 @@
   const instances = state.instances.map((instance) => memoize(instance, encodeInstance)).join("|");
   const messages = memoize(state.messages, encodeMessages);
   const faults = `${faultsLeft.crash}${faultsLeft.suspicion}${faultsLeft.notice}${faultsLeft.lostAnswer}`;
-  const outside = JSON.stringify([runs, barredIds, reported]);
-  return `${instances}/${encodeAssignment(storedAssignment)}/${messages}/${outside}/${faults}`;
+  const externalState = JSON.stringify([runs, barredIds, reported]);
+  return `${instances}/${encodeAssignment(storedAssignment)}/${messages}/${externalState}/${faults}`;
 }
 
 /** Cached encodings of immutable parts of states. */
