--- a/src/version/change.ts
+++ b/src/version/change.ts
@@ -5,44 +5,44 @@
 import { mergeThreeWay } from "./three_way_merge.ts";
 import type { MergeConflict } from "./three_way_merge.ts";
 
-/** What an operator asks to have changed. */
+/** A configuration change requested by an operator. Its id identifies it when it is sent again. */
 export type Change =
-  /** Puts a whole deployment document in force. */
+  /** Replaces the deployment document. */
   | { readonly kind: "deployment"; readonly id: string; readonly source: unknown }
-  /** Puts a preset in force. */
+  /** Activates a preset. */
   | { readonly kind: "preset"; readonly id: string; readonly preset: string };
 
-/** How a change ended; never one of them for another. */
+/** The outcome of a change. `unknown` is the only one that leaves open whether the change is active. */
 export type ChangeOutcome =
-  /** In force from the given revision at the latest. */
+  /** The change is part of this revision, and possibly of an earlier one. */
   | { readonly kind: "accepted"; readonly change: string; readonly revision: number }
-  /** Certainly not in force, now or later. */
+  /** The change is invalid and will never be active. */
   | { readonly kind: "refused"; readonly change: string; readonly reasons: readonly string[] }
-  /** Certainly not in force: another change touches the same places. */
+  /** The change is not active: another change has modified the same values differently. */
   | {
       readonly kind: "conflict";
       readonly change: string;
       readonly revision: number;
       readonly conflicts: readonly MergeConflict[];
     }
-  /** The answer was lost, and the store can't be asked: ask again with the change's id. */
+  /** The response to the write was lost and the store can't be read. Send the change again with the same id. */
   | { readonly kind: "unknown"; readonly change: string; readonly detail: string };
 
-/** What is to be written for a change, or how it ended without a write. */
+/** The revision to write for a change, or the outcome of a change that needs no write. */
 export type PlannedChange =
   | { readonly kind: "write"; readonly value: string }
   | { readonly kind: "ended"; readonly outcome: ChangeOutcome };
 
-/** Path under which a conflict over the preset in force is shown. */
+/** The path that is reported for a conflict over the active preset. */
 const PRESET_PATH = "preset in force";
 
 /**
- * Works out what to write for a change.
+ * Computes the revision to write for a change.
  *
- * @param change What the operator asks for.
- * @param sides The revision that the operator's change began from, and the one that the store holds now.
- * @returns The store's new value, or the outcome where there is nothing to write: the change is in force
- * already, is refused by its content, or touches what another change has touched since.
+ * @param change The requested change.
+ * @param sides The revision that the change is based on, and the revision that is now in the store.
+ * @returns The new value for the store, or an outcome if there is nothing to write: the change is already active, it
+ * is invalid, or it conflicts with a change made since the base revision.
  */
 export function planChange(
   change: Change,
@@ -54,7 +54,7 @@
     change: change.id,
     revision: current.version,
   };
-  // The write stands although its answer was lost.
+  // An earlier write of this change has taken effect, although its response was lost.
   if (current.changes.includes(change.id)) return { kind: "ended", outcome: accepted };
   const wanted = change.kind === "deployment" ? change.source : current.source;
   const merge = mergeThreeWay(base.source, { ours: wanted, theirs: current.source });
@@ -89,7 +89,7 @@
   if (!parsed.success) return parsed.error.issues.map(describe);
   if (preset in parsed.data.presets) return [];
   const known = Object.keys(parsed.data.presets).join(", ");
-  return [`The preset "${preset}" is not among those of the document, which are ${known}.`];
+  return [`The preset "${preset}" is not among those of the document: ${known}.`];
 }
 
 function describe(issue: z.core.$ZodIssue): string {
--- a/src/version/change_test.ts
+++ b/src/version/change_test.ts
@@ -17,9 +17,9 @@
   return parseRevision(version, planned.value);
 }
 
-test("a preset switch and an edit of a service that race are both in force", () => {
-  // One operator switches to the peak while another edits a service. The store takes one of them first;
-  // if the other were written over it, the peak would be served under the presets of an ordinary day.
+test("a concurrent preset switch and service edit both take effect", () => {
+  // One operator activates the preset "peak" while another edits a service. The store applies one of them first. If the
+  // other overwrote it, either the preset switch or the edit would be lost.
   const edit = { kind: "deployment", id: "c1", source: withLane("script") } as const;
   const current = written(planChange(edit, { base: BASE, current: BASE }), 2);
   const use = { kind: "preset", id: "c2", preset: "peak" } as const;
@@ -29,8 +29,8 @@
   expect(both.changes).toEqual(["c2", "c1"]);
 });
 
-test("two edits of the same place end in a conflict that shows both sides", () => {
-  // Two operators change the same setting differently at once. Neither may be lost without a word.
+test("two different edits of the same value end in a conflict that lists both values", () => {
+  // Two operators change the same setting to different values. Neither change may be lost silently.
   const first = { kind: "preset", id: "c1", preset: "peak" } as const;
   const current = { ...written(planChange(first, { base: BASE, current: BASE }), 2) };
   const document = {
@@ -54,7 +54,7 @@
 });
 
 test("a change whose id is in the revision is accepted and not written again", () => {
-  // The write took effect and its answer was lost. Written again it would undo what came after it.
+  // The write took effect but its response was lost. A second write would undo later changes.
   const change = { kind: "preset", id: "c1", preset: "peak" } as const;
   const current = written(planChange(change, { base: BASE, current: BASE }), 2);
   expect(planChange(change, { base: BASE, current })).toEqual({
@@ -74,7 +74,7 @@
     } as const,
     /"day" is not among/,
   ],
-])("a change that can't be put in force is refused with the reason", (change, reason) => {
+])("an invalid change is refused with the reason", (change, reason) => {
   const planned = planChange(change, { base: BASE, current: BASE });
   const outcome = planned.kind === "ended" ? planned.outcome : undefined;
   expect(outcome?.kind).toBe("refused");
--- a/src/version/deployment.ts
+++ b/src/version/deployment.ts
@@ -4,16 +4,19 @@
 
 const name = z
   .string()
-  .regex(/^[a-z0-9][a-z0-9-]{0,62}$/, "Expected a name of a-z, 0-9 and -, at most 63 long.");
+  .regex(
+    /^[a-z0-9][a-z0-9-]{0,62}$/,
+    "Expected a name of at most 63 characters from a-z, 0-9 and -, not starting with -.",
+  );
 
 const share = z.number().min(0).max(1);
 
 const target = z.strictObject({
-  /** 95 in 100 first tokens arrive within this. */
+  /** Target for the 95th percentile of the time to the first token. */
   firstToken: duration,
-  /** 95 in 100 gaps between tokens are at most this. */
+  /** Target for the 95th percentile of the time between two tokens. */
   betweenTokens: duration,
-  /** How long a request may take when the caller names no deadline. */
+  /** The deadline of requests that don't state one. */
   deadline: duration,
 });
 
@@ -21,7 +24,7 @@
   name,
   version: z.string().min(1),
   adapters: z.array(name).default([]),
-  /** What the model weighs, for the weight store's rate limit. */
+  /** Size of the model's weights; loading them is subject to the weight store's rate limit. */
   weights: z.number().positive(),
 });
 
@@ -29,11 +32,11 @@
   z.strictObject({
     kind: z.literal("model"),
     models: z.array(model).min(1),
-    /** Whether a request may be sent again when the caller says nothing. */
+    /** Whether a request may be retried, unless the caller specifies it. */
     repeatable: z.boolean(),
-    /** Whether the service's backend servers refuse orders with an old fencing number. */
+    /** Whether the service's backend servers reject requests and orders with an outdated fencing number. */
     checksFence: z.boolean(),
-    /** Which lane requests go in when the caller says nothing. */
+    /** The queue lane of requests, unless the caller specifies one. */
     lane: z.enum(["lookup", "script"]),
     target,
   }),
@@ -47,41 +50,43 @@
 ]);
 
 const account = z.strictObject({
-  /** SHA-256 of the account's key, in hex: the key itself is in no document. */
+  /** SHA-256 of the account's key, in hex. The key itself is never stored in a document. */
   keySha256: z.string().regex(/^[0-9a-f]{64}$/, "Expected 64 hex digits, the SHA-256 of the key."),
-  /** The account's part of a contended service, against the others' weights. */
+  /** The account's share of an overloaded service, relative to the weights of other accounts. */
   weight: z.number().positive(),
-  /** Requests accepted and not ended. */
+  /** The maximum number of requests in progress. */
   maxRequests: z.number().int().positive(),
-  /** Tokens of work accepted and not ended. */
+  /** The maximum number of tokens of all requests in progress. */
   maxTokens: z.number().int().positive(),
+  /** The services that the account may use. */
   services: z.array(name).min(1),
 });
 
 const capacity = z.strictObject({
-  /** Fewest and most workers of the service. */
+  /** The minimum number of workers of the service. */
   least: z.number().int().min(0),
+  /** The maximum number of workers of the service. */
   most: z.number().int().min(0),
-  /** Greatest part of the workers that may be reclaimable. */
+  /** The maximum share of the workers that may be reclaimable. */
   reclaimable: share,
 });
 
 const preset = z.strictObject({
-  /** What the preset is for, in a sentence for operators. */
+  /** A description of the preset for operators, in one sentence. */
   about: z.string(),
   services: z.record(name, capacity),
-  /** Services that take no new work while the preset is in force, finishing what they have. */
+  /** Services that accept no new requests while the preset is active. They finish the requests in progress. */
   paused: z.array(name).default([]),
 });
 
 const machineClass = z.strictObject({
-  /** Tokens generated a second by a full batch. */
+  /** Tokens that a full batch generates per second. */
   tokensPerSecond: z.number().positive(),
-  /** Prompt tokens computed a second. */
+  /** Prompt tokens processed per second. */
   prefillPerSecond: z.number().positive(),
-  /** Tokens of KV cache. */
+  /** Capacity of the KV cache in tokens. */
   cacheTokens: z.number().int().positive(),
-  /** From launch to taking work, model loading not included. */
+  /** Time from the launch until the machine accepts work, without the loading of models. */
   startUp: duration,
 });
 
@@ -104,8 +109,8 @@
 });
 
 /**
- * The deployment document as it stands in a file: see `samphireshore init` for a commented one. Faults of
- * single values and of names across the document are found in one go.
+ * The schema of the deployment document; `samphireshore init` writes an annotated example. One parse reports both
+ * invalid values and names that the document doesn't define.
  */
 export const deploymentSchema: z.ZodType<Deployment> = z.unknown().transform((source, context) => {
   for (const { path, message } of crossFaults(source)) {
@@ -119,17 +124,17 @@
   return z.NEVER;
 });
 
-/** A deployment, checked. Times are in milliseconds, prices in euros an hour. */
+/** A validated deployment. Times are in milliseconds, prices in euros per hour. */
 export type Deployment = z.infer<typeof document>;
 /** One service of a deployment. */
 export type Service = z.infer<typeof service>;
 /** One client account of a deployment. */
 export type Account = z.infer<typeof account>;
-/** What an operator switches between. */
+/** A named set of capacity limits. Exactly one preset is active; operators switch between them. */
 export type Preset = z.infer<typeof preset>;
-/** What a machine class can do. */
+/** The performance of a machine class. */
 export type MachineClass = z.infer<typeof machineClass>;
-/** Prices of a machine class in an availability zone, in euros an hour. */
+/** Prices of a machine class in an availability zone, in euros per hour. */
 export type Offer = z.infer<typeof offer>;
 /** A service's latency target, in milliseconds. */
 export type Target = z.infer<typeof target>;
--- a/src/version/deployment_names.ts
+++ b/src/version/deployment_names.ts
@@ -1,6 +1,6 @@
 import { z } from "zod";
 
-/** A fault that no single value shows. */
+/** An error that involves several values of the document, such as a reference to an undefined name. */
 export interface CrossFault {
   readonly path: readonly (string | number)[];
   readonly message: string;
@@ -11,8 +11,8 @@
 const bounds = z.object({ least: z.number(), most: z.number() }).optional().catch(undefined);
 
 /**
- * As much of a deployment document as its names need. What is missing or of another shape is passed over
- * here: it is a fault of its own, and must not hide the others.
+ * The parts of a deployment document that define or use names. Missing or malformed parts are skipped: the document's
+ * schema reports them, and they must not hide other errors.
  */
 const outline = z.object({
   zones: z.array(z.string()).optional().catch(undefined),
@@ -33,10 +33,10 @@
 });
 
 /**
- * Finds names that nothing in the document defines, and bounds that cross.
+ * Finds references to names that the document doesn't define, and minimums above their maximums.
  *
- * @param source A deployment document as its file has it, of any shape.
- * @returns Every fault found.
+ * @param source A deployment document as parsed from its file, of any shape.
+ * @returns All errors found.
  */
 export function crossFaults(source: unknown): CrossFault[] {
   const parsed = outline.safeParse(source);
--- a/src/version/lease.ts
+++ b/src/version/lease.ts
@@ -1,30 +1,30 @@
 import { z } from "zod";
 
-/** Milliseconds for which a lease holds from the moment before the write that took or renewed it. */
+/** Term of a lease in milliseconds, counted from just before the write that acquired or renewed it. */
 export const LEASE_TERM = 10_000;
 
 const stored = z.strictObject({
-  /** Member id of the holder; empty where the last one gave it back. */
+  /** Member id of the holder; empty after the last holder has released the lease. */
   holder: z.string(),
-  /** Milliseconds for which the holder acts after each write. */
+  /** Milliseconds for which the lease is valid after each write. */
   term: z.number().int().positive(),
-  /** Differs from write to write: a store may take a write that changes nothing for none. */
+  /** Differs in each write, because a store may ignore a write that doesn't change the value. */
   renewal: z.number().int().default(0),
 });
 
-/** Who gives orders to a service's backend servers and to the cloud. */
+/** The lease that allows one instance to send orders to a service's backend servers and to the cloud. */
 export interface Lease extends z.infer<typeof stored> {
-  /** The store's version of the object: the fencing number on every order. */
+  /** The store's version of the object. It is sent with every order as the fencing number. */
   readonly version: number;
 }
 
-/** The store's key of a service's lease. */
+/** Returns the store key of a service's lease. */
 export function leaseKey(service: string): string {
   return `samphireshore/lease/${service}`;
 }
 
 /**
- * Reads a lease from the store's value.
+ * Parses a lease from its value in the store.
  *
  * @param version The store's version of the object.
  * @param value The store's value, JSON.
@@ -34,7 +34,7 @@
   return { version, ...stored.parse(JSON.parse(value)) };
 }
 
-/** The store's value of a lease. */
+/** Serializes a lease for the store. */
 export function formatLease({ holder, term, renewal }: Omit<Lease, "version">): string {
   return JSON.stringify({ holder, term, renewal });
 }
--- a/src/version/lease_rules.ts
+++ b/src/version/lease_rules.ts
@@ -1,53 +1,55 @@
 /**
- * When a lease may be taken over, and when its holder may act on it.
+ * Rules for when a lease may be taken over and when its holder may make calls under it.
  *
- * The platform's calls aren't checked for their fence, so two holders at a time would be obeyed in turn. No instance
- * trusts another's clock: a holder counts its time from before the write that took or renewed the lease, and a
- * successor the whole term from when it first saw that version, which is later.
+ * The platform does not check fencing numbers, so it would carry out the calls of two simultaneous holders. The rules
+ * do not compare the clocks of different instances. A holder counts the term from just before the write that acquired
+ * or renewed the lease. A successor waits the full term from when it first observed that version, which is later. The
+ * holder therefore stops before the successor starts.
  *
  * @module
  */
 
-/** A lease as its holder has it; times are those of its own steady clock, in milliseconds. */
+/** A lease as its holder tracks it. All times are milliseconds of the holder's monotonic clock. */
 export interface HeldLease {
   /** The store's version of the last renewal. */
   readonly version: number;
-  /** The version at which it was taken: renewals don't change the fencing number, whose rise is a new holder. */
+  /** The fencing number: the version at which the lease was acquired. Renewals keep it; each new holder has a higher one. */
   readonly fence: number;
-  /** The time of day less the steady clock at the last renewal. */
+  /** Wall-clock time minus monotonic time at the last renewal, in milliseconds. */
   readonly dayOffset: number;
+  /** When the lease expires. */
   readonly until: number;
-  /** Before this no order is sent: one of the holder before may still be under way. */
+  /** When the holder may make its first call. Until then, a call of the previous holder may be in progress. */
   readonly ordersFrom: number;
-  /** Until when an order that was begun may be under way; undefined where none was begun. */
+  /** When the last call that was started is certainly over; undefined if none was started. */
   readonly ordersUntil: number | undefined;
-  /** When it was taken after another holder, which gave it back or let it run out; undefined after none. */
+  /** When the lease was taken over from another holder that released it or let it expire; undefined if from none. */
   readonly takenOverAt: number | undefined;
 }
 
-/** A moment of one instance. */
+/** A reading of one instance's clocks, in milliseconds. */
 export interface LeaseMoment {
-  /** Its steady clock. */
+  /** Monotonic time. */
   readonly now: number;
-  /** The time of day less the steady clock. */
+  /** Wall-clock time minus monotonic time. */
   readonly dayOffset: number;
 }
 
-/** What can be switched off in the specification to show that it is needed. */
+/** Rules that the model checker can switch off one at a time to show that each one is needed. */
 export interface LeaseRules {
-  /** A successor waits out the term. */
+  /** A successor waits for a full term. */
   readonly waitTerm: boolean;
-  /** Time that the steady clock didn't count counts against the lease. */
+  /** Time for which the monotonic clock stood still is subtracted from the lease. */
   readonly countSuspension: boolean;
-  /** A call is begun only if it will be over before the lease is. */
+  /** A call is started only if it ends before the lease expires. */
   readonly leaveRoom: boolean;
-  /** A lease isn't given back while a call may be under way. */
+  /** A lease is not released while a call may be in progress. */
   readonly endOrders: boolean;
-  /** A lease that was another holder's isn't given back within a term. */
+  /** A lease that was taken over is not released within one term. */
   readonly keepTerm: boolean;
 }
 
-/** All rules in force. */
+/** All rules enabled, as in production. */
 export const ALL_LEASE_RULES: LeaseRules = {
   waitTerm: true,
   countSuspension: true,
@@ -56,16 +58,16 @@
   keepTerm: true,
 };
 
-/** Milliseconds: what may arrive until a moment may arrive at it. */
+/** Milliseconds added to the end of a call, because the call may still arrive in that last millisecond. */
 const SAME_MOMENT = 1;
-/** Differences between the time of day and the steady clock up to this are corrections of the time of day. */
+/** Maximum drift in milliseconds between the two clocks that counts as an adjustment of the wall clock. */
 const CLOCK_TOLERANCE = 100;
 
 /**
- * Milliseconds that are left of a lease.
+ * Returns the milliseconds that are left of a lease.
  *
- * The steady clock stands still while an instance is suspended and the time of day doesn't: without counting that, an
- * instance that wakes would act on a lease that another one has taken meanwhile.
+ * The monotonic clock stops while an instance is suspended, and the wall clock does not. The difference is subtracted
+ * from the lease. Otherwise a resumed instance would act under a lease that another instance has taken meanwhile.
  */
 export function leaseTimeLeft(
   held: HeldLease,
@@ -77,7 +79,7 @@
   return held.until - now - suspended;
 }
 
-/** Says whether the holder may begin a call that takes so many milliseconds at most. */
+/** Returns whether the holder may start a call that takes at most `orderTime` milliseconds. */
 export function mayOrder(
   held: HeldLease,
   moment: LeaseMoment,
@@ -88,7 +90,12 @@
   return leaseTimeLeft(held, moment, rules) > (rules.leaveRoom ? orderTime : 0);
 }
 
-/** Says whether another instance's lease has run out, by when its version was first seen. */
+/**
+ * Returns whether another instance's lease has expired.
+ *
+ * @param seen When this instance first observed the lease's current version, and the lease's term in milliseconds.
+ * @param now This instance's monotonic time.
+ */
 export function hasRunOut(
   seen: { since: number; term: number },
   now: number,
@@ -98,12 +105,12 @@
 }
 
 /**
- * Milliseconds until the holder may give its lease back, for another to take it at once; undefined where it must be
- * left to run out.
+ * Returns the milliseconds until the holder may release its lease, so that another instance can take it without waiting
+ * for the term; undefined if the lease must be left to expire.
  *
- * - A call that is under way would arrive after one of the next holder, which the platform takes for a split.
- * - Where instances are restarted in turn, a lease that was another's a moment ago would go on at once, and perhaps to
- *   the one that had it before: two holders would act in turn within one term, which is taken for a split too.
+ * - A call in progress could arrive after the first call of the next holder, which the platform treats as split brain.
+ * - During a rolling restart, a lease that was taken over a moment ago would move on at once, perhaps back to its
+ *   previous holder. Two holders would then alternate within one term, which also looks like split brain.
  */
 export function giveBackIn(
   held: HeldLease,
--- a/src/version/rendezvous.ts
+++ b/src/version/rendezvous.ts
@@ -1,12 +1,12 @@
 import { createHash } from "node:crypto";
 
 /**
- * Orders candidates for a key by rendezvous hashing: everyone who knows the same candidates finds the same
- * order, and a candidate that goes changes nothing but its own places.
+ * Ranks candidates for a key by rendezvous hashing. All instances that know the same candidates compute the same order,
+ * and the removal of a candidate doesn't change the relative order of the others.
  *
- * @param key What is to be placed.
- * @param candidates Ids to order.
- * @returns The candidates, first choice first.
+ * @param key The key to place.
+ * @param candidates The candidates' ids.
+ * @returns The candidates, best first.
  *
  * @example
  * ```ts
@@ -21,12 +21,12 @@
     .map(({ id }) => id);
 }
 
-/** A 32-bit hash of a text; slow enough to be kept where it is used often. */
+/** Returns a 32-bit hash of a text. It uses SHA-256, so keep the result rather than computing it in a loop. */
 export function hashText(text: string): number {
   return createHash("sha256").update(text).digest().readUInt32LE(0);
 }
 
-/** Mixes two 32-bit hashes into one, so that each pair gets a score of its own. */
+/** Combines two 32-bit hashes into one. */
 export function mixHashes(a: number, b: number): number {
   let mixed = (a ^ Math.imul(b, 0x9e3779b1)) >>> 0;
   mixed = Math.imul(mixed ^ (mixed >>> 16), 0x85ebca6b);
--- a/src/version/revision.ts
+++ b/src/version/revision.ts
@@ -2,28 +2,28 @@
 import { deploymentSchema } from "./deployment.ts";
 import type { Deployment } from "./deployment.ts";
 
-/** The store's key of a deployment's revision. */
+/** The store key of the deployment's revision. */
 export const REVISION_KEY = "samphireshore/revision";
 
-/** The store's key of a region's slot map. */
+/** The store key of the region's slot map. */
 export const SLOT_MAP_KEY = "samphireshore/slots";
 
-/** How many change ids a revision remembers, so that a write whose answer was lost is recognised. */
+/** The number of change ids kept in a revision. They show whether a write whose response was lost took effect. */
 const REMEMBERED_CHANGES = 64;
 
 /**
- * The whole configuration in force. One object, so exactly one preset is in force and operators who race
- * are put in order by the store.
+ * The complete active configuration. It is a single object in the store, so exactly one preset is active and the store
+ * serializes concurrent changes.
  */
 export interface Revision {
-  /** The store's version of the object; 0 where none has been read. */
+  /** The store's version of the object; 0 if none has been read. */
   readonly version: number;
   readonly deployment: Deployment;
-  /** The deployment as its file has it, to show and to merge. */
+  /** The deployment document as written, for display and for merges. */
   readonly source: unknown;
-  /** The one preset in force. */
+  /** The name of the active preset. */
   readonly preset: string;
-  /** Ids of the latest changes, newest first. */
+  /** Ids of the most recent changes, newest first. */
   readonly changes: readonly string[];
 }
 
@@ -34,10 +34,10 @@
 });
 
 /**
- * Reads a revision from the store's value.
+ * Parses a revision from its value in the store.
  *
  * @param version The store's version of the object.
- * @param value The store's value, JSON.
+ * @param value The value in the store, as JSON.
  * @returns The revision.
  * @throws {Error} If the value is not a revision.
  */
@@ -46,16 +46,16 @@
   return { version, deployment: deploymentSchema.parse(source), source, preset, changes };
 }
 
-/** The store's value of a revision. */
+/** Serializes a revision for the store. */
 export function formatRevision(revision: Omit<Revision, "version" | "deployment">): string {
   const { source, preset, changes } = revision;
   return JSON.stringify({ source, preset, changes: changes.slice(0, REMEMBERED_CHANGES) });
 }
 
 /**
- * Chooses between the revision in force and one that was heard of.
+ * Chooses between the active revision and a received one.
  *
- * @returns The one with the higher version: a revision never reverts, whoever says so.
+ * @returns The one with the higher version. A revision is never replaced by an older one, whatever its source.
  */
 export function laterRevision(inForce: Revision | undefined, heard: Revision): Revision {
   return inForce !== undefined && inForce.version >= heard.version ? inForce : heard;
--- a/src/version/rollout_rules.ts
+++ b/src/version/rollout_rules.ts
@@ -1,33 +1,34 @@
 /**
- * Which versions of a service's workers may be given requests, and how an order to change them ends once.
+ * Rules for which versions of a service's workers may get requests, and for ending a rollout order exactly once.
  *
- * Whoever has the duty may die, be frozen or be cut off at any moment, a write may be done late, and the operator may
- * change the order meanwhile. So what was said of an order stands in one object of the store, is changed only over the
- * version that was read, and an end is final: a later holder goes on from what stands there.
+ * The lease holder that runs a rollout may crash, be suspended or lose its connections at any moment. A write may take
+ * effect late, and the operator may change the order meanwhile. The status of an order is therefore kept in one object
+ * of the store and written only over the version that was read. A final status is never replaced, and a later holder
+ * continues from the stored status.
  *
  * @module
  */
 import { RolloutState } from "../interface/index.ts";
 import type { RolloutEntry, RolloutStatus } from "../interface/index.ts";
 
-/** What can be switched off in the specification to show that it is needed. */
+/** Rules that the model checker can switch off one at a time to show that each one is needed. */
 export interface RolloutRules {
-  /** An end of an order isn't followed by another one. */
+  /** The final status of an order is never replaced. */
   readonly endOnce: boolean;
-  /** What is said is said only over the entry that was read. */
+  /** A status is written only if the entry still has the version that was read. */
   readonly expectVersion: boolean;
-  /** What was said of an earlier order says nothing of this one. */
+  /** The status of an earlier order does not apply to the current one. */
   readonly matchOrder: boolean;
 }
 
-/** All rules in force. */
+/** All rules enabled, as in production. */
 export const ALL_ROLLOUT_RULES: RolloutRules = {
   endOnce: true,
   expectVersion: true,
   matchOrder: true,
 };
 
-/** How far the order has come; undefined where nothing was said of it yet. */
+/** Returns the state of the current order; undefined if no status has been written for it yet. */
 export function stateOfOrder(
   { order, status }: RolloutEntry,
   rules: RolloutRules = ALL_ROLLOUT_RULES,
@@ -36,12 +37,12 @@
   return status.to === order.to || !rules.matchOrder ? status.state : undefined;
 }
 
-/** Whether nothing follows on what was said of an order. */
+/** Returns whether a state is final. */
 export function isFinal(state: RolloutState | undefined): boolean {
   return state === RolloutState.Completed || state === RolloutState.RolledBack;
 }
 
-/** What is to be said next of an order of which this was decided; undefined where nothing is. */
+/** Returns the status to write for an order after a decision; undefined if there is nothing to write. */
 export function nextStatus(
   entry: RolloutEntry,
   decided: RolloutState,
@@ -53,39 +54,42 @@
   return { state: decided, to: entry.order.to };
 }
 
-/** The versions of a service's workers that may be given requests. */
+/** The versions of a service's workers that may get requests. */
 export interface ServedVersions {
-  /** Takes all requests but those that try the other one. */
+  /** The version that gets all requests except those that try the new version. */
   readonly base: string;
-  /** The version that an order under way names; undefined where there is none. */
+  /** The new version of a running order; undefined if there is none. */
   readonly tried: string | undefined;
 }
 
-/** How many workers there are of a version, and when the oldest of them started, in Unix milliseconds. */
+/** The workers of one version. */
 export interface VersionStock {
+  /** The number of workers. */
   readonly workers: number;
+  /** When the oldest of them started, in Unix milliseconds. */
   readonly oldest: number;
 }
 
-/** What the served versions follow from. */
+/** The input for {@linkcode servedVersions}. */
 export interface VersionsKnown {
-  /** The workers that are there, by version. */
+  /** The available workers, by version. */
   readonly stock: ReadonlyMap<string, VersionStock>;
-  /** The service's order, if there is any. */
+  /** The service's rollout order, if there is one. */
   readonly entry: RolloutEntry | undefined;
-  /** What this instance served before; undefined where it has just started. */
+  /** The base version that this instance served until now; undefined after a start. */
   readonly before: string | undefined;
-  /** Versions that were rolled back. */
+  /** Versions that were rolled back; they get no requests. */
   readonly barred: ReadonlySet<string>;
 }
 
 /**
- * Finds the versions that are served.
+ * Determines the versions that may get requests.
  *
- * An instance that starts in the middle of an order knows nothing of before: what no order names is old, and of several
- * such versions the one with the most workers, since single entries may be forged.
+ * An instance that starts during an order doesn't know the previous base version. It then takes a version that the order
+ * doesn't name. If there are several, it takes the one with the most workers, since single entries in the store may be
+ * forged.
  *
- * @returns Undefined where there are no workers to tell by.
+ * @returns The versions, or undefined if there are no workers to determine them from.
  */
 export function servedVersions(known: VersionsKnown): ServedVersions | undefined {
   const { entry, barred } = known;
@@ -110,7 +114,7 @@
   const isThere = before !== undefined && (stock.has(before) || entry !== undefined);
   if (isThere) return before;
   const old = [...stock].filter(([version]) => version !== entry?.order.to && !barred.has(version));
-  // An order may name the version that is there already, or all others may be gone.
+  // If the order names the only available version, that version is the base.
   const candidates = old.length > 0 ? old : [...stock].filter(([version]) => !barred.has(version));
   candidates.sort(([, a], [, b]) => b.workers - a.workers || a.oldest - b.oldest);
   return candidates[0]?.[0] ?? before;
--- a/src/version/rollout_rules_test.ts
+++ b/src/version/rollout_rules_test.ts
@@ -22,23 +22,23 @@
 
 const said = (state: RolloutState, to: string): RolloutStatus => ({ state, to });
 
-test("without an order the version of most workers serves", () => {
+test("without an order, the version with the most workers is served", () => {
   expect(servedVersions(known({ v1: 5, v9: 1 }))).toEqual({ base: "v1", tried: undefined });
   expect(servedVersions(known({}))).toBeUndefined();
 });
 
-// As many workers of the new version have started as there are old ones, and nobody has heard of the order yet.
-test("what served before goes on serving, whatever starts beside it", () => {
+// More workers of the new version than of the old one have started before the instance has received the order.
+test("the previous base version is kept when workers of another version start", () => {
   const more = { before: "v1" };
   expect(servedVersions(known({ v2: 6, v1: 5 }, more))).toEqual({ base: "v1", tried: undefined });
 });
 
-test("an instance that starts in the middle of an order serves what the order doesn't name", () => {
+test("an instance that starts during an order serves the version that the order doesn't name", () => {
   const open = known({ v2: 6, v1: 5 }, { entry: entry("v2", said(RolloutState.Running, "v2")) });
   expect(servedVersions(open)).toEqual({ base: "v1", tried: "v2" });
 });
 
-test("a completed order leaves its version alone", () => {
+test("after a completed order, only its version is served", () => {
   const done = entry("v2", said(RolloutState.Completed, "v2"));
   expect(servedVersions(known({ v1: 9, v2: 3 }, { entry: done, before: "v1" }))).toEqual({
     base: "v2",
@@ -46,7 +46,7 @@
   });
 });
 
-test("a version that was rolled back gets nothing, also where it is ordered again", () => {
+test("a version that was rolled back is not served, even if it is ordered again", () => {
   const back = entry("v2", said(RolloutState.RolledBack, "v2"));
   expect(servedVersions(known({ v1: 4, v2: 9 }, { entry: back }))?.tried).toBeUndefined();
   expect(servedVersions(known({ v1: 4, v2: 9 }, { entry: back }))?.base).toBe("v1");
@@ -54,8 +54,8 @@
   expect(servedVersions(again)).toEqual({ base: "v1", tried: undefined });
 });
 
-// The next order stands in the place of one that was completed. What was said of that one says what serves now.
-test("what was said of an earlier order says nothing of this one", () => {
+// A new order has replaced a completed one. The old status determines the base version, but it must not end the new order.
+test("the status of an earlier order does not apply to the current one", () => {
   const next = entry("v3", said(RolloutState.Completed, "v2"));
   expect(servedVersions(known({ v1: 2, v2: 2, v3: 2 }, { entry: next }))).toEqual({
     base: "v2",
@@ -64,7 +64,7 @@
   expect(nextStatus(next, RolloutState.Running)).toEqual(said(RolloutState.Running, "v3"));
 });
 
-test("the operator goes back to the old version by an order", () => {
+test("an order can return a service to its old version", () => {
   const back = entry("v1", said(RolloutState.Completed, "v2"));
   expect(servedVersions(known({ v1: 4, v2: 4 }, { entry: back, before: "v2" }))).toEqual({
     base: "v2",
@@ -72,7 +72,7 @@
   });
 });
 
-test("an end isn't followed by another one", () => {
+test("a final status is never replaced", () => {
   const back = entry("v2", said(RolloutState.RolledBack, "v2"));
   expect(nextStatus(back, RolloutState.Completed)).toBeUndefined();
   const done = entry("v2", said(RolloutState.Completed, "v2"));
--- a/src/version/route_table.ts
+++ b/src/version/route_table.ts
@@ -1,22 +1,24 @@
 import type { Route, RoutedAccount, RoutedService, Routing } from "./routing.ts";
 
-/** One version of the routing, arranged for looking up. */
+/** A version of the routing, indexed for lookups. */
 export interface RouteTable {
   readonly routing: Routing;
   /**
-   * Finds the route of a request: of the host's routes, the one with the longest prefix of the path.
+   * Finds the route of a request: the route of its host with the longest matching path prefix.
    *
    * @param host The `Host` header, with or without a port.
-   * @param path The request's path; a query may follow.
+   * @param path The request's path, with or without a query.
    */
   route(host: string, path: string): Route | undefined;
+  /** Finds a service by its name. */
   service(name: string): RoutedService | undefined;
+  /** Finds the client account that an API key belongs to. */
   accountOf(key: string): RoutedAccount | undefined;
 }
 
 /**
- * Arranges a routing. The cost of a look-up grows with the segments of the path, not with the routes: each
- * prefix ends with a slash, so only the path's own beginnings up to a slash can be one.
+ * Indexes a routing. The cost of a lookup grows with the number of path segments, not with the number of routes: all
+ * route prefixes end with a slash, so only the parts of the path that end with a slash are looked up.
  */
 export function createRouteTable(routing: Routing): RouteTable {
   const hosts = new Map<string, Map<string, Route>>();
@@ -42,7 +44,7 @@
   };
 }
 
-/** The host without its port, in lower case. */
+/** Returns the host in lower case and without its port. */
 function hostName(host: string): string {
   return host.replace(/:\d*$/, "").toLowerCase();
 }
--- a/src/version/routing.ts
+++ b/src/version/routing.ts
@@ -1,133 +1,137 @@
-/** What may be repeated of a request when its answer is lost. */
+/** Whether a request may be sent again when its response is lost. */
 export enum Repetition {
-  /** It may run any number of times: idempotent. */
+  /** The request may run any number of times. */
   Idempotent = "idempotent",
-  /** It may run at most once. */
+  /** The request must run at most once. */
   AtMostOnce = "at-most-once",
 }
 
-/** How an answer is delivered. */
+/** How a response is delivered. */
 export enum Delivery {
-  /** One body, delivered when it is whole. */
+  /** As one body, once it is complete. */
   Whole = "whole",
-  /** A stream of events, each delivered as it comes. */
+  /** As a stream of events, each delivered when it is received. */
   Events = "events",
 }
 
-/** What a quota counts. */
+/** The unit that a quota counts. */
 export enum QuotaUnit {
   Requests = "requests",
   Tokens = "tokens",
 }
 
-/** A service that takes a share of a route's requests. */
+/** A service that gets a share of a route's requests. */
 export interface RouteShare {
   readonly service: string;
-  /** Its part of the requests, against the other shares' weights. */
+  /** The service's share, relative to the weights of the route's other services. */
   readonly weight: number;
 }
 
-/** Requests of one host under one path prefix, and what may be done with them. */
+/** The rules for requests to one host and path prefix. */
 export interface Route {
   readonly name: string;
   /** Lower case, without a port. */
   readonly host: string;
-  /** Begins and ends with a slash. */
+  /** Starts and ends with a slash. */
   readonly pathPrefix: string;
   readonly repetition: Repetition;
   readonly delivery: Delivery;
-  /** Whether an event stream may be continued at another worker after its last whole event. */
+  /** Whether an event stream may be resumed at another worker after its last complete event. */
   readonly resumable: boolean;
-  /** Longest time from arrival to the final answer, in milliseconds. */
+  /** Maximum milliseconds from the arrival of the request to its final response. */
   readonly timeout: number;
-  /** Milliseconds from the caller's first attempt to the answer, or to its first event. */
+  /** Latency target in milliseconds, from the caller's first attempt to the response or its first event. */
   readonly target: number;
-  /** Longest pause between events for which an answer is in time, in milliseconds. */
+  /** Target for the longest pause between two events, in milliseconds; undefined if there is none. */
   readonly gapTarget: number | undefined;
-  /** 0 is the most urgent. */
+  /** Priority of the requests; 0 is the highest. */
   readonly rank: number;
-  /** Workers on which one request may run. */
+  /** Maximum number of workers that one request may run on. */
   readonly attempts: number;
   readonly shares: readonly RouteShare[];
-  /** Whether it is served without a key. */
+  /** Whether requests are served without an API key. */
   readonly isPublic: boolean;
 }
 
-/** What the engines of a model service can do, for the decisions that depend on it. */
+/** Capacities and features of a model service's engines. */
 export interface EngineFeatures {
-  /** Requests that one engine runs at once. */
+  /** Maximum number of requests that one engine runs concurrently. */
   readonly slots: number;
-  /** Tokens that the engine's memory holds. */
+  /** Capacity of an engine's KV cache in tokens. */
   readonly cacheTokens: number;
-  /** Bytes of KV cache a token. */
+  /** Size of the KV cache per token, in bytes. */
   readonly bytesPerToken: number;
-  /** Whether a run's KV cache can be moved to another engine. */
+  /** Whether the KV cache of a run can be moved to another engine. */
   readonly moves: boolean;
-  /** Whether a run's KV cache can be kept at another engine as it grows. */
+  /** Whether the KV cache of a run can be continuously copied to another engine. */
   readonly backups: boolean;
 }
 
-/** Bounds and prices of a service's workers that can be ordered. */
+/** Limits and prices for ordering workers of a service. */
 export interface ServiceScaling {
-  /** Fewest and most workers an availability zone, both purchases together. */
+  /** Minimum number of workers per availability zone, reclaimable and on-demand together. */
   readonly least: number;
+  /** Maximum number of workers per availability zone, reclaimable and on-demand together. */
   readonly most: number;
-  /** Milliseconds from the order to the first request served. */
+  /** Milliseconds from ordering a worker until it serves its first request. */
   readonly startUp: number;
-  /** Price of a reclaimable worker, as a part of one on demand. */
+  /** Price of a reclaimable worker as a fraction of the on-demand price. */
   readonly reclaimablePrice: number;
-  /** Price of a second of a worker by availability zone. */
+  /** On-demand price of a worker per second, by availability zone. */
   readonly zonePrices: ReadonlyMap<string, number>;
 }
 
 /** A service that requests are routed to. */
 export interface RoutedService {
   readonly name: string;
-  /** Connections that one worker accepts from all entry instances together. */
+  /** Maximum number of connections that a worker accepts from all entry instances together. */
   readonly maxConnections: number;
-  /** Present where the workers are model engines. */
+  /** Undefined if the workers are not model engines. */
   readonly engine: EngineFeatures | undefined;
-  /** Present where workers may be ordered. */
+  /** Undefined if workers must not be ordered. */
   readonly scaling: ServiceScaling | undefined;
 }
 
-/** How much a client account may ask for over all entry instances. */
+/** A client account's rate limit over all entry instances together. */
 export interface Quota {
   readonly unit: QuotaUnit;
+  /** Rate limit in units per second. */
   readonly perSecond: number;
-  /** What may come at once above the rate. */
+  /** Units that may be used at once above the rate. */
   readonly burst: number;
-  /** What a request without a stated size counts as, where tokens are counted. */
+  /** Tokens charged for a request that doesn't state its size, if the unit is tokens. */
   readonly unstatedTokens: number;
 }
 
-/** A client account with its keys. */
+/** A client account with its API keys. */
 export interface RoutedAccount {
   readonly name: string;
   readonly keys: readonly string[];
-  /** Goes before the route's rank. */
+  /** Priority that overrides the route's; 0 is the highest. */
   readonly rank: number | undefined;
-  /** Absent where the account may ask for any amount. */
+  /** Undefined if the account has no limit. */
   readonly quota: Quota | undefined;
 }
 
-/** Bounds on what a caller may send. */
+/** Limits on callers' requests and connections. */
 export interface CallerLimits {
+  /** Maximum size of a request's header in bytes. */
   readonly headerBytes: number;
+  /** Maximum size of a request's body in bytes. */
   readonly bodyBytes: number;
-  /** Milliseconds for the whole head. */
+  /** Milliseconds within which the complete header must be received. */
   readonly headerTimeout: number;
-  /** Milliseconds for which a connection may stay idle. */
+  /** Milliseconds after which an idle connection is closed. */
   readonly idleTimeout: number;
 }
 
-/** One version of everything that decides where a request goes. */
+/** One version of the complete routing configuration. */
 export interface Routing {
-  /** Grows with each change, not always by one. */
+  /** Increases with each change, possibly by more than one. */
   readonly version: number;
   readonly routes: readonly Route[];
   readonly services: readonly RoutedService[];
-  /** Absent where requests carry no keys. */
+  /** Undefined if requests carry no API keys. */
   readonly accounts: readonly RoutedAccount[] | undefined;
   readonly limits: CallerLimits;
 }
--- a/src/version/settings_text.ts
+++ b/src/version/settings_text.ts
@@ -3,28 +3,28 @@
 import { getNodeValue } from "jsonc-parser";
 import type { z } from "zod";
 
-/** One fault of a settings file. */
+/** An error in a settings file. */
 export interface SettingsFault {
   readonly file: string;
-  /** Counted from 1. */
+  /** Line number, starting at 1. */
   readonly line: number;
-  /** Where in the document, such as `services.entry-model.target`. */
+  /** Path of the value in the document, such as `services.entry-model.target`. */
   readonly path: string;
-  /** What was found and what is expected. */
+  /** The found value and the expected one. */
   readonly message: string;
 }
 
-/** Settings that were read, or every fault that keeps them from being read. */
+/** Valid settings together with the document they were parsed from, or all errors found. */
 export type SettingsResult<T> =
   | { readonly kind: "valid"; readonly settings: T; readonly source: unknown }
   | { readonly kind: "invalid"; readonly faults: readonly SettingsFault[] };
 
 /**
- * Reads settings in JSON with comments and checks them.
+ * Parses and validates settings in JSON with comments (JSONC).
  *
- * @param text The file's content.
- * @param options The schema to check against, and the file's name for the faults.
- * @returns The settings, or all faults in one go.
+ * @param text The content of the file.
+ * @param options The schema, and the file name to report in errors.
+ * @returns The settings, or all errors found.
  */
 export function parseSettings<T>(
   text: string,
@@ -38,7 +38,7 @@
       file,
       line: lineAt(text, error.offset),
       path: "",
-      message: `Found what is not JSON with comments: ${printParseErrorCode(error.error)}.`,
+      message: `Not valid JSON with comments: ${printParseErrorCode(error.error)}.`,
     }));
     return { kind: "invalid", faults };
   }
@@ -74,6 +74,7 @@
   return { file, line: lineAt(text, node.offset), path: path.join("."), message };
 }
 
+/** Returns the node at the path, or its nearest ancestor that exists. */
 function nearestNode(tree: Node, path: readonly (string | number)[]): Node {
   for (let length = path.length; length > 0; length--) {
     const node = findNodeAtLocation(tree, path.slice(0, length));
--- a/src/version/slot_map.ts
+++ b/src/version/slot_map.ts
@@ -1,47 +1,50 @@
-/** Number of slots that request ids hash to, the same in every region for ever. */
+/** The number of slots that request ids are hashed to. It is the same in every region and must never change. */
 export const SLOT_COUNT = 1024;
 
-/** Who owns one slot. An epoch names exactly one assignment: the slot map is written conditionally. */
+/**
+ * The owners of a slot. An epoch identifies exactly one assignment, because the slot map is written conditionally.
+ */
 export interface Assignment {
-  /** Only grows; 0 says that nobody has owned the slot yet. */
+  /** Increases with each assignment; 0 means that the slot has never been assigned. */
   readonly epoch: number;
-  /** Member ids, or empty where there is none. */
+  /** Member id of the primary; empty if there is none. */
   readonly primary: string;
+  /** Member id of the backup; empty if there is none. */
   readonly backup: string;
   /**
-   * Calendar time in milliseconds at which both owners were lost without handing over, or 0. A key that
-   * the new owner doesn't know may have run before that.
+   * When both owners were lost without a handover, in Unix milliseconds; 0 if that never happened. A request that the
+   * new owner doesn't know may have run before that time.
    */
   readonly historyLostAt: number;
 }
 
-/** The slots of one region, as the platform's object API holds them. */
+/** The slot assignments of one region, as stored in the platform's object API. */
 export interface SlotMap {
-  /** The object's version in the store; 0 where it has not been written. */
+  /** The object's version in the store; 0 if it has never been written. */
   readonly version: number;
   readonly slots: readonly Assignment[];
   /**
-   * Id of a member that sees most owners dead and asks whether anybody is there: it takes over only when
-   * nobody has written the map since.
+   * Id of a member that observes most owners as dead. It writes this claim first, and takes over only if no other member
+   * has written the map since: the other members may be alive and only unreachable for it.
    */
   readonly claim?: string;
 }
 
-/** The assignment of a slot that nobody has owned. */
+/** The assignment of a slot that has never had an owner. */
 export const UNASSIGNED: Assignment = { epoch: 0, primary: "", backup: "", historyLostAt: 0 };
 
-/** The map before its first write. */
+/** The slot map before its first write. */
 export const EMPTY_SLOT_MAP: SlotMap = {
   version: 0,
   slots: Array.from({ length: SLOT_COUNT }, () => UNASSIGNED),
 };
 
 /**
- * The assignment of one slot.
+ * Returns the assignment of a slot.
  *
- * @param map The map to look in.
- * @param slot 0 to {@linkcode SLOT_COUNT} - 1.
- * @returns The assignment, {@linkcode UNASSIGNED} where the map has none.
+ * @param map The slot map.
+ * @param slot The slot's number, from 0 to {@linkcode SLOT_COUNT} - 1.
+ * @returns The assignment, or {@linkcode UNASSIGNED} if the map has none.
  */
 export function assignmentOf(map: SlotMap, slot: number): Assignment {
   return map.slots[slot] ?? UNASSIGNED;
--- a/src/version/slot_map_codec.ts
+++ b/src/version/slot_map_codec.ts
@@ -2,27 +2,27 @@
 import { SLOT_COUNT } from "./slot_map.ts";
 import type { Assignment, SlotMap } from "./slot_map.ts";
 
-/** Stands for "no member" in the arrays. */
+/** The index that stands for "no member". */
 const NOBODY = -1;
 
 const index = z.number().int().min(NOBODY);
 
 const stored = z.strictObject({
-  /** Each member id once; the arrays name members by their place here. */
+  /** The distinct member ids; `primary` and `backup` contain indexes into this array. */
   members: z.array(z.string()),
   primary: z.array(index).length(SLOT_COUNT),
   backup: z.array(index).length(SLOT_COUNT),
   epoch: z.array(z.number().int().min(0)).length(SLOT_COUNT),
-  /** Slots whose history was lost, with the calendar time in milliseconds. */
+  /** Pairs of a slot whose history was lost and the time of the loss in Unix milliseconds. */
   lost: z.array(z.tuple([z.number().int(), z.number()])),
   claim: z.string().exactOptional(),
 });
 
 /**
- * The store's value of a slot map: about 14 kB at 380 members, far below the store's megabyte.
+ * Serializes a slot map for the store. With 380 members the value has about 14 kB, far below the store's limit of 1 MB.
  *
- * @param slots One assignment a slot.
- * @param claim Id of the member that asks whether anybody else is there, if one does.
+ * @param slots The assignments of all slots.
+ * @param claim Id of the member that claims the slots of unreachable owners, if there is one.
  */
 export function formatSlotMap(slots: readonly Assignment[], claim?: string): string {
   const members = [...new Set(slots.flatMap(({ primary, backup }) => [primary, backup]))]
@@ -43,10 +43,10 @@
 }
 
 /**
- * Reads a slot map from the store's value.
+ * Parses a slot map from its value in the store.
  *
  * @param version The store's version of the object.
- * @param value The store's value, JSON.
+ * @param value The value in the store, as JSON.
  * @returns The slot map.
  * @throws {Error} If the value is not a slot map.
  */
--- a/src/version/slot_plan.ts
+++ b/src/version/slot_plan.ts
@@ -2,33 +2,34 @@
 import { slotTargets } from "./slot_target.ts";
 import type { SlotHolder, SlotTarget } from "./slot_target.ts";
 
-/** The members of a region, as the planner of slots sees them. */
+/** The members of a region that matter for slot assignments. */
 export interface SlotFleet {
-  /** Members that may be given slots: alive, not leaving, in no zone under notice. */
+  /** Members that may be assigned slots: alive, not leaving, and not in a zone that is about to be reclaimed. */
   readonly able: readonly SlotHolder[];
-  /** Ids of members that still hold their records: those able, and those suspected or leaving. */
+  /** Ids of members that still hold their records: the eligible ones, and suspect or leaving ones. */
   readonly present: ReadonlySet<string>;
 }
 
-/** A new assignment of one slot, to be written if the slot is still at the epoch before. */
+/** A new assignment of a slot. It is written only if the slot is still at the preceding epoch. */
 export interface SlotChange {
   readonly slot: number;
   readonly assignment: Assignment;
 }
 
-/** Slots that a primary wants a new backup for, by the backup that is to have them. */
+/** Slots of a primary that need a new backup, by the member that is to become the backup. */
 export type BackupPlan = ReadonlyMap<string, readonly number[]>;
 
 /**
- * What any member may write: first assignments, promotions of backups, and takeovers of orphans.
+ * Plans the changes that any member may write: first assignments, promotions of backups, and new owners for slots that
+ * have lost both.
  *
- * A promoted slot names no backup yet: a backup that is named before it holds the records would be
- * promoted without them if the primary died next, and a request would be lost without a trace.
+ * A promoted slot gets no backup yet. A backup that is assigned before it holds the records would be promoted without
+ * them if the primary died next, and requests would be lost silently.
  *
- * @param map The slot map as it stands.
+ * @param map The current slot map.
  * @param fleet The members.
- * @param date Calendar time in milliseconds, for slots whose history is lost.
- * @returns The changes, none where nothing is to be done.
+ * @param date The current time in Unix milliseconds, recorded for slots whose history is lost.
+ * @returns The changes; empty if none is needed.
  */
 export function planTakeover(map: SlotMap, fleet: SlotFleet, date: number): readonly SlotChange[] {
   const able = new Set(fleet.able.map(({ id }) => id));
@@ -49,7 +50,10 @@
   return !able.has(primary) && able.has(backup);
 }
 
-/** Nobody is left to be the backup: the map says so, so that the owner doesn't wait for a dead one. */
+/**
+ * Returns whether the only eligible member still has a dead backup. The backup is then removed from the map, so that
+ * the owner doesn't wait for its acknowledgments.
+ */
 function isLoneOwner({ backup }: Assignment, { able, present }: SlotFleet): boolean {
   return able.length === 1 && backup !== "" && !present.has(backup);
 }
@@ -69,16 +73,16 @@
   if (fleet.present.has(primary)) return promotedBackup(before, able);
   if (fleet.present.has(backup)) return promotedBackup(before, fleet.present);
   if (target === undefined || target.primary === "") return undefined;
-  // Nobody holds a record of the slot any more, so a backup can be named at once.
+  // No member holds records of the slot any more, so the backup can be assigned at once.
   return { epoch: epoch + 1, ...target, historyLostAt: epoch === 0 ? 0 : date };
 }
 
 /**
- * The assignment with the backup as primary, at a new epoch and with no backup yet.
+ * Returns an assignment with the backup promoted to primary, at the next epoch and without a backup.
  *
- * @param before The slot's present assignment.
- * @param among Ids that may be promoted.
- * @returns Undefined where the backup is not among them.
+ * @param before The slot's current assignment.
+ * @param among Ids of the members that may be promoted.
+ * @returns The assignment, or undefined if the backup may not be promoted.
  */
 export function promotedBackup(
   before: Assignment,
@@ -91,13 +95,13 @@
 }
 
 /**
- * The backups that a primary should have and hasn't: those missing or leaving first, then those that
- * bring the slots nearer to their targets.
+ * Plans new backups for the slots of a primary: for slots whose backup is missing or leaving, and up to `mostMoves`
+ * more that bring the slots closer to their targets.
  *
- * @param map The slot map as it stands.
- * @param options The primary's member id, the members, and how many slots may move for balance's sake.
- * @returns Slots by the member that is to become their backup; their records are copied before it is
- * written.
+ * @param map The current slot map.
+ * @param options The primary's member id, the members, and the maximum number of slots to move for balance.
+ * @returns Slots by the member that is to become their backup. The slots' records must be copied to that member before
+ * the assignment is written.
  */
 export function planBackups(
   map: SlotMap,
@@ -119,16 +123,16 @@
   return plan;
 }
 
-/** Where another member should be the primary it becomes the backup first, and then the two swap. */
+/** A member that should become the primary becomes the backup first; then primary and backup swap. */
 function wantedBackup(self: string, target: SlotTarget | undefined): string {
   if (target === undefined) return "";
   return target.primary === self ? target.backup : target.primary;
 }
 
 /**
- * Slots whose backup should be the primary: both hold the records, so the two swap.
+ * Plans swaps of primary and backup for slots whose backup should be the primary. Both hold the slot's records.
  *
- * @returns The changes that the present primary may write, at most `mostMoves`.
+ * @returns At most `mostMoves` changes, which the current primary may write.
  */
 export function planSwaps(
   map: SlotMap,
@@ -154,19 +158,19 @@
 }
 
 /**
- * The assignment with another backup, at a new epoch.
+ * Returns an assignment with another backup, at the next epoch.
  *
- * @param before The slot's present assignment.
- * @param backup The new backup, which holds the slot's records.
+ * @param before The slot's current assignment.
+ * @param backup Member id of the new backup, which must hold the slot's records.
  */
 export function withBackup(before: Assignment, backup: string): Assignment {
   return { ...before, epoch: before.epoch + 1, backup };
 }
 
 /**
- * Applies changes that are still right: those of slots that stand one epoch before.
+ * Applies the changes that are still valid, which are those of slots at the preceding epoch.
  *
- * @returns The assignments, or undefined where nothing is left to change.
+ * @returns The assignments, or undefined if no change is valid any more.
  */
 export function applyChanges(
   map: SlotMap,
@@ -175,7 +179,7 @@
   const slots = [...map.slots];
   let applied = 0;
   for (const { slot, assignment } of changes) {
-    // A slot that has moved on meanwhile was planned on what is no longer so: it is left alone.
+    // The slot was reassigned after the plan was made, so the change is outdated.
     if (slots[slot]?.epoch !== assignment.epoch - 1) continue;
     slots[slot] = assignment;
     applied++;
--- a/src/version/slot_plan_test.ts
+++ b/src/version/slot_plan_test.ts
@@ -28,7 +28,7 @@
   return applied(EMPTY_SLOT_MAP, planTakeover(EMPTY_SLOT_MAP, fleetOf(holders), DATE));
 }
 
-/** Every primary writes what it wants until nobody wants anything. */
+/** Lets every primary write its planned changes until there are none left. */
 function settled(start: SlotMap, fleet: SlotFleet): SlotMap {
   let map = start;
   for (let round = 0; round < 40; round++) {
@@ -53,7 +53,7 @@
 }
 
 test.each([2, 8, 63])(
-  "the first assignment over %i members is balanced, over two zones",
+  "the first assignment over %i members is balanced and spans two zones",
   (count) => {
     const holders = members(count, 2);
     const map = assigned(holders);
@@ -69,9 +69,9 @@
   },
 );
 
-test("a zone's loss promotes every backup in one change and loses no slot's history", () => {
-  // A whole zone goes at once without a word. Callers with work there must find one owner per slot that
-  // holds the records: the backup, which stood in another zone.
+test("the loss of a zone promotes every backup in one change and loses no slot's history", () => {
+  // All members of a zone are lost at once. Each of their slots must get exactly one owner that holds its records: the
+  // backup, which is in another zone.
   const holders = members(8);
   const before = assigned(holders);
   const survivors = holders.filter(({ zone }) => zone !== "z0");
@@ -82,14 +82,14 @@
     expect(historyLostAt).toBe(0);
     expect(epoch).toBe(lost ? 2 : 1);
     expect(primary).toBe(lost ? was.backup : was?.primary);
-    // The promoted owner has copied nothing yet, so it names nobody.
+    // The promoted owner has not copied its records yet, so the slot has no backup.
     if (lost) expect(backup).toBe("");
   });
 });
 
-test("a slot whose owners are both lost says since when its history is unknown", () => {
-  // Primary and backup die in the same wave without handing over. A secretary who sends her key again
-  // must not have the entry run a second time, so the new owner has to know that it knows nothing.
+test("a slot that loses both owners records when its history was lost", () => {
+  // Primary and backup die at the same time without a handover. A caller that sends an idempotency key again must not
+  // run its request a second time, so the new owner must know that earlier requests are missing.
   const holders = members(8);
   const before = assigned(holders);
   const { primary, backup } = before.slots[0] ?? { primary: "", backup: "" };
@@ -99,7 +99,7 @@
   expect(rest.map(({ id }) => id)).toContain(after?.primary);
 });
 
-test("a leaving member's slots go to able members, and epochs only grow", () => {
+test("a leaving member's slots go to eligible members, and epochs never decrease", () => {
   const holders = members(8);
   const [gone, ...rest] = holders;
   const before = assigned(holders);
@@ -113,7 +113,7 @@
   });
 });
 
-test("a member that joins is given its part, through being a backup first", () => {
+test("a joining member gets its share of the slots by becoming a backup first", () => {
   const holders = members(9);
   const before = assigned(holders.slice(0, 8));
   const after = settled(before, fleetOf(holders));
@@ -123,13 +123,13 @@
   expect(moved.length).toBeLessThan((2 * SLOT_COUNT) / 9);
 });
 
-test("a change planned on an epoch that has passed is left out", () => {
+test("a change planned for an outdated epoch is not applied", () => {
   const before = assigned(members(4));
   const late = planTakeover(EMPTY_SLOT_MAP, fleetOf(members(2)), DATE);
   expect(applyChanges(before, late)).toBeUndefined();
 });
 
-test("the store's value of a map at 380 members is read back as it was and stays small", () => {
+test("a slot map of 380 members survives serialization and stays small", () => {
   const map = assigned(members(380, 22));
   const value = formatSlotMap(map.slots);
   expect(parseSlotMap(map.version, value)).toEqual(map);
--- a/src/version/slot_target.ts
+++ b/src/version/slot_target.ts
@@ -1,38 +1,37 @@
 import { hashText, mixHashes } from "./rendezvous.ts";
 import { SLOT_COUNT } from "./slot_map.ts";
 
-/** A member that may be given slots. */
+/** A member that may be assigned slots. */
 export interface SlotHolder {
   readonly id: string;
   /** Availability zone. */
   readonly zone: string;
 }
 
-/** Who should have a slot, as far as only the members decide it. */
+/** The ideal owners of a slot. They depend only on the set of members, not on the current assignment. */
 export interface SlotTarget {
-  /** Empty where there is no member. */
+  /** Member id of the primary; empty if there are no members. */
   readonly primary: string;
-  /** In another availability zone than the primary wherever there is one; empty where there is nobody. */
+  /** Member id of the backup, in another availability zone than the primary if possible; empty if there is none. */
   readonly backup: string;
 }
 
 /**
- * How far above the mean a member's part may be. Plain rendezvous hashing gives the unluckiest of 63
- * members about 1.6 times the mean, which would make it the first to be overloaded.
+ * The maximum share of a member, relative to the mean. Plain rendezvous hashing gives one of 63 members about 1.6 times
+ * the mean, so that member would be overloaded first.
  */
 const MOST_ABOVE_MEAN = 1.15;
 
-/** Results kept: the members change seldom, and the targets are asked for every second or two. */
+/** The number of cached results. Members rarely change, and the targets are requested every one to two seconds. */
 const REMEMBERED = 4;
 const remembered = new Map<string, readonly SlotTarget[]>();
 
 /**
- * The target of every slot: rendezvous hashing with a bound on each member's part. A member that goes
- * leaves its slots to their second choice, which is the backup, so a takeover needs no further moves but
- * the few that the bound asks for.
+ * Computes the targets of all slots by rendezvous hashing with a limit on each member's share. When a member is lost,
+ * its slots go to the second choice, which is their backup. Only the few slots that exceed the limit move further.
  *
- * @param holders Members that may be given slots, in any order.
- * @returns One target a slot.
+ * @param holders The members that may be assigned slots, in any order.
+ * @returns One target per slot.
  */
 export function slotTargets(holders: readonly SlotHolder[]): readonly SlotTarget[] {
   const sorted = [...holders].sort((a, b) => (a.id < b.id ? -1 : 1));
@@ -74,7 +73,7 @@
   });
 }
 
-/** The first choice that fits, or the first choice where none does. */
+/** Returns the best candidate that fits, or the best of all if none fits. */
 function best(
   candidates: readonly Candidate[],
   { slot, fits }: { slot: number; fits: (candidate: Candidate) => boolean },
--- a/src/version/testing/minimal_revision.ts
+++ b/src/version/testing/minimal_revision.ts
@@ -1,6 +1,6 @@
 import { formatRevision } from "../revision.ts";
 
-/** The smallest deployment document that the schema takes, with two presets. */
+/** A minimal deployment document that the schema accepts, with two presets. */
 export const MINIMAL_DOCUMENT = {
   deployment: "test",
   region: "test",
@@ -43,7 +43,7 @@
   },
 };
 
-/** The store's value of the smallest revision, the preset `day` in force. */
+/** A serialized revision of the minimal document with the active preset `day`. */
 export const MINIMAL_REVISION = formatRevision({
   source: MINIMAL_DOCUMENT,
   preset: "day",
--- a/src/version/three_way_merge.ts
+++ b/src/version/three_way_merge.ts
@@ -1,30 +1,30 @@
 import { isDeepStrictEqual } from "node:util";
 
-/** One place that two changes touch differently. */
+/** A value that two changes have modified differently. */
 export interface MergeConflict {
-  /** Where in the document, such as `services.desk.lane`. */
+  /** Path of the value in the document, such as `services.desk.lane`. */
   readonly path: string;
-  /** What stood there before both changes; absent where nothing did. */
+  /** The value before both changes; absent if there was none. */
   readonly base?: unknown;
-  /** What the change that came later wants; absent where it removes the value. */
+  /** The value requested by the later change; absent if that change removes it. */
   readonly ours?: unknown;
-  /** What is in force by the change that came first; absent where it removed the value. */
+  /** The active value, set by the earlier change; absent if that change has removed it. */
   readonly theirs?: unknown;
 }
 
-/** A merged value, with the places that could not be merged. */
+/** A merged value with the conflicts found. Where there is a conflict, the value is that of `theirs`. */
 export interface Merge {
   readonly value: unknown;
   readonly conflicts: readonly MergeConflict[];
 }
 
 /**
- * Merges two changes of one JSON document. Objects are merged by key; arrays and scalars are taken whole,
- * since the parts of an array have no names to tell them by.
+ * Merges two changes of a JSON document. Objects are merged key by key. Arrays and scalars are treated as single values,
+ * because array elements have no keys that identify them.
  *
- * @param base The document that both changes began from.
- * @param sides What each change made of it.
- * @returns The merged document; where both touch the same place differently, a conflict.
+ * @param base The document that both changes are based on.
+ * @param sides The two changed documents.
+ * @returns The merged document, and a conflict for each value that both have modified differently.
  *
  * @example
  * ```ts
--- a/src/version/unit.ts
+++ b/src/version/unit.ts
@@ -31,11 +31,11 @@
   });
 }
 
-/** A span of time in settings, such as `"1.6 s"`; parsed to milliseconds. */
+/** Schema of a duration in settings, such as `"1.6 s"`; parsed to milliseconds. */
 export const duration = quantity(MILLISECONDS_PER, "1.6 s");
 
-/** A size in settings, such as `"16 MB"`; parsed to bytes. */
+/** Schema of a size in settings, such as `"16 MB"`; parsed to bytes. */
 export const byteSize = quantity(BYTES_PER, "16 MB");
 
-/** A price in settings, such as `"0.84 EUR/h"`; parsed to euros an hour. */
+/** Schema of a price in settings, such as `"0.84 EUR/h"`; parsed to euros per hour. */
 export const price = quantity({ "EUR/h": 1 }, "0.84 EUR/h");
--- a/src/version/usage_report.ts
+++ b/src/version/usage_report.ts
@@ -1,10 +1,10 @@
 /**
- * How a window's usage is reported once, whoever reports it.
+ * Reports the usage of each window with one set of counts, whichever instance reports it.
  *
- * Two reports of one window with different counts would be two bills. Counts grow while messages of other instances
- * come in, an answer of the platform may be lost, and a successor has counts of its own. So a window's counts are
- * first fixed in the store by a conditional write and then sent, and whoever sends them again sends what was fixed.
- * That holds also where two instances take themselves for the one that reports.
+ * Two reports of a window with different counts would bill it twice. Counts grow while messages from other instances
+ * arrive, the platform's response to a report may be lost, and a successor has counts of its own. A window's counts are
+ * therefore first fixed in the store by a conditional write and then sent. Every later report of that window sends the
+ * fixed counts. This holds even if two instances report at the same time.
  *
  * @module
  */
@@ -14,47 +14,50 @@
   reports: z.array(z.object({ window: z.number(), counts: z.record(z.string(), z.number()) })),
 });
 
-/** The counts that were fixed for reporting, by window, the latest last. */
+/** The counts that were fixed for reporting, one entry per window, the latest last. */
 export type UsageRecord = z.infer<typeof recordSchema>;
 
-/** The store's record as this instance read or wrote it last. */
+/** The stored record as this instance last read or wrote it. */
 export interface KnownUsage {
-  /** The store's version of the record; 0 where there is none. */
+  /** The store's version of the record; 0 if there is no record. */
   readonly version: number;
   readonly record: UsageRecord;
 }
 
-/** What is to be done next for a window's report. */
+/** The next step for reporting a window. */
 export type UsageStep =
+  /** Read the record from the store. */
   | { readonly kind: "read" }
+  /** Write the record, if the store still has the version `expect`. */
   | { readonly kind: "fix"; readonly expect: number; readonly record: UsageRecord }
+  /** Send the fixed counts to the platform. */
   | { readonly kind: "send"; readonly counts: Readonly<Record<string, number>> };
 
-/** What can be switched off in the specification to show that it is needed. */
+/** Rules that the model checker can switch off one at a time to show that each one is needed. */
 export interface UsageRules {
   /** Counts are fixed in the store before they are sent. */
   readonly fixFirst: boolean;
-  /** The record is written only over the version that was read. */
+  /** The record is written only if the store still has the version that was read. */
   readonly expectVersion: boolean;
-  /** A write that wasn't answered, or was refused, is followed by a look at what stands. */
+  /** After a write that was refused or got no response, the record is read again. */
   readonly readAfterDoubt: boolean;
 }
 
-/** All rules in force. */
+/** All rules enabled, as in production. */
 export const ALL_USAGE_RULES: UsageRules = {
   fixFirst: true,
   expectVersion: true,
   readAfterDoubt: true,
 };
 
-/** Windows whose fixed counts are kept in the store: what can still be asked for, several times over. */
+/** The number of windows whose counts stay in the store. It is several times the number that may still be reported. */
 export const KEPT_WINDOWS = 12;
 
 /**
- * The next step of a window's report.
+ * Returns the next step for reporting a window.
  *
- * @param known What is known of the store's record; undefined where that has to be read.
- * @param own The window with its counts as this instance has them now.
+ * @param known The stored record; undefined if it must be read first.
+ * @param own The window and its counts as this instance has them now.
  */
 export function nextUsageStep(
   known: KnownUsage | undefined,
@@ -72,9 +75,11 @@
 }
 
 /**
- * What is known of the record after a write.
+ * Returns what this instance knows about the stored record after it has tried to write it.
  *
- * @param version The record's version where the store has answered that it wrote; undefined after any other outcome.
+ * @param record The record that was to be written.
+ * @param version The new version if the store has confirmed the write; undefined after any other outcome.
+ * @returns The record, or undefined if it must be read again.
  */
 export function knownAfterFix(
   record: UsageRecord,
@@ -85,13 +90,13 @@
   return rules.readAfterDoubt ? undefined : { version: 0, record };
 }
 
-/** The record in the store's text; undefined where the text holds none. */
+/** Parses a usage record from its text in the store; returns undefined if the text is not a valid record. */
 export function parseUsageRecord(text: string): UsageRecord | undefined {
   try {
     const parsed = recordSchema.safeParse(JSON.parse(text));
     return parsed.success ? parsed.data : undefined;
   } catch {
-    // No JSON: the caller logs it.
+    // The text is not JSON. The caller logs this.
     return undefined;
   }
 }
