--- a/src/version/change.ts
+++ b/src/version/change.ts
@@ -56,27 +56,27 @@
   };
   // An earlier write of this change has taken effect, although its response was lost.
   if (current.changes.includes(change.id)) return { kind: "ended", outcome: accepted };
-  const wanted = change.kind === "deployment" ? change.source : current.source;
-  const merge = mergeThreeWay(base.source, { ours: wanted, theirs: current.source });
+  const requestedSource = change.kind === "deployment" ? change.source : current.source;
+  const merge = mergeThreeWay(base.source, { ours: requestedSource, theirs: current.source });
   const preset = mergeThreeWay(base.preset, {
     ours: change.kind === "preset" ? change.preset : base.preset,
     theirs: current.preset,
   });
-  const onPreset = preset.conflicts.map((found) => ({ ...found, path: PRESET_PATH }));
-  const conflicts = [...merge.conflicts, ...onPreset];
+  const presetConflicts = preset.conflicts.map((found) => ({ ...found, path: PRESET_PATH }));
+  const conflicts = [...merge.conflicts, ...presetConflicts];
   if (conflicts.length > 0) {
     const revision = current.version;
     const outcome: ChangeOutcome = { kind: "conflict", change: change.id, revision, conflicts };
     return { kind: "ended", outcome };
   }
-  return checked(change, { source: merge.value, preset: String(preset.value), current });
+  return validate(change, { source: merge.value, preset: String(preset.value), current });
 }
 
-function checked(
+function validate(
   change: Change,
   { source, preset, current }: { source: unknown; preset: string; current: Revision },
 ): PlannedChange {
-  const reasons = faultsOf(source, preset);
+  const reasons = validationErrors(source, preset);
   if (reasons.length > 0) {
     return { kind: "ended", outcome: { kind: "refused", change: change.id, reasons } };
   }
@@ -84,7 +84,7 @@
   return { kind: "write", value: formatRevision({ source, preset, changes }) };
 }
 
-function faultsOf(source: unknown, preset: string): readonly string[] {
+function validationErrors(source: unknown, preset: string): readonly string[] {
   const parsed = deploymentSchema.safeParse(source);
   if (!parsed.success) return parsed.error.issues.map(describe);
   if (preset in parsed.data.presets) return [];
--- a/src/version/change_test.ts
+++ b/src/version/change_test.ts
@@ -12,7 +12,7 @@
   return { ...MINIMAL_DOCUMENT, services: { ...services, desk: { ...services.desk, lane } } };
 }
 
-function written(planned: PlannedChange, version: number): Revision {
+function writtenRevision(planned: PlannedChange, version: number): Revision {
   if (planned.kind === "ended") throw new Error(`Nothing was written: ${planned.outcome.kind}.`);
   return parseRevision(version, planned.value);
 }
@@ -21,9 +21,9 @@
   // One operator activates the preset "peak" while another edits a service. The store applies one of them first. If the
   // other overwrote it, either the preset switch or the edit would be lost.
   const edit = { kind: "deployment", id: "c1", source: withLane("script") } as const;
-  const current = written(planChange(edit, { base: BASE, current: BASE }), 2);
+  const current = writtenRevision(planChange(edit, { base: BASE, current: BASE }), 2);
   const use = { kind: "preset", id: "c2", preset: "peak" } as const;
-  const both = written(planChange(use, { base: BASE, current }), 3);
+  const both = writtenRevision(planChange(use, { base: BASE, current }), 3);
   expect(both.preset).toBe("peak");
   expect(both.deployment.services["desk"]?.lane).toBe("script");
   expect(both.changes).toEqual(["c2", "c1"]);
@@ -32,12 +32,12 @@
 test("two different edits of the same value end in a conflict that lists both values", () => {
   // Two operators change the same setting to different values. Neither change may be lost silently.
   const first = { kind: "preset", id: "c1", preset: "peak" } as const;
-  const current = { ...written(planChange(first, { base: BASE, current: BASE }), 2) };
+  const current = { ...writtenRevision(planChange(first, { base: BASE, current: BASE }), 2) };
   const document = {
     ...MINIMAL_DOCUMENT,
     presets: { ...MINIMAL_DOCUMENT.presets, night: MINIMAL_DOCUMENT.presets.day },
   };
-  const withNight = written(
+  const withNight = writtenRevision(
     planChange({ kind: "deployment", id: "c2", source: document }, { base: BASE, current }),
     3,
   );
@@ -56,7 +56,7 @@
 test("a change whose id is in the revision is accepted and not written again", () => {
   // The write took effect but its response was lost. A second write would undo later changes.
   const change = { kind: "preset", id: "c1", preset: "peak" } as const;
-  const current = written(planChange(change, { base: BASE, current: BASE }), 2);
+  const current = writtenRevision(planChange(change, { base: BASE, current: BASE }), 2);
   expect(planChange(change, { base: BASE, current })).toEqual({
     kind: "ended",
     outcome: { kind: "accepted", change: "c1", revision: 2 },
--- a/src/version/deployment_names.ts
+++ b/src/version/deployment_names.ts
@@ -14,7 +14,7 @@
  * The parts of a deployment document that define or use names. Missing or malformed parts are skipped: the document's
  * schema reports them, and they must not hide other errors.
  */
-const outline = z.object({
+const nameOutline = z.object({
   zones: z.array(z.string()).optional().catch(undefined),
   services: table,
   machineClasses: table,
@@ -39,11 +39,11 @@
  * @returns All errors found.
  */
 export function crossFaults(source: unknown): CrossFault[] {
-  const parsed = outline.safeParse(source);
+  const parsed = nameOutline.safeParse(source);
   if (!parsed.success) return [];
   const { zones, services, machineClasses, accounts, offers, presets } = parsed.data;
   const faults: CrossFault[] = [];
-  const mustKnow = (
+  const requireDefined = (
     found: string | undefined,
     { known, kind, path }: { known: object | undefined; kind: string; path: CrossFault["path"] },
   ): void => {
@@ -51,30 +51,38 @@
     const message = `Found the ${kind} "${found}", which the document doesn't define.`;
     faults.push({ path, message });
   };
-  const zoneTable =
+  const zonesByName =
     zones === undefined ? undefined : Object.fromEntries(zones.map((zone) => [zone, 1]));
   for (const [name, account] of Object.entries(accounts)) {
     account.services.forEach((found, index) => {
       const path = ["accounts", name, "services", index];
-      mustKnow(found, { known: services, kind: "service", path });
+      requireDefined(found, { known: services, kind: "service", path });
     });
   }
   offers.forEach((offer, index) => {
     const path = ["offers", index];
-    mustKnow(offer.zone, { known: zoneTable, kind: "availability zone", path: [...path, "zone"] });
+    requireDefined(offer.zone, {
+      known: zonesByName,
+      kind: "availability zone",
+      path: [...path, "zone"],
+    });
     const classPath = [...path, "machineClass"];
-    mustKnow(offer.machineClass, { known: machineClasses, kind: "machine class", path: classPath });
+    requireDefined(offer.machineClass, {
+      known: machineClasses,
+      kind: "machine class",
+      path: classPath,
+    });
   });
   for (const [name, preset] of Object.entries(presets)) {
     for (const [service, found] of Object.entries(preset.services)) {
       const path = ["presets", name, "services", service];
-      mustKnow(service, { known: services, kind: "service", path });
+      requireDefined(service, { known: services, kind: "service", path });
       if (found !== undefined && found.least > found.most) {
         faults.push({ path, message: `Found least ${found.least} above most ${found.most}.` });
       }
     }
     preset.paused.forEach((found, index) => {
-      mustKnow(found, {
+      requireDefined(found, {
         known: services,
         kind: "service",
         path: ["presets", name, "paused", index],
--- a/src/version/lease_rules.ts
+++ b/src/version/lease_rules.ts
@@ -59,7 +59,7 @@
 };
 
 /** Milliseconds added to the end of a call, because the call may still arrive in that last millisecond. */
-const SAME_MOMENT = 1;
+const ARRIVAL_MARGIN = 1;
 /** Maximum drift in milliseconds between the two clocks that counts as an adjustment of the wall clock. */
 const CLOCK_TOLERANCE = 100;
 
@@ -74,8 +74,8 @@
   { now, dayOffset }: LeaseMoment,
   rules: LeaseRules = ALL_LEASE_RULES,
 ): number {
-  const uncounted = dayOffset - held.dayOffset;
-  const suspended = rules.countSuspension && uncounted > CLOCK_TOLERANCE ? uncounted : 0;
+  const offsetChange = dayOffset - held.dayOffset;
+  const suspended = rules.countSuspension && offsetChange > CLOCK_TOLERANCE ? offsetChange : 0;
   return held.until - now - suspended;
 }
 
@@ -121,5 +121,5 @@
   if (rules.keepTerm && now - (held.takenOverAt ?? -Infinity) < term) return undefined;
   const { ordersUntil } = held;
   if (!rules.endOrders || ordersUntil === undefined || ordersUntil < now) return 0;
-  return ordersUntil - now + SAME_MOMENT;
+  return ordersUntil - now + ARRIVAL_MARGIN;
 }
--- a/src/version/revision.ts
+++ b/src/version/revision.ts
@@ -9,7 +9,7 @@
 export const SLOT_MAP_KEY = "samphireshore/slots";
 
 /** The number of change ids kept in a revision. They show whether a write whose response was lost took effect. */
-const REMEMBERED_CHANGES = 64;
+const MAX_CHANGE_IDS = 64;
 
 /**
  * The complete active configuration. It is a single object in the store, so exactly one preset is active and the store
@@ -49,7 +49,7 @@
 /** Serializes a revision for the store. */
 export function formatRevision(revision: Omit<Revision, "version" | "deployment">): string {
   const { source, preset, changes } = revision;
-  return JSON.stringify({ source, preset, changes: changes.slice(0, REMEMBERED_CHANGES) });
+  return JSON.stringify({ source, preset, changes: changes.slice(0, MAX_CHANGE_IDS) });
 }
 
 /**
@@ -57,6 +57,6 @@
  *
  * @returns The one with the higher version. A revision is never replaced by an older one, whatever its source.
  */
-export function laterRevision(inForce: Revision | undefined, heard: Revision): Revision {
-  return inForce !== undefined && inForce.version >= heard.version ? inForce : heard;
+export function laterRevision(active: Revision | undefined, received: Revision): Revision {
+  return active !== undefined && active.version >= received.version ? active : received;
 }
--- a/src/version/rollout_rules_test.ts
+++ b/src/version/rollout_rules_test.ts
@@ -4,7 +4,7 @@
 import { nextStatus, servedVersions } from "./rollout_rules.ts";
 import type { VersionsKnown } from "./rollout_rules.ts";
 
-const NOBODY: ReadonlySet<string> = new Set();
+const NO_VERSIONS: ReadonlySet<string> = new Set();
 
 function entry(to: string, status?: RolloutStatus): RolloutEntry {
   return { order: { service: "model", to, duration: 12_000 }, storeVersion: 1, status };
@@ -17,10 +17,10 @@
       { workers, oldest: place },
     ]),
   );
-  return { stock, entry: undefined, before: undefined, barred: NOBODY, ...more };
+  return { stock, entry: undefined, before: undefined, barred: NO_VERSIONS, ...more };
 }
 
-const said = (state: RolloutState, to: string): RolloutStatus => ({ state, to });
+const statusOf = (state: RolloutState, to: string): RolloutStatus => ({ state, to });
 
 test("without an order, the version with the most workers is served", () => {
   expect(servedVersions(known({ v1: 5, v9: 1 }))).toEqual({ base: "v1", tried: undefined });
@@ -34,12 +34,15 @@
 });
 
 test("an instance that starts during an order serves the version that the order doesn't name", () => {
-  const open = known({ v2: 6, v1: 5 }, { entry: entry("v2", said(RolloutState.Running, "v2")) });
+  const open = known(
+    { v2: 6, v1: 5 },
+    { entry: entry("v2", statusOf(RolloutState.Running, "v2")) },
+  );
   expect(servedVersions(open)).toEqual({ base: "v1", tried: "v2" });
 });
 
 test("after a completed order, only its version is served", () => {
-  const done = entry("v2", said(RolloutState.Completed, "v2"));
+  const done = entry("v2", statusOf(RolloutState.Completed, "v2"));
   expect(servedVersions(known({ v1: 9, v2: 3 }, { entry: done, before: "v1" }))).toEqual({
     base: "v2",
     tried: undefined,
@@ -47,7 +50,7 @@
 });
 
 test("a version that was rolled back is not served, even if it is ordered again", () => {
-  const back = entry("v2", said(RolloutState.RolledBack, "v2"));
+  const back = entry("v2", statusOf(RolloutState.RolledBack, "v2"));
   expect(servedVersions(known({ v1: 4, v2: 9 }, { entry: back }))?.tried).toBeUndefined();
   expect(servedVersions(known({ v1: 4, v2: 9 }, { entry: back }))?.base).toBe("v1");
   const again = known({ v1: 4, v2: 9 }, { entry: entry("v2"), barred: new Set(["v2"]) });
@@ -56,16 +59,16 @@
 
 // A new order has replaced a completed one. The old status determines the base version, but it must not end the new order.
 test("the status of an earlier order does not apply to the current one", () => {
-  const next = entry("v3", said(RolloutState.Completed, "v2"));
+  const next = entry("v3", statusOf(RolloutState.Completed, "v2"));
   expect(servedVersions(known({ v1: 2, v2: 2, v3: 2 }, { entry: next }))).toEqual({
     base: "v2",
     tried: "v3",
   });
-  expect(nextStatus(next, RolloutState.Running)).toEqual(said(RolloutState.Running, "v3"));
+  expect(nextStatus(next, RolloutState.Running)).toEqual(statusOf(RolloutState.Running, "v3"));
 });
 
 test("an order can return a service to its old version", () => {
-  const back = entry("v1", said(RolloutState.Completed, "v2"));
+  const back = entry("v1", statusOf(RolloutState.Completed, "v2"));
   expect(servedVersions(known({ v1: 4, v2: 4 }, { entry: back, before: "v2" }))).toEqual({
     base: "v2",
     tried: "v1",
@@ -73,9 +76,9 @@
 });
 
 test("a final status is never replaced", () => {
-  const back = entry("v2", said(RolloutState.RolledBack, "v2"));
+  const back = entry("v2", statusOf(RolloutState.RolledBack, "v2"));
   expect(nextStatus(back, RolloutState.Completed)).toBeUndefined();
-  const done = entry("v2", said(RolloutState.Completed, "v2"));
+  const done = entry("v2", statusOf(RolloutState.Completed, "v2"));
   expect(nextStatus(done, RolloutState.RolledBack)).toBeUndefined();
   expect(nextStatus(done, RolloutState.Running)).toBeUndefined();
 });
--- a/src/version/settings_text.ts
+++ b/src/version/settings_text.ts
@@ -49,26 +49,30 @@
   return { kind: "invalid", faults };
 }
 
-interface Place {
+interface SettingsText {
   readonly text: string;
   readonly file: string;
   readonly tree: Node;
 }
 
-function faultsOf(issue: z.core.$ZodIssue, place: Place): SettingsFault[] {
+function faultsOf(issue: z.core.$ZodIssue, settingsText: SettingsText): SettingsFault[] {
   const path = issue.path.map((step) => (typeof step === "symbol" ? step.toString() : step));
   if (issue.code === "unrecognized_keys") {
     return issue.keys.map((key) =>
-      faultAt([...path, key], `Found the unknown key "${key}"; no such setting exists.`, place),
+      faultAt(
+        [...path, key],
+        `Found the unknown key "${key}"; no such setting exists.`,
+        settingsText,
+      ),
     );
   }
-  return [faultAt(path, issue.message, place)];
+  return [faultAt(path, issue.message, settingsText)];
 }
 
 function faultAt(
   path: readonly (string | number)[],
   message: string,
-  { text, file, tree }: Place,
+  { text, file, tree }: SettingsText,
 ): SettingsFault {
   const node = nearestNode(tree, path);
   return { file, line: lineAt(text, node.offset), path: path.join("."), message };
--- a/src/version/slot_map_codec.ts
+++ b/src/version/slot_map_codec.ts
@@ -2,16 +2,16 @@
 import { SLOT_COUNT } from "./slot_map.ts";
 import type { Assignment, SlotMap } from "./slot_map.ts";
 
-/** The index that stands for "no member". */
-const NOBODY = -1;
+/** The memberIndexSchema that stands for "no member". */
+const NO_MEMBER = -1;
 
-const index = z.number().int().min(NOBODY);
+const memberIndexSchema = z.number().int().min(NO_MEMBER);
 
 const stored = z.strictObject({
   /** The distinct member ids; `primary` and `backup` contain indexes into this array. */
   members: z.array(z.string()),
-  primary: z.array(index).length(SLOT_COUNT),
-  backup: z.array(index).length(SLOT_COUNT),
+  primary: z.array(memberIndexSchema).length(SLOT_COUNT),
+  backup: z.array(memberIndexSchema).length(SLOT_COUNT),
   epoch: z.array(z.number().int().min(0)).length(SLOT_COUNT),
   /** Pairs of a slot whose history was lost and the time of the loss in Unix milliseconds. */
   lost: z.array(z.tuple([z.number().int(), z.number()])),
@@ -28,12 +28,12 @@
   const members = [...new Set(slots.flatMap(({ primary, backup }) => [primary, backup]))]
     .filter((id) => id !== "")
     .sort();
-  const places = new Map(members.map((id, place) => [id, place]));
-  const placeOf = (id: string): number => places.get(id) ?? NOBODY;
+  const indexes = new Map(members.map((id, index) => [id, index]));
+  const memberIndex = (id: string): number => indexes.get(id) ?? NO_MEMBER;
   return JSON.stringify({
     members,
-    primary: slots.map(({ primary }) => placeOf(primary)),
-    backup: slots.map(({ backup }) => placeOf(backup)),
+    primary: slots.map(({ primary }) => memberIndex(primary)),
+    backup: slots.map(({ backup }) => memberIndex(backup)),
     epoch: slots.map(({ epoch }) => epoch),
     lost: slots.flatMap(({ historyLostAt }, slot) =>
       historyLostAt === 0 ? [] : [[slot, historyLostAt]],
@@ -53,7 +53,7 @@
 export function parseSlotMap(version: number, value: string): SlotMap {
   const { members, primary, backup, epoch, lost, claim } = stored.parse(JSON.parse(value));
   const lostAt = new Map(lost);
-  const memberAt = (place: number | undefined): string => members[place ?? NOBODY] ?? "";
+  const memberAt = (index: number | undefined): string => members[index ?? NO_MEMBER] ?? "";
   const slots = epoch.map((assigned, slot) => ({
     epoch: assigned,
     primary: memberAt(primary[slot]),
--- a/src/version/slot_plan.ts
+++ b/src/version/slot_plan.ts
@@ -36,7 +36,7 @@
   if (map.slots.every((assignment) => !needsTakeover(assignment, { fleet, able }))) return [];
   const targets = slotTargets(fleet.able);
   return map.slots.flatMap((before, slot) => {
-    const assignment = takeover(before, { fleet, able, target: targets[slot], date });
+    const assignment = takeoverAssignment(before, { fleet, able, target: targets[slot], date });
     return assignment === undefined ? [] : [{ slot, assignment }];
   });
 }
@@ -58,7 +58,7 @@
   return able.length === 1 && backup !== "" && !present.has(backup);
 }
 
-function takeover(
+function takeoverAssignment(
   before: Assignment,
   view: {
     fleet: SlotFleet;
@@ -115,7 +115,7 @@
   let moves = 0;
   map.slots.forEach(({ primary, backup }, slot) => {
     if (primary !== self) return;
-    const wanted = wantedBackup(self, targets[slot]);
+    const wanted = targetBackup(self, targets[slot]);
     if (wanted === "" || wanted === backup) return;
     if (able.has(backup) && ++moves > mostMoves) return;
     plan.set(wanted, [...(plan.get(wanted) ?? []), slot]);
@@ -124,7 +124,7 @@
 }
 
 /** A member that should become the primary becomes the backup first; then primary and backup swap. */
-function wantedBackup(self: string, target: SlotTarget | undefined): string {
+function targetBackup(self: string, target: SlotTarget | undefined): string {
   if (target === undefined) return "";
   return target.primary === self ? target.backup : target.primary;
 }
--- a/src/version/slot_plan_test.ts
+++ b/src/version/slot_plan_test.ts
@@ -6,7 +6,7 @@
 import type { SlotChange, SlotFleet } from "./slot_plan.ts";
 import type { SlotHolder } from "./slot_target.ts";
 
-const DATE = 1_000;
+const NOW = 1_000;
 
 function fleetOf(able: readonly SlotHolder[], leaving: readonly SlotHolder[] = []): SlotFleet {
   return { able, present: new Set([...able, ...leaving].map(({ id }) => id)) };
@@ -19,17 +19,17 @@
   }));
 }
 
-function applied(map: SlotMap, changes: readonly SlotChange[]): SlotMap {
+function applyAll(map: SlotMap, changes: readonly SlotChange[]): SlotMap {
   const slots = applyChanges(map, changes);
   return slots === undefined ? map : { version: map.version + 1, slots };
 }
 
-function assigned(holders: readonly SlotHolder[]): SlotMap {
-  return applied(EMPTY_SLOT_MAP, planTakeover(EMPTY_SLOT_MAP, fleetOf(holders), DATE));
+function assignSlots(all: readonly SlotHolder[]): SlotMap {
+  return applyAll(EMPTY_SLOT_MAP, planTakeover(EMPTY_SLOT_MAP, fleetOf(all), NOW));
 }
 
 /** Lets every primary write its planned changes until there are none left. */
-function settled(start: SlotMap, fleet: SlotFleet): SlotMap {
+function settle(start: SlotMap, fleet: SlotFleet): SlotMap {
   let map = start;
   for (let round = 0; round < 40; round++) {
     const before = map;
@@ -42,11 +42,11 @@
             ? []
             : [{ slot, assignment: withBackup(assignment, backup) }];
         });
-        map = applied(map, changes);
+        map = applyAll(map, changes);
       }
-      map = applied(map, planSwaps(map, options));
+      map = applyAll(map, planSwaps(map, options));
     }
-    map = applied(map, planTakeover(map, fleet, DATE));
+    map = applyAll(map, planTakeover(map, fleet, NOW));
     if (map === before) return map;
   }
   throw new Error("The slot map did not settle in 40 rounds.");
@@ -55,9 +55,9 @@
 test.each([2, 8, 63])(
   "the first assignment over %i members is balanced and spans two zones",
   (count) => {
-    const holders = members(count, 2);
-    const map = assigned(holders);
-    const zoneOf = new Map(holders.map(({ id, zone }) => [id, zone]));
+    const all = members(count, 2);
+    const map = assignSlots(all);
+    const zoneOf = new Map(all.map(({ id, zone }) => [id, zone]));
     const parts = new Map<string, number>();
     for (const { epoch, primary, backup, historyLostAt } of map.slots) {
       expect([epoch, historyLostAt]).toEqual([1, 0]);
@@ -72,10 +72,10 @@
 test("the loss of a zone promotes every backup in one change and loses no slot's history", () => {
   // All members of a zone are lost at once. Each of their slots must get exactly one owner that holds its records: the
   // backup, which is in another zone.
-  const holders = members(8);
-  const before = assigned(holders);
-  const survivors = holders.filter(({ zone }) => zone !== "z0");
-  const after = applied(before, planTakeover(before, fleetOf(survivors), DATE));
+  const all = members(8);
+  const before = assignSlots(all);
+  const survivors = all.filter(({ zone }) => zone !== "z0");
+  const after = applyAll(before, planTakeover(before, fleetOf(survivors), NOW));
   after.slots.forEach(({ epoch, primary, backup, historyLostAt }, slot) => {
     const was = before.slots[slot];
     const lost = was?.primary === "e0#1" || was?.primary === "e4#1";
@@ -90,21 +90,21 @@
 test("a slot that loses both owners records when its history was lost", () => {
   // Primary and backup die at the same time without a handover. A caller that sends an idempotency key again must not
   // run its request a second time, so the new owner must know that earlier requests are missing.
-  const holders = members(8);
-  const before = assigned(holders);
+  const all = members(8);
+  const before = assignSlots(all);
   const { primary, backup } = before.slots[0] ?? { primary: "", backup: "" };
-  const rest = holders.filter(({ id }) => id !== primary && id !== backup);
-  const after = applied(before, planTakeover(before, fleetOf(rest), DATE)).slots[0];
-  expect(after?.historyLostAt).toBe(DATE);
+  const rest = all.filter(({ id }) => id !== primary && id !== backup);
+  const after = applyAll(before, planTakeover(before, fleetOf(rest), NOW)).slots[0];
+  expect(after?.historyLostAt).toBe(NOW);
   expect(rest.map(({ id }) => id)).toContain(after?.primary);
 });
 
 test("a leaving member's slots go to eligible members, and epochs never decrease", () => {
-  const holders = members(8);
-  const [gone, ...rest] = holders;
-  const before = assigned(holders);
+  const all = members(8);
+  const [gone, ...rest] = all;
+  const before = assignSlots(all);
   const leaving = gone === undefined ? [] : [gone];
-  const after = settled(before, fleetOf(rest, leaving));
+  const after = settle(before, fleetOf(rest, leaving));
   after.slots.forEach(({ epoch, primary, backup, historyLostAt }, slot) => {
     expect([primary, backup]).not.toContain("e0#1");
     expect(backup).not.toBe("");
@@ -114,9 +114,9 @@
 });
 
 test("a joining member gets its share of the slots by becoming a backup first", () => {
-  const holders = members(9);
-  const before = assigned(holders.slice(0, 8));
-  const after = settled(before, fleetOf(holders));
+  const all = members(9);
+  const before = assignSlots(all.slice(0, 8));
+  const after = settle(before, fleetOf(all));
   const part = after.slots.filter(({ primary }) => primary === "e8#1").length;
   expect(part).toBeGreaterThan(SLOT_COUNT / 9 / 1.5);
   const moved = after.slots.filter((now, slot) => now.primary !== before.slots[slot]?.primary);
@@ -124,13 +124,13 @@
 });
 
 test("a change planned for an outdated epoch is not applied", () => {
-  const before = assigned(members(4));
-  const late = planTakeover(EMPTY_SLOT_MAP, fleetOf(members(2)), DATE);
+  const before = assignSlots(members(4));
+  const late = planTakeover(EMPTY_SLOT_MAP, fleetOf(members(2)), NOW);
   expect(applyChanges(before, late)).toBeUndefined();
 });
 
 test("a slot map of 380 members survives serialization and stays small", () => {
-  const map = assigned(members(380, 22));
+  const map = assignSlots(members(380, 22));
   const value = formatSlotMap(map.slots);
   expect(parseSlotMap(map.version, value)).toEqual(map);
   expect(value.length).toBeLessThan(100_000);
--- a/src/version/slot_target.ts
+++ b/src/version/slot_target.ts
@@ -20,28 +20,29 @@
  * The maximum share of a member, relative to the mean. Plain rendezvous hashing gives one of 63 members about 1.6 times
  * the mean, so that member would be overloaded first.
  */
-const MOST_ABOVE_MEAN = 1.15;
+const MAX_SHARE_OF_MEAN = 1.15;
 
 /** The number of cached results. Members rarely change, and the targets are requested every one to two seconds. */
-const REMEMBERED = 4;
-const remembered = new Map<string, readonly SlotTarget[]>();
+const MAX_CACHED_RESULTS = 4;
+const cachedTargets = new Map<string, readonly SlotTarget[]>();
 
 /**
  * Computes the targets of all slots by rendezvous hashing with a limit on each member's share. When a member is lost,
  * its slots go to the second choice, which is their backup. Only the few slots that exceed the limit move further.
  *
- * @param holders The members that may be assigned slots, in any order.
+ * @param members The members that may be assigned slots, in any order.
  * @returns One target per slot.
  */
-export function slotTargets(holders: readonly SlotHolder[]): readonly SlotTarget[] {
-  const sorted = [...holders].sort((a, b) => (a.id < b.id ? -1 : 1));
+export function slotTargets(members: readonly SlotHolder[]): readonly SlotTarget[] {
+  const sorted = [...members].sort((a, b) => (a.id < b.id ? -1 : 1));
   const key = sorted.map(({ id, zone }) => `${id} ${zone}`).join("\n");
-  const known = remembered.get(key);
+  const known = cachedTargets.get(key);
   if (known !== undefined) return known;
   const targets = computeTargets(sorted);
-  const [oldest] = remembered.keys();
-  if (remembered.size >= REMEMBERED && oldest !== undefined) remembered.delete(oldest);
-  remembered.set(key, targets);
+  const [oldest] = cachedTargets.keys();
+  if (cachedTargets.size >= MAX_CACHED_RESULTS && oldest !== undefined)
+    cachedTargets.delete(oldest);
+  cachedTargets.set(key, targets);
   return targets;
 }
 
@@ -51,9 +52,9 @@
   backups: number;
 }
 
-function computeTargets(holders: readonly SlotHolder[]): readonly SlotTarget[] {
-  const bound = Math.ceil((SLOT_COUNT / Math.max(1, holders.length)) * MOST_ABOVE_MEAN);
-  const all: Candidate[] = holders.map(({ id, zone }) => ({
+function computeTargets(members: readonly SlotHolder[]): readonly SlotTarget[] {
+  const maxSlots = Math.ceil((SLOT_COUNT / Math.max(1, members.length)) * MAX_SHARE_OF_MEAN);
+  const all: Candidate[] = members.map(({ id, zone }) => ({
     id,
     zone,
     hash: hashText(id),
@@ -61,20 +62,20 @@
     backups: 0,
   }));
   return Array.from({ length: SLOT_COUNT }, (_, slot) => {
-    const primary = best(all, { slot, fits: ({ primaries }) => primaries < bound });
+    const primary = bestCandidate(all, { slot, fits: ({ primaries }) => primaries < maxSlots });
     if (primary === undefined) return { primary: "", backup: "" };
     primary.primaries++;
     const others = all.filter((other) => other !== primary);
     const elsewhere = others.filter(({ zone }) => zone !== primary.zone);
     const candidates = elsewhere.length > 0 ? elsewhere : others;
-    const backup = best(candidates, { slot, fits: ({ backups }) => backups < bound });
+    const backup = bestCandidate(candidates, { slot, fits: ({ backups }) => backups < maxSlots });
     if (backup !== undefined) backup.backups++;
     return { primary: primary.id, backup: backup?.id ?? "" };
   });
 }
 
 /** Returns the best candidate that fits, or the best of all if none fits. */
-function best(
+function bestCandidate(
   candidates: readonly Candidate[],
   { slot, fits }: { slot: number; fits: (candidate: Candidate) => boolean },
 ): Candidate | undefined {
