--- a/src/interface/fleet_orders.ts
+++ b/src/interface/fleet_orders.ts
@@ -1,7 +1,7 @@
 import type { Purchase } from "./machine.ts";
 
 /** The holder of the lease under which one instance at a time makes the platform's calls. */
-export interface DutyHolder {
+export interface LeaseHolder {
   /** The name of the holder's instance. */
   readonly holder: string;
   /** Fencing number; increases whenever the holder changes. */
@@ -35,10 +35,10 @@
 /** The platform calls that only the lease holder makes. */
 export interface Platform {
   /** Sets the desired number of workers. */
-  orderWorkers(order: WorkerOrder, by: DutyHolder): Promise<CallOutcome>;
+  orderWorkers(order: WorkerOrder, by: LeaseHolder): Promise<CallOutcome>;
   /** Reports the number of runs that each account started in a window. The same report may be sent again. */
   reportUsage(
     report: { window: number; counts: Readonly<Record<string, number>> },
-    by: DutyHolder,
+    by: LeaseHolder,
   ): Promise<CallOutcome>;
 }
--- a/src/version/deployment.ts
+++ b/src/version/deployment.ts
@@ -1,5 +1,5 @@
 import { z } from "zod";
-import { crossFaults } from "./deployment_names.ts";
+import { findCrossFieldErrors } from "./deployment_names.ts";
 import { duration, price } from "./unit.ts";
 
 const name = z
@@ -113,7 +113,7 @@
  * invalid values and names that the document doesn't define.
  */
 export const deploymentSchema: z.ZodType<Deployment> = z.unknown().transform((source, context) => {
-  for (const { path, message } of crossFaults(source)) {
+  for (const { path, message } of findCrossFieldErrors(source)) {
     context.addIssue({ code: "custom", path: [...path], message });
   }
   const shaped = document.safeParse(source);
--- a/src/version/deployment_names.ts
+++ b/src/version/deployment_names.ts
@@ -1,7 +1,7 @@
 import { z } from "zod";
 
 /** An error that involves several values of the document, such as a reference to an undefined name. */
-export interface CrossFault {
+export interface CrossFieldError {
   readonly path: readonly (string | number)[];
   readonly message: string;
 }
@@ -38,14 +38,18 @@
  * @param source A deployment document as parsed from its file, of any shape.
  * @returns All errors found.
  */
-export function crossFaults(source: unknown): CrossFault[] {
+export function findCrossFieldErrors(source: unknown): CrossFieldError[] {
   const parsed = nameOutline.safeParse(source);
   if (!parsed.success) return [];
   const { zones, services, machineClasses, accounts, offers, presets } = parsed.data;
-  const faults: CrossFault[] = [];
+  const faults: CrossFieldError[] = [];
   const requireDefined = (
     found: string | undefined,
-    { known, kind, path }: { known: object | undefined; kind: string; path: CrossFault["path"] },
+    {
+      known,
+      kind,
+      path,
+    }: { known: object | undefined; kind: string; path: CrossFieldError["path"] },
   ): void => {
     if (found === undefined || known === undefined || found in known) return;
     const message = `Found the ${kind} "${found}", which the document doesn't define.`;
--- a/src/version/rollout_rules.ts
+++ b/src/version/rollout_rules.ts
@@ -71,7 +71,7 @@
 }
 
 /** The input for {@linkcode servedVersions}. */
-export interface VersionsKnown {
+export interface ServedVersionsInput {
   /** The available workers, by version. */
   readonly stock: ReadonlyMap<string, VersionStock>;
   /** The service's rollout order, if there is one. */
@@ -91,7 +91,7 @@
  *
  * @returns The versions, or undefined if there are no workers to determine them from.
  */
-export function servedVersions(known: VersionsKnown): ServedVersions | undefined {
+export function servedVersions(known: ServedVersionsInput): ServedVersions | undefined {
   const { entry, barred } = known;
   const state = entry === undefined ? undefined : stateOfOrder(entry);
   if (entry !== undefined && state === RolloutState.Completed) {
@@ -108,7 +108,7 @@
   return { base, tried: isTried ? named : undefined };
 }
 
-function baseVersion({ stock, entry, before, barred }: VersionsKnown): string | undefined {
+function baseVersion({ stock, entry, before, barred }: ServedVersionsInput): string | undefined {
   const status = entry?.status;
   if (entry !== undefined && status?.state === RolloutState.Completed) return status.to;
   const isThere = before !== undefined && (stock.has(before) || entry !== undefined);
--- a/src/version/rollout_rules_test.ts
+++ b/src/version/rollout_rules_test.ts
@@ -2,7 +2,7 @@
 import { RolloutState } from "../interface/index.ts";
 import type { RolloutEntry, RolloutStatus } from "../interface/index.ts";
 import { nextStatus, servedVersions } from "./rollout_rules.ts";
-import type { VersionsKnown } from "./rollout_rules.ts";
+import type { ServedVersionsInput } from "./rollout_rules.ts";
 
 const NO_VERSIONS: ReadonlySet<string> = new Set();
 
@@ -10,7 +10,10 @@
   return { order: { service: "model", to, duration: 12_000 }, storeVersion: 1, status };
 }
 
-function known(counts: Record<string, number>, more: Partial<VersionsKnown> = {}): VersionsKnown {
+function known(
+  counts: Record<string, number>,
+  more: Partial<ServedVersionsInput> = {},
+): ServedVersionsInput {
   const stock = new Map(
     Object.entries(counts).map(([version, workers], place) => [
       version,
--- a/src/version/slot_map_codec.ts
+++ b/src/version/slot_map_codec.ts
@@ -2,7 +2,7 @@
 import { SLOT_COUNT } from "./slot_map.ts";
 import type { Assignment, SlotMap } from "./slot_map.ts";
 
-/** The memberIndexSchema that stands for "no member". */
+/** The index that stands for "no member". */
 const NO_MEMBER = -1;
 
 const memberIndexSchema = z.number().int().min(NO_MEMBER);
--- a/src/version/slot_plan.ts
+++ b/src/version/slot_plan.ts
@@ -1,11 +1,11 @@
 import type { Assignment, SlotMap } from "./slot_map.ts";
 import { slotTargets } from "./slot_target.ts";
-import type { SlotHolder, SlotTarget } from "./slot_target.ts";
+import type { SlotMember, SlotTarget } from "./slot_target.ts";
 
 /** The members of a region that matter for slot assignments. */
 export interface SlotFleet {
   /** Members that may be assigned slots: alive, not leaving, and not in a zone that is about to be reclaimed. */
-  readonly able: readonly SlotHolder[];
+  readonly able: readonly SlotMember[];
   /** Ids of members that still hold their records: the eligible ones, and suspect or leaving ones. */
   readonly present: ReadonlySet<string>;
 }
--- a/src/version/slot_plan_test.ts
+++ b/src/version/slot_plan_test.ts
@@ -4,15 +4,15 @@
 import { formatSlotMap, parseSlotMap } from "./slot_map_codec.ts";
 import { applyChanges, planBackups, planSwaps, planTakeover, withBackup } from "./slot_plan.ts";
 import type { SlotChange, SlotFleet } from "./slot_plan.ts";
-import type { SlotHolder } from "./slot_target.ts";
+import type { SlotMember } from "./slot_target.ts";
 
 const NOW = 1_000;
 
-function fleetOf(able: readonly SlotHolder[], leaving: readonly SlotHolder[] = []): SlotFleet {
+function fleetOf(able: readonly SlotMember[], leaving: readonly SlotMember[] = []): SlotFleet {
   return { able, present: new Set([...able, ...leaving].map(({ id }) => id)) };
 }
 
-function members(count: number, zones = 4): SlotHolder[] {
+function members(count: number, zones = 4): SlotMember[] {
   return Array.from({ length: count }, (_, index) => ({
     id: `e${index}#1`,
     zone: `z${index % zones}`,
@@ -24,7 +24,7 @@
   return slots === undefined ? map : { version: map.version + 1, slots };
 }
 
-function assignSlots(all: readonly SlotHolder[]): SlotMap {
+function assignSlots(all: readonly SlotMember[]): SlotMap {
   return applyAll(EMPTY_SLOT_MAP, planTakeover(EMPTY_SLOT_MAP, fleetOf(all), NOW));
 }
 
--- a/src/version/slot_target.ts
+++ b/src/version/slot_target.ts
@@ -2,7 +2,7 @@
 import { SLOT_COUNT } from "./slot_map.ts";
 
 /** A member that may be assigned slots. */
-export interface SlotHolder {
+export interface SlotMember {
   readonly id: string;
   /** Availability zone. */
   readonly zone: string;
@@ -33,7 +33,7 @@
  * @param members The members that may be assigned slots, in any order.
  * @returns One target per slot.
  */
-export function slotTargets(members: readonly SlotHolder[]): readonly SlotTarget[] {
+export function slotTargets(members: readonly SlotMember[]): readonly SlotTarget[] {
   const sorted = [...members].sort((a, b) => (a.id < b.id ? -1 : 1));
   const key = sorted.map(({ id, zone }) => `${id} ${zone}`).join("\n");
   const known = cachedTargets.get(key);
@@ -46,13 +46,13 @@
   return targets;
 }
 
-interface Candidate extends SlotHolder {
+interface Candidate extends SlotMember {
   readonly hash: number;
   primaries: number;
   backups: number;
 }
 
-function computeTargets(members: readonly SlotHolder[]): readonly SlotTarget[] {
+function computeTargets(members: readonly SlotMember[]): readonly SlotTarget[] {
   const maxSlots = Math.ceil((SLOT_COUNT / Math.max(1, members.length)) * MAX_SHARE_OF_MEAN);
   const all: Candidate[] = members.map(({ id, zone }) => ({
     id,
