--- a/src/version/slot_plan.ts
+++ b/src/version/slot_plan.ts
@@ -32,22 +32,28 @@
  * @returns The changes; empty if none is needed.
  */
 export function planTakeover(map: SlotMap, fleet: SlotFleet, date: number): readonly SlotChange[] {
-  const able = new Set(fleet.able.map(({ id }) => id));
-  if (map.slots.every((assignment) => !needsTakeover(assignment, { fleet, able }))) return [];
+  const eligibleIds = new Set(fleet.able.map(({ id }) => id));
+  if (map.slots.every((assignment) => !needsTakeover(assignment, { fleet, eligibleIds })))
+    return [];
   const targets = slotTargets(fleet.able);
   return map.slots.flatMap((before, slot) => {
-    const assignment = takeoverAssignment(before, { fleet, able, target: targets[slot], date });
+    const assignment = takeoverAssignment(before, {
+      fleet,
+      eligibleIds,
+      target: targets[slot],
+      date,
+    });
     return assignment === undefined ? [] : [{ slot, assignment }];
   });
 }
 
 function needsTakeover(
   assignment: Assignment,
-  { fleet, able }: { fleet: SlotFleet; able: ReadonlySet<string> },
+  { fleet, eligibleIds }: { fleet: SlotFleet; eligibleIds: ReadonlySet<string> },
 ): boolean {
   const { primary, backup } = assignment;
   if (!fleet.present.has(primary) || isLoneOwner(assignment, fleet)) return true;
-  return !able.has(primary) && able.has(backup);
+  return !eligibleIds.has(primary) && eligibleIds.has(backup);
 }
 
 /**
@@ -62,15 +68,16 @@
   before: Assignment,
   view: {
     fleet: SlotFleet;
-    able: ReadonlySet<string>;
+    eligibleIds: ReadonlySet<string>;
     target: SlotTarget | undefined;
     date: number;
   },
 ): Assignment | undefined {
-  const { fleet, able, target, date } = view;
+  const { fleet, eligibleIds, target, date } = view;
   const { primary, backup, epoch } = before;
-  if (able.has(primary)) return isLoneOwner(before, fleet) ? withBackup(before, "") : undefined;
-  if (fleet.present.has(primary)) return promotedBackup(before, able);
+  if (eligibleIds.has(primary))
+    return isLoneOwner(before, fleet) ? withBackup(before, "") : undefined;
+  if (fleet.present.has(primary)) return promotedBackup(before, eligibleIds);
   if (fleet.present.has(backup)) return promotedBackup(before, fleet.present);
   if (target === undefined || target.primary === "") return undefined;
   // No member holds records of the slot any more, so the backup can be assigned at once.
@@ -110,14 +117,14 @@
   const { self, fleet, mostMoves } = options;
   if (!map.slots.some(({ primary }) => primary === self)) return new Map();
   const targets = slotTargets(fleet.able);
-  const able = new Set(fleet.able.map(({ id }) => id));
+  const eligibleIds = new Set(fleet.able.map(({ id }) => id));
   const plan = new Map<string, number[]>();
   let moves = 0;
   map.slots.forEach(({ primary, backup }, slot) => {
     if (primary !== self) return;
     const wanted = targetBackup(self, targets[slot]);
     if (wanted === "" || wanted === backup) return;
-    if (able.has(backup) && ++moves > mostMoves) return;
+    if (eligibleIds.has(backup) && ++moves > mostMoves) return;
     plan.set(wanted, [...(plan.get(wanted) ?? []), slot]);
   });
   return plan;
--- a/src/version/slot_plan_test.ts
+++ b/src/version/slot_plan_test.ts
@@ -8,8 +8,8 @@
 
 const NOW = 1_000;
 
-function fleetOf(able: readonly SlotMember[], leaving: readonly SlotMember[] = []): SlotFleet {
-  return { able, present: new Set([...able, ...leaving].map(({ id }) => id)) };
+function fleetOf(eligible: readonly SlotMember[], leaving: readonly SlotMember[] = []): SlotFleet {
+  return { able: eligible, present: new Set([...eligible, ...leaving].map(({ id }) => id)) };
 }
 
 function members(count: number, zones = 4): SlotMember[] {
