--- a/src/interface/cloud.ts
+++ b/src/interface/cloud.ts
@@ -26,7 +26,9 @@
 
 /** The cloud API. */
 export interface Cloud {
+  /** Requests a new machine. */
   launch(launch: Launch): Promise<LaunchOutcome>;
+  /** Terminates a machine. */
   terminate(instance: string): Promise<void>;
   /** Returns the active reclaim notices for entry instances and workers. */
   notices(): Promise<readonly Notice[]>;
@@ -34,5 +36,6 @@
 
 /** The platform's list of live and leaving workers. It is updated with a delay. */
 export interface InstanceList {
+  /** Fetches the current list. */
   workers(): Promise<readonly Worker[]>;
 }
--- a/src/interface/engine.ts
+++ b/src/interface/engine.ts
@@ -72,7 +72,9 @@
 export interface Order {
   /** Fencing number: the version of the sender's lease. */
   readonly fence: number;
+  /** The models that the server must have loaded. */
   readonly models: readonly string[];
+  /** The role of the server, such as `serve`. */
   readonly role: string;
 }
 
--- a/src/interface/object_store.ts
+++ b/src/interface/object_store.ts
@@ -46,5 +46,6 @@
   put(key: string, value: string, options: PutOptions): Promise<PutOutcome>;
   /** Resolves with the first version of the object newer than `after`, or undefined when the store ends the wait. */
   watch(key: string, after: number, signal: AbortSignal): Promise<StoredObject | undefined>;
+  /** Closes all connections to the store. */
   close(): void;
 }
--- a/src/interface/peer.ts
+++ b/src/interface/peer.ts
@@ -157,6 +157,7 @@
   relay(to: Member, message: RelayMessage, signal: AbortSignal): AsyncIterable<RelayEvent>;
   /** Queries a request at the owner of its slot. */
   ask(to: Member, message: AskMessage): Promise<AskReply>;
+  /** Closes all connections to the other instances. */
   close(): void;
 }
 
--- a/src/version/rollout_rules.ts
+++ b/src/version/rollout_rules.ts
@@ -99,20 +99,20 @@
   }
   const base = baseVersion(known);
   if (base === undefined) return undefined;
-  const named = entry?.order.to;
+  const ordered = entry?.order.to;
   const isTried =
-    named !== undefined &&
-    named !== base &&
+    ordered !== undefined &&
+    ordered !== base &&
     state !== RolloutState.RolledBack &&
-    !barred.has(named);
-  return { base, tried: isTried ? named : undefined };
+    !barred.has(ordered);
+  return { base, tried: isTried ? ordered : undefined };
 }
 
 function baseVersion({ stock, entry, before, barred }: ServedVersionsInput): string | undefined {
   const status = entry?.status;
   if (entry !== undefined && status?.state === RolloutState.Completed) return status.to;
-  const isThere = before !== undefined && (stock.has(before) || entry !== undefined);
-  if (isThere) return before;
+  const canKeepBase = before !== undefined && (stock.has(before) || entry !== undefined);
+  if (canKeepBase) return before;
   const old = [...stock].filter(([version]) => version !== entry?.order.to && !barred.has(version));
   // If the order names the only available version, that version is the base.
   const candidates = old.length > 0 ? old : [...stock].filter(([version]) => !barred.has(version));
--- a/src/version/rollout_rules_test.ts
+++ b/src/version/rollout_rules_test.ts
@@ -12,7 +12,7 @@
 
 function known(
   counts: Record<string, number>,
-  more: Partial<ServedVersionsInput> = {},
+  overrides: Partial<ServedVersionsInput> = {},
 ): ServedVersionsInput {
   const stock = new Map(
     Object.entries(counts).map(([version, workers], place) => [
@@ -20,7 +20,7 @@
       { workers, oldest: place },
     ]),
   );
-  return { stock, entry: undefined, before: undefined, barred: NO_VERSIONS, ...more };
+  return { stock, entry: undefined, before: undefined, barred: NO_VERSIONS, ...overrides };
 }
 
 const statusOf = (state: RolloutState, to: string): RolloutStatus => ({ state, to });
--- a/src/version/settings_text.ts
+++ b/src/version/settings_text.ts
@@ -49,6 +49,7 @@
   return { kind: "invalid", faults };
 }
 
+/** The text of a settings file with its syntax tree, to find the line of an error. */
 interface SettingsText {
   readonly text: string;
   readonly file: string;
--- a/src/version/slot_target.ts
+++ b/src/version/slot_target.ts
@@ -46,6 +46,7 @@
   return targets;
 }
 
+/** A member during the computation, with the numbers of slots it has been assigned so far. */
 interface Candidate extends SlotMember {
   readonly hash: number;
   primaries: number;
@@ -66,8 +67,8 @@
     if (primary === undefined) return { primary: "", backup: "" };
     primary.primaries++;
     const others = all.filter((other) => other !== primary);
-    const elsewhere = others.filter(({ zone }) => zone !== primary.zone);
-    const candidates = elsewhere.length > 0 ? elsewhere : others;
+    const inOtherZones = others.filter(({ zone }) => zone !== primary.zone);
+    const candidates = inOtherZones.length > 0 ? inOtherZones : others;
     const backup = bestCandidate(candidates, { slot, fits: ({ backups }) => backups < maxSlots });
     if (backup !== undefined) backup.backups++;
     return { primary: primary.id, backup: backup?.id ?? "" };
--- a/src/version/three_way_merge.ts
+++ b/src/version/three_way_merge.ts
@@ -39,6 +39,7 @@
   return mergeAt("", { base, ...sides });
 }
 
+/** The base value and the two changed values at one path. */
 interface Sides {
   readonly base: unknown;
   readonly ours: unknown;
