--- a/src/version/rollout_rules.ts
+++ b/src/version/rollout_rules.ts
@@ -114,7 +114,7 @@
   const canKeepBase = before !== undefined && (stock.has(before) || entry !== undefined);
   if (canKeepBase) return before;
   const old = [...stock].filter(([version]) => version !== entry?.order.to && !barred.has(version));
-  // If the order names the only available version, that version is the base.
+  // The order names the only available version, because it was served before or because all other workers are gone.
   const candidates = old.length > 0 ? old : [...stock].filter(([version]) => !barred.has(version));
   candidates.sort(([, a], [, b]) => b.workers - a.workers || a.oldest - b.oldest);
   return candidates[0]?.[0] ?? before;
