--- a/src/interface/peer.ts
+++ b/src/interface/peer.ts
@@ -65,7 +65,7 @@
   readonly epoch: number;
   /** True if the receiver is not the slot's backup and only keeps the records until the slot has a new owner. */
   readonly custody: boolean;
-  /** True if these are all the records that the slot's owner has for it. */
+  /** True if these are all records that the slot has ever had, as its owner knows them. */
   readonly complete?: boolean;
   readonly records: readonly RequestRecord[];
 }
