--- a/src/version/deployment_names.ts
+++ b/src/version/deployment_names.ts
@@ -1,7 +1,7 @@
 import { z } from "zod";
 
-/** A fault that no single value shows. */
-export interface CrossFault {
+/** An error that involves several values of the document, such as a reference to an undefined name. */
+export interface CrossFieldError {
   readonly path: readonly (string | number)[];
   readonly message: string;
 }
@@ -11,10 +11,10 @@
 const bounds = z.object({ least: z.number(), most: z.number() }).optional().catch(undefined);
 
 /**
- * As much of a deployment document as its names need. What is missing or of another shape is passed over
- * here: it is a fault of its own, and must not hide the others.
+ * The parts of a deployment document that define or use names. Missing or malformed parts are skipped: the document's
+ * schema reports them, and they must not hide other errors.
  */
-const outline = z.object({
+const nameOutline = z.object({
   zones: z.array(z.string()).optional().catch(undefined),
   services: table,
   machineClasses: table,
@@ -33,48 +33,60 @@
 });
 
 /**
- * Finds names that nothing in the document defines, and bounds that cross.
+ * Finds references to names that the document doesn't define, and minimums above their maximums.
  *
- * @param source A deployment document as its file has it, of any shape.
- * @returns Every fault found.
+ * @param source A deployment document as parsed from its file, of any shape.
+ * @returns All errors found.
  */
-export function crossFaults(source: unknown): CrossFault[] {
-  const parsed = outline.safeParse(source);
+export function findCrossFieldErrors(source: unknown): CrossFieldError[] {
+  const parsed = nameOutline.safeParse(source);
   if (!parsed.success) return [];
   const { zones, services, machineClasses, accounts, offers, presets } = parsed.data;
-  const faults: CrossFault[] = [];
-  const mustKnow = (
+  const faults: CrossFieldError[] = [];
+  const requireDefined = (
     found: string | undefined,
-    { known, kind, path }: { known: object | undefined; kind: string; path: CrossFault["path"] },
+    {
+      known,
+      kind,
+      path,
+    }: { known: object | undefined; kind: string; path: CrossFieldError["path"] },
   ): void => {
     if (found === undefined || known === undefined || found in known) return;
     const message = `Found the ${kind} "${found}", which the document doesn't define.`;
     faults.push({ path, message });
   };
-  const zoneTable =
+  const zonesByName =
     zones === undefined ? undefined : Object.fromEntries(zones.map((zone) => [zone, 1]));
   for (const [name, account] of Object.entries(accounts)) {
     account.services.forEach((found, index) => {
       const path = ["accounts", name, "services", index];
-      mustKnow(found, { known: services, kind: "service", path });
+      requireDefined(found, { known: services, kind: "service", path });
     });
   }
   offers.forEach((offer, index) => {
     const path = ["offers", index];
-    mustKnow(offer.zone, { known: zoneTable, kind: "availability zone", path: [...path, "zone"] });
+    requireDefined(offer.zone, {
+      known: zonesByName,
+      kind: "availability zone",
+      path: [...path, "zone"],
+    });
     const classPath = [...path, "machineClass"];
-    mustKnow(offer.machineClass, { known: machineClasses, kind: "machine class", path: classPath });
+    requireDefined(offer.machineClass, {
+      known: machineClasses,
+      kind: "machine class",
+      path: classPath,
+    });
   });
   for (const [name, preset] of Object.entries(presets)) {
     for (const [service, found] of Object.entries(preset.services)) {
       const path = ["presets", name, "services", service];
-      mustKnow(service, { known: services, kind: "service", path });
+      requireDefined(service, { known: services, kind: "service", path });
       if (found !== undefined && found.least > found.most) {
         faults.push({ path, message: `Found least ${found.least} above most ${found.most}.` });
       }
     }
     preset.paused.forEach((found, index) => {
-      mustKnow(found, {
+      requireDefined(found, {
         known: services,
         kind: "service",
         path: ["presets", name, "paused", index],
--- a/src/version/slot_target.ts
+++ b/src/version/slot_target.ts
@@ -1,60 +1,61 @@
 import { hashText, mixHashes } from "./rendezvous.ts";
 import { SLOT_COUNT } from "./slot_map.ts";
 
-/** A member that may be given slots. */
-export interface SlotHolder {
+/** A member that may be assigned slots. */
+export interface SlotMember {
   readonly id: string;
   /** Availability zone. */
   readonly zone: string;
 }
 
-/** Who should have a slot, as far as only the members decide it. */
+/** The ideal owners of a slot. They depend only on the set of members, not on the current assignment. */
 export interface SlotTarget {
-  /** Empty where there is no member. */
+  /** Member id of the primary; empty if there are no members. */
   readonly primary: string;
-  /** In another availability zone than the primary wherever there is one; empty where there is nobody. */
+  /** Member id of the backup, in another availability zone than the primary if possible; empty if there is none. */
   readonly backup: string;
 }
 
 /**
- * How far above the mean a member's part may be. Plain rendezvous hashing gives the unluckiest of 63
- * members about 1.6 times the mean, which would make it the first to be overloaded.
+ * The maximum share of a member, relative to the mean. Plain rendezvous hashing gives one of 63 members about 1.6 times
+ * the mean, so that member would be overloaded first.
  */
-const MOST_ABOVE_MEAN = 1.15;
+const MAX_SHARE_OF_MEAN = 1.15;
 
-/** Results kept: the members change seldom, and the targets are asked for every second or two. */
-const REMEMBERED = 4;
-const remembered = new Map<string, readonly SlotTarget[]>();
+/** The number of cached results. Members rarely change, and the targets are requested every one to two seconds. */
+const MAX_CACHED_RESULTS = 4;
+const cachedTargets = new Map<string, readonly SlotTarget[]>();
 
 /**
- * The target of every slot: rendezvous hashing with a bound on each member's part. A member that goes
- * leaves its slots to their second choice, which is the backup, so a takeover needs no further moves but
- * the few that the bound asks for.
+ * Computes the targets of all slots by rendezvous hashing with a limit on each member's share. When a member is lost,
+ * its slots go to the second choice, which is their backup. Only the few slots that exceed the limit move further.
  *
- * @param holders Members that may be given slots, in any order.
- * @returns One target a slot.
+ * @param members The members that may be assigned slots, in any order.
+ * @returns One target per slot.
  */
-export function slotTargets(holders: readonly SlotHolder[]): readonly SlotTarget[] {
-  const sorted = [...holders].sort((a, b) => (a.id < b.id ? -1 : 1));
+export function slotTargets(members: readonly SlotMember[]): readonly SlotTarget[] {
+  const sorted = [...members].sort((a, b) => (a.id < b.id ? -1 : 1));
   const key = sorted.map(({ id, zone }) => `${id} ${zone}`).join("\n");
-  const known = remembered.get(key);
+  const known = cachedTargets.get(key);
   if (known !== undefined) return known;
   const targets = computeTargets(sorted);
-  const [oldest] = remembered.keys();
-  if (remembered.size >= REMEMBERED && oldest !== undefined) remembered.delete(oldest);
-  remembered.set(key, targets);
+  const [oldest] = cachedTargets.keys();
+  if (cachedTargets.size >= MAX_CACHED_RESULTS && oldest !== undefined)
+    cachedTargets.delete(oldest);
+  cachedTargets.set(key, targets);
   return targets;
 }
 
-interface Candidate extends SlotHolder {
+/** A member during the computation, with the numbers of slots it has been assigned so far. */
+interface Candidate extends SlotMember {
   readonly hash: number;
   primaries: number;
   backups: number;
 }
 
-function computeTargets(holders: readonly SlotHolder[]): readonly SlotTarget[] {
-  const bound = Math.ceil((SLOT_COUNT / Math.max(1, holders.length)) * MOST_ABOVE_MEAN);
-  const all: Candidate[] = holders.map(({ id, zone }) => ({
+function computeTargets(members: readonly SlotMember[]): readonly SlotTarget[] {
+  const maxSlots = Math.ceil((SLOT_COUNT / Math.max(1, members.length)) * MAX_SHARE_OF_MEAN);
+  const all: Candidate[] = members.map(({ id, zone }) => ({
     id,
     zone,
     hash: hashText(id),
@@ -62,20 +63,20 @@
     backups: 0,
   }));
   return Array.from({ length: SLOT_COUNT }, (_, slot) => {
-    const primary = best(all, { slot, fits: ({ primaries }) => primaries < bound });
+    const primary = bestCandidate(all, { slot, fits: ({ primaries }) => primaries < maxSlots });
     if (primary === undefined) return { primary: "", backup: "" };
     primary.primaries++;
     const others = all.filter((other) => other !== primary);
-    const elsewhere = others.filter(({ zone }) => zone !== primary.zone);
-    const candidates = elsewhere.length > 0 ? elsewhere : others;
-    const backup = best(candidates, { slot, fits: ({ backups }) => backups < bound });
+    const inOtherZones = others.filter(({ zone }) => zone !== primary.zone);
+    const candidates = inOtherZones.length > 0 ? inOtherZones : others;
+    const backup = bestCandidate(candidates, { slot, fits: ({ backups }) => backups < maxSlots });
     if (backup !== undefined) backup.backups++;
     return { primary: primary.id, backup: backup?.id ?? "" };
   });
 }
 
-/** The first choice that fits, or the first choice where none does. */
-function best(
+/** Returns the best candidate that fits, or the best of all if none fits. */
+function bestCandidate(
   candidates: readonly Candidate[],
   { slot, fits }: { slot: number; fits: (candidate: Candidate) => boolean },
 ): Candidate | undefined {
