--- a/bench/board_cost.ts
+++ b/bench/board_cost.ts
@@ -1,3 +1,12 @@
+/**
+ * Measures the processor time that choosing a backend server takes per request.
+ *
+ * The routing board of one entry instance holds the state of every backend server and the digests of 62 other
+ * instances. A board that scans too much of this state per request limits the instance's request rate. The
+ * benchmark times the choice at several numbers of backend servers and prints one JSON line for each.
+ *
+ * @module
+ */
 import { createWorkerHealth, createWorkerLimits, rankWorkers } from "../src/decision/index.ts";
 import { Purchase } from "../src/interface/index.ts";
 import type { RoutedWorker } from "../src/interface/index.ts";
@@ -7,13 +16,13 @@
 import { hashText } from "../src/version/index.ts";
 import type { RoutedService } from "../src/version/index.ts";
 
-/** Workers of the service that is asked for, beside twice as many of another. */
-const SIZES = [13, 46, 257, 770] as const;
-const INSTANCES = 63;
+/** Numbers of backend servers of the requested service. Another service has twice as many. */
+const WORKER_COUNTS = [13, 46, 257, 770] as const;
+const INSTANCE_COUNT = 63;
 const ROUNDS = 2_000;
-const MICROSECONDS = 1_000;
-/** Every third worker is of the service that is asked for. */
-const OTHERS = 3;
+const MICROSECONDS_PER_MILLISECOND = 1_000;
+/** Every third backend server belongs to the requested service. */
+const SERVICE_STRIDE = 3;
 
 const SERVICE: RoutedService = {
   name: "asked",
@@ -21,7 +30,7 @@
   scaling: undefined,
   engine: {},
 } as RoutedService;
-const PARTS = [
+const PROMPT_PARTS = [
   { id: "a", tokens: 800 },
   { id: "b", tokens: 5_000 },
   { id: "c", tokens: 200 },
@@ -31,7 +40,7 @@
   return {
     id: `i-${index}`,
     born: 1,
-    service: index % OTHERS === 0 ? SERVICE.name : "other",
+    service: index % SERVICE_STRIDE === 0 ? SERVICE.name : "other",
     address: "127.0.0.1:1",
     zone: index % 2 === 0 ? "a" : "b",
     version: "v1",
@@ -43,12 +52,12 @@
   };
 }
 
-/** How old the others' news are in a fleet of that size, in milliseconds. */
-const NEWS_AGE = 400;
+/** Age of the other instances' digests in a fleet of this size, in milliseconds. */
+const DIGEST_AGE = 400;
 
-/** Prints what the choice of a worker costs a request, by the number of workers, beside 62 other instances. */
+/** Prints the microseconds that one choice takes, for each number of backend servers. */
 function main(): void {
-  for (const count of SIZES) {
+  for (const count of WORKER_COUNTS) {
     const board = createRoutedBoard({
       time: () => systemClock.now(),
       limits: createWorkerLimits({ time: () => systemClock.now(), self: 1, instances: () => [1] }),
@@ -56,11 +65,11 @@
       random: systemRandom,
       zone: "a",
       health: createWorkerHealth(),
-      members: () => INSTANCES,
-      newsAge: () => NEWS_AGE,
+      members: () => INSTANCE_COUNT,
+      newsAge: () => DIGEST_AGE,
       onBegin: () => undefined,
     });
-    const workers = Array.from({ length: count * OTHERS }, (_, index) => workerAt(index));
+    const workers = Array.from({ length: count * SERVICE_STRIDE }, (_, index) => workerAt(index));
     board.setWorkers(workers);
     const use = new Map(
       workers.map(({ id }) => [
@@ -68,26 +77,28 @@
         { running: 1, unreadTokens: 64, runs: 3, failures: 0 },
       ]),
     );
-    for (let other = 1; other < INSTANCES; other++)
+    for (let other = 1; other < INSTANCE_COUNT; other++)
       board.heard(`e${other}`, { use, isWhole: true });
-    const choose = (): void => {
-      const { workers: few, homes } = board.compared(SERVICE, PARTS);
-      rankWorkers(few, {
-        request: { parts: PARTS },
+    const chooseWorker = (): void => {
+      const { workers: candidates, homes } = board.compared(SERVICE, PROMPT_PARTS);
+      rankWorkers(candidates, {
+        request: { parts: PROMPT_PARTS },
         speed: board.speed(SERVICE),
         random: systemRandom,
         homes,
       });
     };
-    console.log(JSON.stringify({ workers: count, microseconds: microseconds(choose) }));
+    console.log(
+      JSON.stringify({ workers: count, microseconds: microsecondsPerCall(chooseWorker) }),
+    );
   }
 }
 
-function microseconds(run: () => void): number {
+function microsecondsPerCall(run: () => void): number {
   for (let round = 0; round < ROUNDS; round++) run();
   const startedAt = performance.now();
   for (let round = 0; round < ROUNDS; round++) run();
-  return Math.round(((performance.now() - startedAt) * MICROSECONDS) / ROUNDS);
+  return Math.round(((performance.now() - startedAt) * MICROSECONDS_PER_MILLISECOND) / ROUNDS);
 }
 
 main();
--- a/bench/child.ts
+++ b/bench/child.ts
@@ -3,45 +3,50 @@
 import { once } from "node:events";
 import path from "node:path";
 
-/** What a process of the bench has used. */
+/** Processor time and memory that a child process has used. */
 export interface Usage {
-  /** Milliseconds of processor time, all threads. */
+  /** Processor time of all threads since the process started, in milliseconds. */
   readonly processor: number;
-  /** Bytes resident, and on the heap after a collection. */
+  /** Resident set size after a garbage collection, in bytes. */
   readonly resident: number;
+  /** Used heap after a garbage collection, in bytes. */
   readonly heap: number;
 }
 
-/** A process of the bench, started by it and ended by it. */
+/** A child process that the benchmark starts and stops. */
 export interface Child<Ready> {
+  /** Value that the child sent when it became ready, such as its addresses. */
   readonly ready: Ready;
+  /** Requests the current usage from the child. */
   usage(): Promise<Usage>;
+  /** Disconnects from the child and waits until it has exited. */
   close(): Promise<void>;
 }
 
-/** What a child sends: first what it is ready with, then a usage for each question. */
+/** Message from a child: first its ready value, then one usage report per request. */
 type Message<Ready> = { readonly ready: Ready } | { readonly usage: Usage };
 
 /**
- * Starts a module of this folder as a process of its own, so that its processor time and memory can be told
- * from the bench's.
+ * Starts a module of this folder as a child process, so that its processor time and memory are measured
+ * separately from those of the benchmark.
  *
- * @param module File name without its ending.
- * @param settings What the module reads with {@linkcode childSettings}.
+ * @param module File name without its extension.
+ * @param settings JSON value that the module reads with {@linkcode childSettings}.
+ * @throws If the child exits early or sends something else before its ready value.
  */
 export async function startChild<Ready>(module: string, settings: unknown): Promise<Child<Ready>> {
   const file = path.join(import.meta.dirname, `${module}.ts`);
   const execArgv = [...process.execArgv, "--expose-gc"];
   const child = fork(file, [JSON.stringify(settings)], { execArgv });
   const first = await nextMessage<Ready>(child);
-  if (!("ready" in first)) throw new Error(`${module} said something else before it was ready.`);
+  if (!("ready" in first)) throw new Error(`${module} sent another message before it was ready`);
   return {
     ready: first.ready,
     usage: async () => {
-      const answer = nextMessage<Ready>(child);
+      const reply = nextMessage<Ready>(child);
       child.send("usage");
-      const message = await answer;
-      if (!("usage" in message)) throw new Error(`${module} was asked for its usage.`);
+      const message = await reply;
+      if (!("usage" in message)) throw new Error(`${module} did not reply with its usage`);
       return message.usage;
     },
     close: async () => {
@@ -54,22 +59,23 @@
 
 async function nextMessage<Ready>(child: ChildProcess): Promise<Message<Ready>> {
   const failed = once(child, "exit").then(() => {
-    throw new Error("A process of the bench has ended early.");
+    throw new Error("child process exited early");
   });
   const message = once(child, "message") as Promise<[Message<Ready>]>;
-  const [found] = await Promise.race([message, failed]);
-  return found;
+  const [received] = await Promise.race([message, failed]);
+  return received;
 }
 
-/** In a child: what it was started with. */
+/** In a child: returns the settings that the parent passed to {@linkcode startChild}. */
 export function childSettings(): unknown {
   return JSON.parse(process.argv[2] ?? "{}");
 }
 
 /**
- * In a child: says that it is ready and answers questions until the bench lets go of it.
+ * In a child: sends the ready value and replies to usage requests until the parent disconnects.
  *
- * @param close Called when the bench has let go.
+ * @param ready Value that the parent receives as {@linkcode Child.ready}.
+ * @param close Called when the parent has disconnected; the process exits afterwards.
  */
 export function serveParent(ready: unknown, close: () => Promise<void>): void {
   process.send?.({ ready });
@@ -81,7 +87,7 @@
 
 function usageNow(): Usage {
   const { user, system } = process.cpuUsage();
-  // The second collection takes what the first one's finalizers have let go.
+  // The second collection frees what the finalizers of the first one have released.
   globalThis.gc?.();
   globalThis.gc?.();
   const { rss, heapUsed } = process.memoryUsage();
--- a/bench/decision_cost.ts
+++ b/bench/decision_cost.ts
@@ -6,18 +6,23 @@
 import { createSeededRandom, Purchase, WorkerState } from "../src/interface/index.ts";
 import type { Random, Worker } from "../src/interface/index.ts";
 
-/** What one request's decisions cost with so many workers and so many requests waiting. */
+/** Cost of the scheduling decisions for one request, at a number of backend servers and queued requests. */
 export interface DecisionCost {
+  /** Number of backend servers. */
   readonly workers: number;
+  /** Number of requests in the queue. */
   readonly waiting: number;
-  /** Microseconds: admission, entering and leaving the queue, placement, and all of them. */
+  /** Admission, in microseconds. */
   readonly admit: Quantiles;
+  /** Enqueueing and dequeueing, in microseconds. */
   readonly queue: Quantiles;
+  /** Placement on a backend server, in microseconds. */
   readonly place: Quantiles;
+  /** All of these, in microseconds. */
   readonly total: Quantiles;
 }
 
-/** Quantiles of a cost or latency. */
+/** Median, 99th percentile and mean of a cost or latency, in the unit that the user of the type states. */
 export interface Quantiles {
   readonly p50: number;
   readonly p99: number;
@@ -27,12 +32,12 @@
 const WORKER_COUNTS = [13, 100, 770];
 const QUEUE_LENGTHS = [10, 100, 1_000, 10_000];
 const ROUNDS = 3_000;
-/** Rounds before those that are measured, for the compiler. */
-const WARM_ROUNDS = 1_000;
+/** Unmeasured rounds at the start, in which the just-in-time compiler optimizes the code. */
+const WARM_UP_ROUNDS = 1_000;
 const ACCOUNTS = 5;
 const SERVICE = "desk";
-/** Nanoseconds are recorded, microseconds reported. */
-const NANOSECONDS = 1_000_000;
+/** Nanoseconds in a millisecond: the histograms record nanoseconds; the report states microseconds. */
+const NANOSECONDS_PER_MILLISECOND = 1_000_000;
 
 const POLICY: Policy = {
   services: {
@@ -48,7 +53,7 @@
   offers: [],
 };
 
-/** Measures the decisions of one request at several numbers of workers and queue lengths. */
+/** Measures the decisions for one request at several numbers of backend servers and queue lengths. */
 export function measureDecisions(): DecisionCost[] {
   return WORKER_COUNTS.flatMap((workers) =>
     QUEUE_LENGTHS.map((waiting) => measureOne(workers, waiting)),
@@ -75,37 +80,37 @@
     enqueue(scheduler.adopt(arrivalOf(number++, { now, random }), now));
   }
   const costs = { admit: histogram(), queue: histogram(), place: histogram(), total: histogram() };
-  for (let round = 0; round < WARM_ROUNDS + ROUNDS; round++) {
-    if (round === WARM_ROUNDS) for (const cost of Object.values(costs)) cost.reset();
+  for (let round = 0; round < WARM_UP_ROUNDS + ROUNDS; round++) {
+    if (round === WARM_UP_ROUNDS) for (const cost of Object.values(costs)) cost.reset();
     now += 1;
     const arrival = arrivalOf(number++, { now, random });
-    const begun = performance.now();
+    const startedAt = performance.now();
     const admission = scheduler.admit(arrival, now);
     const admitted = performance.now();
-    // What is turned away is taken in all the same, so that the queue keeps its length.
+    // A rejected request is adopted nevertheless, so that the queue keeps its length.
     const job = admission.kind === "admitted" ? admission.job : scheduler.adopt(arrival, now);
-    const entering = performance.now();
+    const enqueueing = performance.now();
     enqueue(job);
     const run = queue.dequeue();
-    const left = performance.now();
+    const dequeued = performance.now();
     const next = run === undefined ? undefined : jobs.get(run);
-    if (run === undefined || next === undefined) throw new Error("The queue gave nothing out.");
+    if (run === undefined || next === undefined) throw new Error("the queue returned no run");
     jobs.delete(run);
     const placing = performance.now();
     scheduler.place(next, { now, random, avoid: new Set() });
     const placed = performance.now();
-    record(costs.admit, admitted - begun);
-    record(costs.queue, left - entering);
+    record(costs.admit, admitted - startedAt);
+    record(costs.queue, dequeued - enqueueing);
     record(costs.place, placed - placing);
-    record(costs.total, admitted - begun + left - entering + placed - placing);
+    record(costs.total, admitted - startedAt + dequeued - enqueueing + placed - placing);
     finish(scheduler, next, now);
   }
-  const { admit, queue: queued, place, total } = costs;
+  const { admit, queue: queueCost, place, total } = costs;
   return {
     workers,
     waiting,
     admit: quantilesOf(admit),
-    queue: quantilesOf(queued),
+    queue: quantilesOf(queueCost),
     place: quantilesOf(place),
     total: quantilesOf(total),
   };
@@ -154,7 +159,7 @@
 }
 
 function record(costs: Histogram, milliseconds: number): void {
-  costs.recordValue(Math.max(0, Math.round(milliseconds * NANOSECONDS)));
+  costs.recordValue(Math.max(0, Math.round(milliseconds * NANOSECONDS_PER_MILLISECOND)));
 }
 
 function quantilesOf(costs: Histogram): Quantiles {
--- a/bench/deployment.ts
+++ b/bench/deployment.ts
@@ -1,15 +1,17 @@
 import { createHash } from "node:crypto";
 
-/** The key of the bench's client account. */
+/** API key of the benchmark's client account. */
 export const BENCH_KEY = "key-of-the-bench";
 
-/** Services of the bench: one answers at once, one lets its requests stand. */
+/** Services of the benchmark deployment. */
 export enum BenchService {
+  /** Answers at once. */
   Quick = "quick",
-  Standing = "standing",
+  /** Holds its requests open. */
+  Held = "standing",
 }
 
-/** Workers of each service. */
+/** Number of backend servers of each service. */
 export const WORKERS = 8;
 
 function service(): object {
@@ -25,12 +27,12 @@
 
 const CAPACITY = { least: WORKERS, most: WORKERS, reclaimable: 1 };
 
-/** A deployment document whose bounds are far above what the bench asks for. */
+/** Deployment document whose quotas and capacities are far above the load of the benchmarks. */
 export const BENCH_DEPLOYMENT = {
   deployment: "bench",
   region: "local",
   zones: ["local-a", "local-b"],
-  services: { [BenchService.Quick]: service(), [BenchService.Standing]: service() },
+  services: { [BenchService.Quick]: service(), [BenchService.Held]: service() },
   accounts: {
     bench: {
       keySha256: createHash("sha256").update(BENCH_KEY).digest("hex"),
@@ -54,7 +56,7 @@
   presets: {
     day: {
       about: "The bench.",
-      services: { [BenchService.Quick]: CAPACITY, [BenchService.Standing]: CAPACITY },
+      services: { [BenchService.Quick]: CAPACITY, [BenchService.Held]: CAPACITY },
     },
   },
 };
--- a/bench/digest_cost.ts
+++ b/bench/digest_cost.ts
@@ -1,3 +1,12 @@
+/**
+ * Measures the bytes and processor time that digests cost one entry instance, by the size of the deployment.
+ *
+ * Instances exchange digests of their load. The cost grows with the number of instances, backend servers and
+ * client accounts, and limits how large a region can be. The benchmark runs fleets over a virtual clock under
+ * load and prints one JSON line for each size.
+ *
+ * @module
+ */
 import { sum } from "../src/decision/index.ts";
 import { createSeededRandom } from "../src/interface/index.ts";
 import type { Random } from "../src/interface/index.ts";
@@ -6,15 +15,16 @@
 import { startNewsFleet } from "../src/process/testing/news_fleet.ts";
 import type { NewsFleet, NewsMember } from "../src/process/testing/news_fleet.ts";
 
-/** A deployment, with the requests that one instance of it carries a second. */
+/** Size of a deployment. */
 interface Size {
   readonly instances: number;
   readonly workers: number;
   readonly accounts: number;
+  /** Requests per second that one instance starts. */
   readonly requests: number;
 }
 
-/** The users' deployments as they are and as they will be, and a region of the size that binds the design. */
+/** The users' present and planned deployments, and a region of the largest size that the design supports. */
 const SIZES: readonly Size[] = [
   { instances: 6, workers: 17, accounts: 5, requests: 21 },
   { instances: 9, workers: 17, accounts: 5, requests: 11 },
@@ -25,11 +35,11 @@
 ];
 const SETTLE_SECONDS = 5;
 const MEASURED_SECONDS = 5;
-const MILLISECONDS = 1_000;
-/** Milliseconds that a run lasts. */
-const RUN_TIME = 1_000;
+const MILLISECONDS_PER_SECOND = 1_000;
+/** Duration of a run, in milliseconds. */
+const RUN_DURATION = 1_000;
 
-function beginAnywhere(
+function startRandomRun(
   fleet: NewsFleet,
   member: NewsMember,
   { accounts, random }: { accounts: number; random: Random },
@@ -37,35 +47,35 @@
   const worker = Math.floor(random.next() * fleet.workers.length);
   const account = accountOf(Math.floor(random.next() * accounts));
   const run = fleet.begin(member, { worker, account });
-  fleet.clock.after(RUN_TIME, () => run.end(RunResult.Answered));
+  fleet.clock.after(RUN_DURATION, () => run.end(RunResult.Answered));
 }
 
 function accountOf(index: number): string {
   return `account-${index}`;
 }
 
-/** What one instance sends a second and what that costs it, in a fleet of the size under load. */
+/** Runs a fleet under load; returns the bytes per second and processor time per second of one instance. */
 async function measure(size: Size): Promise<Record<string, number>> {
   const names = Array.from({ length: size.accounts }, (_, index) => accountOf(index));
   const fleet = await startNewsFleet({ ...size, accounts: names });
   const random = createSeededRandom(1);
-  const play = async (seconds: number): Promise<void> => {
-    const step = MILLISECONDS / size.requests;
-    for (let at = 0; at < seconds * MILLISECONDS; at += step) {
+  const runLoad = async (seconds: number): Promise<void> => {
+    const step = MILLISECONDS_PER_SECOND / size.requests;
+    for (let at = 0; at < seconds * MILLISECONDS_PER_SECOND; at += step) {
       for (const member of fleet.members) {
-        beginAnywhere(fleet, member, { accounts: size.accounts, random });
+        startRandomRun(fleet, member, { accounts: size.accounts, random });
       }
       await fleet.clock.advance(step);
     }
   };
-  await play(SETTLE_SECONDS);
+  await runLoad(SETTLE_SECONDS);
   const before = fleet.members.map(({ news }) => news.bytesSent);
   const startedAt = process.cpuUsage();
-  await play(MEASURED_SECONDS);
+  await runLoad(MEASURED_SECONDS);
   const { user, system } = process.cpuUsage(startedAt);
-  const rates = fleet.members.map(({ news }, place) => ({
+  const rates = fleet.members.map(({ news }, index) => ({
     role: news.role,
-    bytes: (news.bytesSent - (before[place] ?? 0)) / MEASURED_SECONDS,
+    bytes: (news.bytesSent - (before[index] ?? 0)) / MEASURED_SECONDS,
   }));
   fleet.close();
   const mean = (found: readonly { bytes: number }[]): number =>
@@ -74,13 +84,15 @@
     bytesPerSecond: mean(rates),
     ofRelay: mean(rates.filter(({ role }) => role === FleetRole.Relay)),
     ofMember: mean(rates.filter(({ role }) => role === FleetRole.Member)),
-    // With the load's and the virtual clock's own work.
+    // This includes the work of the load generator and the virtual clock.
     millisecondsPerSecond:
-      Math.round(((user + system) / MILLISECONDS / size.instances / MEASURED_SECONDS) * 10) / 10,
+      Math.round(
+        ((user + system) / MILLISECONDS_PER_SECOND / size.instances / MEASURED_SECONDS) * 10,
+      ) / 10,
   };
 }
 
-/** Prints what the digests of one instance cost, by the deployment's size. */
+/** Prints the digest cost of one instance for each deployment size. */
 async function main(): Promise<void> {
   for (const size of SIZES) console.log(JSON.stringify({ ...size, ...(await measure(size)) }));
 }
--- a/bench/entry_cost.ts
+++ b/bench/entry_cost.ts
@@ -4,56 +4,77 @@
 import type { Quantiles } from "./decision_cost.ts";
 import { BenchService } from "./deployment.ts";
 import type { EntryReady } from "./entry_process.ts";
-import { ask, createAgent, directTarget, entryTarget, steadyLoad, streamLoad } from "./load.ts";
-import type { SteadyLoad, Target } from "./load.ts";
+import {
+  sendRequest,
+  createAgent,
+  directTarget,
+  entryTarget,
+  runSteadyLoad,
+  runStreamLoad,
+} from "./load.ts";
+import type { SteadyLoadResult, Target } from "./load.ts";
 import type { StandinsReady } from "./standin_process.ts";
 
-/** What an entry instance costs, against calling the stand-in directly in the same run. */
+/** Cost of an entry instance, compared with calling the backend server stand-in directly in the same run. */
 export interface EntryCost {
-  /** Entry instances: the backup of a slot is another one. */
+  /** Number of entry instances. It includes the second one, which holds the backup of each slot. */
   readonly instances: number;
   readonly latency: {
-    /** Milliseconds to the end of a short answer at a steady rate. */
+    /** Time until the end of a short answer at a steady rate, called directly, in milliseconds. */
     readonly direct: Quantiles;
+    /** The same through the entry instance, in milliseconds. */
     readonly entry: Quantiles;
-    /** What the entry instance adds to each quantile, and its ratio. */
+    /** Difference of each quantile, in milliseconds. */
     readonly added: Quantiles;
+    /** Ratio of each quantile to the direct one. */
     readonly ratio: Quantiles;
+    /** Number of failed requests. */
     readonly failed: number;
   };
   readonly streaming: {
-    /** Tokens for each second of processor time of the entry instance, or of the stand-in called directly. */
+    /** Tokens per second of processor time of the entry instance. */
     readonly tokensPerCore: number;
+    /** Tokens per second of processor time of the stand-in, called directly. */
     readonly directTokensPerCore: number;
+    /** Tokens per second through the entry instance. */
     readonly tokensPerSecond: number;
+    /** Tokens per second from the stand-in, called directly. */
     readonly directTokensPerSecond: number;
     readonly failed: number;
   };
-  /** Bytes for each 1,000 requests in progress, at the owner and at a backup. */
+  /** Bytes per 1,000 requests in progress, at the owner and at a backup. */
   readonly memory: {
+    /** Number of requests that were in progress. */
     readonly inProgress: number;
     readonly ownerResident: number;
     readonly ownerHeap: number;
     readonly backupResident: number;
     readonly backupHeap: number;
   };
-  /** Milliseconds from the start of the tasks, and of the process, to taking requests. */
+  /** Milliseconds until requests are accepted, from the start of the tasks and from the start of the process. */
   readonly start: { readonly tasks: number; readonly process: number };
 }
 
+/** Requests per second. */
 const RATE = 200;
 const ROUNDS = 3;
-const ROUND_LENGTH = 3_000;
-const WARM_UP = 3_000;
-const SHORT_ANSWER = 8;
+/** Milliseconds. */
+const ROUND_DURATION = 3_000;
+/** Milliseconds. */
+const WARM_UP_DURATION = 3_000;
+/** Tokens of a short answer. */
+const SHORT_ANSWER_TOKENS = 8;
 const STREAMS = 16;
 const STREAM_TOKENS = 2_000;
-const STREAM_LENGTH = 5_000;
-const STANDING = 1_000;
-/** So many at a time: all at once they would be turned away for load. */
-const STANDING_STEP = 20;
-const STANDING_PAUSE = 10;
-/** How long the slot map takes to have both instances in it. */
+/** Milliseconds. */
+const STREAM_DURATION = 5_000;
+/** Number of requests held open while memory is measured. */
+const HELD_REQUESTS = 1_000;
+/** Held requests sent per batch. Sent all at once they would be refused because of overload. */
+const HELD_BATCH_SIZE = 20;
+/** Pause between batches, in milliseconds. */
+const HELD_BATCH_PAUSE = 10;
+/** Time until the slot map contains both instances, in milliseconds. */
 const SETTLE_TIME = 5_000;
 const LOOPBACK = "127.0.0.1:0";
 const SECRET = "secret-of-the-bench";
@@ -62,8 +83,8 @@
 type Standins = Child<StandinsReady>;
 
 /**
- * Measures one entry instance, with a second one as its backup. Memory is measured on processes of its own:
- * after heavy streaming the heap has room that hides what requests take.
+ * Measures one entry instance, with a second one as its backup. Memory is measured on separate processes:
+ * after heavy streaming the heap has free space that hides the memory requests use.
  */
 export async function measureEntry(): Promise<EntryCost> {
   const memory = await withProcesses(measureMemory);
@@ -120,25 +141,25 @@
   });
 }
 
-/** Rounds of both take turns, so that what else the machine does meets both alike. */
+/** Alternates rounds of both targets, so that other load on the machine affects both equally. */
 async function compareLatency(direct: Target, entry: Target): Promise<EntryCost["latency"]> {
-  const load = { rate: RATE, tokens: SHORT_ANSWER };
-  await steadyLoad(direct, { ...load, length: WARM_UP });
-  await steadyLoad(entry, { ...load, length: WARM_UP });
-  const rounds: { direct: SteadyLoad; entry: SteadyLoad }[] = [];
+  const load = { rate: RATE, tokens: SHORT_ANSWER_TOKENS };
+  await runSteadyLoad(direct, { ...load, length: WARM_UP_DURATION });
+  await runSteadyLoad(entry, { ...load, length: WARM_UP_DURATION });
+  const rounds: { direct: SteadyLoadResult; entry: SteadyLoadResult }[] = [];
   for (let round = 0; round < ROUNDS; round++) {
     rounds.push({
-      direct: await steadyLoad(direct, { ...load, length: ROUND_LENGTH }),
-      entry: await steadyLoad(entry, { ...load, length: ROUND_LENGTH }),
+      direct: await runSteadyLoad(direct, { ...load, length: ROUND_DURATION }),
+      entry: await runSteadyLoad(entry, { ...load, length: ROUND_DURATION }),
     });
   }
-  const directly = medians(rounds.map((round) => round.direct.whole));
-  const through = medians(rounds.map((round) => round.entry.whole));
+  const directResult = medians(rounds.map((round) => round.direct.totalTime));
+  const entryResult = medians(rounds.map((round) => round.entry.totalTime));
   return {
-    direct: directly,
-    entry: through,
-    added: combine(through, directly, (a, b) => a - b),
-    ratio: combine(through, directly, (a, b) => a / b),
+    direct: directResult,
+    entry: entryResult,
+    added: combine(entryResult, directResult, (a, b) => a - b),
+    ratio: combine(entryResult, directResult, (a, b) => a / b),
     failed: rounds.reduce((sum, round) => sum + round.entry.failed + round.direct.failed, 0),
   };
 }
@@ -149,63 +170,63 @@
   standins,
   owner,
 }: Omit<Processes, "backup"> & { direct: Target; entry: Target }): Promise<EntryCost["streaming"]> {
-  const load = { streams: STREAMS, tokens: STREAM_TOKENS, length: STREAM_LENGTH };
+  const load = { streams: STREAMS, tokens: STREAM_TOKENS, length: STREAM_DURATION };
   const run = async (
     target: Target,
     child: Entry | Standins,
   ): Promise<{ perCore: number; perSecond: number; failed: number }> => {
     const before = await child.usage();
-    const { tokens, milliseconds, failed } = await streamLoad(target, load);
+    const { tokens, milliseconds, failed } = await runStreamLoad(target, load);
     const processor = (await child.usage()).processor - before.processor;
     const rate = (time: number): number => Math.round((tokens * 1_000) / time);
     return { perCore: rate(processor), perSecond: rate(milliseconds), failed };
   };
-  await streamLoad(entry, { ...load, length: WARM_UP });
-  const directly = await run(direct, standins);
-  const through = await run(entry, owner);
+  await runStreamLoad(entry, { ...load, length: WARM_UP_DURATION });
+  const directResult = await run(direct, standins);
+  const entryResult = await run(entry, owner);
   return {
-    tokensPerCore: through.perCore,
-    directTokensPerCore: directly.perCore,
-    tokensPerSecond: through.perSecond,
-    directTokensPerSecond: directly.perSecond,
-    failed: directly.failed + through.failed,
+    tokensPerCore: entryResult.perCore,
+    directTokensPerCore: directResult.perCore,
+    tokensPerSecond: entryResult.perSecond,
+    directTokensPerSecond: directResult.perSecond,
+    failed: directResult.failed + entryResult.failed,
   };
 }
 
 async function measureMemory({ owner, backup }: Processes): Promise<EntryCost["memory"]> {
   const quick = entryTarget(owner.ready.callers);
-  await steadyLoad(quick, { rate: RATE, length: ROUND_LENGTH, tokens: SHORT_ANSWER });
+  await runSteadyLoad(quick, { rate: RATE, length: ROUND_DURATION, tokens: SHORT_ANSWER_TOKENS });
   await sleep(SETTLE_TIME);
   const before = { owner: await owner.usage(), backup: await backup.usage() };
-  const target = entryTarget(owner.ready.callers, BenchService.Standing);
+  const target = entryTarget(owner.ready.callers, BenchService.Held);
   const agent = createAgent();
   const ending = new AbortController();
   setMaxListeners(0, ending.signal);
-  const standing: Promise<number>[] = [];
-  while (standing.length < STANDING) {
-    const asked = ask(target, { agent, tokens: 2, signal: ending.signal });
-    standing.push(
-      asked.then(
+  const heldRequests: Promise<number>[] = [];
+  while (heldRequests.length < HELD_REQUESTS) {
+    const request = sendRequest(target, { agent, tokens: 2, signal: ending.signal });
+    heldRequests.push(
+      request.then(
         () => 1,
         () => 0,
       ),
     );
-    if (standing.length % STANDING_STEP === 0) await sleep(STANDING_PAUSE);
+    if (heldRequests.length % HELD_BATCH_SIZE === 0) await sleep(HELD_BATCH_PAUSE);
   }
   await sleep(SETTLE_TIME);
   const after = { owner: await owner.usage(), backup: await backup.usage() };
   ending.abort();
-  const ended = (await Promise.all(standing)).reduce((a, b) => a + b, 0);
+  const ended = (await Promise.all(heldRequests)).reduce((a, b) => a + b, 0);
   await agent.destroy();
-  const inProgress = STANDING - ended;
-  const each = (most: number, least: number): number =>
-    inProgress === 0 ? 0 : Math.round(((most - least) * 1_000) / inProgress);
+  const inProgress = HELD_REQUESTS - ended;
+  const perThousand = (after: number, before: number): number =>
+    inProgress === 0 ? 0 : Math.round(((after - before) * 1_000) / inProgress);
   return {
     inProgress,
-    ownerResident: each(after.owner.resident, before.owner.resident),
-    ownerHeap: each(after.owner.heap, before.owner.heap),
-    backupResident: each(after.backup.resident, before.backup.resident),
-    backupHeap: each(after.backup.heap, before.backup.heap),
+    ownerResident: perThousand(after.owner.resident, before.owner.resident),
+    ownerHeap: perThousand(after.owner.heap, before.owner.heap),
+    backupResident: perThousand(after.backup.resident, before.backup.resident),
+    backupHeap: perThousand(after.backup.heap, before.backup.heap),
   };
 }
 
--- a/bench/entry_process.ts
+++ b/bench/entry_process.ts
@@ -1,5 +1,5 @@
 /**
- * One entry instance of the bench, as a process of its own.
+ * Child process that runs one entry instance for the benchmark.
  *
  * @module
  */
@@ -7,17 +7,19 @@
 import type { EntrySettings } from "../src/process/index.ts";
 import { childSettings, serveParent } from "./child.ts";
 
-/** What the bench is told once the instance takes requests. */
+/** Ready value: sent to the benchmark when the instance accepts requests. */
 export interface EntryReady {
-  /** `IP:PORT` of the listeners for callers and for peers. */
+  /** `IP:PORT` of the listener for callers. */
   readonly callers: string;
+  /** `IP:PORT` of the listener for peers. */
   readonly peers: string;
-  /** Milliseconds from the start of its tasks, and of its process with its modules, to ready. */
+  /** Milliseconds from the start of the instance's tasks until it is ready. */
   readonly startTime: number;
+  /** Milliseconds from the start of the process, with loading of its modules, until it is ready. */
   readonly processTime: number;
 }
 
-const begun = performance.now();
+const startedAt = performance.now();
 const entry = await startEntry(childSettings() as EntrySettings, {
   clock: systemClock,
   random: systemRandom,
@@ -25,7 +27,7 @@
 const ready: EntryReady = {
   callers: entry.self.callerAddress,
   peers: entry.self.address,
-  startTime: performance.now() - begun,
+  startTime: performance.now() - startedAt,
   processTime: performance.now(),
 };
 serveParent(ready, () => entry.close());
--- a/bench/load.ts
+++ b/bench/load.ts
@@ -5,34 +5,35 @@
 import { BENCH_KEY, BenchService } from "./deployment.ts";
 import type { Quantiles } from "./decision_cost.ts";
 
-/** Somewhere that answers requests with a stream of tokens. */
+/** Server that answers requests with a stream of tokens. */
 export interface Target {
   /** `http://IP:PORT`. */
   readonly origin: string;
-  readonly call: (number: number, tokens: number) => Call;
+  /** Builds a request; `number` makes its id unique, `tokens` is the length of the answer. */
+  readonly createRequest: (number: number, tokens: number) => RequestParts;
 }
 
-interface Call {
+interface RequestParts {
   readonly path: string;
   readonly body: string;
 }
 
-/** The entry instance's API for callers. */
+/** Returns the target for the public API of an entry instance at `IP:PORT`. */
 export function entryTarget(address: string, service = BenchService.Quick): Target {
   return {
     origin: `http://${address}`,
-    call: (_number, tokens) => ({
+    createRequest: (_number, tokens) => ({
       path: "/v1/chat/completions",
       body: JSON.stringify(chatBody(service, tokens)),
     }),
   };
 }
 
-/** A backend server stand-in, called as an entry instance calls it. */
+/** Returns the target for a backend server stand-in, called with the protocol of an entry instance. */
 export function directTarget(origin: string): Target {
   return {
     origin,
-    call: (number, tokens) => {
+    createRequest: (number, tokens) => {
       const dispatch: Dispatch = {
         id: `direct-${process.pid}-${number}`,
         attempt: 1,
@@ -53,25 +54,32 @@
   return { model: service, stream: true, max_tokens: tokens, messages };
 }
 
-/** What came of one request. */
-export interface Answer {
+/** Status, timing and body size of one response. */
+export interface ResponseTiming {
+  /** HTTP status. */
   readonly status: number;
-  /** Milliseconds to the first bytes of the answer's body, and to its end. */
-  readonly first: number;
-  readonly whole: number;
+  /** Milliseconds until the first bytes of the body; 0 for an empty body. */
+  readonly timeToFirstByte: number;
+  /** Milliseconds until the end of the body. */
+  readonly totalTime: number;
+  /** Size of the body. */
   readonly bytes: number;
 }
 
-let number = 0;
+let nextNumber = 0;
 
-/** Sends one request and reads its answer to the end. */
-export async function ask(
+/**
+ * Sends one request and reads its answer to the end.
+ *
+ * @throws If the connection fails or `signal` is aborted.
+ */
+export async function sendRequest(
   target: Target,
   { agent, tokens, signal }: { agent: Dispatcher; tokens: number; signal?: AbortSignal },
-): Promise<Answer> {
-  const { path, body } = target.call(number++, tokens);
-  const begun = performance.now();
-  const answer = await agent.request({
+): Promise<ResponseTiming> {
+  const { path, body } = target.createRequest(nextNumber++, tokens);
+  const startedAt = performance.now();
+  const response = await agent.request({
     origin: target.origin,
     path,
     method: "POST",
@@ -79,95 +87,106 @@
     body,
     ...(signal === undefined ? {} : { signal }),
   });
-  let first = 0;
+  let timeToFirstByte = 0;
   let bytes = 0;
-  for await (const chunk of answer.body as AsyncIterable<Buffer>) {
-    if (first === 0) first = performance.now() - begun;
+  for await (const chunk of response.body as AsyncIterable<Buffer>) {
+    if (timeToFirstByte === 0) timeToFirstByte = performance.now() - startedAt;
     bytes += chunk.length;
   }
-  return { status: answer.statusCode, first, whole: performance.now() - begun, bytes };
+  return {
+    status: response.statusCode,
+    timeToFirstByte,
+    totalTime: performance.now() - startedAt,
+    bytes,
+  };
 }
 
-/** Makes a client that holds its connections, as many as it needs. */
+/** Creates an HTTP client with unlimited keep-alive connections and no timeouts. */
 export function createAgent(): Agent {
   return new Agent({ connections: null, headersTimeout: 0, bodyTimeout: 0, pipelining: 1 });
 }
 
-/** Latencies of a steady load. */
-export interface SteadyLoad {
+/** Result of a steady load. */
+export interface SteadyLoadResult {
+  /** Number of requests answered with status 200. */
   readonly answered: number;
+  /** Number of other requests. */
   readonly failed: number;
-  /** Milliseconds to the answer's end. */
-  readonly whole: Quantiles;
+  /** Time until the end of the answer, in milliseconds. */
+  readonly totalTime: Quantiles;
 }
 
-/** Microseconds are recorded, milliseconds reported. */
-const SCALE = 1_000;
+/** The histogram records microseconds; the result states milliseconds. */
+const MICROSECONDS_PER_MILLISECOND = 1_000;
 
 /**
- * Sends requests at a steady rate, whether or not earlier ones have been answered.
+ * Sends requests at a steady rate, without waiting for earlier answers.
  *
- * @param rate Requests a second.
- * @param length Milliseconds.
+ * @param rate Requests per second.
+ * @param length Duration in milliseconds.
  */
-export async function steadyLoad(
+export async function runSteadyLoad(
   target: Target,
   { rate, length, tokens }: { rate: number; length: number; tokens: number },
-): Promise<SteadyLoad> {
+): Promise<SteadyLoadResult> {
   const agent = createAgent();
   const latencies = build({ lowestDiscernibleValue: 1, highestTrackableValue: 1e9 });
   const pending: Promise<void>[] = [];
   let failed = 0;
-  const begun = performance.now();
-  const one = async (): Promise<void> => {
-    const { status, whole } = await ask(target, { agent, tokens });
-    if (status === 200) latencies.recordValue(Math.round(whole * SCALE));
+  const startedAt = performance.now();
+  const sendOne = async (): Promise<void> => {
+    const { status, totalTime } = await sendRequest(target, { agent, tokens });
+    if (status === 200) latencies.recordValue(Math.round(totalTime * MICROSECONDS_PER_MILLISECOND));
     else failed++;
   };
   const count = (rate * length) / 1_000;
   for (let sent = 0; sent < count; sent++) {
-    const wait = begun + (sent * 1_000) / rate - performance.now();
+    const wait = startedAt + (sent * 1_000) / rate - performance.now();
     if (wait > 0) await new Promise((resolve) => setTimeout(resolve, wait));
-    const fail = (): void => {
+    const countFailure = (): void => {
       failed++;
     };
-    pending.push(one().catch(fail));
+    pending.push(sendOne().catch(countFailure));
   }
   await Promise.all(pending);
   await agent.close();
-  const value = (percent: number): number => latencies.getValueAtPercentile(percent) / SCALE;
-  const mean = Math.round(latencies.mean) / SCALE;
+  const quantile = (percent: number): number =>
+    latencies.getValueAtPercentile(percent) / MICROSECONDS_PER_MILLISECOND;
+  const mean = Math.round(latencies.mean) / MICROSECONDS_PER_MILLISECOND;
   return {
     answered: latencies.totalCount,
     failed,
-    whole: { p50: value(50), p99: value(99), mean },
+    totalTime: { p50: quantile(50), p99: quantile(99), mean },
   };
 }
 
-/** How many tokens came in a time. */
-export interface Throughput {
+/** Result of a streaming load. */
+export interface StreamLoadResult {
+  /** Tokens of all whole answers. */
   readonly tokens: number;
+  /** Number of failed requests. */
   readonly failed: number;
+  /** Time from the start until the last answer ended. */
   readonly milliseconds: number;
 }
 
-/** Keeps so many streams going, each of `tokens` tokens, for `length` milliseconds. */
-export async function streamLoad(
+/** Runs `streams` concurrent streams, each of `tokens` tokens, for `length` milliseconds. */
+export async function runStreamLoad(
   target: Target,
   { streams, length, tokens }: { streams: number; length: number; tokens: number },
-): Promise<Throughput> {
+): Promise<StreamLoadResult> {
   const agent = createAgent();
-  const begun = performance.now();
+  const startedAt = performance.now();
   let answered = 0;
   let failed = 0;
-  const stream = async (): Promise<void> => {
-    while (performance.now() - begun < length) {
-      const { status } = await ask(target, { agent, tokens });
+  const runStream = async (): Promise<void> => {
+    while (performance.now() - startedAt < length) {
+      const { status } = await sendRequest(target, { agent, tokens });
       if (status === 200) answered++;
       else failed++;
     }
   };
-  await Promise.all(Array.from({ length: streams }, stream));
+  await Promise.all(Array.from({ length: streams }, runStream));
   await agent.close();
-  return { tokens: answered * tokens, failed, milliseconds: performance.now() - begun };
+  return { tokens: answered * tokens, failed, milliseconds: performance.now() - startedAt };
 }
--- a/bench/main.ts
+++ b/bench/main.ts
@@ -1,8 +1,9 @@
 /**
- * The benchmark: `npm run bench -- [--json] [--only decisions|entry]`.
+ * Entry point of the benchmark: `npm run bench -- [--json] [--only decisions|entry]`.
  *
- * It measures what deciding costs and what an entry instance adds to calling a backend server directly.
- * Absolute times vary with the machine: the ratios within a run are what can be compared.
+ * It measures the cost of the scheduling decisions, and the latency, processor time and memory that an entry
+ * instance adds to calling a backend server directly. Absolute times depend on the machine; compare only the
+ * ratios within a run.
  *
  * @module
  */
@@ -15,16 +16,16 @@
 const { values } = parseArgs({
   options: { json: { type: "boolean", default: false }, only: { type: "string" } },
 });
-const wants = (part: string): boolean => (values.only ?? part) === part;
-const decisions = wants("decisions") ? measureDecisions() : undefined;
-const entry = wants("entry") ? await measureEntry() : undefined;
+const isSelected = (part: string): boolean => (values.only ?? part) === part;
+const decisions = isSelected("decisions") ? measureDecisions() : undefined;
+const entry = isSelected("entry") ? await measureEntry() : undefined;
 if (values.json) console.log(JSON.stringify({ decisions, entry }));
 else {
-  if (decisions !== undefined) showDecisions(decisions);
-  if (entry !== undefined) showEntry(entry);
+  if (decisions !== undefined) printDecisions(decisions);
+  if (entry !== undefined) printEntry(entry);
 }
 
-function showDecisions(costs: readonly DecisionCost[]): void {
+function printDecisions(costs: readonly DecisionCost[]): void {
   console.log("Microseconds for one request's decisions, p50 (p99):");
   for (const { workers, waiting, admit, queue, place, total } of costs) {
     const [a, q, p, t] = [admit, queue, place, total].map(({ p50, p99 }) => `${p50} (${p99})`);
@@ -34,22 +35,24 @@
   }
 }
 
-function showEntry({ latency, streaming, memory, start }: EntryCost): void {
-  const { direct, entry: through, added, ratio, failed } = latency;
-  console.log("One entry instance with a backup, against calling the stand-in directly:");
-  console.log(`  latency p50 ${through.p50} ms against ${direct.p50}, added ${added.p50} ms`);
-  console.log(`  latency p99 ${through.p99} ms against ${direct.p99}, added ${added.p99} ms`);
+function printEntry({ latency, streaming, memory, start }: EntryCost): void {
+  const { direct, entry: entryLatency, added, ratio, failed } = latency;
+  console.log("One entry instance with a backup, compared with calling the stand-in directly:");
+  console.log(`  latency p50 ${entryLatency.p50} ms, direct ${direct.p50}, added ${added.p50} ms`);
+  console.log(`  latency p99 ${entryLatency.p99} ms, direct ${direct.p99}, added ${added.p99} ms`);
   console.log(`  ratio p50 ${ratio.p50}, p99 ${ratio.p99}; failed ${failed}`);
   console.log(
-    `  streamed tokens a second per core ${streaming.tokensPerCore}` +
-      ` against ${streaming.directTokensPerCore}; failed ${streaming.failed}`,
+    `  streamed tokens per second per core ${streaming.tokensPerCore}` +
+      `, direct ${streaming.directTokensPerCore}; failed ${streaming.failed}`,
   );
   console.log(
     `  memory for 1,000 requests in progress (${memory.inProgress} held): owner` +
       ` ${megabytes(memory.ownerResident)} resident, ${megabytes(memory.ownerHeap)} heap; backup` +
       ` ${megabytes(memory.backupResident)} resident, ${megabytes(memory.backupHeap)} heap`,
   );
-  console.log(`  start to ready ${start.tasks} ms of tasks, ${start.process} ms of the process`);
+  console.log(
+    `  time until ready: ${start.tasks} ms from the start of the tasks, ${start.process} ms of the process`,
+  );
 }
 
 function megabytes(bytes: number): string {
--- a/bench/standin_process.ts
+++ b/bench/standin_process.ts
@@ -42,7 +42,7 @@
 }
 
 const quick = await startWorkers(BenchService.Quick);
-const standing = await startWorkers(BenchService.Standing);
+const standing = await startWorkers(BenchService.Held);
 const platform = await startPlatform({
   listen: LISTEN,
   clock: systemClock,
