--- a/bench/faults/caller.ts
+++ b/bench/faults/caller.ts
@@ -1,82 +1,96 @@
+/**
+ * Callers of the fault simulation.
+ *
+ * Each caller submits one request and follows it on any instance until it receives a final state. A caller that
+ * loses its connection or receives a retryable rejection retries on another instance. It records everything it
+ * receives, so that the guarantees are checked from the caller's side.
+ *
+ * @module
+ */
 import { hasEnded, RequestState } from "../../src/interface/index.ts";
 import type { Clock } from "../../src/interface/index.ts";
 import { sleep } from "../../src/interface/index.ts";
 import type { CallerEvent } from "../../src/request/index.ts";
 import type { Demand } from "./scenario.ts";
 
-/** The account that all callers of the failure runs have. */
+/** Client account of all simulated callers. */
 export const ACCOUNT = "club";
 
-/** What a caller wrote down of what it was told. */
+/** Everything that a caller has received for its request. */
 export interface Notes {
-  readonly demand: Demand;
+  readonly request: Demand;
+  /** Request id; empty until the caller has received it. */
   id: string;
+  /** Whether an instance has accepted the request. */
   accepted: boolean;
-  /** Tokens in the order in which they came. */
+  /** Received tokens, in order. */
   readonly tokens: string[];
-  /** Ends that it was told, in order, and "not-run" for a rejection that says so. */
+  /** Received final states, in order; "not-run" for a rejection that states that the request has not run. */
   readonly ends: string[];
-  /** When it was told its end, in the clock's milliseconds. */
+  /** Time when the last connection ended, in milliseconds of the virtual clock. */
   endedAt: number;
-  /** Why it gave up for now, in order. */
+  /** Reasons for which connections ended without a final state, in order. */
   readonly delays: string[];
 }
 
-/** How a caller reaches the instances. */
+/** Access of a caller to the instances. */
 export interface Reach {
   readonly clock: Clock;
-  /** The indices of instances that take connections now. */
+  /** Returns the indices of the instances that accept connections now. */
   readonly open: () => readonly number[];
-  submit(instance: number, demand: Demand, signal: AbortSignal): AsyncIterable<CallerEvent>;
+  /** Submits a request to an instance. */
+  submit(instance: number, request: Demand, signal: AbortSignal): AsyncIterable<CallerEvent>;
+  /** Follows a known request on an instance, from a token on. */
   follow(
     instance: number,
-    request: { id: string; fromToken: number },
+    position: { id: string; fromToken: number },
     signal: AbortSignal,
   ): AsyncIterable<CallerEvent>;
-  /** Aborted when the instance goes away. */
+  /** Returns a signal that is aborted when the instance terminates. */
   gone(instance: number): AbortSignal;
 }
 
+/** Milliseconds between two attempts. */
 const PAUSE = 500;
 const TRIES = 60;
 
-/** The notes of a caller that has not yet called. */
-export function emptyNotes(demand: Demand): Notes {
-  return { demand, id: "", accepted: false, tokens: [], ends: [], endedAt: 0, delays: [] };
+/** Creates the log of a caller that has not connected yet. */
+export function emptyNotes(request: Demand): Notes {
+  return { request, id: "", accepted: false, tokens: [], ends: [], endedAt: 0, delays: [] };
 }
 
-/** A caller that brings its request, and asks again elsewhere as long as it is told no end. */
+/** Submits a request, and retries on other instances until the caller has received a final state. */
 export async function call(reach: Reach, notes: Notes): Promise<void> {
-  const { demand } = notes;
-  await sleep(reach.clock, demand.at);
+  const { request } = notes;
+  await sleep(reach.clock, request.at);
   for (let tries = 0; tries < TRIES && notes.ends.length === 0; tries++) {
     if (tries > 0) await sleep(reach.clock, PAUSE);
-    const instance = instanceFor(reach, { demand, tries });
+    const instance = instanceFor(reach, { request, tries });
     if (instance === undefined) continue;
     const connection = connect(reach.gone(instance));
     const { signal } = connection;
     const isKnown = notes.id !== "";
-    // Without an id or a key, to bring it again would be another request.
-    if (tries > 0 && !isKnown && demand.key === undefined) break;
-    const request = { id: notes.id, fromToken: notes.tokens.length };
+    // Without an id or a key, a second submission would be a new request.
+    if (tries > 0 && !isKnown && request.key === undefined) break;
+    const position = { id: notes.id, fromToken: notes.tokens.length };
     const events = isKnown
-      ? reach.follow(instance, request, signal)
-      : reach.submit(instance, demand, signal);
+      ? reach.follow(instance, position, signal)
+      : reach.submit(instance, request, signal);
     await hear(notes, { events, signal });
     connection.close();
     notes.endedAt = reach.clock.now();
   }
 }
 
-/** A connection to an instance; its signal aborts when the instance goes. */
+/** Connection to an instance; its signal is aborted when the instance terminates. */
 interface Connection {
   readonly signal: AbortSignal;
   close(): void;
 }
 
 /**
- * Connects to an instance. Each connection has a signal of its own: the instance's lives as long as the run, and
- * whatever listened to it for one request would be kept until then.
+ * Connects to an instance. Each connection has its own signal: the instance's signal lives as long as the
+ * scenario and would retain the listeners of every request until then.
  */
 function connect(gone: AbortSignal): Connection {
   const ending = new AbortController();
@@ -85,18 +99,18 @@
   else gone.addEventListener("abort", abort);
   const close = (): void => {
     gone.removeEventListener("abort", abort);
-    ending.abort(new Error("The caller has closed its connection."));
+    ending.abort(new Error("the caller closed its connection"));
   };
   return { signal: ending.signal, close };
 }
 
 function instanceFor(
   reach: Reach,
-  { demand, tries }: { demand: Demand; tries: number },
+  { request, tries }: { request: Demand; tries: number },
 ): number | undefined {
   const open = reach.open();
-  if (tries === 0 && open.includes(demand.instance)) return demand.instance;
-  return open[(demand.instance + tries) % Math.max(1, open.length)];
+  if (tries === 0 && open.includes(request.instance)) return request.instance;
+  return open[(request.instance + tries) % Math.max(1, open.length)];
 }
 
 async function hear(
--- a/bench/faults/faults_test.ts
+++ b/bench/faults/faults_test.ts
@@ -1,3 +1,8 @@
+/**
+ * Replays fault scenarios that once violated a guarantee, and checks that the checks detect each violation.
+ *
+ * @module
+ */
 import { expect, test } from "vitest";
 import { RequestState } from "../../src/interface/index.ts";
 import { keyedId } from "../../src/request/request_key.ts";
@@ -7,68 +12,68 @@
 import { drawScenario } from "./scenario.ts";
 import { shrink } from "./shrink.ts";
 
-test.each([1, 2, 57, 127])("seed %i keeps every promise", async (seed) => {
-  // Instances, zones, paths, the store and workers fail together while clubs bring their entries. A user
-  // would see a doubled entry, a mixed-up answer, or none.
+test.each([1, 2, 57, 127])("seed %i keeps every guarantee", async (seed) => {
+  // Instances, zones, connections, the store and backend servers fail together under load. A violation would give
+  // a caller a duplicate run, a wrong answer or no answer.
   expect((await play(drawScenario(seed))).broken).toEqual([]);
 });
 
 test.each([32, 44, 46, 116, 133])(
-  "seed %i: a key that runs elsewhere is not called not run",
+  "seed %i: a key that runs on another instance is not reported as not run",
   async (seed) => {
-    // A club brings its key to two instances. One that is stopping or cut off turned it away as "not run",
-    // while the other ran it: the club would bring the entry anew, under a new key, and pay twice.
+    // A caller submits its key to two instances. One that was stopping or partitioned rejected it as "not run"
+    // while the other ran it. The caller would resubmit under a new key and be charged twice.
     expect((await play(drawScenario(seed))).broken).toEqual([]);
   },
 );
 
-test("seed 11059: a request that is asked for by its id is not called not run", async () => {
-  // A zone is taken with the owner, another instance dies and the store is away: the caller, with most of its
-  // answer, asks an instance that reaches no owner. It was told "not run", of a request that it had seen run.
+test("seed 11059: a request that is followed by its id is not reported as not run", async () => {
+  // The owner's availability zone is reclaimed, another instance is killed and the store is unavailable. The caller
+  // has most of its answer and asks an instance that reaches no owner. It received "not run" for a request that had run.
   expect((await play(drawScenario(11_059))).broken).toEqual([]);
 });
 
-test("seed 12361: survivors of less than half a fleet take the slots over", async () => {
-  // Three of five instances go while the store is away. Callers asked for the dead instances' slots, and the two
-  // survivors answered each other's claims for ever.
+test("seed 12361: survivors of less than half of a fleet take over the slots", async () => {
+  // Three of five instances terminate while the store is unavailable. When callers requested the dead instances'
+  // slots, the two survivors answered each other's claims in an endless loop.
   expect((await play(drawScenario(12_361))).broken).toEqual([]);
 });
 
-test("each broken promise is seen", () => {
+test("each violation is detected", () => {
   const scenario = { ...drawScenario(1), faults: [] };
-  const demand = { at: 0, instance: 0, repeatable: false, detached: false, tokens: 2, key: "k" };
+  const request = { at: 0, instance: 0, repeatable: false, detached: false, tokens: 2, key: "k" };
   const { id } = keyedId(ACCOUNT, "k");
   const run = { id, worker: "w0", attempt: 1, startedAt: 1, resumedFrom: 0 };
   const broken = brokenPromises({
     scenario,
     runs: [run, run],
     notes: [
-      { ...emptyNotes(demand), id, endedAt: 9, ends: [RequestState.NotRun] },
-      { ...emptyNotes(demand), id, accepted: true, tokens: ["t1 "] },
-      { ...emptyNotes(demand), id, tokens: ["t0 "], ends: [RequestState.Complete] },
+      { ...emptyNotes(request), id, endedAt: 9, ends: [RequestState.NotRun] },
+      { ...emptyNotes(request), id, accepted: true, tokens: ["t1 "] },
+      { ...emptyNotes(request), id, tokens: ["t0 "], ends: [RequestState.Complete] },
     ],
     versions: [[2, 1]],
   });
-  expect(broken.map((sentence) => sentence.replace(/^\S+ /, ""))).toEqual([
-    "ran 2 times, though it may not be repeated.",
-    "went on at w0, though w0 had not stopped it.",
-    "ran 2 times, though it may not be repeated.",
-    "went on at w0, though w0 had not stopped it.",
-    "the caller got the tokens t1 .",
-    "it was accepted, and the caller got no end ().",
-    "ran 2 times, though it may not be repeated.",
-    "went on at w0, though w0 had not stopped it.",
-    "the answer ended whole with 1 of 2 tokens.",
-    'the caller was told "not run", and it had run.',
-    "0 went back to an earlier revision: 2 1.",
+  expect(broken.map((message) => message.replace(/^\S+ /, ""))).toEqual([
+    "ran 2 times, but it is not repeatable.",
+    "resumed on w0 before w0 had stopped it.",
+    "ran 2 times, but it is not repeatable.",
+    "resumed on w0 before w0 had stopped it.",
+    "the caller received the tokens t1 .",
+    "it was accepted, but the caller received no final state ().",
+    "ran 2 times, but it is not repeatable.",
+    "resumed on w0 before w0 had stopped it.",
+    "the answer was reported complete with 1 of 2 tokens.",
+    'the caller received "not run", but it had run.',
+    "0 returned to an earlier revision: 2 1.",
   ]);
 });
 
-test("a failing scenario is shrunk to what it needs", async () => {
+test("a failing scenario is reduced to the faults that it needs", async () => {
   const scenario = drawScenario(133);
-  const [needed] = scenario.faults;
+  const [requiredFault] = scenario.faults;
   const smallest = await shrink(scenario, ({ faults }) =>
-    Promise.resolve(faults.some((fault) => fault === needed)),
+    Promise.resolve(faults.some((fault) => fault === requiredFault)),
   );
-  expect(smallest).toEqual({ ...scenario, faults: [needed], demands: [] });
+  expect(smallest).toEqual({ ...scenario, faults: [requiredFault], demands: [] });
 });
--- a/bench/faults/fleet.ts
+++ b/bench/faults/fleet.ts
@@ -22,43 +22,47 @@
 import { ZONES } from "./scenario.ts";
 import type { Scenario } from "./scenario.ts";
 
-/** More connections than callers have open to one instance at once: beyond, listeners leak. */
+/** Above the number of connections that callers open to one instance at once. More listeners indicate a leak. */
 const GREATEST_CONNECTIONS = 100;
 
-/** One entry instance over the fakes. */
+/** One entry instance with in-memory fakes of its environment. */
 export interface Instance {
   readonly id: string;
+  /** Index of the availability zone. */
   readonly zone: number;
   readonly core: EntryCore;
+  /** Pauses the instance, as a stopped process would be. */
   readonly freezer: Freezer;
+  /** Aborted when the instance is killed. */
   readonly gone: AbortController;
 }
 
-/** Entry instances over fakes in memory. */
+/** Entry instances with a shared in-memory clock, store, network and backend servers. */
 export interface Fleet {
   readonly clock: VirtualClock;
   readonly store: MemoryStore;
   readonly engines: MemoryEngines;
   readonly network: MemoryNetwork;
   readonly instances: readonly Instance[];
-  /** Takes an instance away. */
+  /** Kills an instance; does nothing if it is already gone. */
   kill(index: number): void;
+  /** Closes all instances. */
   close(): void;
 }
 
-/** Milliseconds in which a new fleet finds its members and assigns its slots. */
+/** Time in which a new fleet finds its members and assigns its slots, in milliseconds. */
 const FORMING = 8_000;
 
-/** Starts the instances of a scenario and lets them form a fleet. */
+/** Starts the instances of a scenario and waits until they have formed a fleet. */
 export async function startFleet({ seed, instances, workers }: Scenario): Promise<Fleet> {
   const clock = createVirtualClock();
   const store = createMemoryStore(clock);
   const engines = createMemoryEngines(clock);
   const network = createMemoryNetwork(clock);
-  const written = store.connect().put(REVISION_KEY, MINIMAL_REVISION, { expect: 0 });
+  const write = store.connect().put(REVISION_KEY, MINIMAL_REVISION, { expect: 0 });
   await clock.advance(10);
-  await written;
-  const list = Array.from({ length: workers }, (_, index) => deskWorker(`w${index}`));
+  await write;
+  const workerList = Array.from({ length: workers }, (_, index) => deskWorker(`w${index}`));
   const start = (index: number): Instance => {
     const address = `a${index}`;
     const zone = index % ZONES;
@@ -72,7 +76,7 @@
         random: createSeededRandom(seed * 100 + index),
         store: store.connect(gate),
         engine: engines.connect(gate),
-        instances: { workers: () => Promise.resolve(list) },
+        instances: { workers: () => Promise.resolve(workerList) },
         cloud: NO_CLOUD,
         peers: network.peersOf(self.id),
       },
@@ -97,7 +101,7 @@
       network.kill(instance.id);
       instance.freezer.freeze();
       instance.core.close();
-      instance.gone.abort(new Error("The instance has gone."));
+      instance.gone.abort(new Error("the instance was killed"));
     },
     close: () => {
       for (const { core } of all) core.close();
--- a/bench/faults/main.ts
+++ b/bench/faults/main.ts
@@ -4,11 +4,11 @@
 import type { Scenario } from "./scenario.ts";
 import { shrink } from "./shrink.ts";
 
-const HELP = `Plays workloads with faults over entry instances in memory, and checks the promises.
+const HELP = `Runs workloads with faults on simulated entry instances in memory, and checks their guarantees.
 
   npm run faults -- [--seed N] [--count K] [--json]
 
-Exit code 1 where a promise was broken. Example: npm run faults -- --seed 1 --count 100`;
+The exit code is 1 if a guarantee is violated. Example: npm run faults -- --seed 1 --count 100`;
 
 const { values } = parseArgs({
   options: {
@@ -30,7 +30,7 @@
   const scenario = drawScenario(seed);
   const { broken } = await play(scenario);
   if (broken.length === 0) return undefined;
-  const smallest = await shrink(scenario, async (left) => (await play(left)).broken.length > 0);
+  const smallest = await shrink(scenario, async (reduced) => (await play(reduced)).broken.length > 0);
   return { seed, broken, repeat: `npm run faults -- --seed ${seed} --count 1`, smallest };
 }
 
@@ -41,7 +41,7 @@
   const count = Number(values.count);
   const started = performance.now();
   const failures: Failure[] = [];
-  // A signal that gathers listeners outlives what listens to it: whatever those hold is never given back.
+  // A long-lived signal that accumulates listeners retains everything that they reference: a memory leak.
   let warnings = 0;
   process.on("warning", ({ name }) => {
     if (name === "MaxListenersExceededWarning") warnings++;
--- a/bench/faults/play.ts
+++ b/bench/faults/play.ts
@@ -10,31 +10,32 @@
 import { brokenPromises } from "./promises.ts";
 import type { Fault, Scenario } from "./scenario.ts";
 
-/** What a scenario came to. */
+/** Result of a scenario. */
 export interface Outcome {
-  /** Each broken promise in a sentence. */
+  /** Messages, one for each violation of a guarantee. */
   readonly broken: readonly string[];
   readonly notes: readonly Notes[];
 }
 
-/** How long an instance under notice has, in milliseconds. */
+/** Time between the reclaim notice and the termination of an instance, in milliseconds. */
 const NOTICE = 4_000;
-/** Milliseconds within which, all faults over, everything must have ended. */
+/** Time within which all callers must have ended, in milliseconds; longer than all faults together. */
 const SETTLING = 60_000;
+/** Milliseconds by which the virtual clock advances at a time. */
 const STEP = 250;
 
-/** Plays a scenario and checks the promises from the callers' and the backend servers' own records. */
+/** Runs a scenario and checks the guarantees against the records of the callers and the backend servers. */
 export async function play(scenario: Scenario): Promise<Outcome> {
   const fleet = await startFleet(scenario);
   const versions = fleet.instances.map((): number[] => []);
   const presets = new Map<number, string>();
   const notes = scenario.demands.map(emptyNotes);
-  const calls = notes.map((one) => call(reachOf(fleet), one));
+  const calls = notes.map((log) => call(reachOf(fleet), log));
   for (const fault of scenario.faults) schedule(fleet, fault);
-  let open = calls.length;
-  for (const one of calls) void one.then(() => open--);
+  let pending = calls.length;
+  for (const caller of calls) void caller.then(() => pending--);
   const until = fleet.clock.now() + SETTLING;
-  while (fleet.clock.now() < until && open > 0) {
+  while (fleet.clock.now() < until && pending > 0) {
     await fleet.clock.advance(STEP);
     fleet.instances.forEach(({ core, gone }, index) => {
       const revision = core.configuration.revision();
@@ -45,46 +46,46 @@
   }
   const broken = brokenPromises({ scenario, notes, runs: fleet.engines.runs, versions });
   fleet.close();
-  const unanswered = open > 0 ? [`${open} callers still wait for an answer.`] : [];
-  return { broken: [...broken, ...unanswered], notes };
+  const waiting = pending > 0 ? [`${pending} callers are still waiting for an answer.`] : [];
+  return { broken: [...broken, ...waiting], notes };
 }
 
 function reachOf(fleet: Fleet): Reach {
-  const coreAt = (index: number): Fleet["instances"][number] => {
+  const instanceAt = (index: number): Fleet["instances"][number] => {
     const instance = fleet.instances[index];
-    if (instance === undefined) throw new Error(`The fleet has no instance ${index}.`);
+    if (instance === undefined) throw new Error(`fleet has no instance ${index}`);
     return instance;
   };
   return {
     clock: fleet.clock,
     open: () => fleet.instances.flatMap(({ gone }, index) => (gone.signal.aborted ? [] : [index])),
-    submit: (instance, demand, signal) =>
-      gated(coreAt(instance), (core) =>
+    submit: (instance, request, signal) =>
+      gated(instanceAt(instance), (core) =>
         core.requests.submit(
           {
             account: ACCOUNT,
             service: "desk",
             model: "",
             path: "/v1/chat/completions",
-            body: JSON.stringify({ max_tokens: demand.tokens }),
-            detached: demand.detached,
-            repeatable: demand.repeatable,
+            body: JSON.stringify({ max_tokens: request.tokens }),
+            detached: request.detached,
+            repeatable: request.repeatable,
             deadline: SETTLING / 2,
             fromToken: 0,
-            ...(demand.key === undefined ? {} : { key: demand.key }),
+            ...(request.key === undefined ? {} : { key: request.key }),
           },
           signal,
         ),
       ),
     follow: (instance, { id, fromToken }, signal) =>
-      gated(coreAt(instance), (core) =>
+      gated(instanceAt(instance), (core) =>
         core.requests.follow(id, { account: ACCOUNT, fromToken, signal }),
       ),
-    gone: (instance) => coreAt(instance).gone.signal,
+    gone: (instance) => instanceAt(instance).gone.signal,
   };
 }
 
-/** A connection to an instance: nothing passes while the instance is frozen. */
+/** Passes the events of a connection on; holds them back while the instance is frozen. */
 async function* gated(
   { core, freezer }: Instance,
   open: (core: EntryCore) => AsyncIterable<CallerEvent>,
@@ -96,7 +97,7 @@
   }
 }
 
-/** Puts a fault, and its end, on the clock. */
+/** Schedules the start and the end of a fault on the virtual clock. */
 function schedule(fleet: Fleet, fault: Fault): void {
   const { clock } = fleet;
   clock.after(fault.at, () => begin(fleet, fault));
@@ -164,14 +165,14 @@
 function reclaim(fleet: Fleet, index: number): void {
   const instance = fleet.instances[index];
   if (instance === undefined || instance.gone.signal.aborted) return;
-  // One instance of the fleet always stays.
-  const left = fleet.instances.filter(({ gone }) => !gone.signal.aborted).length;
-  if (left <= 1) return;
+  // At least one instance of the fleet always remains.
+  const remaining = fleet.instances.filter(({ gone }) => !gone.signal.aborted).length;
+  if (remaining <= 1) return;
   void instance.freezer.gate().then(() => instance.core.reclaim(NOTICE));
   fleet.clock.after(NOTICE, () => fleet.kill(index));
 }
 
-/** An operator's command: read, switch the preset, write on condition. */
+/** Runs an operator's preset switch: reads the revision and writes the new one on condition of its version. */
 async function operate(fleet: Fleet, preset: string): Promise<void> {
   const store = fleet.store.connect();
   const read = await store.get(REVISION_KEY);
--- a/bench/faults/promises.ts
+++ b/bench/faults/promises.ts
@@ -5,16 +5,16 @@
 import type { Notes } from "./caller.ts";
 import type { Scenario } from "./scenario.ts";
 
-/** What the callers, the backend servers and the instances' configuration showed. */
+/** Records of the callers, the backend servers and the instances' configurations. */
 export interface Evidence {
   readonly scenario: Scenario;
   readonly notes: readonly Notes[];
   readonly runs: readonly EngineRun[];
-  /** Versions of the revision as each instance had them in force, in order of time. */
+  /** Versions of the revision that each instance had in force, in order of time. */
   readonly versions: readonly (readonly number[])[];
 }
 
-/** Checks the promises; returns each broken one in a sentence. */
+/** Checks the guarantees; returns one message for each violation. */
 export function brokenPromises(evidence: Evidence): string[] {
   const { notes, versions } = evidence;
   return [
@@ -22,64 +22,64 @@
     ...ofKeys(evidence),
     ...versions.flatMap((seen, index) =>
       seen.some((version, at) => version < (seen[at - 1] ?? 0))
-        ? [`Instance ${index} went back to an earlier revision: ${seen.join(" ")}.`]
+        ? [`Instance ${index} returned to an earlier revision: ${seen.join(" ")}.`]
         : [],
     ),
   ];
 }
 
 function ofOneCaller(notes: Notes, { runs, scenario }: Evidence): string[] {
-  const { id, demand, tokens, ends, accepted } = notes;
+  const { id, request, tokens, ends, accepted } = notes;
   const own = runs.filter((run) => run.id === id && id !== "");
   const count = own.length;
   const broken: string[] = [];
-  const say = (found: string): void => {
-    broken.push(`${id === "" ? (demand.key ?? "A request") : id}: ${found}`);
+  const report = (violation: string): void => {
+    broken.push(`${id === "" ? (request.key ?? "A request") : id}: ${violation}`);
   };
-  if (!demand.repeatable) runsBeyondOne(own).forEach(say);
+  if (!request.repeatable) runsBeyondOne(own).forEach(report);
   if (tokens.some((token, index) => token !== `t${index} `)) {
-    say(`the caller got the tokens ${tokens.join("")}.`);
+    report(`the caller received the tokens ${tokens.join("")}.`);
   }
   const end = ends[0];
-  if (end === RequestState.Complete && tokens.length > 0 && tokens.length !== demand.tokens) {
-    say(`the answer ended whole with ${tokens.length} of ${demand.tokens} tokens.`);
+  if (end === RequestState.Complete && tokens.length > 0 && tokens.length !== request.tokens) {
+    report(`the answer was reported complete with ${tokens.length} of ${request.tokens} tokens.`);
   }
-  if (end === RequestState.NotRun && demand.key === undefined && count > 0) {
-    say(`the caller was told "not run", and it ran.`);
+  if (end === RequestState.NotRun && request.key === undefined && count > 0) {
+    report(`the caller received "not run", but it ran.`);
   }
   if (accepted && end === undefined && deaths(scenario) === 0) {
-    say(`it was accepted, and the caller got no end (${notes.delays.join(", ")}).`);
+    report(`it was accepted, but the caller received no final state (${notes.delays.join(", ")}).`);
   }
   return broken;
 }
 
 /**
- * A run that is moved is one run: the next server goes on from the tokens that were had, after the one
- * before has stopped it. Anything else is a second run.
+ * Checks that a request ran only once. A run that is moved counts as one run: the next backend server resumes
+ * after the received tokens, once the previous one has stopped the run. Anything else is a second run.
  */
 function runsBeyondOne(runs: readonly EngineRun[]): string[] {
-  const begun = runs.filter((run) => run.resumedFrom === 0).length;
-  const twice = begun > 1 ? [`ran ${begun} times, though it may not be repeated.`] : [];
+  const startedRuns = runs.filter((run) => run.resumedFrom === 0).length;
+  const repeated = startedRuns > 1 ? [`ran ${startedRuns} times, but it is not repeatable.`] : [];
   const overlaps = runs.slice(1).flatMap((run, index) => {
-    const before = runs[index];
-    const stopped = before?.cancelledAt !== undefined && before.cancelledAt <= run.startedAt;
+    const previous = runs[index];
+    const stopped = previous?.cancelledAt !== undefined && previous.cancelledAt <= run.startedAt;
     if (stopped) return [];
-    return [`went on at ${run.worker}, though ${before?.worker ?? "?"} had not stopped it.`];
+    return [`resumed on ${run.worker} before ${previous?.worker ?? "?"} had stopped it.`];
   });
-  return [...twice, ...overlaps];
+  return [...repeated, ...overlaps];
 }
 
-/** Callers with the same key have the same request, wherever they bring it. */
+/** Checks that callers with the same key have the same request, on whichever instance they submit it. */
 function ofKeys({ notes, runs }: Evidence): string[] {
-  const keyed = notes.filter(({ demand }) => demand.key !== undefined);
-  return keyed.flatMap(({ demand, ends, endedAt, id }) => {
-    const key = demand.key ?? "";
+  const keyed = notes.filter(({ request }) => request.key !== undefined);
+  return keyed.flatMap(({ request, ends, endedAt, id }) => {
+    const key = request.key ?? "";
     const expected = keyedId(ACCOUNT, key).id;
-    const broken = id !== "" && id !== expected ? [`${key}: it was given another id, ${id}.`] : [];
-    // A key that was certainly not run may be brought again, and then runs.
+    const broken = id !== "" && id !== expected ? [`${key}: it received another id, ${id}.`] : [];
+    // A key that was reported as not run may be submitted again, and may then run.
     const hadRun = runs.some((run) => run.id === expected && run.startedAt < endedAt);
     if (hadRun && ends[0] === RequestState.NotRun) {
-      broken.push(`${key}: the caller was told "not run", and it had run.`);
+      broken.push(`${key}: the caller received "not run", but it had run.`);
     }
     return broken;
   });
--- a/bench/faults/scenario.ts
+++ b/bench/faults/scenario.ts
@@ -1,20 +1,23 @@
 import { createSeededRandom } from "../../src/interface/index.ts";
 import type { Random } from "../../src/interface/index.ts";
 
-/** A request of the workload. */
+/** A request of the workload and the caller that submits it. */
 export interface Demand {
   /** Milliseconds after the fleet has formed. */
   readonly at: number;
-  /** Index of the entry instance that the caller goes to. */
+  /** Index of the entry instance that the caller connects to first. */
   readonly instance: number;
+  /** Whether a second run is allowed. */
   readonly repeatable: boolean;
+  /** Whether the request continues without its caller's connection. */
   readonly detached: boolean;
-  /** Demands with the same key are the same request, brought again. */
+  /** Idempotency key: submissions with the same key are the same request. */
   readonly key?: string;
+  /** Length of the answer. */
   readonly tokens: number;
 }
 
-/** One fault; times in milliseconds after the fleet has formed. */
+/** A fault; `at` in milliseconds after the fleet has formed, `span` as a duration in milliseconds. */
 export type Fault =
   | { readonly kind: "kill" | "reclaim"; readonly at: number; readonly instance: number }
   | { readonly kind: "zone-reclaim"; readonly at: number; readonly zone: number }
@@ -49,7 +52,7 @@
     }
   | { readonly kind: "operators"; readonly at: number };
 
-/** What one seed plays. */
+/** Fleet, workload and faults of one seed. */
 export interface Scenario {
   readonly seed: number;
   readonly instances: number;
@@ -58,15 +61,17 @@
   readonly faults: readonly Fault[];
 }
 
-/** Number of availability zones that the instances are spread over. */
+/** Number of availability zones over which the instances are spread. */
 export const ZONES = 3;
 
+/** Time in which all requests and faults start, in milliseconds. */
 const SPAN = 6_000;
+/** Milliseconds. */
 const LONGEST_FAULT = 9_000;
 const DEMANDS = 10;
 const MOST_TOKENS = 60;
 
-/** Draws a scenario; a seed always draws the same. */
+/** Generates a scenario; the same seed always gives the same scenario. */
 export function drawScenario(seed: number): Scenario {
   const random = createSeededRandom(seed);
   const instances = 3 + below(random, 3);
@@ -80,7 +85,7 @@
     seed,
     instances,
     workers,
-    demands: [...demands, ...demands.flatMap((demand) => again(random, { demand, instances }))],
+    demands: [...demands, ...demands.flatMap((request) => again(random, { request, instances }))],
     faults: faults.sort((one, other) => one.at - other.at),
   };
 }
@@ -89,23 +94,23 @@
   random: Random,
   { instances, index }: { instances: number; index: number },
 ): Demand {
-  const demand = {
+  const request = {
     at: below(random, SPAN),
     instance: below(random, instances),
     repeatable: random.next() < 0.5,
     detached: random.next() < 0.2,
     tokens: 1 + below(random, MOST_TOKENS),
   };
-  return random.next() < 0.6 ? { ...demand, key: `key-${index}` } : demand;
+  return random.next() < 0.6 ? { ...request, key: `key-${index}` } : request;
 }
 
-/** A caller that brings its key a second time, to any instance. */
+/** Generates, for half of the requests with a key, a second submission to any instance. */
 function again(
   random: Random,
-  { demand, instances }: { demand: Demand; instances: number },
+  { request, instances }: { request: Demand; instances: number },
 ): Demand[] {
-  if (demand.key === undefined || random.next() < 0.5) return [];
-  return [{ ...demand, at: demand.at + below(random, 3_000), instance: below(random, instances) }];
+  if (request.key === undefined || random.next() < 0.5) return [];
+  return [{ ...request, at: request.at + below(random, 3_000), instance: below(random, instances) }];
 }
 
 function drawFault(
--- a/bench/faults/shrink.ts
+++ b/bench/faults/shrink.ts
@@ -1,32 +1,32 @@
 import type { Fault, Scenario } from "./scenario.ts";
 
 /**
- * Leaves out faults, and then demands, as long as what is left still fails.
+ * Reduces a failing scenario: removes faults and then requests while the rest still fails.
  *
- * @param fails Plays a scenario.
- * @returns A failing scenario from which no single fault or demand can be left out.
+ * @param fails Runs a scenario; resolves to whether it fails.
+ * @returns A failing scenario after one pass of removals over its faults and one over its requests.
  */
 export async function shrink(
   scenario: Scenario,
   fails: (scenario: Scenario) => Promise<boolean>,
 ): Promise<Scenario> {
-  const faults = await fewest<Fault>(scenario.faults, (left) =>
-    fails({ ...scenario, faults: left }),
+  const faults = await fewest<Fault>(scenario.faults, (remaining) =>
+    fails({ ...scenario, faults: remaining }),
   );
-  const fewer = { ...scenario, faults };
-  const demands = await fewest(fewer.demands, (left) => fails({ ...fewer, demands: left }));
-  return { ...fewer, demands };
+  const reduced = { ...scenario, faults };
+  const demands = await fewest(reduced.demands, (remaining) => fails({ ...reduced, demands: remaining }));
+  return { ...reduced, demands };
 }
 
-/** Leaves out one thing after the other, as long as what is left still fails. */
+/** Removes one item after the other while the rest still fails; returns the remaining items. */
 export async function fewest<T>(
   all: readonly T[],
-  fails: (left: readonly T[]) => Promise<boolean>,
+  fails: (remaining: readonly T[]) => Promise<boolean>,
 ): Promise<readonly T[]> {
   let kept = all;
-  for (const one of all) {
-    const left = kept.filter((other) => other !== one);
-    if (await fails(left)) kept = left;
+  for (const item of all) {
+    const remaining = kept.filter((other) => other !== item);
+    if (await fails(remaining)) kept = remaining;
   }
   return kept;
 }
