--- a/bench/faults/caller.ts
+++ b/bench/faults/caller.ts
@@ -11,14 +11,14 @@
 import type { Clock } from "../../src/interface/index.ts";
 import { sleep } from "../../src/interface/index.ts";
 import type { CallerEvent } from "../../src/request/index.ts";
-import type { Demand } from "./scenario.ts";
+import type { CallerRequest } from "./scenario.ts";
 
 /** Client account of all simulated callers. */
 export const ACCOUNT = "club";
 
 /** Everything that a caller has received for its request. */
-export interface Notes {
-  readonly request: Demand;
+export interface CallerLog {
+  readonly request: CallerRequest;
   /** Request id; empty until the caller has received it. */
   id: string;
   /** Whether an instance has accepted the request. */
@@ -26,20 +26,20 @@
   /** Received tokens, in order. */
   readonly tokens: string[];
   /** Received final states, in order; "not-run" for a rejection that states that the request has not run. */
-  readonly ends: string[];
+  readonly finalStates: string[];
   /** Time when the last connection ended, in milliseconds of the virtual clock. */
   endedAt: number;
   /** Reasons for which connections ended without a final state, in order. */
-  readonly delays: string[];
+  readonly interruptions: string[];
 }
 
 /** Access of a caller to the instances. */
-export interface Reach {
+export interface FleetClient {
   readonly clock: Clock;
   /** Returns the indices of the instances that accept connections now. */
-  readonly open: () => readonly number[];
+  readonly runningInstances: () => readonly number[];
   /** Submits a request to an instance. */
-  submit(instance: number, request: Demand, signal: AbortSignal): AsyncIterable<CallerEvent>;
+  submit(instance: number, request: CallerRequest, signal: AbortSignal): AsyncIterable<CallerEvent>;
   /** Follows a known request on an instance, from a token on. */
   follow(
     instance: number,
@@ -47,38 +47,46 @@
     signal: AbortSignal,
   ): AsyncIterable<CallerEvent>;
   /** Returns a signal that is aborted when the instance terminates. */
-  gone(instance: number): AbortSignal;
+  terminationSignal(instance: number): AbortSignal;
 }
 
 /** Milliseconds between two attempts. */
-const PAUSE = 500;
-const TRIES = 60;
+const RETRY_DELAY = 500;
+const MAX_ATTEMPTS = 60;
 
 /** Creates the log of a caller that has not connected yet. */
-export function emptyNotes(request: Demand): Notes {
-  return { request, id: "", accepted: false, tokens: [], ends: [], endedAt: 0, delays: [] };
+export function createCallerLog(request: CallerRequest): CallerLog {
+  return {
+    request,
+    id: "",
+    accepted: false,
+    tokens: [],
+    finalStates: [],
+    endedAt: 0,
+    interruptions: [],
+  };
 }
 
 /** Submits a request, and retries on other instances until the caller has received a final state. */
-export async function call(reach: Reach, notes: Notes): Promise<void> {
-  const { request } = notes;
-  await sleep(reach.clock, request.at);
-  for (let tries = 0; tries < TRIES && notes.ends.length === 0; tries++) {
-    if (tries > 0) await sleep(reach.clock, PAUSE);
-    const instance = instanceFor(reach, { request, tries });
+export async function runCaller(client: FleetClient, log: CallerLog): Promise<void> {
+  const { request } = log;
+  await sleep(client.clock, request.at);
+  for (let attempt = 0; attempt < MAX_ATTEMPTS && log.finalStates.length === 0; attempt++) {
+    if (attempt > 0) await sleep(client.clock, RETRY_DELAY);
+    const instance = instanceFor(client, { request, attempt });
     if (instance === undefined) continue;
-    const connection = connect(reach.gone(instance));
+    const connection = connect(client.terminationSignal(instance));
     const { signal } = connection;
-    const isKnown = notes.id !== "";
+    const isKnown = log.id !== "";
     // Without an id or a key, a second submission would be a new request.
-    if (tries > 0 && !isKnown && request.key === undefined) break;
-    const position = { id: notes.id, fromToken: notes.tokens.length };
+    if (attempt > 0 && !isKnown && request.key === undefined) break;
+    const position = { id: log.id, fromToken: log.tokens.length };
     const events = isKnown
-      ? reach.follow(instance, position, signal)
-      : reach.submit(instance, request, signal);
-    await hear(notes, { events, signal });
+      ? client.follow(instance, position, signal)
+      : client.submit(instance, request, signal);
+    await readEvents(log, { events, signal });
     connection.close();
-    notes.endedAt = reach.clock.now();
+    log.endedAt = client.clock.now();
   }
 }
 
@@ -92,29 +100,29 @@
  * Connects to an instance. Each connection has its own signal: the instance's signal lives as long as the
  * scenario and would retain the listeners of every request until then.
  */
-function connect(gone: AbortSignal): Connection {
+function connect(termination: AbortSignal): Connection {
   const ending = new AbortController();
-  const abort = (): void => ending.abort(gone.reason);
-  if (gone.aborted) abort();
-  else gone.addEventListener("abort", abort);
+  const abort = (): void => ending.abort(termination.reason);
+  if (termination.aborted) abort();
+  else termination.addEventListener("abort", abort);
   const close = (): void => {
-    gone.removeEventListener("abort", abort);
+    termination.removeEventListener("abort", abort);
     ending.abort(new Error("the caller closed its connection"));
   };
   return { signal: ending.signal, close };
 }
 
 function instanceFor(
-  reach: Reach,
-  { request, tries }: { request: Demand; tries: number },
+  client: FleetClient,
+  { request, attempt }: { request: CallerRequest; attempt: number },
 ): number | undefined {
-  const open = reach.open();
-  if (tries === 0 && open.includes(request.instance)) return request.instance;
-  return open[(request.instance + tries) % Math.max(1, open.length)];
+  const running = client.runningInstances();
+  if (attempt === 0 && running.includes(request.instance)) return request.instance;
+  return running[(request.instance + attempt) % Math.max(1, running.length)];
 }
 
-async function hear(
-  notes: Notes,
+async function readEvents(
+  log: CallerLog,
   { events, signal }: { events: AsyncIterable<CallerEvent>; signal: AbortSignal },
 ): Promise<void> {
   const iterator = events[Symbol.asyncIterator]();
@@ -125,32 +133,32 @@
   for (;;) {
     const next = await Promise.race([iterator.next().catch(() => "broken" as const), broken]);
     if (next === "broken") {
-      notes.delays.push("broken");
+      log.interruptions.push("broken");
       return;
     }
     if (next.done === true) return;
-    note(notes, next.value);
+    recordEvent(log, next.value);
   }
 }
 
-function note(notes: Notes, event: CallerEvent): void {
+function recordEvent(log: CallerLog, event: CallerEvent): void {
   switch (event.kind) {
     case "accepted":
-      notes.accepted = true;
-      notes.id = event.id;
+      log.accepted = true;
+      log.id = event.id;
       break;
     case "token":
-      notes.tokens.push(event.text);
+      log.tokens.push(event.text);
       break;
     case "ended":
-      notes.id = event.record.id;
-      if (hasEnded(event.record.state)) notes.ends.push(event.record.state);
-      else notes.delays.push(event.record.reason);
+      log.id = event.record.id;
+      if (hasEnded(event.record.state)) log.finalStates.push(event.record.state);
+      else log.interruptions.push(event.record.reason);
       break;
     case "rejected":
-      notes.id = event.rejection.id ?? notes.id;
-      if (event.rejection.notRun) notes.ends.push(RequestState.NotRun);
-      else notes.delays.push(event.rejection.reason);
+      log.id = event.rejection.id ?? log.id;
+      if (event.rejection.notRun) log.finalStates.push(RequestState.NotRun);
+      else log.interruptions.push(event.rejection.reason);
       break;
   }
 }
--- a/bench/faults/faults_test.ts
+++ b/bench/faults/faults_test.ts
@@ -6,16 +6,16 @@
 import { expect, test } from "vitest";
 import { RequestState } from "../../src/interface/index.ts";
 import { keyedId } from "../../src/request/request_key.ts";
-import { ACCOUNT, emptyNotes } from "./caller.ts";
-import { play } from "./play.ts";
-import { brokenPromises } from "./promises.ts";
+import { ACCOUNT, createCallerLog } from "./caller.ts";
+import { runScenario } from "./run_scenario.ts";
+import { findViolations } from "./guarantees.ts";
 import { drawScenario } from "./scenario.ts";
-import { shrink } from "./shrink.ts";
+import { shrinkScenario } from "./shrink.ts";
 
 test.each([1, 2, 57, 127])("seed %i keeps every guarantee", async (seed) => {
   // Instances, zones, connections, the store and backend servers fail together under load. A violation would give
   // a caller a duplicate run, a wrong answer or no answer.
-  expect((await play(drawScenario(seed))).broken).toEqual([]);
+  expect((await runScenario(drawScenario(seed))).violations).toEqual([]);
 });
 
 test.each([32, 44, 46, 116, 133])(
@@ -23,20 +23,20 @@
   async (seed) => {
     // A caller submits its key to two instances. One that was stopping or partitioned rejected it as "not run"
     // while the other ran it. The caller would resubmit under a new key and be charged twice.
-    expect((await play(drawScenario(seed))).broken).toEqual([]);
+    expect((await runScenario(drawScenario(seed))).violations).toEqual([]);
   },
 );
 
 test("seed 11059: a request that is followed by its id is not reported as not run", async () => {
   // The owner's availability zone is reclaimed, another instance is killed and the store is unavailable. The caller
   // has most of its answer and asks an instance that reaches no owner. It received "not run" for a request that had run.
-  expect((await play(drawScenario(11_059))).broken).toEqual([]);
+  expect((await runScenario(drawScenario(11_059))).violations).toEqual([]);
 });
 
 test("seed 12361: survivors of less than half of a fleet take over the slots", async () => {
   // Three of five instances terminate while the store is unavailable. When callers requested the dead instances'
   // slots, the two survivors answered each other's claims in an endless loop.
-  expect((await play(drawScenario(12_361))).broken).toEqual([]);
+  expect((await runScenario(drawScenario(12_361))).violations).toEqual([]);
 });
 
 test("each violation is detected", () => {
@@ -44,17 +44,17 @@
   const request = { at: 0, instance: 0, repeatable: false, detached: false, tokens: 2, key: "k" };
   const { id } = keyedId(ACCOUNT, "k");
   const run = { id, worker: "w0", attempt: 1, startedAt: 1, resumedFrom: 0 };
-  const broken = brokenPromises({
+  const violations = findViolations({
     scenario,
     runs: [run, run],
-    notes: [
-      { ...emptyNotes(request), id, endedAt: 9, ends: [RequestState.NotRun] },
-      { ...emptyNotes(request), id, accepted: true, tokens: ["t1 "] },
-      { ...emptyNotes(request), id, tokens: ["t0 "], ends: [RequestState.Complete] },
+    callerLogs: [
+      { ...createCallerLog(request), id, endedAt: 9, finalStates: [RequestState.NotRun] },
+      { ...createCallerLog(request), id, accepted: true, tokens: ["t1 "] },
+      { ...createCallerLog(request), id, tokens: ["t0 "], finalStates: [RequestState.Complete] },
     ],
     versions: [[2, 1]],
   });
-  expect(broken.map((message) => message.replace(/^\S+ /, ""))).toEqual([
+  expect(violations.map((message) => message.replace(/^\S+ /, ""))).toEqual([
     "ran 2 times, but it is not repeatable.",
     "resumed on w0 before w0 had stopped it.",
     "ran 2 times, but it is not repeatable.",
@@ -72,7 +72,7 @@
 test("a failing scenario is reduced to the faults that it needs", async () => {
   const scenario = drawScenario(133);
   const [requiredFault] = scenario.faults;
-  const smallest = await shrink(scenario, ({ faults }) =>
+  const smallest = await shrinkScenario(scenario, ({ faults }) =>
     Promise.resolve(faults.some((fault) => fault === requiredFault)),
   );
   expect(smallest).toEqual({ ...scenario, faults: [requiredFault], demands: [] });
--- a/bench/faults/fleet.ts
+++ b/bench/faults/fleet.ts
@@ -23,7 +23,7 @@
 import type { Scenario } from "./scenario.ts";
 
 /** Above the number of connections that callers open to one instance at once. More listeners indicate a leak. */
-const GREATEST_CONNECTIONS = 100;
+const MAX_LISTENERS = 100;
 
 /** One entry instance with in-memory fakes of its environment. */
 export interface Instance {
@@ -34,7 +34,7 @@
   /** Pauses the instance, as a stopped process would be. */
   readonly freezer: Freezer;
   /** Aborted when the instance is killed. */
-  readonly gone: AbortController;
+  readonly termination: AbortController;
 }
 
 /** Entry instances with a shared in-memory clock, store, network and backend servers. */
@@ -51,7 +51,7 @@
 }
 
 /** Time in which a new fleet finds its members and assigns its slots, in milliseconds. */
-const FORMING = 8_000;
+const FORMATION_TIME = 8_000;
 
 /** Starts the instances of a scenario and waits until they have formed a fleet. */
 export async function startFleet({ seed, instances, workers }: Scenario): Promise<Fleet> {
@@ -83,12 +83,12 @@
     );
     network.join(self, core.handlers, gate);
     void core.start();
-    const gone = new AbortController();
-    setMaxListeners(GREATEST_CONNECTIONS, gone.signal);
-    return { id: self.id, zone, core, freezer, gone };
+    const termination = new AbortController();
+    setMaxListeners(MAX_LISTENERS, termination.signal);
+    return { id: self.id, zone, core, freezer, termination };
   };
   const all = Array.from({ length: instances }, (_, index) => start(index));
-  await clock.advance(FORMING);
+  await clock.advance(FORMATION_TIME);
   return {
     clock,
     store,
@@ -97,11 +97,11 @@
     instances: all,
     kill: (index) => {
       const instance = all[index];
-      if (instance === undefined || instance.gone.signal.aborted) return;
+      if (instance === undefined || instance.termination.signal.aborted) return;
       network.kill(instance.id);
       instance.freezer.freeze();
       instance.core.close();
-      instance.gone.abort(new Error("the instance was killed"));
+      instance.termination.abort(new Error("the instance was killed"));
     },
     close: () => {
       for (const { core } of all) core.close();
--- a/bench/faults/promises.ts
+++ b/bench/faults/guarantees.ts
@@ -2,24 +2,24 @@
 import type { EngineRun } from "../../src/standin/memory/index.ts";
 import { keyedId } from "../../src/request/request_key.ts";
 import { ACCOUNT } from "./caller.ts";
-import type { Notes } from "./caller.ts";
+import type { CallerLog } from "./caller.ts";
 import type { Scenario } from "./scenario.ts";
 
 /** Records of the callers, the backend servers and the instances' configurations. */
 export interface Evidence {
   readonly scenario: Scenario;
-  readonly notes: readonly Notes[];
+  readonly callerLogs: readonly CallerLog[];
   readonly runs: readonly EngineRun[];
   /** Versions of the revision that each instance had in force, in order of time. */
   readonly versions: readonly (readonly number[])[];
 }
 
 /** Checks the guarantees; returns one message for each violation. */
-export function brokenPromises(evidence: Evidence): string[] {
-  const { notes, versions } = evidence;
+export function findViolations(evidence: Evidence): string[] {
+  const { callerLogs, versions } = evidence;
   return [
-    ...notes.flatMap((one) => ofOneCaller(one, evidence)),
-    ...ofKeys(evidence),
+    ...callerLogs.flatMap((log) => checkCaller(log, evidence)),
+    ...checkKeys(evidence),
     ...versions.flatMap((seen, index) =>
       seen.some((version, at) => version < (seen[at - 1] ?? 0))
         ? [`Instance ${index} returned to an earlier revision: ${seen.join(" ")}.`]
@@ -28,36 +28,38 @@
   ];
 }
 
-function ofOneCaller(notes: Notes, { runs, scenario }: Evidence): string[] {
-  const { id, request, tokens, ends, accepted } = notes;
+function checkCaller(log: CallerLog, { runs, scenario }: Evidence): string[] {
+  const { id, request, tokens, finalStates, accepted } = log;
   const own = runs.filter((run) => run.id === id && id !== "");
   const count = own.length;
-  const broken: string[] = [];
+  const violations: string[] = [];
   const report = (violation: string): void => {
-    broken.push(`${id === "" ? (request.key ?? "A request") : id}: ${violation}`);
+    violations.push(`${id === "" ? (request.key ?? "A request") : id}: ${violation}`);
   };
-  if (!request.repeatable) runsBeyondOne(own).forEach(report);
+  if (!request.repeatable) checkSingleRun(own).forEach(report);
   if (tokens.some((token, index) => token !== `t${index} `)) {
     report(`the caller received the tokens ${tokens.join("")}.`);
   }
-  const end = ends[0];
+  const end = finalStates[0];
   if (end === RequestState.Complete && tokens.length > 0 && tokens.length !== request.tokens) {
     report(`the answer was reported complete with ${tokens.length} of ${request.tokens} tokens.`);
   }
   if (end === RequestState.NotRun && request.key === undefined && count > 0) {
     report(`the caller received "not run", but it ran.`);
   }
-  if (accepted && end === undefined && deaths(scenario) === 0) {
-    report(`it was accepted, but the caller received no final state (${notes.delays.join(", ")}).`);
+  if (accepted && end === undefined && countDisruptions(scenario) === 0) {
+    report(
+      `it was accepted, but the caller received no final state (${log.interruptions.join(", ")}).`,
+    );
   }
-  return broken;
+  return violations;
 }
 
 /**
  * Checks that a request ran only once. A run that is moved counts as one run: the next backend server resumes
  * after the received tokens, once the previous one has stopped the run. Anything else is a second run.
  */
-function runsBeyondOne(runs: readonly EngineRun[]): string[] {
+function checkSingleRun(runs: readonly EngineRun[]): string[] {
   const startedRuns = runs.filter((run) => run.resumedFrom === 0).length;
   const repeated = startedRuns > 1 ? [`ran ${startedRuns} times, but it is not repeatable.`] : [];
   const overlaps = runs.slice(1).flatMap((run, index) => {
@@ -70,21 +72,22 @@
 }
 
 /** Checks that callers with the same key have the same request, on whichever instance they submit it. */
-function ofKeys({ notes, runs }: Evidence): string[] {
-  const keyed = notes.filter(({ request }) => request.key !== undefined);
-  return keyed.flatMap(({ request, ends, endedAt, id }) => {
+function checkKeys({ callerLogs, runs }: Evidence): string[] {
+  const keyed = callerLogs.filter(({ request }) => request.key !== undefined);
+  return keyed.flatMap(({ request, finalStates, endedAt, id }) => {
     const key = request.key ?? "";
     const expected = keyedId(ACCOUNT, key).id;
-    const broken = id !== "" && id !== expected ? [`${key}: it received another id, ${id}.`] : [];
+    const violations =
+      id !== "" && id !== expected ? [`${key}: it received another id, ${id}.`] : [];
     // A key that was reported as not run may be submitted again, and may then run.
     const hadRun = runs.some((run) => run.id === expected && run.startedAt < endedAt);
-    if (hadRun && ends[0] === RequestState.NotRun) {
-      broken.push(`${key}: the caller received "not run", but it had run.`);
+    if (hadRun && finalStates[0] === RequestState.NotRun) {
+      violations.push(`${key}: the caller received "not run", but it had run.`);
     }
-    return broken;
+    return violations;
   });
 }
 
-function deaths({ faults }: Scenario): number {
+function countDisruptions({ faults }: Scenario): number {
   return faults.filter(({ kind }) => kind === "kill" || kind === "freeze" || kind === "cut").length;
 }
--- a/bench/faults/main.ts
+++ b/bench/faults/main.ts
@@ -1,8 +1,8 @@
 import { parseArgs } from "node:util";
-import { play } from "./play.ts";
+import { runScenario } from "./run_scenario.ts";
 import { drawScenario } from "./scenario.ts";
 import type { Scenario } from "./scenario.ts";
-import { shrink } from "./shrink.ts";
+import { shrinkScenario } from "./shrink.ts";
 
 const HELP = `Runs workloads with faults on simulated entry instances in memory, and checks their guarantees.
 
@@ -28,10 +28,18 @@
 
 async function runSeed(seed: number): Promise<Failure | undefined> {
   const scenario = drawScenario(seed);
-  const { broken } = await play(scenario);
-  if (broken.length === 0) return undefined;
-  const smallest = await shrink(scenario, async (reduced) => (await play(reduced)).broken.length > 0);
-  return { seed, broken, repeat: `npm run faults -- --seed ${seed} --count 1`, smallest };
+  const { violations } = await runScenario(scenario);
+  if (violations.length === 0) return undefined;
+  const smallest = await shrinkScenario(
+    scenario,
+    async (reduced) => (await runScenario(reduced)).violations.length > 0,
+  );
+  return {
+    seed,
+    broken: violations,
+    repeat: `npm run faults -- --seed ${seed} --count 1`,
+    smallest,
+  };
 }
 
 if (values.help) {
--- a/bench/faults/play.ts
+++ b/bench/faults/run_scenario.ts
@@ -3,54 +3,54 @@
 import { formatRevision, parseRevision } from "../../src/version/index.ts";
 import type { EntryCore } from "../../src/process/index.ts";
 import type { CallerEvent } from "../../src/request/index.ts";
-import { ACCOUNT, call, emptyNotes } from "./caller.ts";
-import type { Notes, Reach } from "./caller.ts";
+import { ACCOUNT, runCaller, createCallerLog } from "./caller.ts";
+import type { CallerLog, FleetClient } from "./caller.ts";
 import { startFleet } from "./fleet.ts";
 import type { Fleet, Instance } from "./fleet.ts";
-import { brokenPromises } from "./promises.ts";
+import { findViolations } from "./guarantees.ts";
 import type { Fault, Scenario } from "./scenario.ts";
 
 /** Result of a scenario. */
-export interface Outcome {
+export interface ScenarioResult {
   /** Messages, one for each violation of a guarantee. */
-  readonly broken: readonly string[];
-  readonly notes: readonly Notes[];
+  readonly violations: readonly string[];
+  readonly callerLogs: readonly CallerLog[];
 }
 
 /** Time between the reclaim notice and the termination of an instance, in milliseconds. */
-const NOTICE = 4_000;
+const RECLAIM_NOTICE = 4_000;
 /** Time within which all callers must have ended, in milliseconds; longer than all faults together. */
-const SETTLING = 60_000;
+const SETTLE_TIMEOUT = 60_000;
 /** Milliseconds by which the virtual clock advances at a time. */
-const STEP = 250;
+const CLOCK_STEP = 250;
 
 /** Runs a scenario and checks the guarantees against the records of the callers and the backend servers. */
-export async function play(scenario: Scenario): Promise<Outcome> {
+export async function runScenario(scenario: Scenario): Promise<ScenarioResult> {
   const fleet = await startFleet(scenario);
   const versions = fleet.instances.map((): number[] => []);
   const presets = new Map<number, string>();
-  const notes = scenario.demands.map(emptyNotes);
-  const calls = notes.map((log) => call(reachOf(fleet), log));
-  for (const fault of scenario.faults) schedule(fleet, fault);
+  const callerLogs = scenario.demands.map(createCallerLog);
+  const calls = callerLogs.map((log) => runCaller(createFleetClient(fleet), log));
+  for (const fault of scenario.faults) scheduleFault(fleet, fault);
   let pending = calls.length;
   for (const caller of calls) void caller.then(() => pending--);
-  const until = fleet.clock.now() + SETTLING;
+  const until = fleet.clock.now() + SETTLE_TIMEOUT;
   while (fleet.clock.now() < until && pending > 0) {
-    await fleet.clock.advance(STEP);
-    fleet.instances.forEach(({ core, gone }, index) => {
+    await fleet.clock.advance(CLOCK_STEP);
+    fleet.instances.forEach(({ core, termination }, index) => {
       const revision = core.configuration.revision();
-      if (gone.signal.aborted || revision === undefined) return;
+      if (termination.signal.aborted || revision === undefined) return;
       versions[index]?.push(revision.version);
       presets.set(revision.version, revision.preset);
     });
   }
-  const broken = brokenPromises({ scenario, notes, runs: fleet.engines.runs, versions });
+  const violations = findViolations({ scenario, callerLogs, runs: fleet.engines.runs, versions });
   fleet.close();
   const waiting = pending > 0 ? [`${pending} callers are still waiting for an answer.`] : [];
-  return { broken: [...broken, ...waiting], notes };
+  return { violations: [...violations, ...waiting], callerLogs };
 }
 
-function reachOf(fleet: Fleet): Reach {
+function createFleetClient(fleet: Fleet): FleetClient {
   const instanceAt = (index: number): Fleet["instances"][number] => {
     const instance = fleet.instances[index];
     if (instance === undefined) throw new Error(`fleet has no instance ${index}`);
@@ -58,9 +58,12 @@
   };
   return {
     clock: fleet.clock,
-    open: () => fleet.instances.flatMap(({ gone }, index) => (gone.signal.aborted ? [] : [index])),
+    runningInstances: () =>
+      fleet.instances.flatMap(({ termination }, index) =>
+        termination.signal.aborted ? [] : [index],
+      ),
     submit: (instance, request, signal) =>
-      gated(instanceAt(instance), (core) =>
+      gateEvents(instanceAt(instance), (core) =>
         core.requests.submit(
           {
             account: ACCOUNT,
@@ -70,7 +73,7 @@
             body: JSON.stringify({ max_tokens: request.tokens }),
             detached: request.detached,
             repeatable: request.repeatable,
-            deadline: SETTLING / 2,
+            deadline: SETTLE_TIMEOUT / 2,
             fromToken: 0,
             ...(request.key === undefined ? {} : { key: request.key }),
           },
@@ -78,33 +81,33 @@
         ),
       ),
     follow: (instance, { id, fromToken }, signal) =>
-      gated(instanceAt(instance), (core) =>
+      gateEvents(instanceAt(instance), (core) =>
         core.requests.follow(id, { account: ACCOUNT, fromToken, signal }),
       ),
-    gone: (instance) => instanceAt(instance).gone.signal,
+    terminationSignal: (instance) => instanceAt(instance).termination.signal,
   };
 }
 
 /** Passes the events of a connection on; holds them back while the instance is frozen. */
-async function* gated(
+async function* gateEvents(
   { core, freezer }: Instance,
-  open: (core: EntryCore) => AsyncIterable<CallerEvent>,
+  connect: (core: EntryCore) => AsyncIterable<CallerEvent>,
 ): AsyncGenerator<CallerEvent> {
   await freezer.gate();
-  for await (const event of open(core)) {
+  for await (const event of connect(core)) {
     await freezer.gate();
     yield event;
   }
 }
 
 /** Schedules the start and the end of a fault on the virtual clock. */
-function schedule(fleet: Fleet, fault: Fault): void {
+function scheduleFault(fleet: Fleet, fault: Fault): void {
   const { clock } = fleet;
-  clock.after(fault.at, () => begin(fleet, fault));
-  if ("span" in fault) clock.after(fault.at + fault.span, () => end(fleet, fault));
+  clock.after(fault.at, () => startFault(fleet, fault));
+  if ("span" in fault) clock.after(fault.at + fault.span, () => endFault(fleet, fault));
 }
 
-function begin(fleet: Fleet, fault: Fault): void {
+function startFault(fleet: Fleet, fault: Fault): void {
   const { engines, network, store, instances } = fleet;
   const idAt = (index: number): string => instances[index]?.id ?? "";
   switch (fault.kind) {
@@ -112,11 +115,11 @@
       fleet.kill(fault.instance);
       break;
     case "reclaim":
-      reclaim(fleet, fault.instance);
+      reclaimInstance(fleet, fault.instance);
       break;
     case "zone-reclaim":
       instances.forEach(({ zone }, index) => {
-        if (zone === fault.zone) reclaim(fleet, index);
+        if (zone === fault.zone) reclaimInstance(fleet, index);
       });
       break;
     case "freeze":
@@ -147,33 +150,33 @@
       engines.silence(`w${fault.worker}`);
       break;
     case "operators":
-      void operate(fleet, "day");
-      void operate(fleet, "peak");
+      void switchPreset(fleet, "day");
+      void switchPreset(fleet, "peak");
       break;
   }
 }
 
-function end(fleet: Fleet, fault: Extract<Fault, { span: number }>): void {
+function endFault(fleet: Fleet, fault: Extract<Fault, { span: number }>): void {
   const idAt = (index: number): string => fleet.instances[index]?.id ?? "";
   if (fault.kind === "store-down") fleet.store.setDown(false);
   if (fault.kind === "cut") fleet.network.setCut(idAt(fault.a), idAt(fault.b), false);
   if (fault.kind !== "freeze") return;
   const instance = fleet.instances[fault.instance];
-  if (instance?.gone.signal.aborted === false) instance.freezer.wake();
+  if (instance?.termination.signal.aborted === false) instance.freezer.wake();
 }
 
-function reclaim(fleet: Fleet, index: number): void {
+function reclaimInstance(fleet: Fleet, index: number): void {
   const instance = fleet.instances[index];
-  if (instance === undefined || instance.gone.signal.aborted) return;
+  if (instance === undefined || instance.termination.signal.aborted) return;
   // At least one instance of the fleet always remains.
-  const remaining = fleet.instances.filter(({ gone }) => !gone.signal.aborted).length;
+  const remaining = fleet.instances.filter(({ termination }) => !termination.signal.aborted).length;
   if (remaining <= 1) return;
-  void instance.freezer.gate().then(() => instance.core.reclaim(NOTICE));
-  fleet.clock.after(NOTICE, () => fleet.kill(index));
+  void instance.freezer.gate().then(() => instance.core.reclaim(RECLAIM_NOTICE));
+  fleet.clock.after(RECLAIM_NOTICE, () => fleet.kill(index));
 }
 
 /** Runs an operator's preset switch: reads the revision and writes the new one on condition of its version. */
-async function operate(fleet: Fleet, preset: string): Promise<void> {
+async function switchPreset(fleet: Fleet, preset: string): Promise<void> {
   const store = fleet.store.connect();
   const read = await store.get(REVISION_KEY);
   if (read.kind !== "found") return;
--- a/bench/faults/scenario.ts
+++ b/bench/faults/scenario.ts
@@ -2,7 +2,7 @@
 import type { Random } from "../../src/interface/index.ts";
 
 /** A request of the workload and the caller that submits it. */
-export interface Demand {
+export interface CallerRequest {
   /** Milliseconds after the fleet has formed. */
   readonly at: number;
   /** Index of the entry instance that the caller connects to first. */
@@ -57,7 +57,7 @@
   readonly seed: number;
   readonly instances: number;
   readonly workers: number;
-  readonly demands: readonly Demand[];
+  readonly demands: readonly CallerRequest[];
   readonly faults: readonly Fault[];
 }
 
@@ -65,27 +65,30 @@
 export const ZONES = 3;
 
 /** Time in which all requests and faults start, in milliseconds. */
-const SPAN = 6_000;
+const START_WINDOW = 6_000;
 /** Milliseconds. */
-const LONGEST_FAULT = 9_000;
-const DEMANDS = 10;
-const MOST_TOKENS = 60;
+const MAX_FAULT_DURATION = 9_000;
+const REQUEST_COUNT = 10;
+const MAX_TOKENS = 60;
 
 /** Generates a scenario; the same seed always gives the same scenario. */
 export function drawScenario(seed: number): Scenario {
   const random = createSeededRandom(seed);
-  const instances = 3 + below(random, 3);
-  const workers = 2 + below(random, 2);
-  const demands = Array.from({ length: DEMANDS }, (_, index) =>
+  const instances = 3 + randomBelow(random, 3);
+  const workers = 2 + randomBelow(random, 2);
+  const demands = Array.from({ length: REQUEST_COUNT }, (_, index) =>
     drawDemand(random, { instances, index }),
   );
-  const count = 1 + below(random, 4);
+  const count = 1 + randomBelow(random, 4);
   const faults = Array.from({ length: count }, () => drawFault(random, { instances, workers }));
   return {
     seed,
     instances,
     workers,
-    demands: [...demands, ...demands.flatMap((request) => again(random, { request, instances }))],
+    demands: [
+      ...demands,
+      ...demands.flatMap((request) => drawRepeat(random, { request, instances })),
+    ],
     faults: faults.sort((one, other) => one.at - other.at),
   };
 }
@@ -93,41 +96,47 @@
 function drawDemand(
   random: Random,
   { instances, index }: { instances: number; index: number },
-): Demand {
+): CallerRequest {
   const request = {
-    at: below(random, SPAN),
-    instance: below(random, instances),
+    at: randomBelow(random, START_WINDOW),
+    instance: randomBelow(random, instances),
     repeatable: random.next() < 0.5,
     detached: random.next() < 0.2,
-    tokens: 1 + below(random, MOST_TOKENS),
+    tokens: 1 + randomBelow(random, MAX_TOKENS),
   };
   return random.next() < 0.6 ? { ...request, key: `key-${index}` } : request;
 }
 
 /** Generates, for half of the requests with a key, a second submission to any instance. */
-function again(
+function drawRepeat(
   random: Random,
-  { request, instances }: { request: Demand; instances: number },
-): Demand[] {
+  { request, instances }: { request: CallerRequest; instances: number },
+): CallerRequest[] {
   if (request.key === undefined || random.next() < 0.5) return [];
-  return [{ ...request, at: request.at + below(random, 3_000), instance: below(random, instances) }];
+  return [
+    {
+      ...request,
+      at: request.at + randomBelow(random, 3_000),
+      instance: randomBelow(random, instances),
+    },
+  ];
 }
 
 function drawFault(
   random: Random,
   { instances, workers }: { instances: number; workers: number },
 ): Fault {
-  const at = below(random, SPAN);
-  const instance = below(random, instances);
-  const span = 200 + below(random, LONGEST_FAULT);
+  const at = randomBelow(random, START_WINDOW);
+  const instance = randomBelow(random, instances);
+  const span = 200 + randomBelow(random, MAX_FAULT_DURATION);
   const a = instance;
-  const b = (instance + 1 + below(random, instances - 1)) % instances;
-  const count = 1 + below(random, 5);
-  const worker = below(random, workers - 1);
+  const b = (instance + 1 + randomBelow(random, instances - 1)) % instances;
+  const count = 1 + randomBelow(random, 5);
+  const worker = randomBelow(random, workers - 1);
   const kinds: readonly Fault[] = [
     { kind: "kill", at, instance },
     { kind: "reclaim", at, instance },
-    { kind: "zone-reclaim", at, zone: below(random, ZONES) },
+    { kind: "zone-reclaim", at, zone: randomBelow(random, ZONES) },
     { kind: "freeze", at, instance, span },
     { kind: "cut", at, a, b, span },
     { kind: "silence", at, a, b },
@@ -139,9 +148,9 @@
     { kind: "worker-silence", at, worker },
     { kind: "operators", at },
   ];
-  return kinds[below(random, kinds.length)] ?? { kind: "watches-silent", at };
+  return kinds[randomBelow(random, kinds.length)] ?? { kind: "watches-silent", at };
 }
 
-function below(random: Random, bound: number): number {
+function randomBelow(random: Random, bound: number): number {
   return Math.floor(random.next() * bound);
 }
--- a/bench/soak/main.ts
+++ b/bench/soak/main.ts
@@ -1,7 +1,7 @@
 import { mkdirSync, writeFileSync } from "node:fs";
 import path from "node:path";
 import { parseArgs } from "node:util";
-import { fewest } from "../faults/shrink.ts";
+import { minimize } from "../faults/shrink.ts";
 import { drawPlan } from "./plan.ts";
 import type { SoakPlan } from "./plan.ts";
 import { playSoak } from "./play.ts";
@@ -65,7 +65,7 @@
 }
 
 async function shrink(plan: SoakPlan): Promise<SoakPlan> {
-  const faults = await fewest(plan.faults, async (left) =>
+  const faults = await minimize(plan.faults, async (left) =>
     isBroken(await playOne({ ...plan, faults: left })),
   );
   return { ...plan, faults };
