--- a/bench/rollouts/main.ts
+++ b/bench/rollouts/main.ts
@@ -1,3 +1,13 @@
+/**
+ * Compares ways to decide on the rollout of a new version: `npm run rollouts -- [--seed N] [--runs N] [--way NAME]...
+ * [--json]`.
+ *
+ * Each way runs the same simulated rollouts. The report states how many good versions were rolled back, how many bad
+ * versions were completed and how many requests bad versions received. The exit code is 1 if the way that the product
+ * uses exceeds a bound.
+ *
+ * @module
+ */
 import { parseArgs } from "node:util";
 import { JUDGES } from "./other_ways.ts";
 import type { Ramp } from "./other_ways.ts";
@@ -17,12 +27,12 @@
 });
 
 const RAMPS: readonly Ramp[] = ["few", "even"];
-/** The way that runs. */
+/** Name of the way that the product uses. */
 const RUNNING = "ratio, few";
 const ways = Object.entries(JUDGES).flatMap(([name, judge]) =>
   RAMPS.map((ramp) => ({ name: `${name}, ${ramp}`, judge, ramp })),
 );
-const chosen =
+const selected =
   values.way.length === 0 ? ways : ways.filter(({ name }) => values.way.includes(name));
 const first = Number(values.seed);
 const scenarios = Array.from({ length: Number(values.runs) }, (_, run) =>
@@ -31,13 +41,13 @@
 
 const summaries: Summary[] = [];
 const plots = new Map<string, string>();
-for (const { name, judge, ramp } of chosen) {
-  const plays: { scenario: (typeof scenarios)[number]; outcome: Outcome }[] = [];
+for (const { name, judge, ramp } of selected) {
+  const results: { scenario: (typeof scenarios)[number]; outcome: Outcome }[] = [];
   for (const scenario of scenarios) {
-    plays.push({ scenario, outcome: await playOrder(scenario, { judge, ramp }) });
+    results.push({ scenario, outcome: await playOrder(scenario, { judge, ramp }) });
   }
-  summaries.push(summarize(name, plays));
-  const bad = plays.filter(({ scenario }) => scenario.sort !== Sort.Good);
+  summaries.push(summarize(name, results));
+  const bad = results.filter(({ scenario }) => scenario.sort !== Sort.Good);
   plots.set(name, exposurePlot(bad.map(({ outcome }) => outcome)));
 }
 
@@ -52,9 +62,11 @@
     })),
   );
   for (const { way, seeds } of summaries) {
-    console.log(`\n${way}: the part of the bound that bad versions were given\n${plots.get(way)}`);
-    for (const [what, found] of Object.entries(seeds)) {
-      if (found.length > 0) console.log(`${what}: ${found.join(" ")}`);
+    console.log(
+      `\n${way}: share of the exposure bound that bad versions received\n${plots.get(way)}`,
+    );
+    for (const [problem, failedSeeds] of Object.entries(seeds)) {
+      if (failedSeeds.length > 0) console.log(`${problem}: ${failedSeeds.join(" ")}`);
     }
   }
 }
--- a/bench/rollouts/other_ways.ts
+++ b/bench/rollouts/other_ways.ts
@@ -1,32 +1,35 @@
 import { judgeRollout, RolloutFault, sumCounts } from "../../src/decision/index.ts";
 import type { RolloutJudge, RolloutVerdict, RunCounts } from "../../src/decision/index.ts";
 
-/** How the workers of a version on trial are used. */
+/**
+ * How requests are sent to a version on trial: "few" to the few backend servers on trial while their load is at
+ * most the average, "even" a fixed share of the requests to all new backend servers.
+ */
 export type Ramp = "few" | "even";
 
-/** Ways that are compared with those that run: each way of judging by its name. */
+/** Judges that are compared, by name: "ratio" is the one that the product uses. */
 export const JUDGES: Readonly<Record<string, RolloutJudge>> = {
   ratio: judgeRollout,
   distance: judgeByDistance,
 };
 
-/** Runs of the new version before it is judged. */
+/** Minimum number of runs of the new version before it is judged. */
 const LEAST_RUNS = 20;
-/** How far the new version's share of bad answers may be over the old one's. */
+/** Maximum excess of the new version's share of failed and of slow answers over the old version's. */
 const DISTANCE = { failures: 0.02, times: 0.15 };
 
-/** Judges by a fixed distance between the shares of bad answers, as soon as there are some runs. */
+/** Judges by a fixed difference between the shares of bad answers, once there are enough runs. */
 function judgeByDistance(routes: Parameters<RolloutJudge>[0]): RolloutVerdict {
-  for (const [what, fault] of [
+  for (const [metric, fault] of [
     ["answers", RolloutFault.Failures],
     ["times", RolloutFault.SlowAnswers],
   ] as const) {
-    const base = sumCounts(routes.map((route) => route[what].base));
-    const tried = sumCounts(routes.flatMap((route) => [...route[what].tried.values()]));
+    const base = sumCounts(routes.map((route) => route[metric].base));
+    const tried = sumCounts(routes.flatMap((route) => [...route[metric].tried.values()]));
     if (tried.runs < LEAST_RUNS) continue;
     const excess = shareOf(tried) - shareOf(base);
-    const most = what === "answers" ? DISTANCE.failures : DISTANCE.times;
-    if (excess > most) return { kind: "bad", fault, route: "", evidence: excess };
+    const maxExcess = metric === "answers" ? DISTANCE.failures : DISTANCE.times;
+    if (excess > maxExcess) return { kind: "bad", fault, route: "", evidence: excess };
   }
   return { kind: "open", evidence: 0 };
 }
--- a/bench/rollouts/play.ts
+++ b/bench/rollouts/play.ts
@@ -1,3 +1,12 @@
+/**
+ * Simulation of one rollout order over a virtual clock.
+ *
+ * The entry instances' views of the rollout and the rollout task are the product's own code. Backend servers, load,
+ * digests and the store are simulated: digests and plans arrive with a delay, and disturbances hit both versions
+ * while the new one is on trial.
+ *
+ * @module
+ */
 import { rolloutCourse, RolloutPhase, sumCounts } from "../../src/decision/index.ts";
 import type { RolloutJudge, RunCounts, RunTally } from "../../src/decision/index.ts";
 import { createSeededRandom, Purchase, RolloutState } from "../../src/interface/index.ts";
@@ -18,79 +27,92 @@
 import { Onset, Sort, Trouble } from "./scenario.ts";
 import type { Scenario } from "./scenario.ts";
 
-/** What became of an order. */
+/** Result of a rollout order. */
 export interface Outcome {
   readonly seed: number;
   readonly state: RolloutState | undefined;
-  /** Milliseconds since the order. */
+  /** Time when the order ended, in milliseconds since the order. */
   readonly endedAt: number | undefined;
-  /** Sent to the new version until the deadline, and to both. */
+  /** Requests sent to the new version until the deadline. */
   readonly tried: number;
+  /** Requests sent to both versions until the deadline. */
   readonly all: number;
-  /** Bad answers of the new version until the order's end. */
+  /** Bad answers of the new version until the order ended. */
   readonly badAnswers: number;
-  /** How much later than the new version's fiftieth bad answer it was last sent a request, in milliseconds. */
+  /** Time from the new version's fiftieth bad answer to the last request sent to it, in milliseconds. */
   readonly lastAfterFiftieth: number | undefined;
 }
 
-/** The ways to decide that are compared. */
+/** One of the compared ways to decide on a rollout. */
 export interface Ways {
   readonly judge: RolloutJudge;
   readonly ramp: Ramp;
 }
 
-/** The bound that orders are played against. */
+/** Exposure bound: the maximum share of requests that a bad version receives, plus a fixed number of requests. */
 export const BOUNDS = { share: 0.1, slack: 50 };
-/** Milliseconds within which a version gets nothing more after its fiftieth bad answer. */
+/** Time limit for the last request to a version after its fiftieth bad answer, in milliseconds. */
 export const ROLLBACK_WITHIN = 5_000;
 
 const SERVICE = "model";
-/** Routes with their part of the requests, the usual milliseconds to the first answer and to the end. */
+/** Routes with their share of the requests, and usual milliseconds to the first byte and to the end. */
 const ROUTES = [
   { name: "draft", part: 0.25, first: 120, whole: 1_500, reads: 6_000 },
   { name: "query", part: 0.35, first: 40, whole: 1_200, reads: 700 },
   { name: "check", part: 0.4, first: 50, whole: 120, reads: 2_000 },
 ] as const;
+/** Request slots of a backend server. */
 const SLOTS = 16;
-/** The part of the places that is taken on average. */
+/** Average share of the slots in use. */
 const USUAL_USE = 0.5;
+/** Milliseconds by which the simulation advances at a time. */
 const STEP = 10;
-/** Milliseconds of load before the order, from which instances know what is usual. */
+/** Load before the order, from which the instances learn the usual latencies, in milliseconds. */
 const WARM_UP = 12_000;
-/** Milliseconds after the deadline that are played. */
+/** Simulated time after the deadline, in milliseconds. */
 const AFTER = 3_000;
-/** Milliseconds between two digests, and hops that counts and plans take in small and large fleets. */
+/** Milliseconds between two digests. */
 const DIGEST = 250;
+/** Hops between instances that counts and plans take in small and large fleets. */
 const HOPS = { small: 1, large: 3 };
-/** Milliseconds until another instance has the duty whose holder has died. */
+/** Time until another instance takes over the lease of a holder that has terminated, in milliseconds. */
 const TAKEOVER = 3_800;
+/** Time for which the simulation continues after a rollback, in milliseconds. */
 const CALL_LIMIT = 2_000;
 
+/** Simulated backend server. */
 interface Worker {
   readonly entry: RoutedWorker;
+  /** Whether it runs the new version. */
   readonly isNew: boolean;
   readonly zone: number;
+  /** Number of requests in progress. */
   running: number;
-  /** Until when it fails its runs, at which share; or is slow, how many times. */
+  /** Share of its runs that fail, and the time until which they do. */
   failing: { until: number; share: number };
+  /** Factor by which its answers are slower, and the time until which they are. */
   slow: { until: number; times: number };
 }
 
+/** Simulated entry instance. */
 interface Instance {
   view: RolloutView;
   readonly zone: number;
 }
 
-/** Plays an order. */
+/** Simulates the rollout order of a scenario. */
 export async function playOrder(scenario: Scenario, ways: Ways): Promise<Outcome> {
   const random = createSeededRandom(scenario.seed * 7 + 1);
   const clock = createVirtualClock();
   const store = createMemoryStore(clock).connect();
   const { rate, duration, instances: count, strikes } = scenario;
-  const meanTime = ROUTES.reduce((all, { part, whole }) => all + part * whole, 0);
-  const each = Math.max(4, Math.ceil((rate * meanTime) / 1_000 / (SLOTS * USUAL_USE)));
+  const meanDuration = ROUTES.reduce((sum, { part, whole }) => sum + part * whole, 0);
+  const workersPerVersion = Math.max(
+    4,
+    Math.ceil((rate * meanDuration) / 1_000 / (SLOTS * USUAL_USE)),
+  );
   const workers = [false, true].flatMap((isNew) =>
-    Array.from({ length: each }, (_, place) => workerAt(place, isNew)),
+    Array.from({ length: workersPerVersion }, (_, index) => workerAt(index, isNew)),
   );
   const entries = workers.map(({ entry }) => entry);
   const history: { at: number; sums: Map<number, RunCounts> }[] = [];
@@ -108,48 +130,49 @@
     view.setWorkers(entries);
     return view;
   };
-  const fleet: Instance[] = Array.from({ length: count }, (_, place) => ({
+  const fleet: Instance[] = Array.from({ length: count }, (_, index) => ({
     view: createView(),
-    zone: place % 4,
+    zone: index % 4,
   }));
   const hops = count > GREATEST_MESH ? HOPS.large : HOPS.small;
 
-  const isStruck = (trouble: Trouble): boolean => {
+  const isActive = (trouble: Trouble): boolean => {
     const at = clock.now() - WARM_UP;
     return strikes.some(
       (strike) => strike.trouble === trouble && at >= strike.at && at < strike.until,
     );
   };
-  const isCut = ({ zone }: Instance): boolean => zone === 0 && isStruck(Trouble.ZoneCut);
+  const isCut = ({ zone }: Instance): boolean => zone === 0 && isActive(Trouble.ZoneCut);
 
-  // The order in the store, and how instances hear of it.
+  // The order in the store, and its propagation to the instances.
   let entry: RolloutEntry | undefined;
   let endedAt: number | undefined;
-  const tellEntry = (): void => {
-    const said = entry === undefined ? [] : [entry];
+  const publishEntry = (): void => {
+    const entriesNow = entry === undefined ? [] : [entry];
     for (const instance of fleet) {
       const delay = DIGEST * hops * random.next();
       clock.after(delay, () => {
         const known = instance.view.find(SERVICE)?.entry.storeVersion ?? 0;
-        if (known <= (said[0]?.storeVersion ?? 0)) instance.view.setEntries(said, delay);
+        if (known <= (entriesNow[0]?.storeVersion ?? 0))
+          instance.view.setEntries(entriesNow, delay);
       });
     }
   };
   const setStatus = (over: RolloutEntry, status: RolloutStatus): Promise<PutOutcome> => {
-    if (isStruck(Trouble.StoreAway)) {
-      return Promise.resolve({ kind: "unavailable", detail: "away" });
+    if (isActive(Trouble.StoreAway)) {
+      return Promise.resolve({ kind: "unavailable", detail: "unavailable" });
     }
     if (entry?.storeVersion !== over.storeVersion) return Promise.resolve({ kind: "conflict" });
     entry = { ...entry, storeVersion: entry.storeVersion + 1, status };
     if (status.state !== RolloutState.Running) endedAt = clock.now() - WARM_UP;
-    tellEntry();
+    publishEntry();
     return Promise.resolve({ kind: "written", version: entry.storeVersion });
   };
 
-  // Counts and plans travel with the digests.
-  const lost = new Map<number, RunCounts>();
-  const heard = new Map<Instance, ReadonlyMap<number, RunCounts>>();
-  const collect = (): void => {
+  // Counts and plans are sent with the digests.
+  const lostCounts = new Map<number, RunCounts>();
+  const lastCounts = new Map<Instance, ReadonlyMap<number, RunCounts>>();
+  const sendDigests = (): void => {
     const sums = new Map<number, RunCounts>();
     const add = (counts: ReadonlyMap<number, RunCounts>): void => {
       for (const [key, { runs, failures }] of counts) {
@@ -160,15 +183,15 @@
         );
       }
     };
-    add(lost);
+    add(lostCounts);
     for (const instance of fleet) {
       if (!isCut(instance)) {
-        heard.set(
+        lastCounts.set(
           instance,
           new Map([...instance.view.counts()].map(([key, counts]) => [key, { ...counts }])),
         );
       }
-      add(heard.get(instance) ?? new Map());
+      add(lastCounts.get(instance) ?? new Map());
     }
     history.push({ at: clock.now(), sums });
     if (history.length > 20) history.shift();
@@ -183,12 +206,12 @@
   };
   let holder = 1;
   let fence = 1;
-  let holdsFrom = 0;
+  let leaseStartsAt = 0;
   let task: RolloutTask | undefined;
   const startTask = (): void => {
     const view = fleet[holder]?.view;
     if (view === undefined) return;
-    const own = fence;
+    const ownFence = fence;
     task = createRolloutTask({
       clock,
       bounds: BOUNDS,
@@ -202,32 +225,31 @@
         return history.findLast(({ at }) => at <= from)?.sums ?? new Map();
       },
       running: () => workers.reduce((sum, { running }) => sum + running, 0),
-      fence: () => (own === fence && clock.now() >= holdsFrom ? own : undefined),
+      fence: () => (ownFence === fence && clock.now() >= leaseStartsAt ? ownFence : undefined),
       judge: ways.judge,
       log: () => undefined,
     });
     task.start();
   };
-  const handOver = (): void => {
+  const moveLease = (): void => {
     task?.close();
     holder = (holder + 1) % fleet.length;
     fence++;
-    holdsFrom = clock.now() + TAKEOVER;
+    leaseStartsAt = clock.now() + TAKEOVER;
     startTask();
   };
 
-  // Requests.
-  let tried = 0;
-  let all = 0;
+  let triedRequests = 0;
+  let totalRequests = 0;
   let badAnswers = 0;
-  let allBad = 0;
+  let badAnswersInTotal = 0;
   let fiftiethAt: number | undefined;
   let lastTriedAt = 0;
-  const ends = new Map<number, (() => void)[]>();
-  const at = (time: number, run: () => void): void => {
+  const callbacks = new Map<number, (() => void)[]>();
+  const runAt = (time: number, run: () => void): void => {
     const step = Math.max(now() + 1, Math.ceil(time / STEP));
-    const list = ends.get(step) ?? [];
-    ends.set(step, list);
+    const list = callbacks.get(step) ?? [];
+    callbacks.set(step, list);
     list.push(run);
   };
   const now = (): number => Math.floor(clock.now() / STEP);
@@ -238,25 +260,26 @@
     if (scenario.onset === Onset.UnderLoad) return worker.running >= SLOTS * USUAL_USE * 0.6;
     return scenario.onset === Onset.AtOnce || route === ROUTES[scenario.seed % ROUTES.length]?.name;
   };
-  const request = (): void => {
+  const sendRequest = (): void => {
     const instance = fleet[Math.floor(random.next() * fleet.length)];
     const route = drawRoute(random);
     if (instance === undefined) return;
-    const worker = choose(instance);
+    const worker = chooseWorker(instance);
     if (worker === undefined) return;
     const startedAt = clock.now();
     const isBad = isBadNow(worker, route.name);
     const isSlowWorker = worker.slow.until > startedAt;
-    const usual = route.first * Math.exp(gaussian(random) * 0.35) * (1 + worker.running / SLOTS);
-    const times =
+    const usualTime =
+      route.first * Math.exp(gaussian(random) * 0.35) * (1 + worker.running / SLOTS);
+    const slowdown =
       (isSlowWorker ? worker.slow.times : 1) *
       (isBad && scenario.sort === Sort.Slow ? scenario.strength : 1);
-    const first = usual * times;
-    const failsAt =
+    const first = usualTime * slowdown;
+    const failureRate =
       (worker.failing.until > startedAt ? worker.failing.share : 0) +
       (isBad && scenario.sort === Sort.Fails ? scenario.strength : 0) +
-      (isStruck(Trouble.LostAnswers) ? 0.03 : 0);
-    const fails = random.next() < failsAt;
+      (isActive(Trouble.LostAnswers) ? 0.03 : 0);
+    const isFailed = random.next() < failureRate;
     worker.running++;
     const tally: RunTally = instance.view.begin({
       worker: worker.entry,
@@ -265,69 +288,69 @@
       isCold: false,
     });
     const since = startedAt - WARM_UP;
-    if (entry !== undefined && since >= 0 && since < duration) all++;
+    if (entry !== undefined && since >= 0 && since < duration) totalRequests++;
     if (worker.isNew && entry !== undefined) {
-      if (since < duration) tried++;
+      if (since < duration) triedRequests++;
       lastTriedAt = startedAt;
     }
-    at(startedAt + first, () => {
-      if (!fails) tally.answered(clock.now());
-      if (worker.isNew && (fails || (isBad && scenario.sort === Sort.Slow))) {
+    runAt(startedAt + first, () => {
+      if (!isFailed) tally.answered(clock.now());
+      if (worker.isNew && (isFailed || (isBad && scenario.sort === Sort.Slow))) {
         if (endedAt === undefined) badAnswers++;
-        if (++allBad === 50) fiftiethAt = clock.now();
+        if (++badAnswersInTotal === 50) fiftiethAt = clock.now();
       }
     });
-    // A failure is the whole answer.
-    at(startedAt + first + (fails ? 0 : route.whole - route.first), () => {
+    // A failed answer has no body: its first byte is its end.
+    runAt(startedAt + first + (isFailed ? 0 : route.whole - route.first), () => {
       worker.running--;
-      tally.ended(fails ? "failed" : "well");
+      tally.ended(isFailed ? "failed" : "well");
     });
   };
-  const choose = ({ view }: Instance): Worker | undefined => {
+  const chooseWorker = ({ view }: Instance): Worker | undefined => {
     const admission = view.admitting(SERVICE);
     const serving = workers.filter(({ entry: one }) => admission?.serves(one) ?? true);
     if (admission === undefined) return lessLoaded(serving, random);
-    if (ways.ramp === "even") return lessLoaded(drawEvenly(view) ?? serving, random);
-    const usual = serving.reduce((sum, { running }) => sum + running, 0) / serving.length;
+    if (ways.ramp === "even") return lessLoaded(drawAllNew(view) ?? serving, random);
+    const meanRunning = serving.reduce((sum, { running }) => sum + running, 0) / serving.length;
     const trial = workers.filter(
-      ({ entry: one, running }) => admission.onTrial.has(one.id) && running <= usual,
+      ({ entry: one, running }) => admission.onTrial.has(one.id) && running <= meanRunning,
     );
     return lessLoaded(trial.length > 0 ? trial : serving, random);
   };
-  /** The other way: for a share of the requests that is drawn, all new workers at any time. */
-  const drawEvenly = (view: RolloutView): Worker[] | undefined => {
+  /** For the "even" ramp: returns all new backend servers for a random share of the requests. */
+  const drawAllNew = (view: RolloutView): Worker[] | undefined => {
     if (view.find(SERVICE)?.phase !== RolloutPhase.Trial) return undefined;
     const { parts } = rolloutCourse(duration, BOUNDS);
     const isDrawn = random.next() < parts[RolloutPhase.Trial];
     return isDrawn ? workers.filter(({ isNew }) => isNew) : undefined;
   };
 
-  const strike = (trouble: Trouble, until: number): void => {
-    const some = workers.filter(() => random.next() < 0.15);
+  const startDisturbance = (trouble: Trouble, until: number): void => {
+    const affected = workers.filter(() => random.next() < 0.15);
     if (trouble === Trouble.FailingWorkers) {
-      for (const worker of some) worker.failing = { until, share: 0.4 };
+      for (const worker of affected) worker.failing = { until, share: 0.4 };
     } else if (trouble === Trouble.CrashedWorkers) {
-      for (const worker of some) worker.failing = { until, share: 1 };
+      for (const worker of affected) worker.failing = { until, share: 1 };
     } else if (trouble === Trouble.SlowWorkers) {
-      for (const worker of some) worker.slow = { until, times: 4 };
+      for (const worker of affected) worker.slow = { until, times: 4 };
     } else if (trouble === Trouble.HolderDies) {
-      handOver();
+      moveLease();
     } else if (trouble === Trouble.AllRestart) {
-      const last = history.at(-1)?.sums;
-      for (const [key, counts] of last ?? []) lost.set(key, counts);
-      heard.clear();
+      const lastSums = history.at(-1)?.sums;
+      for (const [key, counts] of lastSums ?? []) lostCounts.set(key, counts);
+      lastCounts.clear();
       for (const instance of fleet) {
         instance.view = createView();
         instance.view.setEntries(entry === undefined ? [] : [entry], undefined);
       }
-      handOver();
+      moveLease();
     }
   };
-  const waiting = [...strikes];
+  const pending = [...strikes];
   let nextDigest = 0;
   startTask();
-  const last = WARM_UP + duration + AFTER;
-  while (clock.now() < last) {
+  const simulationEnd = WARM_UP + duration + AFTER;
+  while (clock.now() < simulationEnd) {
     const time = clock.now();
     if (entry === undefined && time >= WARM_UP) {
       entry = {
@@ -335,23 +358,23 @@
         storeVersion: 1,
         status: undefined,
       };
-      tellEntry();
+      publishEntry();
     }
-    for (const one of waiting.filter(({ at: begins }) => time >= WARM_UP + begins)) {
-      waiting.splice(waiting.indexOf(one), 1);
-      strike(one.trouble, WARM_UP + one.until);
+    for (const one of pending.filter(({ at: startsAt }) => time >= WARM_UP + startsAt)) {
+      pending.splice(pending.indexOf(one), 1);
+      startDisturbance(one.trouble, WARM_UP + one.until);
     }
-    for (const end of ends.get(now()) ?? []) end();
-    ends.delete(now());
-    const arrivals = poisson((rate * (isStruck(Trouble.Burst) ? 2 : 1) * STEP) / 1_000, random);
-    for (let index = 0; index < arrivals; index++) request();
+    for (const callback of callbacks.get(now()) ?? []) callback();
+    callbacks.delete(now());
+    const arrivals = poisson((rate * (isActive(Trouble.Burst) ? 2 : 1) * STEP) / 1_000, random);
+    for (let index = 0; index < arrivals; index++) sendRequest();
     if (time >= nextDigest) {
       nextDigest = time + DIGEST;
-      collect();
+      sendDigests();
     }
     await clock.advance(STEP);
     if (endedAt !== undefined && time > WARM_UP + endedAt + CALL_LIMIT && endedAt < duration) {
-      // Once an order has ended nothing changes but that a completed version goes on to get everything.
+      // After the end of an order only a completed version still receives requests, so a rollback ends the simulation.
       if (entry?.status?.state === RolloutState.RolledBack) break;
     }
   }
@@ -360,22 +383,22 @@
     seed: scenario.seed,
     state: entry?.status?.state,
     endedAt,
-    tried,
-    all,
+    tried: triedRequests,
+    all: totalRequests,
     badAnswers,
     lastAfterFiftieth: fiftiethAt === undefined ? undefined : lastTriedAt - fiftiethAt,
   };
 }
 
-function workerAt(place: number, isNew: boolean): Worker {
-  const zone = place % 4;
+function workerAt(index: number, isNew: boolean): Worker {
+  const zone = index % 4;
   return {
     entry: {
-      id: `${isNew ? "n" : "o"}-${place}`,
+      id: `${isNew ? "n" : "o"}-${index}`,
       born: isNew ? WARM_UP : 0,
       service: SERVICE,
       version: isNew ? "v2" : "v1",
-      address: `10.0.${isNew ? 1 : 0}.${place}:80`,
+      address: `10.0.${isNew ? 1 : 0}.${index}:80`,
       zone: `z${zone}`,
       slots: SLOTS,
       purchase: Purchase.OnDemand,
@@ -400,12 +423,13 @@
   return ROUTES[0];
 }
 
-/** The less loaded of three that are drawn, as instances choose by news of each other. */
+/** Returns the least loaded of three random backend servers, similar to a choice by the instances' digests. */
 function lessLoaded(workers: readonly Worker[], random: Random): Worker | undefined {
   let best: Worker | undefined;
   for (let draw = 0; draw < 3; draw++) {
-    const one = workers[Math.floor(random.next() * workers.length)];
-    if (one !== undefined && (best === undefined || one.running < best.running)) best = one;
+    const candidate = workers[Math.floor(random.next() * workers.length)];
+    if (candidate !== undefined && (best === undefined || candidate.running < best.running))
+      best = candidate;
   }
   return best;
 }
--- a/bench/rollouts/report.ts
+++ b/bench/rollouts/report.ts
@@ -4,36 +4,42 @@
 import { Sort } from "./scenario.ts";
 import type { Scenario } from "./scenario.ts";
 
-/** What a way to decide did with all orders. */
+/** Results of one way to decide, over all orders. */
 export interface Summary {
   readonly way: string;
+  /** Number of orders of good versions. */
   readonly good: number;
   readonly goodRolledBack: number;
+  /** Good versions that were not rolled back but not completed by the deadline. */
   readonly goodLate: number;
+  /** Number of orders of bad versions. */
   readonly bad: number;
   readonly badCompleted: number;
-  /** Those of them that had given fewer bad answers until then than anybody could tell by. */
+  /** Completed bad versions with too few bad answers to detect them. */
   readonly badUnseen: number;
+  /** Bad versions whose order was still running at the end. */
   readonly badOpen: number;
-  /** Orders over the bound, and the most that any came to of it. */
+  /** Orders of bad versions that exceeded the exposure bound. */
   readonly overBound: number;
+  /** Greatest share of the exposure bound that a bad version received. */
   readonly greatestPart: number;
-  /** Orders in which a request was sent too late after the fiftieth bad answer, and the latest, in milliseconds. */
+  /** Orders in which a request was sent too late after the fiftieth bad answer. */
   readonly lateRollbacks: number;
+  /** Latest request after the fiftieth bad answer, in milliseconds. */
   readonly latestAfterFiftieth: number;
-  /** Seeds of what went wrong. */
+  /** Seeds of the problematic orders, by the name of the problem. */
   readonly seeds: Readonly<Record<string, readonly number[]>>;
 }
 
-/** The part of the bound that a bad version was given. */
+/** Returns the share of the exposure bound that a version received; above 1 the bound is exceeded. */
 export function exposedPart({ tried, all }: Outcome): number {
   return tried / (all * BOUNDS.share + BOUNDS.slack);
 }
 
-/** Bad answers by which a version can be told from a good one at best. */
+/** Minimum number of bad answers by which a bad version can be distinguished from a good one. */
 const LEAST_TOLD = 5;
 
-/** Sums up what became of the orders. */
+/** Summarizes the results of all orders. */
 export function summarize(
   way: string,
   plays: readonly { readonly scenario: Scenario; readonly outcome: Outcome }[],
@@ -41,7 +47,8 @@
   const isGood = ({ scenario }: (typeof plays)[number]): boolean => scenario.sort === Sort.Good;
   const good = plays.filter(isGood);
   const bad = plays.filter((play) => !isGood(play));
-  const seedsOf = (found: typeof plays): number[] => found.map(({ scenario: { seed } }) => seed);
+  const seedsOf = (selected: typeof plays): number[] =>
+    selected.map(({ scenario: { seed } }) => seed);
   const rolledBack = good.filter(({ outcome }) => outcome.state === RolloutState.RolledBack);
   const late = good.filter(
     ({ scenario, outcome: { state, endedAt } }) =>
@@ -79,26 +86,28 @@
   };
 }
 
-/** Whether a bound was passed. */
+/** Returns whether a bound was exceeded. */
 export function isBroken({ overBound, lateRollbacks }: Summary): boolean {
   return overBound > 0 || lateRollbacks > 0;
 }
 
+/** Number of bars up to the bound; one more bar is above it. */
 const BARS = 10;
+/** Length of the longest bar, in characters. */
 const GREATEST_BAR = 50;
 
-/** A bar a tenth of the bound, as long as the orders of bad versions that were given so much of it. */
+/** Plots a histogram of the exposure: one bar per tenth of the bound, with the number of orders. */
 export function exposurePlot(outcomes: readonly Outcome[]): string {
   const counts = Array.from({ length: BARS + 1 }, () => 0);
   for (const outcome of outcomes) {
     const bar = Math.min(BARS, Math.floor(exposedPart(outcome) * BARS));
     counts[bar] = (counts[bar] ?? 0) + 1;
   }
-  const most = Math.max(1, ...counts);
+  const maxCount = Math.max(1, ...counts);
   return counts
     .map((count, bar) => {
       const label = bar === BARS ? "over" : `${bar * BARS}%`;
-      return `${label.padStart(5)} ${"#".repeat(Math.ceil((count / most) * GREATEST_BAR))} ${count}`;
+      return `${label.padStart(5)} ${"#".repeat(Math.ceil((count / maxCount) * GREATEST_BAR))} ${count}`;
     })
     .join("\n");
 }
--- a/bench/rollouts/rollouts_test.ts
+++ b/bench/rollouts/rollouts_test.ts
@@ -6,20 +6,20 @@
 
 const SEEDS = [1, 2, 3, 6, 16, 42, 47, 87, 40586, 60052, 60270];
 
-async function play(seed: number): Promise<Parameters<typeof summarize>[1][number]> {
+async function runOrder(seed: number): Promise<Parameters<typeof summarize>[1][number]> {
   const { ratio } = JUDGES;
-  if (ratio === undefined) throw new Error("The way that runs is among those that are compared.");
+  if (ratio === undefined) throw new Error("the ratio judge is missing");
   const scenario = drawScenario(seed);
   return { scenario, outcome: await playOrder(scenario, { judge: ratio, ramp: "few" }) };
 }
 
-// Whatever is found out of a version and when, no bound is passed; some of these seeds once did, or weren't told.
-test("orders keep within their bounds and end rightly", async () => {
-  const plays: Awaited<ReturnType<typeof play>>[] = [];
-  for (const seed of SEEDS) plays.push(await play(seed));
-  const found = summarize("ratio, few", plays);
-  expect(isBroken(found)).toBe(false);
-  expect(found.seeds).toEqual({
+// Some of these seeds once exceeded a bound or left an order without its correct end state.
+test("orders stay within their bounds and end in the correct state", async () => {
+  const results: Awaited<ReturnType<typeof runOrder>>[] = [];
+  for (const seed of SEEDS) results.push(await runOrder(seed));
+  const summary = summarize("ratio, few", results);
+  expect(isBroken(summary)).toBe(false);
+  expect(summary.seeds).toEqual({
     goodRolledBack: [],
     goodLate: [],
     badCompleted: [],
@@ -28,6 +28,6 @@
   });
 });
 
-test("an order plays the same each time", async () => {
-  expect(await play(6)).toEqual(await play(6));
+test("the simulation of an order is deterministic", async () => {
+  expect(await runOrder(6)).toEqual(await runOrder(6));
 });
--- a/bench/rollouts/scenario.ts
+++ b/bench/rollouts/scenario.ts
@@ -2,14 +2,16 @@
 import { createSeededRandom } from "../../src/interface/index.ts";
 import { hashText } from "../../src/version/index.ts";
 
-/** In which way a version is bad. */
+/** Behavior of the new version. */
 export enum Sort {
   Good = "good",
+  /** A share of its runs fails. */
   Fails = "fails",
+  /** Its answers take longer. */
   Slow = "slow",
 }
 
-/** When a bad version shows itself. */
+/** When a bad version shows its defect. */
 export enum Onset {
   AtOnce = "at-once",
   Later = "later",
@@ -17,7 +19,7 @@
   OneRoute = "one-route",
 }
 
-/** What strikes both versions for some seconds. */
+/** Kind of disturbance that affects both versions for some seconds. */
 export enum Trouble {
   FailingWorkers = "failing-workers",
   SlowWorkers = "slow-workers",
@@ -30,38 +32,38 @@
   AllRestart = "all-restart",
 }
 
-/** A trouble with its time, in milliseconds since the order. */
+/** A disturbance with its start and end, in milliseconds since the order. */
 export interface Strike {
   readonly trouble: Trouble;
   readonly at: number;
   readonly until: number;
 }
 
-/** One order with all that happens beside it. */
+/** One rollout order with its load and disturbances. */
 export interface Scenario {
   readonly seed: number;
   readonly sort: Sort;
   readonly onset: Onset;
-  /** The share of failures, or how many times as long answers take. */
+  /** Share of failing runs, or the factor by which answers take longer. */
   readonly strength: number;
-  /** When a version that is bad later turns bad, as a part of the order's time. */
+  /** Time after which the defect of {@linkcode Onset.Later} appears, as a fraction of `duration`. */
   readonly turnsAt: number;
-  /** Requests a second. */
+  /** Requests per second of the whole fleet. */
   readonly rate: number;
   readonly instances: number;
-  /** Milliseconds. */
+  /** Time from the order to its deadline, in milliseconds. */
   readonly duration: number;
   readonly strikes: readonly Strike[];
 }
 
 const INSTANCES = [6, 6, 9, 20, 76, 300];
-/** Requests a second that an instance gets at least: nobody runs more instances than that. */
+/** Minimum requests per second of an instance: users don't run so many instances that each receives fewer. */
 const LEAST_RATE = 0.4;
 
-/** Draws an order. */
+/** Generates an order; the same seed always gives the same order. */
 export function drawScenario(seed: number): Scenario {
   const random = createSeededRandom(hashText(`order ${seed}`));
-  const between = (least: number, most: number): number => least + random.next() * (most - least);
+  const between = (min: number, max: number): number => min + random.next() * (max - min);
   const sort = random.next() < 0.4 ? Sort.Good : random.next() < 0.5 ? Sort.Fails : Sort.Slow;
   const duration = between(8_000, 60_000);
   const rate = 20 * 30 ** random.next();
@@ -94,7 +96,7 @@
 }
 
 function pick<T>(values: readonly T[], random: Random): T {
-  const found = values[Math.floor(random.next() * values.length)];
-  if (found === undefined) throw new Error("There is nothing to draw from.");
-  return found;
+  const value = values[Math.floor(random.next() * values.length)];
+  if (value === undefined) throw new Error("cannot pick from an empty list");
+  return value;
 }
--- a/bench/routed_cost.ts
+++ b/bench/routed_cost.ts
@@ -1,3 +1,12 @@
+/**
+ * Measures the processor time and memory of the built entry instance: at its start, per request and per streamed event.
+ *
+ * The benchmark starts `target/entry.cjs` with stand-ins of the platform and of one backend server, sends requests
+ * over loopback and reads the instance's processor time from `/proc`. It prints one JSON object. Run
+ * `node build.mjs platform` first.
+ *
+ * @module
+ */
 import { spawn } from "node:child_process";
 import { mkdtempSync, readFileSync, writeFileSync } from "node:fs";
 import { Agent, request } from "node:http";
@@ -7,29 +16,32 @@
 import { startPlatformStandin } from "../platform/testing/platform_standin.ts";
 import { startWorkerStandin } from "../platform/testing/worker_standin.ts";
 
-/** Requests of each kind, and how many are in progress at once. */
-const REQUESTS = 4_000;
-const AT_ONCE = 16;
-const WARM_UP = 1_000;
-/** Events of one stream of the worker stand-in. */
-const EVENTS = 6;
+/** Number of measured requests of each kind. */
+const REQUEST_COUNT = 4_000;
+/** Number of concurrent requests. */
+const CONCURRENCY = 16;
+/** Number of unmeasured requests before each measurement. */
+const WARM_UP_REQUESTS = 1_000;
+/** Number of events in one stream of the backend server stand-in. */
+const EVENTS_PER_STREAM = 6;
 const FIRST_PORT = 28_300;
+/** Unit of the processor times in `/proc/PID/stat`. */
 const TICKS_PER_SECOND = 100;
-const MICROSECONDS = 1_000_000;
+const MICROSECONDS_PER_SECOND = 1_000_000;
 
-/** Processor seconds that a process has used. */
+/** Returns the processor time that a process has used, in seconds. */
 function processorSeconds(pid: number): number {
   const fields = readFileSync(`/proc/${pid}/stat`, "utf8").split(") ")[1]?.split(" ") ?? [];
   return (Number(fields[11]) + Number(fields[12])) / TICKS_PER_SECOND;
 }
 
-/** Resident megabytes of a process. */
+/** Returns the resident set size of a process, in mebibytes. */
 function residentMegabytes(pid: number): number {
   const line = /VmRSS:\s+(\d+)/.exec(readFileSync(`/proc/${pid}/status`, "utf8"));
   return Math.round(Number(line?.[1] ?? 0) / 1_024);
 }
 
-/** Prints what a start, a routed request and a streamed event cost an entry instance as it is built for a platform. */
+/** Prints the cost of a start, a routed request and a streamed event. */
 async function main(): Promise<void> {
   const platform = await startPlatformStandin();
   const worker = await startWorkerStandin("i-0", "desk");
@@ -59,8 +71,8 @@
     stdio: ["ignore", "ignore", "inherit"],
   });
   const pid = child.pid ?? 0;
-  const agent = new Agent({ keepAlive: true, maxSockets: AT_ONCE });
-  while ((await ask(agent, "/safe/x")) !== 200)
+  const agent = new Agent({ keepAlive: true, maxSockets: CONCURRENCY });
+  while ((await sendRequest(agent, "/safe/x")) !== 200)
     await new Promise((resolve) => setTimeout(resolve, 2));
   const firstServed = Math.round(performance.now() - startedAt);
   const start = {
@@ -68,15 +80,19 @@
     processor: processorSeconds(pid),
     megabytes: residentMegabytes(pid),
   };
-  await load(agent, { path: "/safe/x", count: WARM_UP });
-  const plain = await costOf(pid, () => load(agent, { path: "/safe/x", count: REQUESTS }));
-  await load(agent, { path: "/stream/x", count: WARM_UP });
-  const stream = await costOf(pid, () => load(agent, { path: "/stream/x", count: REQUESTS }));
+  await sendLoad(agent, { path: "/safe/x", count: WARM_UP_REQUESTS });
+  const plain = await measureCost(pid, () =>
+    sendLoad(agent, { path: "/safe/x", count: REQUEST_COUNT }),
+  );
+  await sendLoad(agent, { path: "/stream/x", count: WARM_UP_REQUESTS });
+  const stream = await measureCost(pid, () =>
+    sendLoad(agent, { path: "/stream/x", count: REQUEST_COUNT }),
+  );
   const report = {
     start,
     plainMicroseconds: plain,
     streamMicroseconds: stream,
-    eventMicroseconds: Math.round((stream - plain) / EVENTS),
+    eventMicroseconds: Math.round((stream - plain) / EVENTS_PER_STREAM),
     megabytes: residentMegabytes(pid),
   };
   console.log(JSON.stringify(report));
@@ -86,23 +102,26 @@
   await platform.close();
 }
 
-/** Microseconds of the process's processor time a request. */
-async function costOf(pid: number, run: () => Promise<void>): Promise<number> {
+/** Returns the processor time that the process uses per request, in microseconds. */
+async function measureCost(pid: number, run: () => Promise<void>): Promise<number> {
   const before = processorSeconds(pid);
   await run();
-  return Math.round(((processorSeconds(pid) - before) * MICROSECONDS) / REQUESTS);
+  return Math.round(((processorSeconds(pid) - before) * MICROSECONDS_PER_SECOND) / REQUEST_COUNT);
 }
 
-async function load(agent: Agent, { path, count }: { path: string; count: number }): Promise<void> {
-  let left = count;
-  const lane = async (): Promise<void> => {
-    while (left-- > 0) await ask(agent, path);
+async function sendLoad(
+  agent: Agent,
+  { path, count }: { path: string; count: number },
+): Promise<void> {
+  let remaining = count;
+  const sendSequentially = async (): Promise<void> => {
+    while (remaining-- > 0) await sendRequest(agent, path);
   };
-  await Promise.all(Array.from({ length: AT_ONCE }, lane));
+  await Promise.all(Array.from({ length: CONCURRENCY }, sendSequentially));
 }
 
-/** Asks once; 0 where nobody answers. */
-function ask(agent: Agent, path: string): Promise<number> {
+/** Sends one request; resolves to its status, or to 0 if the connection fails. */
+function sendRequest(agent: Agent, path: string): Promise<number> {
   return new Promise((resolve) => {
     const headers = {
       host: "desk.example",
--- a/bench/slopes/control_cost.ts
+++ b/bench/slopes/control_cost.ts
@@ -4,28 +4,29 @@
 import { startEmbedded } from "../../src/cli/embedded_deployment.ts";
 import { accountKeys, ASSOCIATION, documentValue } from "../../src/cli/template/index.ts";
 
-/** What control costs at one number of instances, all in this process and over loopback. */
+/** Cost of control traffic at one number of instances, all in this process and over loopback. */
 export interface ControlCost {
   readonly instances: number;
-  /** Bytes a second that one instance sends and receives, the platform's answers included. */
+  /** Bytes per second that one instance sends and receives, including the platform's answers. */
   readonly bytes: number;
-  /** Share of a core for one instance; the stand-ins of platform and workers are in it. */
+  /** Share of a core per instance, including the stand-ins of the platform and the backend servers. */
   readonly core: number;
-  /** Bytes of heap for one instance. */
+  /** Heap per instance, in bytes. */
   readonly heap: number;
 }
 
-/** Until the slots have been assigned and balanced, in milliseconds. */
-const FORMING = 20_000;
-const MEASURED = 6_000;
+/** Time until the slots have been assigned and balanced, in milliseconds. */
+const FORMATION_TIME = 20_000;
+/** Duration of the measurement, in milliseconds. */
+const MEASUREMENT_TIME = 6_000;
 
-/** Starts the given number of instances without any load, and measures them for some seconds. */
+/** Starts a number of instances without load and measures them. */
 export async function measureControl(instances: number): Promise<ControlCost> {
   const sockets = new Set<Socket>();
   const onSocket = (message: unknown): void => {
     sockets.add((message as { socket: Socket }).socket);
   };
-  // Only the connecting ends are counted, both ways: each byte passes one of them.
+  // Only client sockets are counted, in both directions: each byte passes exactly one of them.
   subscribe("net.client.socket", onSocket);
   const heapBefore = process.memoryUsage().heapUsed;
   const deployment = await startEmbedded({
@@ -38,16 +39,16 @@
     operatorKey: "operator-key-of-slopes",
   });
   try {
-    await pause(FORMING);
-    const bytesBefore = passed(sockets);
+    await pause(FORMATION_TIME);
+    const bytesBefore = countBytes(sockets);
     const usageBefore = process.cpuUsage();
-    const began = performance.now();
-    await pause(MEASURED);
-    const seconds = (performance.now() - began) / 1_000;
+    const startedAt = performance.now();
+    await pause(MEASUREMENT_TIME);
+    const seconds = (performance.now() - startedAt) / 1_000;
     const { user, system } = process.cpuUsage(usageBefore);
     return {
       instances,
-      bytes: (passed(sockets) - bytesBefore) / seconds / instances,
+      bytes: (countBytes(sockets) - bytesBefore) / seconds / instances,
       core: (user + system) / 1e6 / seconds / instances,
       heap: (process.memoryUsage().heapUsed - heapBefore) / instances,
     };
@@ -57,7 +58,7 @@
   }
 }
 
-function passed(sockets: ReadonlySet<Socket>): number {
+function countBytes(sockets: ReadonlySet<Socket>): number {
   let bytes = 0;
   for (const socket of sockets) bytes += socket.bytesRead + socket.bytesWritten;
   return bytes;
--- a/bench/slopes/main.ts
+++ b/bench/slopes/main.ts
@@ -1,8 +1,9 @@
 /**
- * How costs grow with size: `npm run slopes -- [--json]`.
+ * Measures how costs grow with the size of the fleet: `npm run slopes -- [--json]`.
  *
- * Control is measured on real entry instances over loopback, without load, all in this process. Figures
- * depend on the machine and on what else it does.
+ * Control traffic is measured on real entry instances over loopback, without load, all in this process. A cost
+ * that grows with the number of instances limits the size of a fleet. The results depend on the machine and its
+ * other load.
  *
  * @module
  */
@@ -14,10 +15,14 @@
 import { fitLine } from "./fit.ts";
 import type { Fit, Point } from "./fit.ts";
 
-const MEMBERS = [3, 6, 9, 20];
-const RESOLVE_MEMBERS = [3, 9, 20, 63, 380];
-const RESOLVES = 2_000;
+/** Numbers of instances at which control traffic is measured. */
+const CONTROL_SIZES = [3, 6, 9, 20];
+/** Numbers of instances at which the resolution of an address is timed. */
+const RESOLVE_SIZES = [3, 9, 20, 63, 380];
+/** Number of timed resolutions. */
+const RESOLVE_COUNT = 2_000;
 
+/** Measurements of one cost, with the line fitted to them. */
 interface Slope {
   readonly name: string;
   readonly points: readonly Point[];
@@ -28,6 +33,7 @@
   return { name, points, fit: fitLine(points) };
 }
 
+/** Returns the time of one address resolution, in microseconds. */
 function resolveTime(members: number): number {
   const alive = Array.from({ length: members }, (_, index) => ({
     id: `e${index}#1`,
@@ -37,23 +43,23 @@
   }));
   const random = createSeededRandom(1);
   const view = { alive, owner: undefined, load: new Map<string, number>(), account: "club" };
-  const began = performance.now();
-  for (let count = 0; count < RESOLVES; count++) resolve(view, random);
-  return ((performance.now() - began) * 1_000) / RESOLVES;
+  const startedAt = performance.now();
+  for (let count = 0; count < RESOLVE_COUNT; count++) resolve(view, random);
+  return ((performance.now() - startedAt) * 1_000) / RESOLVE_COUNT;
 }
 
 const { values } = parseArgs({ options: { json: { type: "boolean", default: false } } });
 const costs: ControlCost[] = [];
-for (const members of MEMBERS) costs.push(await measureControl(members));
+for (const members of CONTROL_SIZES) costs.push(await measureControl(members));
 const pointsOf = (key: "bytes" | "core" | "heap"): Point[] =>
   costs.map((cost) => ({ size: cost.instances, value: cost[key] }));
 const slopes = [
-  slopeOf("control: bytes a second of one instance, by members", pointsOf("bytes")),
+  slopeOf("control: bytes per second of one instance, by members", pointsOf("bytes")),
   slopeOf("control: share of a core of one instance, by members", pointsOf("core")),
   slopeOf("heap of one instance in bytes, by members", pointsOf("heap")),
   slopeOf(
     "resolve: microseconds, by members",
-    RESOLVE_MEMBERS.map((size) => ({ size, value: resolveTime(size) })),
+    RESOLVE_SIZES.map((size) => ({ size, value: resolveTime(size) })),
   ),
 ];
 if (values.json) console.log(JSON.stringify({ slopes }));
--- a/bench/standin_process.ts
+++ b/bench/standin_process.ts
@@ -1,5 +1,5 @@
 /**
- * The platform and the backend servers of the bench, as a process of their own.
+ * Child process that runs stand-ins of the platform and of the backend servers for the benchmark.
  *
  * @module
  */
@@ -12,21 +12,22 @@
 import { serveParent } from "./child.ts";
 import { BENCH_DEPLOYMENT, BenchService, WORKERS } from "./deployment.ts";
 
-/** What the bench is told once all listen. */
+/** Ready value: sent to the benchmark when all stand-ins listen. */
 export interface StandinsReady {
+  /** Address of the platform stand-in. */
   readonly platform: string;
-  /** `http://IP:PORT` of the backend servers that answer at once. */
+  /** `http://IP:PORT` of each backend server that answers at once. */
   readonly quick: readonly string[];
 }
 
 const LISTEN = "127.0.0.1:0";
-/** Longer than the bench: these requests stand. */
-const STANDING_TOKEN_TIME = 3_600_000;
+/** Time per token of the held requests, in milliseconds; longer than the benchmark runs. */
+const HELD_TOKEN_TIME = 3_600_000;
 
 async function startWorkers(service: BenchService): Promise<Worker[]> {
   const workers: Worker[] = [];
   for (let index = 0; index < WORKERS; index++) {
-    const tokenTime = service === BenchService.Quick ? 0 : STANDING_TOKEN_TIME;
+    const tokenTime = service === BenchService.Quick ? 0 : HELD_TOKEN_TIME;
     const backend = await startBackend({ listen: LISTEN, clock: systemClock, tokenTime });
     workers.push({
       id: `${service}-${index}`,
@@ -42,11 +43,11 @@
 }
 
 const quick = await startWorkers(BenchService.Quick);
-const standing = await startWorkers(BenchService.Held);
+const held = await startWorkers(BenchService.Held);
 const platform = await startPlatform({
   listen: LISTEN,
   clock: systemClock,
-  workers: [...quick, ...standing],
+  workers: [...quick, ...held],
 });
 const store = createHttpObjectStore(platform.address);
 const revision = formatRevision({ source: BENCH_DEPLOYMENT, preset: "day", changes: [] });
