--- a/bench/rollouts/other_ways.ts
+++ b/bench/rollouts/judges.ts
@@ -14,9 +14,9 @@
 };
 
 /** Minimum number of runs of the new version before it is judged. */
-const LEAST_RUNS = 20;
+const MIN_RUNS = 20;
 /** Maximum excess of the new version's share of failed and of slow answers over the old version's. */
-const DISTANCE = { failures: 0.02, times: 0.15 };
+const MAX_EXCESS = { failures: 0.02, times: 0.15 };
 
 /** Judges by a fixed difference between the shares of bad answers, once there are enough runs. */
 function judgeByDistance(routes: Parameters<RolloutJudge>[0]): RolloutVerdict {
@@ -26,9 +26,9 @@
   ] as const) {
     const base = sumCounts(routes.map((route) => route[metric].base));
     const tried = sumCounts(routes.flatMap((route) => [...route[metric].tried.values()]));
-    if (tried.runs < LEAST_RUNS) continue;
+    if (tried.runs < MIN_RUNS) continue;
     const excess = shareOf(tried) - shareOf(base);
-    const maxExcess = metric === "answers" ? DISTANCE.failures : DISTANCE.times;
+    const maxExcess = metric === "answers" ? MAX_EXCESS.failures : MAX_EXCESS.times;
     if (excess > maxExcess) return { kind: "bad", fault, route: "", evidence: excess };
   }
   return { kind: "open", evidence: 0 };
--- a/bench/rollouts/main.ts
+++ b/bench/rollouts/main.ts
@@ -9,13 +9,13 @@
  * @module
  */
 import { parseArgs } from "node:util";
-import { JUDGES } from "./other_ways.ts";
-import type { Ramp } from "./other_ways.ts";
-import { playOrder } from "./play.ts";
-import type { Outcome } from "./play.ts";
-import { exposurePlot, isBroken, summarize } from "./report.ts";
+import { JUDGES } from "./judges.ts";
+import type { Ramp } from "./judges.ts";
+import { simulateOrder } from "./simulate_order.ts";
+import type { RolloutResult } from "./simulate_order.ts";
+import { exposurePlot, isBoundExceeded, summarize } from "./report.ts";
 import type { Summary } from "./report.ts";
-import { drawScenario, Sort } from "./scenario.ts";
+import { drawScenario, VersionBehavior } from "./scenario.ts";
 
 const { values } = parseArgs({
   options: {
@@ -42,12 +42,12 @@
 const summaries: Summary[] = [];
 const plots = new Map<string, string>();
 for (const { name, judge, ramp } of selected) {
-  const results: { scenario: (typeof scenarios)[number]; outcome: Outcome }[] = [];
+  const results: { scenario: (typeof scenarios)[number]; outcome: RolloutResult }[] = [];
   for (const scenario of scenarios) {
-    results.push({ scenario, outcome: await playOrder(scenario, { judge, ramp }) });
+    results.push({ scenario, outcome: await simulateOrder(scenario, { judge, ramp }) });
   }
   summaries.push(summarize(name, results));
-  const bad = results.filter(({ scenario }) => scenario.sort !== Sort.Good);
+  const bad = results.filter(({ scenario }) => scenario.behavior !== VersionBehavior.Good);
   plots.set(name, exposurePlot(bad.map(({ outcome }) => outcome)));
 }
 
@@ -70,4 +70,4 @@
     }
   }
 }
-process.exitCode = summaries.some((one) => one.way === RUNNING && isBroken(one)) ? 1 : 0;
+process.exitCode = summaries.some((one) => one.way === RUNNING && isBoundExceeded(one)) ? 1 : 0;
--- a/bench/rollouts/report.ts
+++ b/bench/rollouts/report.ts
@@ -1,7 +1,7 @@
 import { RolloutState } from "../../src/interface/index.ts";
-import { BOUNDS, ROLLBACK_WITHIN } from "./play.ts";
-import type { Outcome } from "./play.ts";
-import { Sort } from "./scenario.ts";
+import { EXPOSURE_BOUND, ROLLBACK_TIME_LIMIT } from "./simulate_order.ts";
+import type { RolloutResult } from "./simulate_order.ts";
+import { VersionBehavior } from "./scenario.ts";
 import type { Scenario } from "./scenario.ts";
 
 /** Results of one way to decide, over all orders. */
@@ -32,22 +32,23 @@
 }
 
 /** Returns the share of the exposure bound that a version received; above 1 the bound is exceeded. */
-export function exposedPart({ tried, all }: Outcome): number {
-  return tried / (all * BOUNDS.share + BOUNDS.slack);
+export function exposureRatio({ newVersionRequests, totalRequests }: RolloutResult): number {
+  return newVersionRequests / (totalRequests * EXPOSURE_BOUND.share + EXPOSURE_BOUND.slack);
 }
 
 /** Minimum number of bad answers by which a bad version can be distinguished from a good one. */
-const LEAST_TOLD = 5;
+const MIN_DETECTABLE_FAILURES = 5;
 
 /** Summarizes the results of all orders. */
 export function summarize(
   way: string,
-  plays: readonly { readonly scenario: Scenario; readonly outcome: Outcome }[],
+  results: readonly { readonly scenario: Scenario; readonly outcome: RolloutResult }[],
 ): Summary {
-  const isGood = ({ scenario }: (typeof plays)[number]): boolean => scenario.sort === Sort.Good;
-  const good = plays.filter(isGood);
-  const bad = plays.filter((play) => !isGood(play));
-  const seedsOf = (selected: typeof plays): number[] =>
+  const isGood = ({ scenario }: (typeof results)[number]): boolean =>
+    scenario.behavior === VersionBehavior.Good;
+  const good = results.filter(isGood);
+  const bad = results.filter((result) => !isGood(result));
+  const seedsOf = (selected: typeof results): number[] =>
     selected.map(({ scenario: { seed } }) => seed);
   const rolledBack = good.filter(({ outcome }) => outcome.state === RolloutState.RolledBack);
   const late = good.filter(
@@ -59,9 +60,10 @@
   const open = bad.filter(
     ({ outcome: { state } }) => state === undefined || state === RolloutState.Running,
   );
-  const over = bad.filter(({ outcome }) => exposedPart(outcome) > 1);
+  const over = bad.filter(({ outcome }) => exposureRatio(outcome) > 1);
   const lateAfter = bad.filter(
-    ({ outcome: { lastAfterFiftieth } }) => (lastAfterFiftieth ?? 0) > ROLLBACK_WITHIN,
+    ({ outcome: { lastRequestAfterFiftieth } }) =>
+      (lastRequestAfterFiftieth ?? 0) > ROLLBACK_TIME_LIMIT,
   );
   return {
     way,
@@ -70,12 +72,16 @@
     goodLate: late.length,
     bad: bad.length,
     badCompleted: completed.length,
-    badUnseen: completed.filter(({ outcome }) => outcome.badAnswers < LEAST_TOLD).length,
+    badUnseen: completed.filter(({ outcome }) => outcome.badAnswers < MIN_DETECTABLE_FAILURES)
+      .length,
     badOpen: open.length,
     overBound: over.length,
-    greatestPart: Math.max(0, ...bad.map(({ outcome }) => exposedPart(outcome))),
+    greatestPart: Math.max(0, ...bad.map(({ outcome }) => exposureRatio(outcome))),
     lateRollbacks: lateAfter.length,
-    latestAfterFiftieth: Math.max(0, ...bad.map(({ outcome }) => outcome.lastAfterFiftieth ?? 0)),
+    latestAfterFiftieth: Math.max(
+      0,
+      ...bad.map(({ outcome }) => outcome.lastRequestAfterFiftieth ?? 0),
+    ),
     seeds: {
       goodRolledBack: seedsOf(rolledBack),
       goodLate: seedsOf(late),
@@ -87,27 +93,27 @@
 }
 
 /** Returns whether a bound was exceeded. */
-export function isBroken({ overBound, lateRollbacks }: Summary): boolean {
+export function isBoundExceeded({ overBound, lateRollbacks }: Summary): boolean {
   return overBound > 0 || lateRollbacks > 0;
 }
 
 /** Number of bars up to the bound; one more bar is above it. */
 const BARS = 10;
 /** Length of the longest bar, in characters. */
-const GREATEST_BAR = 50;
+const MAX_BAR_LENGTH = 50;
 
 /** Plots a histogram of the exposure: one bar per tenth of the bound, with the number of orders. */
-export function exposurePlot(outcomes: readonly Outcome[]): string {
+export function exposurePlot(outcomes: readonly RolloutResult[]): string {
   const counts = Array.from({ length: BARS + 1 }, () => 0);
   for (const outcome of outcomes) {
-    const bar = Math.min(BARS, Math.floor(exposedPart(outcome) * BARS));
+    const bar = Math.min(BARS, Math.floor(exposureRatio(outcome) * BARS));
     counts[bar] = (counts[bar] ?? 0) + 1;
   }
   const maxCount = Math.max(1, ...counts);
   return counts
     .map((count, bar) => {
       const label = bar === BARS ? "over" : `${bar * BARS}%`;
-      return `${label.padStart(5)} ${"#".repeat(Math.ceil((count / maxCount) * GREATEST_BAR))} ${count}`;
+      return `${label.padStart(5)} ${"#".repeat(Math.ceil((count / maxCount) * MAX_BAR_LENGTH))} ${count}`;
     })
     .join("\n");
 }
--- a/bench/rollouts/rollouts_test.ts
+++ b/bench/rollouts/rollouts_test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from "vitest";
-import { JUDGES } from "./other_ways.ts";
-import { playOrder } from "./play.ts";
-import { isBroken, summarize } from "./report.ts";
+import { JUDGES } from "./judges.ts";
+import { simulateOrder } from "./simulate_order.ts";
+import { isBoundExceeded, summarize } from "./report.ts";
 import { drawScenario } from "./scenario.ts";
 
 const SEEDS = [1, 2, 3, 6, 16, 42, 47, 87, 40586, 60052, 60270];
@@ -10,7 +10,7 @@
   const { ratio } = JUDGES;
   if (ratio === undefined) throw new Error("the ratio judge is missing");
   const scenario = drawScenario(seed);
-  return { scenario, outcome: await playOrder(scenario, { judge: ratio, ramp: "few" }) };
+  return { scenario, outcome: await simulateOrder(scenario, { judge: ratio, ramp: "few" }) };
 }
 
 // Some of these seeds once exceeded a bound or left an order without its correct end state.
@@ -18,7 +18,7 @@
   const results: Awaited<ReturnType<typeof runOrder>>[] = [];
   for (const seed of SEEDS) results.push(await runOrder(seed));
   const summary = summarize("ratio, few", results);
-  expect(isBroken(summary)).toBe(false);
+  expect(isBoundExceeded(summary)).toBe(false);
   expect(summary.seeds).toEqual({
     goodRolledBack: [],
     goodLate: [],
--- a/bench/rollouts/scenario.ts
+++ b/bench/rollouts/scenario.ts
@@ -3,7 +3,7 @@
 import { hashText } from "../../src/version/index.ts";
 
 /** Behavior of the new version. */
-export enum Sort {
+export enum VersionBehavior {
   Good = "good",
   /** A share of its runs fails. */
   Fails = "fails",
@@ -20,7 +20,7 @@
 }
 
 /** Kind of disturbance that affects both versions for some seconds. */
-export enum Trouble {
+export enum DisturbanceKind {
   FailingWorkers = "failing-workers",
   SlowWorkers = "slow-workers",
   CrashedWorkers = "crashed-workers",
@@ -33,8 +33,8 @@
 }
 
 /** A disturbance with its start and end, in milliseconds since the order. */
-export interface Strike {
-  readonly trouble: Trouble;
+export interface Disturbance {
+  readonly kind: DisturbanceKind;
   readonly at: number;
   readonly until: number;
 }
@@ -42,60 +42,65 @@
 /** One rollout order with its load and disturbances. */
 export interface Scenario {
   readonly seed: number;
-  readonly sort: Sort;
+  readonly behavior: VersionBehavior;
   readonly onset: Onset;
   /** Share of failing runs, or the factor by which answers take longer. */
   readonly strength: number;
   /** Time after which the defect of {@linkcode Onset.Later} appears, as a fraction of `duration`. */
-  readonly turnsAt: number;
+  readonly defectStart: number;
   /** Requests per second of the whole fleet. */
   readonly rate: number;
   readonly instances: number;
   /** Time from the order to its deadline, in milliseconds. */
   readonly duration: number;
-  readonly strikes: readonly Strike[];
+  readonly disturbances: readonly Disturbance[];
 }
 
-const INSTANCES = [6, 6, 9, 20, 76, 300];
+const INSTANCE_COUNTS = [6, 6, 9, 20, 76, 300];
 /** Minimum requests per second of an instance: users don't run so many instances that each receives fewer. */
-const LEAST_RATE = 0.4;
+const MIN_REQUESTS_PER_INSTANCE = 0.4;
 
 /** Generates an order; the same seed always gives the same order. */
 export function drawScenario(seed: number): Scenario {
   const random = createSeededRandom(hashText(`order ${seed}`));
   const between = (min: number, max: number): number => min + random.next() * (max - min);
-  const sort = random.next() < 0.4 ? Sort.Good : random.next() < 0.5 ? Sort.Fails : Sort.Slow;
+  const behavior =
+    random.next() < 0.4
+      ? VersionBehavior.Good
+      : random.next() < 0.5
+        ? VersionBehavior.Fails
+        : VersionBehavior.Slow;
   const duration = between(8_000, 60_000);
   const rate = 20 * 30 ** random.next();
   return {
     seed,
-    sort,
-    onset: pick(Object.values(Onset), random),
-    strength: sort === Sort.Fails ? between(0.02, 0.6) : between(2, 8),
-    turnsAt: between(0.1, 0.7),
+    behavior,
+    onset: pickRandom(Object.values(Onset), random),
+    strength: behavior === VersionBehavior.Fails ? between(0.02, 0.6) : between(2, 8),
+    defectStart: between(0.1, 0.7),
     rate,
-    instances: pick(
-      INSTANCES.filter((count) => rate / count >= LEAST_RATE),
+    instances: pickRandom(
+      INSTANCE_COUNTS.filter((count) => rate / count >= MIN_REQUESTS_PER_INSTANCE),
       random,
     ),
     duration,
-    strikes: drawStrikes(random, duration),
+    disturbances: drawDisturbances(random, duration),
   };
 }
 
-function drawStrikes(random: Random, duration: number): Strike[] {
+function drawDisturbances(random: Random, duration: number): Disturbance[] {
   const count = Math.floor(random.next() * 4);
   return Array.from({ length: count }, () => {
     const at = random.next() * duration;
     return {
-      trouble: pick(Object.values(Trouble), random),
+      kind: pickRandom(Object.values(DisturbanceKind), random),
       at,
       until: at + 2_000 + random.next() * 5_000,
     };
   });
 }
 
-function pick<T>(values: readonly T[], random: Random): T {
+function pickRandom<T>(values: readonly T[], random: Random): T {
   const value = values[Math.floor(random.next() * values.length)];
   if (value === undefined) throw new Error("cannot pick from an empty list");
   return value;
--- a/bench/rollouts/play.ts
+++ b/bench/rollouts/simulate_order.ts
@@ -23,36 +23,36 @@
 import { createRolloutView } from "../../src/process/rollout_view.ts";
 import type { RolloutView } from "../../src/process/rollout_view.ts";
 import { createMemoryStore, createVirtualClock } from "../../src/standin/memory/index.ts";
-import type { Ramp } from "./other_ways.ts";
-import { Onset, Sort, Trouble } from "./scenario.ts";
+import type { Ramp } from "./judges.ts";
+import { Onset, VersionBehavior, DisturbanceKind } from "./scenario.ts";
 import type { Scenario } from "./scenario.ts";
 
 /** Result of a rollout order. */
-export interface Outcome {
+export interface RolloutResult {
   readonly seed: number;
   readonly state: RolloutState | undefined;
   /** Time when the order ended, in milliseconds since the order. */
   readonly endedAt: number | undefined;
   /** Requests sent to the new version until the deadline. */
-  readonly tried: number;
+  readonly newVersionRequests: number;
   /** Requests sent to both versions until the deadline. */
-  readonly all: number;
+  readonly totalRequests: number;
   /** Bad answers of the new version until the order ended. */
   readonly badAnswers: number;
   /** Time from the new version's fiftieth bad answer to the last request sent to it, in milliseconds. */
-  readonly lastAfterFiftieth: number | undefined;
+  readonly lastRequestAfterFiftieth: number | undefined;
 }
 
 /** One of the compared ways to decide on a rollout. */
-export interface Ways {
+export interface RolloutMethod {
   readonly judge: RolloutJudge;
   readonly ramp: Ramp;
 }
 
 /** Exposure bound: the maximum share of requests that a bad version receives, plus a fixed number of requests. */
-export const BOUNDS = { share: 0.1, slack: 50 };
+export const EXPOSURE_BOUND = { share: 0.1, slack: 50 };
 /** Time limit for the last request to a version after its fiftieth bad answer, in milliseconds. */
-export const ROLLBACK_WITHIN = 5_000;
+export const ROLLBACK_TIME_LIMIT = 5_000;
 
 const SERVICE = "model";
 /** Routes with their share of the requests, and usual milliseconds to the first byte and to the end. */
@@ -64,21 +64,21 @@
 /** Request slots of a backend server. */
 const SLOTS = 16;
 /** Average share of the slots in use. */
-const USUAL_USE = 0.5;
+const MEAN_UTILIZATION = 0.5;
 /** Milliseconds by which the simulation advances at a time. */
-const STEP = 10;
+const CLOCK_STEP = 10;
 /** Load before the order, from which the instances learn the usual latencies, in milliseconds. */
 const WARM_UP = 12_000;
 /** Simulated time after the deadline, in milliseconds. */
-const AFTER = 3_000;
+const TIME_AFTER_DEADLINE = 3_000;
 /** Milliseconds between two digests. */
-const DIGEST = 250;
+const DIGEST_INTERVAL = 250;
 /** Hops between instances that counts and plans take in small and large fleets. */
 const HOPS = { small: 1, large: 3 };
 /** Time until another instance takes over the lease of a holder that has terminated, in milliseconds. */
-const TAKEOVER = 3_800;
+const TAKEOVER_TIME = 3_800;
 /** Time for which the simulation continues after a rollback, in milliseconds. */
-const CALL_LIMIT = 2_000;
+const TIME_AFTER_ROLLBACK = 2_000;
 
 /** Simulated backend server. */
 interface Worker {
@@ -101,15 +101,18 @@
 }
 
 /** Simulates the rollout order of a scenario. */
-export async function playOrder(scenario: Scenario, ways: Ways): Promise<Outcome> {
+export async function simulateOrder(
+  scenario: Scenario,
+  method: RolloutMethod,
+): Promise<RolloutResult> {
   const random = createSeededRandom(scenario.seed * 7 + 1);
   const clock = createVirtualClock();
   const store = createMemoryStore(clock).connect();
-  const { rate, duration, instances: count, strikes } = scenario;
+  const { rate, duration, instances: count, disturbances } = scenario;
   const meanDuration = ROUTES.reduce((sum, { part, whole }) => sum + part * whole, 0);
   const workersPerVersion = Math.max(
     4,
-    Math.ceil((rate * meanDuration) / 1_000 / (SLOTS * USUAL_USE)),
+    Math.ceil((rate * meanDuration) / 1_000 / (SLOTS * MEAN_UTILIZATION)),
   );
   const workers = [false, true].flatMap((isNew) =>
     Array.from({ length: workersPerVersion }, (_, index) => workerAt(index, isNew)),
@@ -120,7 +123,7 @@
     const view = createRolloutView({
       clock,
       random,
-      bounds: BOUNDS,
+      bounds: EXPOSURE_BOUND,
       time: () => clock.now(),
       members: () => count,
       sumOf: (key) => history.at(-1)?.sums.get(key),
@@ -136,13 +139,13 @@
   }));
   const hops = count > GREATEST_MESH ? HOPS.large : HOPS.small;
 
-  const isActive = (trouble: Trouble): boolean => {
+  const isActive = (kind: DisturbanceKind): boolean => {
     const at = clock.now() - WARM_UP;
-    return strikes.some(
-      (strike) => strike.trouble === trouble && at >= strike.at && at < strike.until,
+    return disturbances.some(
+      (disturbance) => disturbance.kind === kind && at >= disturbance.at && at < disturbance.until,
     );
   };
-  const isCut = ({ zone }: Instance): boolean => zone === 0 && isActive(Trouble.ZoneCut);
+  const isCut = ({ zone }: Instance): boolean => zone === 0 && isActive(DisturbanceKind.ZoneCut);
 
   // The order in the store, and its propagation to the instances.
   let entry: RolloutEntry | undefined;
@@ -150,7 +153,7 @@
   const publishEntry = (): void => {
     const entriesNow = entry === undefined ? [] : [entry];
     for (const instance of fleet) {
-      const delay = DIGEST * hops * random.next();
+      const delay = DIGEST_INTERVAL * hops * random.next();
       clock.after(delay, () => {
         const known = instance.view.find(SERVICE)?.entry.storeVersion ?? 0;
         if (known <= (entriesNow[0]?.storeVersion ?? 0))
@@ -158,11 +161,11 @@
       });
     }
   };
-  const setStatus = (over: RolloutEntry, status: RolloutStatus): Promise<PutOutcome> => {
-    if (isActive(Trouble.StoreAway)) {
+  const setStatus = (expected: RolloutEntry, status: RolloutStatus): Promise<PutOutcome> => {
+    if (isActive(DisturbanceKind.StoreAway)) {
       return Promise.resolve({ kind: "unavailable", detail: "unavailable" });
     }
-    if (entry?.storeVersion !== over.storeVersion) return Promise.resolve({ kind: "conflict" });
+    if (entry?.storeVersion !== expected.storeVersion) return Promise.resolve({ kind: "conflict" });
     entry = { ...entry, storeVersion: entry.storeVersion + 1, status };
     if (status.state !== RolloutState.Running) endedAt = clock.now() - WARM_UP;
     publishEntry();
@@ -198,7 +201,7 @@
     const plans = fleet[holder]?.view.plans() ?? [];
     for (const instance of fleet) {
       if (instance === fleet[holder] || isCut(instance)) continue;
-      const delay = DIGEST * hops * random.next();
+      const delay = DIGEST_INTERVAL * hops * random.next();
       clock.after(delay, () =>
         instance.view.heard(plans.map((plan) => ({ ...plan, age: plan.age + delay }))),
       );
@@ -214,19 +217,19 @@
     const ownFence = fence;
     task = createRolloutTask({
       clock,
-      bounds: BOUNDS,
+      bounds: EXPOSURE_BOUND,
       view,
       rollouts: { setStatus },
       store,
       time: () => clock.now(),
       routes: () => ROUTES.map(({ name }) => name),
       sums: () => {
-        const from = clock.now() - DIGEST * (hops - 0.5);
+        const from = clock.now() - DIGEST_INTERVAL * (hops - 0.5);
         return history.findLast(({ at }) => at <= from)?.sums ?? new Map();
       },
       running: () => workers.reduce((sum, { running }) => sum + running, 0),
       fence: () => (ownFence === fence && clock.now() >= leaseStartsAt ? ownFence : undefined),
-      judge: ways.judge,
+      judge: method.judge,
       log: () => undefined,
     });
     task.start();
@@ -235,29 +238,29 @@
     task?.close();
     holder = (holder + 1) % fleet.length;
     fence++;
-    leaseStartsAt = clock.now() + TAKEOVER;
+    leaseStartsAt = clock.now() + TAKEOVER_TIME;
     startTask();
   };
 
-  let triedRequests = 0;
+  let newVersionRequests = 0;
   let totalRequests = 0;
   let badAnswers = 0;
   let badAnswersInTotal = 0;
   let fiftiethAt: number | undefined;
-  let lastTriedAt = 0;
+  let lastNewRequestAt = 0;
   const callbacks = new Map<number, (() => void)[]>();
   const runAt = (time: number, run: () => void): void => {
-    const step = Math.max(now() + 1, Math.ceil(time / STEP));
+    const step = Math.max(now() + 1, Math.ceil(time / CLOCK_STEP));
     const list = callbacks.get(step) ?? [];
     callbacks.set(step, list);
     list.push(run);
   };
-  const now = (): number => Math.floor(clock.now() / STEP);
+  const now = (): number => Math.floor(clock.now() / CLOCK_STEP);
   const isBadNow = (worker: Worker, route: string): boolean => {
-    if (!worker.isNew || scenario.sort === Sort.Good) return false;
+    if (!worker.isNew || scenario.behavior === VersionBehavior.Good) return false;
     const since = clock.now() - WARM_UP;
-    if (scenario.onset === Onset.Later) return since >= scenario.turnsAt * duration;
-    if (scenario.onset === Onset.UnderLoad) return worker.running >= SLOTS * USUAL_USE * 0.6;
+    if (scenario.onset === Onset.Later) return since >= scenario.defectStart * duration;
+    if (scenario.onset === Onset.UnderLoad) return worker.running >= SLOTS * MEAN_UTILIZATION * 0.6;
     return scenario.onset === Onset.AtOnce || route === ROUTES[scenario.seed % ROUTES.length]?.name;
   };
   const sendRequest = (): void => {
@@ -273,12 +276,12 @@
       route.first * Math.exp(gaussian(random) * 0.35) * (1 + worker.running / SLOTS);
     const slowdown =
       (isSlowWorker ? worker.slow.times : 1) *
-      (isBad && scenario.sort === Sort.Slow ? scenario.strength : 1);
+      (isBad && scenario.behavior === VersionBehavior.Slow ? scenario.strength : 1);
     const first = usualTime * slowdown;
     const failureRate =
       (worker.failing.until > startedAt ? worker.failing.share : 0) +
-      (isBad && scenario.sort === Sort.Fails ? scenario.strength : 0) +
-      (isActive(Trouble.LostAnswers) ? 0.03 : 0);
+      (isBad && scenario.behavior === VersionBehavior.Fails ? scenario.strength : 0) +
+      (isActive(DisturbanceKind.LostAnswers) ? 0.03 : 0);
     const isFailed = random.next() < failureRate;
     worker.running++;
     const tally: RunTally = instance.view.begin({
@@ -290,12 +293,12 @@
     const since = startedAt - WARM_UP;
     if (entry !== undefined && since >= 0 && since < duration) totalRequests++;
     if (worker.isNew && entry !== undefined) {
-      if (since < duration) triedRequests++;
-      lastTriedAt = startedAt;
+      if (since < duration) newVersionRequests++;
+      lastNewRequestAt = startedAt;
     }
     runAt(startedAt + first, () => {
       if (!isFailed) tally.answered(clock.now());
-      if (worker.isNew && (isFailed || (isBad && scenario.sort === Sort.Slow))) {
+      if (worker.isNew && (isFailed || (isBad && scenario.behavior === VersionBehavior.Slow))) {
         if (endedAt === undefined) badAnswers++;
         if (++badAnswersInTotal === 50) fiftiethAt = clock.now();
       }
@@ -308,34 +311,34 @@
   };
   const chooseWorker = ({ view }: Instance): Worker | undefined => {
     const admission = view.admitting(SERVICE);
-    const serving = workers.filter(({ entry: one }) => admission?.serves(one) ?? true);
-    if (admission === undefined) return lessLoaded(serving, random);
-    if (ways.ramp === "even") return lessLoaded(drawAllNew(view) ?? serving, random);
+    const serving = workers.filter(({ entry: server }) => admission?.serves(server) ?? true);
+    if (admission === undefined) return leastLoaded(serving, random);
+    if (method.ramp === "even") return leastLoaded(drawAllNew(view) ?? serving, random);
     const meanRunning = serving.reduce((sum, { running }) => sum + running, 0) / serving.length;
     const trial = workers.filter(
-      ({ entry: one, running }) => admission.onTrial.has(one.id) && running <= meanRunning,
+      ({ entry: server, running }) => admission.onTrial.has(server.id) && running <= meanRunning,
     );
-    return lessLoaded(trial.length > 0 ? trial : serving, random);
+    return leastLoaded(trial.length > 0 ? trial : serving, random);
   };
   /** For the "even" ramp: returns all new backend servers for a random share of the requests. */
   const drawAllNew = (view: RolloutView): Worker[] | undefined => {
     if (view.find(SERVICE)?.phase !== RolloutPhase.Trial) return undefined;
-    const { parts } = rolloutCourse(duration, BOUNDS);
+    const { parts } = rolloutCourse(duration, EXPOSURE_BOUND);
     const isDrawn = random.next() < parts[RolloutPhase.Trial];
     return isDrawn ? workers.filter(({ isNew }) => isNew) : undefined;
   };
 
-  const startDisturbance = (trouble: Trouble, until: number): void => {
+  const startDisturbance = (kind: DisturbanceKind, until: number): void => {
     const affected = workers.filter(() => random.next() < 0.15);
-    if (trouble === Trouble.FailingWorkers) {
+    if (kind === DisturbanceKind.FailingWorkers) {
       for (const worker of affected) worker.failing = { until, share: 0.4 };
-    } else if (trouble === Trouble.CrashedWorkers) {
+    } else if (kind === DisturbanceKind.CrashedWorkers) {
       for (const worker of affected) worker.failing = { until, share: 1 };
-    } else if (trouble === Trouble.SlowWorkers) {
+    } else if (kind === DisturbanceKind.SlowWorkers) {
       for (const worker of affected) worker.slow = { until, times: 4 };
-    } else if (trouble === Trouble.HolderDies) {
+    } else if (kind === DisturbanceKind.HolderDies) {
       moveLease();
-    } else if (trouble === Trouble.AllRestart) {
+    } else if (kind === DisturbanceKind.AllRestart) {
       const lastSums = history.at(-1)?.sums;
       for (const [key, counts] of lastSums ?? []) lostCounts.set(key, counts);
       lastCounts.clear();
@@ -346,10 +349,10 @@
       moveLease();
     }
   };
-  const pending = [...strikes];
+  const pending = [...disturbances];
   let nextDigest = 0;
   startTask();
-  const simulationEnd = WARM_UP + duration + AFTER;
+  const simulationEnd = WARM_UP + duration + TIME_AFTER_DEADLINE;
   while (clock.now() < simulationEnd) {
     const time = clock.now();
     if (entry === undefined && time >= WARM_UP) {
@@ -360,20 +363,27 @@
       };
       publishEntry();
     }
-    for (const one of pending.filter(({ at: startsAt }) => time >= WARM_UP + startsAt)) {
-      pending.splice(pending.indexOf(one), 1);
-      startDisturbance(one.trouble, WARM_UP + one.until);
+    for (const disturbance of pending.filter(({ at: startsAt }) => time >= WARM_UP + startsAt)) {
+      pending.splice(pending.indexOf(disturbance), 1);
+      startDisturbance(disturbance.kind, WARM_UP + disturbance.until);
     }
     for (const callback of callbacks.get(now()) ?? []) callback();
     callbacks.delete(now());
-    const arrivals = poisson((rate * (isActive(Trouble.Burst) ? 2 : 1) * STEP) / 1_000, random);
+    const arrivals = poisson(
+      (rate * (isActive(DisturbanceKind.Burst) ? 2 : 1) * CLOCK_STEP) / 1_000,
+      random,
+    );
     for (let index = 0; index < arrivals; index++) sendRequest();
     if (time >= nextDigest) {
-      nextDigest = time + DIGEST;
+      nextDigest = time + DIGEST_INTERVAL;
       sendDigests();
     }
-    await clock.advance(STEP);
-    if (endedAt !== undefined && time > WARM_UP + endedAt + CALL_LIMIT && endedAt < duration) {
+    await clock.advance(CLOCK_STEP);
+    if (
+      endedAt !== undefined &&
+      time > WARM_UP + endedAt + TIME_AFTER_ROLLBACK &&
+      endedAt < duration
+    ) {
       // After the end of an order only a completed version still receives requests, so a rollback ends the simulation.
       if (entry?.status?.state === RolloutState.RolledBack) break;
     }
@@ -383,10 +393,10 @@
     seed: scenario.seed,
     state: entry?.status?.state,
     endedAt,
-    tried: triedRequests,
-    all: totalRequests,
+    newVersionRequests,
+    totalRequests,
     badAnswers,
-    lastAfterFiftieth: fiftiethAt === undefined ? undefined : lastTriedAt - fiftiethAt,
+    lastRequestAfterFiftieth: fiftiethAt === undefined ? undefined : lastNewRequestAt - fiftiethAt,
   };
 }
 
@@ -424,7 +434,7 @@
 }
 
 /** Returns the least loaded of three random backend servers, similar to a choice by the instances' digests. */
-function lessLoaded(workers: readonly Worker[], random: Random): Worker | undefined {
+function leastLoaded(workers: readonly Worker[], random: Random): Worker | undefined {
   let best: Worker | undefined;
   for (let draw = 0; draw < 3; draw++) {
     const candidate = workers[Math.floor(random.next() * workers.length)];
