--- a/bench/soak/promises.ts
+++ b/bench/soak/promises.ts
@@ -1,8 +1,9 @@
 /**
  * Checks of the guarantees of the product against the records of a soak test.
  *
- * Each check reports its number of opportunities to fail: a check without any proves nothing. A violation is excused
- * if a fault disturbed the instance or the store shortly before.
+ * Each check reports its number of opportunities to fail: a check without any proves nothing. Guarantees that depend on
+ * the connections between the processes are not checked for an instance while it, or the store, is disturbed or
+ * recovering. No disturbance excuses a wrong answer or a second run of a request that may run at most once.
  *
  * @module
  */
