--- a/bench/soak/callers.ts
+++ b/bench/soak/callers.ts
@@ -21,12 +21,12 @@
 /** `Host` header of all requests; all routes of the configuration have it. */
 export const HOST = "desk.example";
 /** API key of the client account that exceeds its quota. */
-export const HOT_KEY = "key-of-the-regatta";
+export const HOT_ACCOUNT_KEY = "key-of-the-regatta";
 /** Request body that crashes each backend server that runs it. */
 export const CRASHING_BODY = "a list that no worker survives";
 
 /** Options of a caller. */
-export interface CallerParts {
+export interface CallerOptions {
   /** Addresses at which the instances serve address resolution. */
   readonly resolvers: readonly string[];
   readonly random: Random;
@@ -50,7 +50,7 @@
 }
 
 /** An answer, or the part of it that the caller received. */
-export interface Answer {
+export interface CallerResponse {
   /** HTTP status; 0 if no status was received. */
   readonly status: number;
   readonly headers: IncomingMessage["headers"];
@@ -64,18 +64,18 @@
 /** Deadline that a caller sends with a request, in milliseconds. */
 const DEADLINE = 2_000;
 /** Time after which a caller gives up; somewhat more than the deadline, in milliseconds. */
-const PATIENCE = DEADLINE + 700;
+const CLIENT_TIMEOUT = DEADLINE + 700;
 /** Timeout of an address resolution or a readiness probe, in milliseconds. */
-const RESOLVE_TIME = 1_000;
+const RESOLVE_TIMEOUT = 1_000;
 /** Maximum number of instances that are tried for one address resolution. */
-const RESOLVERS_ASKED = 3;
+const MAX_RESOLVE_ATTEMPTS = 3;
 /** Maximum pause between two requests of a caller, in milliseconds. */
-const PAUSE = 110;
+const MAX_PAUSE = 110;
 /** Share of the requests for which a caller opens a new connection. */
-const NEW_CONNECTION_PART = 0.1;
+const NEW_CONNECTION_RATIO = 0.1;
 /** Maximum time for which a caller respects `Retry-After`, in milliseconds. */
-const LONGEST_RETRY_AFTER = 700;
-const SECOND = 1_000;
+const MAX_RETRY_AFTER = 700;
+const MILLISECONDS_PER_SECOND = 1_000;
 const SUCCESS = 200;
 const PATHS: Readonly<Record<RequestKind, string>> = {
   [RequestKind.Safe]: "/safe/",
@@ -84,9 +84,9 @@
   [RequestKind.Crashing]: "/safe/list",
   [RequestKind.Hot]: "/once/",
 };
-const USUAL_KINDS = [RequestKind.Safe, RequestKind.Once, RequestKind.Stream];
+const REGULAR_KINDS = [RequestKind.Safe, RequestKind.Once, RequestKind.Stream];
 /** Statuses of a refusal that a caller retries. */
-const REFUSALS: ReadonlySet<number> = new Set([429, 503]);
+const REFUSAL_STATUSES: ReadonlySet<number> = new Set([429, 503]);
 
 /**
  * Sends one request after the other while `isActive` returns true.
@@ -94,33 +94,33 @@
  * The caller caches resolved addresses for their time to live. It keeps its connection until the instance's process
  * has ended, even if the instance is no longer resolved. A refused request is retried once under another id.
  */
-export async function runCaller(name: string, parts: CallerParts): Promise<void> {
-  const { random, isActive } = parts;
-  const addresses = createAddresses(parts);
+export async function runCaller(name: string, options: CallerOptions): Promise<void> {
+  const { random, isActive } = options;
+  const addresses = createAddresses(options);
   let agent = new Agent({ keepAlive: true, maxSockets: 1 });
   let instance: string | undefined;
   for (let count = 0; isActive(); count++) {
-    if (instance === undefined || random.next() < NEW_CONNECTION_PART) {
+    if (instance === undefined || random.next() < NEW_CONNECTION_RATIO) {
       agent.destroy();
       agent = new Agent({ keepAlive: true, maxSockets: 1 });
       instance = await addresses.pick();
     }
     if (instance === undefined) continue;
-    const kind = pick(USUAL_KINDS, random);
+    const kind = pickRandom(REGULAR_KINDS, random);
     const body = kind === RequestKind.Once ? `body ${name} ${count}` : "";
     const requestData = { id: `${name}-${count}`, kind, body, instance, agent };
-    const { status, headers } = await sendObserved(requestData, parts.onRequest);
+    const { status, headers } = await sendObserved(requestData, options.onRequest);
     if (status === 0) instance = undefined;
-    else if (REFUSALS.has(status)) {
-      const retryAfter = Number(headers["retry-after"] ?? 0) * SECOND;
-      await sleep(systemClock, Math.min(retryAfter, LONGEST_RETRY_AFTER));
+    else if (REFUSAL_STATUSES.has(status)) {
+      const retryAfter = Number(headers["retry-after"] ?? 0) * MILLISECONDS_PER_SECOND;
+      await sleep(systemClock, Math.min(retryAfter, MAX_RETRY_AFTER));
       const retry = await sendObserved(
         { ...requestData, id: `${name}-${count}-again` },
-        parts.onRequest,
+        options.onRequest,
       );
       if (retry.status === 0) instance = undefined;
     }
-    await sleep(systemClock, random.next() * PAUSE);
+    await sleep(systemClock, random.next() * MAX_PAUSE);
   }
   agent.destroy();
 }
@@ -128,18 +128,22 @@
 /** Sends requests of one kind at a fixed rate, whatever their answers, each on a new connection. */
 export async function runOpenLoopCaller(
   name: string,
-  { kind, pause, ...parts }: CallerParts & { readonly kind: RequestKind; readonly pause: number },
+  {
+    kind,
+    pause,
+    ...options
+  }: CallerOptions & { readonly kind: RequestKind; readonly pause: number },
 ): Promise<void> {
-  const addresses = createAddresses(parts);
+  const addresses = createAddresses(options);
   const requests: Promise<unknown>[] = [];
-  for (let count = 0; parts.isActive(); count++) {
+  for (let count = 0; options.isActive(); count++) {
     const instance = await addresses.pick();
     if (instance === undefined) continue;
     const agent = new Agent();
     const body = kind === RequestKind.Crashing ? CRASHING_BODY : `body ${name} ${count}`;
     const answer = sendObserved(
       { id: `${name}-${count}`, kind, body, instance, agent },
-      parts.onRequest,
+      options.onRequest,
     );
     requests.push(answer.then(() => agent.destroy()));
     await sleep(systemClock, pause);
@@ -151,14 +155,14 @@
 async function sendObserved(
   details: Pick<ObservedRequest, "id" | "kind" | "body" | "instance"> & { readonly agent: Agent },
   onRequest: (request: ObservedRequest) => void,
-): Promise<Answer> {
+): Promise<CallerResponse> {
   const { id, kind, body, instance, agent } = details;
   const method = body === "" ? "GET" : "POST";
   const suffix = kind === RequestKind.Crashing ? "" : id;
   const path = `${PATHS[kind]}${suffix}`;
-  const key = kind === RequestKind.Hot ? HOT_KEY : CLIENT_KEY;
+  const key = kind === RequestKind.Hot ? HOT_ACCOUNT_KEY : CLIENT_KEY;
   const sentAt = wallNow();
-  const answer = await send({ id, instance, method, path, body, key, agent });
+  const answer = await sendRequest({ id, instance, method, path, body, key, agent });
   const { status, headers, isWhole, isGivenUp } = answer;
   const expected = kind === RequestKind.Stream ? wholeStream() : `${method} ${path} ${body}`;
   const isOwn = headers["x-request-id"] === id && expected.startsWith(answer.body);
@@ -169,7 +173,7 @@
 }
 
 /** Sends a request to an instance; resolves when the answer has ended, failed or timed out. */
-export function send(sentRequest: SentRequest): Promise<Answer> {
+export function sendRequest(sentRequest: SentRequest): Promise<CallerResponse> {
   const { id, instance, method, path, body, key, agent } = sentRequest;
   const [host, port] = splitAddress(instance);
   return new Promise((resolve) => {
@@ -206,7 +210,7 @@
     const timer = setTimeout(() => {
       isGivenUp = true;
       sent.destroy();
-    }, PATIENCE);
+    }, CLIENT_TIMEOUT);
     sent.on("error", () => {
       if (status === 0) end(false);
     });
@@ -232,10 +236,13 @@
  * Sends a GET request on a new connection, since a kept connection may be closed at the same moment. Resolves to
  * undefined if no complete answer arrives in time.
  */
-function get(address: string, path: string): Promise<Pick<Answer, "status" | "body"> | undefined> {
+function get(
+  address: string,
+  path: string,
+): Promise<Pick<CallerResponse, "status" | "body"> | undefined> {
   const [host, port] = splitAddress(address);
   return new Promise((resolve) => {
-    const signal = AbortSignal.timeout(RESOLVE_TIME);
+    const signal = AbortSignal.timeout(RESOLVE_TIMEOUT);
     const sent = request({ host, port, path, agent: false, signal }, (response) => {
       let body = "";
       response.on("data", (chunk) => (body += String(chunk)));
@@ -251,25 +258,25 @@
 }
 
 /** Creates a cache of the resolved addresses. Expired addresses stay in use while no instance resolves new ones. */
-function createAddresses({ resolvers, random }: CallerParts): {
+function createAddresses({ resolvers, random }: CallerOptions): {
   pick(): Promise<string | undefined>;
 } {
   let cached: readonly string[] = [];
   let expiresAt = 0;
   return {
     pick: async () => {
-      for (let attempt = 0; attempt < RESOLVERS_ASKED && wallNow() >= expiresAt; attempt++) {
-        const resolved = await resolveAt(pick(resolvers, random));
+      for (let attempt = 0; attempt < MAX_RESOLVE_ATTEMPTS && wallNow() >= expiresAt; attempt++) {
+        const resolved = await resolveAt(pickRandom(resolvers, random));
         if (resolved === undefined) continue;
         cached = resolved.addresses;
-        expiresAt = wallNow() + resolved.ttl_s * SECOND;
+        expiresAt = wallNow() + resolved.ttl_s * MILLISECONDS_PER_SECOND;
       }
-      return cached.length === 0 ? undefined : pick(cached, random);
+      return cached.length === 0 ? undefined : pickRandom(cached, random);
     },
   };
 }
 
-function pick<T>(values: readonly T[], random: Random): T {
+function pickRandom<T>(values: readonly T[], random: Random): T {
   const value = values[Math.floor(random.next() * values.length)];
   if (value === undefined) throw new Error("cannot pick from an empty list");
   return value;
--- a/bench/soak/fleet.ts
+++ b/bench/soak/fleet.ts
@@ -13,13 +13,13 @@
 import type { PlatformStandin } from "../../platform/testing/platform_standin.ts";
 import type { WorkerMood } from "../../platform/testing/worker_standin.ts";
 import { CRASHING_BODY, isReadyAt } from "./callers.ts";
-import { openLink } from "./link_proxy.ts";
+import { openLinkProxy } from "./link_proxy.ts";
 import type { LinkProxy } from "./link_proxy.ts";
 import { wallNow } from "./observation.ts";
 import type { ObservedProcess } from "./observation.ts";
 import type { SoakPlan } from "./plan.ts";
-import { BOUNDS } from "./promises.ts";
-import { WELL } from "./processes.ts";
+import { BOUNDS } from "./guarantees.ts";
+import { NORMAL_BEHAVIOR } from "./processes.ts";
 import type {
   InstanceProcess,
   InstanceSettings,
@@ -27,7 +27,7 @@
   WorkerProcess,
 } from "./processes.ts";
 import type { SoakRecord } from "./record.ts";
-import type { WorkerOrder } from "./worker_process.ts";
+import type { WorkerCommand } from "./worker_process.ts";
 
 /**
  * Instances and backend servers of a soak test.
@@ -43,9 +43,9 @@
   /** Addresses at which the instances serve address resolution. */
   readonly resolvers: readonly string[];
   /** Returns the address of an instance for callers. */
-  instanceAt(place: number): string;
+  instanceAddress(place: number): string;
   /** Returns the process id of an instance, which changes with each restart. */
-  processAt(place: number): number;
+  processId(place: number): number;
   /** Returns the proxy between an instance and the store. */
   storeLink(place: number): LinkProxy;
   /** Returns the proxy in front of a backend server. */
@@ -63,13 +63,13 @@
   /** Sends a signal to a backend server. */
   signalWorker(place: number, signal: NodeJS.Signals): void;
   /** Sets the behavior of a backend server and the rate limit that it announces, in requests per second. */
-  tellWorker(place: number, order: { mood: WorkerMood; limit: number | undefined }): void;
+  setWorkerBehavior(place: number, command: { mood: WorkerMood; limit: number | undefined }): void;
   /** Marks a backend server as draining, kills it after its drain time and replaces it. */
   replaceWorker(place: number): Promise<void>;
   /** Waits until all instances are ready. */
-  untilReady(): Promise<void>;
+  waitUntilReady(): Promise<void>;
   /** Samples the memory, open files and log lines of all running instances. */
-  uses(): ObservedProcess[];
+  sampleProcesses(): ObservedProcess[];
   /** Returns the last log lines of each instance, by its name. */
   logs(): Map<string, readonly string[]>;
   /** Closes the proxies and stops replacing processes. */
@@ -77,7 +77,7 @@
 }
 
 /** Options of a fleet. */
-export interface SoakFleetParts {
+export interface SoakFleetOptions {
   readonly processes: SoakProcesses;
   readonly platform: PlatformStandin;
   readonly record: SoakRecord;
@@ -92,15 +92,15 @@
 /** Request slots of a backend server. */
 const SLOTS = 16;
 /** Time until the entry of an ended backend server is removed from the store, in milliseconds. */
-const LAPSE = 1_200;
+const ENTRY_REMOVAL_DELAY = 1_200;
 /** Time until an ended backend server is replaced, in milliseconds. */
-const REPLACED_AFTER = 2_000;
+const REPLACEMENT_DELAY = 2_000;
 /** Time for which a draining backend server continues after its drain limit, in milliseconds. */
-const LEAVES_LATER = 1_500;
+const DRAIN_MARGIN = 1_500;
 /** Milliseconds. */
-const READY_LOOK = 20;
+const READY_POLL_INTERVAL = 20;
 /** Number of log lines that an error message quotes. */
-const SAID_LINES = 5;
+const QUOTED_LOG_LINES = 5;
 
 /** Place of a backend server, with its current process. */
 interface WorkerPlace {
@@ -124,7 +124,7 @@
 /** Starts the processes of a plan; does not wait until the instances are ready. */
 export async function createFleet(
   plan: SoakPlan,
-  { processes, platform, record }: SoakFleetParts,
+  { processes, platform, record }: SoakFleetOptions,
 ): Promise<SoakFleet> {
   const workers: WorkerPlace[] = [];
   const instances: InstancePlace[] = [];
@@ -135,20 +135,20 @@
   const startWorker = async (place: number, generation: number): Promise<WorkerPlace> => {
     const id = `w-${place}-${generation}`;
     const settings = { id, service: SERVICE, answerTime: ANSWER_TIME, crashesOn: CRASHING_BODY };
-    const process = await processes.startWorker(settings, (run) => record.ran(run));
-    const link = await openLink(process.address);
+    const process = await processes.startWorker(settings, (run) => record.addRun(run));
+    const link = await openLinkProxy(process.address);
     const worker = { generation, id, process, link, endLimit: () => undefined };
     workers[place] = worker;
     platform.put("servers", id, workerEntry(worker, place, "ready"));
-    void process.ended().then(() => replaceEnded(place, worker));
+    void process.waitForExit().then(() => replaceEnded(place, worker));
     return worker;
   };
   const replaceEnded = async (place: number, ended: WorkerPlace): Promise<void> => {
     ended.endLimit();
-    await sleep(systemClock, LAPSE);
+    await sleep(systemClock, ENTRY_REMOVAL_DELAY);
     platform.remove("servers", ended.id);
     await ended.link.close();
-    await sleep(systemClock, REPLACED_AFTER - LAPSE);
+    await sleep(systemClock, REPLACEMENT_DELAY - ENTRY_REMOVAL_DELAY);
     if (!hasClosed()) await startWorker(place, ended.generation + 1);
   };
   const workerEntry = ({ link }: WorkerPlace, place: number, state: string): object => ({
@@ -167,9 +167,9 @@
 
   const addInstance = async (place: number, seed: string): Promise<void> => {
     const listen = takeListens();
-    const link = await openLink(platform.address);
-    const settings = settingsOf(place, { listen, seed, store: link.address, platform });
-    record.named(settings.name, listen.callers);
+    const link = await openLinkProxy(platform.address);
+    const settings = createSettings(place, { listen, seed, store: link.address, platform });
+    record.addInstance(settings.name, listen.callers);
     const process = processes.startInstance(settings);
     instances.push({ listen, link, settings, process });
   };
@@ -185,22 +185,22 @@
     places: instances.map((_, place) => place),
     listens: instances.map(({ listen }) => listen),
     resolvers: instances.map(({ listen }) => listen.resolve),
-    instanceAt: (place) => instanceAt(place).listen.callers,
-    processAt: (place) => instanceAt(place).process.pid,
+    instanceAddress: (place) => instanceAt(place).listen.callers,
+    processId: (place) => instanceAt(place).process.pid,
     storeLink: (place) => instanceAt(place).link,
     workerLink: (place) => workerAt(place).link,
     killInstance: async (place) => {
       const { process } = instanceAt(place);
       process.signal("SIGKILL");
-      await process.ended();
+      await process.waitForExit();
     },
     stopInstance: async (place) => {
       const { process, listen } = instanceAt(place);
       if (process.hasEnded) return;
-      const hasStopped = record.stopping(listen.callers);
+      const hasStopped = record.startStop(listen.callers);
       process.signal("SIGTERM");
       const killed = systemClock.after(GRACE, () => process.signal("SIGKILL"));
-      await process.ended();
+      await process.waitForExit();
       killed.close();
       hasStopped();
     },
@@ -213,33 +213,33 @@
     signalInstance: (place, signal) => instanceAt(place).process.signal(signal),
     killWorker: (place) => workerAt(place).process?.signal("SIGKILL"),
     signalWorker: (place, signal) => workerAt(place).process?.signal(signal),
-    tellWorker: (place, order: WorkerOrder) => {
+    setWorkerBehavior: (place, command: WorkerCommand) => {
       const worker = workerAt(place);
-      worker.process?.send({ ...WELL, ...order });
+      worker.process?.send({ ...NORMAL_BEHAVIOR, ...command });
       worker.endLimit();
       worker.endLimit =
-        order.limit === undefined ? () => undefined : record.limited(worker.id, order.limit);
+        command.limit === undefined ? () => undefined : record.startLimit(worker.id, command.limit);
     },
     replaceWorker: async (place) => {
       const worker = workerAt(place);
       if (worker.process?.hasEnded !== false) return;
       platform.put("servers", worker.id, workerEntry(worker, place, "draining"));
-      const hasLeft = record.leaving(worker.id);
-      await sleep(systemClock, BOUNDS.drain + LEAVES_LATER);
+      const hasLeft = record.startDraining(worker.id);
+      await sleep(systemClock, BOUNDS.drain + DRAIN_MARGIN);
       worker.process.signal("SIGKILL");
       hasLeft();
     },
-    untilReady: async () => {
+    waitUntilReady: async () => {
       for (const { listen, process, settings } of instances) {
         while (!(await isReadyAt(listen.ready))) {
-          const lastLines = process.lastLines.slice(-SAID_LINES).join("\n");
+          const lastLines = process.lastLines.slice(-QUOTED_LOG_LINES).join("\n");
           if (process.hasEnded)
             throw new Error(`${settings.name} ended during its start: ${lastLines}`);
-          await sleep(systemClock, READY_LOOK);
+          await sleep(systemClock, READY_POLL_INTERVAL);
         }
       }
     },
-    uses: () =>
+    sampleProcesses: () =>
       instances.flatMap(({ listen, process }) => {
         const usage = process.resourceUsage();
         if (usage === undefined) return [];
@@ -267,7 +267,7 @@
   return `zone-${place % ZONES}`;
 }
 
-function settingsOf(
+function createSettings(
   place: number,
   {
     listen,
--- a/bench/soak/promises.ts
+++ b/bench/soak/guarantees.ts
@@ -7,7 +7,7 @@
  *
  * @module
  */
-import { RequestKind, EVERYTHING, STORE } from "./observation.ts";
+import { RequestKind, ALL_TARGETS, STORE } from "./observation.ts";
 import type { ObservedRequest, ObservedRun, Observations } from "./observation.ts";
 
 /** Limits that the checks use; times in milliseconds. */
@@ -52,7 +52,7 @@
   readonly broken: readonly string[];
 }
 
-type Check = (seen: Observations) => Omit<Finding, "promise">;
+type Check = (observations: Observations) => Omit<Finding, "promise">;
 
 const SUCCESS = 200;
 const REDIRECTION = 300;
@@ -65,23 +65,23 @@
   "what may run once runs once": checkOnce,
   "what is said not to have run hasn't": checkNotRun,
   "a refusal comes at once": checkRefusals,
-  "a worker that leaves gets nothing more": checkDrains,
+  "a worker that leaves gets nothing more": checkDraining,
   "a configuration is in force in time, and stays": checkConfigurations,
   "repeats stay within their budget": checkRepeats,
   "an account stays within its quota": checkQuota,
-  "one instance at a time makes the platform's calls": checkDuties,
+  "one instance at a time makes the platform's calls": checkLeaseHolder,
   "a window of usage is reported with one count": checkUsage,
   "a request that crashes workers is kept from them": checkCrashes,
   "a worker gets no more than it names": checkLimits,
   "a planned stop breaks no answer": checkStops,
   "an instance's memory, descriptors and log are bounded": checkProcesses,
-  "all is served again at the end": checkEnd,
+  "all is served again at the end": checkRecovery,
   "ready and resolve tell the truth at the end": checkReady,
 };
 
 /** Checks all guarantees. */
-export function checkPromises(seen: Observations): Finding[] {
-  return Object.entries(CHECKS).map(([promise, check]) => ({ promise, ...check(seen) }));
+export function checkGuarantees(observations: Observations): Finding[] {
+  return Object.entries(CHECKS).map(([promise, check]) => ({ promise, ...check(observations) }));
 }
 
 /** Returns whether a fault disturbed the target, or all targets, in the period or within the recovery time before. */
@@ -92,16 +92,16 @@
 ): boolean {
   return disturbances.some(
     (one) =>
-      (one.target === target || one.target === EVERYTHING) &&
+      (one.target === target || one.target === ALL_TARGETS) &&
       one.from <= to &&
       one.to + BOUNDS.recovery >= from,
   );
 }
 
 /** Returns whether neither the instance nor the store was disturbed shortly before the time. */
-function isUndisturbed(seen: Observations, instance: string, at: number): boolean {
+function isUndisturbed(observations: Observations, instance: string, at: number): boolean {
   const times = { from: at - BOUNDS.recovery, to: at };
-  return !isDisturbed(seen, instance, times) && !isDisturbed(seen, STORE, times);
+  return !isDisturbed(observations, instance, times) && !isDisturbed(observations, STORE, times);
 }
 
 function isServed({ status }: ObservedRequest): boolean {
@@ -148,10 +148,10 @@
   return { chances: refused.length, broken };
 }
 
-function checkRefusals(seen: Observations): ReturnType<Check> {
-  const refused = seen.requests.filter(
+function checkRefusals(observations: Observations): ReturnType<Check> {
+  const refused = observations.requests.filter(
     ({ status, instance, sentAt, endedAt }) =>
-      NOT_RUN.has(status) && !isDisturbed(seen, instance, { from: sentAt, to: endedAt }),
+      NOT_RUN.has(status) && !isDisturbed(observations, instance, { from: sentAt, to: endedAt }),
   );
   const broken = refused.flatMap(({ id, status, sentAt, endedAt }) => {
     const took = Math.round(endedAt - sentAt);
@@ -160,28 +160,28 @@
   return { chances: refused.length, broken };
 }
 
-function checkDrains(seen: Observations): ReturnType<Check> {
-  const requests = requestById(seen);
+function checkDraining(observations: Observations): ReturnType<Check> {
+  const requests = requestById(observations);
   const broken: string[] = [];
-  for (const { worker, from, to } of seen.leaving) {
+  for (const { worker, from, to } of observations.leaving) {
     const period = { from: from - BOUNDS.recovery, to };
-    if (isDisturbed(seen, STORE, period)) continue;
-    for (const run of seen.runs) {
+    if (isDisturbed(observations, STORE, period)) continue;
+    for (const run of observations.runs) {
       const request = requests.get(run.id);
       if (run.worker !== worker || request === undefined || run.at <= from + BOUNDS.drain) continue;
-      if (!isUndisturbed(seen, request.instance, run.at)) continue;
+      if (!isUndisturbed(observations, request.instance, run.at)) continue;
       const delay = Math.round(run.at - from);
       broken.push(`${worker} received ${run.id} ${delay} ms after it was marked as draining.`);
     }
   }
-  return { chances: seen.leaving.length, broken };
+  return { chances: observations.leaving.length, broken };
 }
 
-function checkConfigurations(seen: Observations): ReturnType<Check> {
+function checkConfigurations(observations: Observations): ReturnType<Check> {
   const broken: string[] = [];
   /** Time when the route of a version was first served, by process and version. */
   const firstServed = new Map<string, number>();
-  for (const { instance, process, version, at, status } of seen.probes) {
+  for (const { instance, process, version, at, status } of observations.probes) {
     if (status === 0) continue;
     const key = `${instance} ${process} ${version}`;
     const servedSince = firstServed.get(key);
@@ -189,10 +189,13 @@
       firstServed.set(key, servedSince ?? at);
       continue;
     }
-    const acknowledged = seen.configurations.get(version) ?? Infinity;
+    const acknowledged = observations.configurations.get(version) ?? Infinity;
     if (servedSince !== undefined) {
       broken.push(`${instance} returned to a configuration before ${version}.`);
-    } else if (at > acknowledged + BOUNDS.configuration && isUndisturbed(seen, instance, at)) {
+    } else if (
+      at > acknowledged + BOUNDS.configuration &&
+      isUndisturbed(observations, instance, at)
+    ) {
       const delay = Math.round(at - acknowledged);
       broken.push(`${instance} did not apply configuration ${version} within ${delay} ms.`);
     }
@@ -235,23 +238,23 @@
   return { chances: hotIds.size, broken };
 }
 
-function checkDuties(seen: Observations): ReturnType<Check> {
+function checkLeaseHolder(observations: Observations): ReturnType<Check> {
   const broken: string[] = [];
   const holders = new Map<number, string>();
   let highest = 0;
-  for (const { holder, fence, at } of seen.duties) {
+  for (const { holder, fence, at } of observations.duties) {
     const previous = holders.get(fence) ?? holder;
     holders.set(fence, previous);
     if (previous !== holder)
       broken.push(`${previous} and ${holder} made calls with fence ${fence}.`);
     // A call may have been in transit while its sender was paused.
-    const isExcused = isDisturbed(seen, holder, { from: at - BOUNDS.recovery, to: at });
+    const isExcused = isDisturbed(observations, holder, { from: at - BOUNDS.recovery, to: at });
     if (fence < highest && !isExcused) {
       broken.push(`${holder} made a call with fence ${fence} after ${highest}.`);
     }
     highest = Math.max(highest, fence);
   }
-  return { chances: seen.duties.length, broken };
+  return { chances: observations.duties.length, broken };
 }
 
 function checkUsage({ duties }: Observations): ReturnType<Check> {
@@ -269,15 +272,17 @@
   return { chances: reported.size, broken };
 }
 
-function checkCrashes(seen: Observations): ReturnType<Check> {
-  const requests = requestById(seen);
+function checkCrashes(observations: Observations): ReturnType<Check> {
+  const requests = requestById(observations);
   const { minCrashes, tolerated } = BOUNDS.crashes;
-  const crashes = seen.runs.filter(({ hasCrashed }) => hasCrashed);
+  const crashes = observations.runs.filter(({ hasCrashed }) => hasCrashed);
   const provenAt = crashes[minCrashes - 1]?.at ?? Infinity;
   const laterCrashes = crashes.filter(({ id, at }) => {
     const instance = requests.get(id)?.instance;
     return (
-      at > provenAt + BOUNDS.recovery && instance !== undefined && isUndisturbed(seen, instance, at)
+      at > provenAt + BOUNDS.recovery &&
+      instance !== undefined &&
+      isUndisturbed(observations, instance, at)
     );
   });
   const broken =
@@ -289,16 +294,16 @@
   return { chances: crashes.length, broken };
 }
 
-function checkLimits(seen: Observations): ReturnType<Check> {
-  const requests = requestById(seen);
+function checkLimits(observations: Observations): ReturnType<Check> {
+  const requests = requestById(observations);
   const { window, factor, slack, propagation } = BOUNDS.limit;
   const broken: string[] = [];
-  for (const { worker, from, to, perSecond } of seen.limited) {
-    const times = seen.runs
+  for (const { worker, from, to, perSecond } of observations.limited) {
+    const times = observations.runs
       .filter(({ worker: at }) => at === worker)
       .filter(({ id, at }) => {
         const instance = requests.get(id)?.instance;
-        return instance !== undefined && isUndisturbed(seen, instance, at);
+        return instance !== undefined && isUndisturbed(observations, instance, at);
       })
       .map(({ at }) => at)
       .filter((at) => at > from + BOUNDS.recovery + propagation && at < to);
@@ -312,19 +317,19 @@
       break;
     }
   }
-  return { chances: seen.limited.length, broken };
+  return { chances: observations.limited.length, broken };
 }
 
-function checkStops(seen: Observations): ReturnType<Check> {
-  const ran = runsById(seen.runs);
-  const during = seen.stops.flatMap((stop) =>
-    seen.requests.filter(
+function checkStops(observations: Observations): ReturnType<Check> {
+  const ran = runsById(observations.runs);
+  const during = observations.stops.flatMap((stop) =>
+    observations.requests.filter(
       (one) =>
         one.instance === stop.target &&
         one.kind !== RequestKind.Stream &&
         one.sentAt < stop.to &&
         one.endedAt >= stop.from &&
-        !isDisturbedOtherwise(seen, one),
+        !isDisturbedOtherwise(observations, one),
     ),
   );
   const broken = during.flatMap(({ id, status, isWhole, isGivenUp, sentAt, endedAt }) => {
@@ -344,27 +349,27 @@
   return disturbances.some(
     ({ target, isPlanned, from, to }) =>
       !isPlanned &&
-      (target === instance || target === EVERYTHING) &&
+      (target === instance || target === ALL_TARGETS) &&
       from <= endedAt &&
       to >= sentAt,
   );
 }
 
-function checkProcesses(seen: Observations): ReturnType<Check> {
+function checkProcesses(observations: Observations): ReturnType<Check> {
   const { memory, descriptors, lines } = BOUNDS;
-  const seconds = (seen.endedAt - seen.startedAt) / 1_000;
-  const maxLines = seconds * lines.perSecond + seen.requests.length * lines.perRequest;
-  const broken = seen.processes.flatMap((one) => [
+  const seconds = (observations.endedAt - observations.startedAt) / 1_000;
+  const maxLines = seconds * lines.perSecond + observations.requests.length * lines.perRequest;
+  const broken = observations.processes.flatMap((one) => [
     ...(one.memory > memory ? [`${one.instance} used ${one.memory} bytes of memory.`] : []),
     ...(one.descriptors > descriptors
       ? [`${one.instance} had ${one.descriptors} open files.`]
       : []),
     ...(one.lines > maxLines ? [`${one.instance} logged ${one.lines} lines.`] : []),
   ]);
-  return { chances: seen.processes.length, broken };
+  return { chances: observations.processes.length, broken };
 }
 
-function checkEnd({ requests, endedAt }: Observations): ReturnType<Check> {
+function checkRecovery({ requests, endedAt }: Observations): ReturnType<Check> {
   const regular = requests.filter(
     ({ kind, sentAt }) =>
       kind !== RequestKind.Hot &&
--- a/bench/soak/promises_test.ts
+++ b/bench/soak/guarantees_test.ts
@@ -5,10 +5,10 @@
  * @module
  */
 import { expect, test } from "vitest";
-import { RequestKind, EVERYTHING, STORE } from "./observation.ts";
+import { RequestKind, ALL_TARGETS, STORE } from "./observation.ts";
 import type { ObservedRequest, ObservedRun, Observations } from "./observation.ts";
-import { BOUNDS, checkPromises } from "./promises.ts";
-import type { Finding } from "./promises.ts";
+import { BOUNDS, checkGuarantees } from "./guarantees.ts";
+import type { Finding } from "./guarantees.ts";
 
 const INSTANCE = "127.1.0.1:10000";
 const OTHER = "127.1.0.1:10004";
@@ -57,7 +57,7 @@
 }
 
 function violatedIn(observations: Observations): string[] {
-  return checkPromises(observations)
+  return checkGuarantees(observations)
     .filter(({ broken }) => broken.length > 0)
     .map(({ promise }: Finding) => promise);
 }
@@ -223,7 +223,7 @@
 });
 
 test("each guarantee is violated by one of these records", () => {
-  const promises = checkPromises(records()).map(({ promise }) => promise);
+  const promises = checkGuarantees(records()).map(({ promise }) => promise);
   expect(new Set(FAULTS.map(([promise]) => promise))).toEqual(new Set(promises));
 });
 
@@ -237,7 +237,7 @@
     violatedIn(records({ ...late, disturbances: [disturbance(OTHER, 56_000, 57_000)] })),
   ).toHaveLength(1);
   expect(
-    violatedIn(records({ ...late, disturbances: [disturbance(EVERYTHING, 56_000, 57_000)] })),
+    violatedIn(records({ ...late, disturbances: [disturbance(ALL_TARGETS, 56_000, 57_000)] })),
   ).toEqual([]);
   expect(
     violatedIn(records({ ...late, disturbances: [disturbance(STORE, 51_000, 52_000)] })),
@@ -245,7 +245,7 @@
 });
 
 test("no disturbance excuses a second run of a request that may run at most once", () => {
-  const disturbances = [disturbance(EVERYTHING, 0, END)];
+  const disturbances = [disturbance(ALL_TARGETS, 0, END)];
   expect(
     violatedIn(records({ runs: [runOf("a"), runOf("a", 58_050)], disturbances })),
   ).toHaveLength(1);
--- a/bench/soak/link_proxy.ts
+++ b/bench/soak/link_proxy.ts
@@ -9,9 +9,9 @@
 import { takeLoopbackAddress } from "../../src/connection/testing/loopback_address.ts";
 
 /** Condition of a link: how it treats the bytes and connections that pass through it. */
-export enum LinkMood {
+export enum LinkCondition {
   /** Bytes are forwarded at once. */
-  Well = "well",
+  Normal = "well",
   /** Bytes are forwarded after a delay. */
   Slow = "slow",
   /** Connections stay open, but no bytes are forwarded in either direction. */
@@ -27,17 +27,17 @@
   /** `IP:PORT` at which the proxy listens. */
   readonly address: string;
   /** Sets the condition for new bytes. A connection that has dropped bytes never forwards any again. */
-  setMood(mood: LinkMood): void;
+  setCondition(condition: LinkCondition): void;
   /** Closes the listener and all connections. */
   close(): Promise<void>;
 }
 
 /** Delay of a slow link, in milliseconds. */
-const SLOWNESS = 250;
+const SLOW_LINK_DELAY = 250;
 
 /** Opens a proxy in front of the address `IP:PORT`. */
-export async function openLink(target: string): Promise<LinkProxy> {
-  let mood = LinkMood.Well;
+export async function openLinkProxy(target: string): Promise<LinkProxy> {
+  let condition = LinkCondition.Normal;
   const sockets = new Set<Socket>();
   const broken = new Set<Socket>();
 
@@ -50,19 +50,20 @@
   const forward = (from: Socket, to: Socket, isAnswer: boolean): void => {
     from.on("data", (chunk) => {
       if (isLost(from, to, isAnswer)) return;
-      if (mood === LinkMood.Slow) setTimeout(() => to.write(chunk), SLOWNESS);
+      if (condition === LinkCondition.Slow) setTimeout(() => to.write(chunk), SLOW_LINK_DELAY);
       else to.write(chunk);
     });
   };
   /** Dropped bytes leave a gap in the stream, so nothing is forwarded on that connection afterwards. */
   const isLost = (from: Socket, to: Socket, isAnswer: boolean): boolean => {
-    const isDropped = mood === LinkMood.Silent || (mood === LinkMood.AnswersLost && isAnswer);
+    const isDropped =
+      condition === LinkCondition.Silent || (condition === LinkCondition.AnswersLost && isAnswer);
     if (isDropped) broken.add(from);
     return broken.has(from) || to.destroyed;
   };
   const server = createServer({ allowHalfOpen: true }, (near) => {
     track(near);
-    if (mood === LinkMood.Resetting) {
+    if (condition === LinkCondition.Resetting) {
       near.resetAndDestroy();
       return;
     }
@@ -92,7 +93,7 @@
   };
   /** Runs a callback after the bytes that were received before. */
   const afterWrites = (callback: () => void): void => {
-    if (mood === LinkMood.Slow) setTimeout(callback, SLOWNESS);
+    if (condition === LinkCondition.Slow) setTimeout(callback, SLOW_LINK_DELAY);
     else callback();
   };
   const address = takeLoopbackAddress();
@@ -100,9 +101,9 @@
   await new Promise<void>((resolve) => server.listen(port, host, resolve));
   return {
     address,
-    setMood: (next) => {
-      mood = next;
-      if (next === LinkMood.Resetting) for (const socket of sockets) socket.resetAndDestroy();
+    setCondition: (next) => {
+      condition = next;
+      if (next === LinkCondition.Resetting) for (const socket of sockets) socket.resetAndDestroy();
     },
     close: async () => {
       const isOpen = server.listening;
--- a/bench/soak/link_proxy_test.ts
+++ b/bench/soak/link_proxy_test.ts
@@ -9,7 +9,7 @@
 import type { Server, Socket } from "node:net";
 import { afterEach, expect, test } from "vitest";
 import { takeLoopbackAddress } from "../../src/connection/testing/loopback_address.ts";
-import { LinkMood, openLink } from "./link_proxy.ts";
+import { LinkCondition, openLinkProxy } from "./link_proxy.ts";
 import type { LinkProxy } from "./link_proxy.ts";
 
 const closers: (() => unknown)[] = [];
@@ -37,7 +37,7 @@
     server.close();
     for (const socket of sockets) socket.destroy();
   });
-  const link = await openLink(address);
+  const link = await openLinkProxy(address);
   closers.push(() => link.close());
   return { link, server, received };
 }
@@ -73,7 +73,7 @@
   const { link } = await setUp();
   const socket = open(link);
   expect(await echo(socket, "a")).toBe("a");
-  link.setMood(LinkMood.Slow);
+  link.setCondition(LinkCondition.Slow);
   expect(await echo(socket, "b")).toBe("");
   expect(await echo(socket, "c", 900)).toBe("bc");
 });
@@ -81,7 +81,7 @@
 test("answers are dropped, but requests arrive", async () => {
   const { link, received } = await setUp();
   const socket = open(link);
-  link.setMood(LinkMood.AnswersLost);
+  link.setCondition(LinkCondition.AnswersLost);
   expect(await echo(socket, "write")).toBe("");
   expect(received).toEqual(["write"]);
 });
@@ -89,9 +89,9 @@
 test("a connection that went silent stays silent, and new ones work again", async () => {
   const { link, received } = await setUp();
   const socket = open(link);
-  link.setMood(LinkMood.Silent);
+  link.setCondition(LinkCondition.Silent);
   expect(await echo(socket, "lost")).toBe("");
-  link.setMood(LinkMood.Well);
+  link.setCondition(LinkCondition.Normal);
   expect(await echo(socket, "after")).toBe("");
   expect(received).toEqual([]);
   expect(await echo(open(link), "new")).toBe("new");
@@ -102,7 +102,7 @@
   const socket = open(link);
   expect(await echo(socket, "a")).toBe("a");
   const reset = closeError(socket);
-  link.setMood(LinkMood.Resetting);
+  link.setCondition(LinkCondition.Resetting);
   expect(await reset).toBe("ECONNRESET");
   expect(await closeError(open(link))).toBe("ECONNRESET");
 });
--- a/bench/soak/main.ts
+++ b/bench/soak/main.ts
@@ -9,9 +9,9 @@
 import { minimize } from "../faults/shrink.ts";
 import { drawPlan } from "./plan.ts";
 import type { SoakPlan } from "./plan.ts";
-import { playSoak } from "./play.ts";
-import { checkPromises } from "./promises.ts";
-import type { Finding } from "./promises.ts";
+import { runSoak } from "./run_soak.ts";
+import { checkGuarantees } from "./guarantees.ts";
+import type { Finding } from "./guarantees.ts";
 import { REGRESSION_SEEDS } from "./seeds.ts";
 import type { RegressionSeed } from "./seeds.ts";
 
@@ -37,42 +37,45 @@
 });
 
 /** Maximum number of violations that are printed for one guarantee. */
-const MOST_SENTENCES = 5;
-const SECOND = 1_000;
+const MAX_PRINTED_VIOLATIONS = 5;
+const MILLISECONDS_PER_SECOND = 1_000;
 
-async function playOne(plan: SoakPlan): Promise<Finding[]> {
-  const { seen, logs } = await playSoak(plan);
-  const findings = checkPromises(seen);
-  if (!isBroken(findings)) return findings;
+async function runPlan(plan: SoakPlan): Promise<Finding[]> {
+  const { observations, logs } = await runSoak(plan);
+  const findings = checkGuarantees(observations);
+  if (!hasViolations(findings)) return findings;
   const folder = path.join("dist", "soak", String(plan.seed));
   mkdirSync(folder, { recursive: true });
   for (const [name, lines] of logs) {
     writeFileSync(path.join(folder, `${name}.log`), `${lines.join("\n")}\n`);
   }
-  writeFileSync(path.join(folder, "seen.json"), JSON.stringify(seen, undefined, 1));
+  writeFileSync(path.join(folder, "seen.json"), JSON.stringify(observations, undefined, 1));
   return findings;
 }
 
-function isBroken(findings: readonly Finding[]): boolean {
+function hasViolations(findings: readonly Finding[]): boolean {
   return findings.some(({ broken }) => broken.length > 0);
 }
 
-function print(plan: SoakPlan, findings: readonly Finding[]): void {
+function printFindings(plan: SoakPlan, findings: readonly Finding[]): void {
   console.log(`\nseed ${plan.seed}: ${plan.instances} instances, ${plan.workers} workers`);
   for (const { kind, at, lasts, place } of plan.faults) {
-    const from = (at / SECOND).toFixed(1);
-    console.log(`  ${from} s  ${kind} ${place} for ${(lasts / SECOND).toFixed(1)} s`);
+    const from = (at / MILLISECONDS_PER_SECOND).toFixed(1);
+    console.log(
+      `  ${from} s  ${kind} ${place} for ${(lasts / MILLISECONDS_PER_SECOND).toFixed(1)} s`,
+    );
   }
   for (const { promise, chances, broken } of findings) {
     const verdict = broken.length === 0 ? "holds" : `VIOLATED ${broken.length} times`;
     console.log(`  ${promise}: ${verdict}, ${chances} checks`);
-    for (const violation of broken.slice(0, MOST_SENTENCES)) console.log(`    ${violation}`);
+    for (const violation of broken.slice(0, MAX_PRINTED_VIOLATIONS))
+      console.log(`    ${violation}`);
   }
 }
 
-async function shrink(plan: SoakPlan): Promise<SoakPlan> {
+async function shrinkPlan(plan: SoakPlan): Promise<SoakPlan> {
   const faults = await minimize(plan.faults, async (remaining) =>
-    isBroken(await playOne({ ...plan, faults: remaining })),
+    hasViolations(await runPlan({ ...plan, faults: remaining })),
   );
   return { ...plan, faults };
 }
@@ -95,18 +98,18 @@
   const totals = new Map<string, number>();
   const selected = selectRuns();
   for (const { seed, seconds, processes } of selected) {
-    const plan = drawPlan(seed, { length: seconds * SECOND, processes });
-    const findings = await playOne(plan);
+    const plan = drawPlan(seed, { length: seconds * MILLISECONDS_PER_SECOND, processes });
+    const findings = await runPlan(plan);
     for (const { promise, chances } of findings) {
       totals.set(promise, (totals.get(promise) ?? 0) + chances);
     }
     if (values.json) console.log(JSON.stringify({ plan, findings }));
-    else print(plan, findings);
-    if (!isBroken(findings)) continue;
+    else printFindings(plan, findings);
+    if (!hasViolations(findings)) continue;
     failed.push(seed);
     const size = `--seconds ${seconds} --processes ${processes}`;
     console.log(`repeat with: npm run soak -- --seed ${seed} ${size}`);
-    if (values.shrink) console.log(JSON.stringify(await shrink(plan)));
+    if (values.shrink) console.log(JSON.stringify(await shrinkPlan(plan)));
   }
   console.log(
     `\n${selected.length} seeds, ${failed.length} with a violated guarantee ${failed.join(" ")}`,
--- a/bench/soak/observation.ts
+++ b/bench/soak/observation.ts
@@ -65,7 +65,7 @@
 
 /** Period in which a fault was injected, and its target. */
 export interface Disturbance {
-  /** Address of an instance, {@linkcode STORE} or {@linkcode EVERYTHING}. */
+  /** Address of an instance, {@linkcode STORE} or {@linkcode ALL_TARGETS}. */
   readonly target: string;
   /** Whether it is a planned stop, for which fewer violations are excused. */
   readonly isPlanned: boolean;
@@ -74,7 +74,7 @@
 }
 
 /** Period in which a backend server announces that it is draining or that it has a limit. */
-export interface WorkerStatement {
+export interface WorkerPeriod {
   readonly worker: string;
   readonly from: number;
   to: number;
@@ -93,7 +93,7 @@
 }
 
 /** Answers of an instance at the end of the test, after all faults. */
-export interface ObservedEnd {
+export interface FinalState {
   readonly instance: string;
   readonly isReady: boolean;
   /** Instance addresses that it resolves for callers. */
@@ -113,17 +113,17 @@
   readonly duties: readonly DutyCall[];
   readonly disturbances: readonly Disturbance[];
   /** Draining backend servers, from the time when the store received this state. */
-  readonly leaving: readonly WorkerStatement[];
+  readonly leaving: readonly WorkerPeriod[];
   /** Backend servers with an announced limit, in requests per second. */
-  readonly limited: readonly (WorkerStatement & { readonly perSecond: number })[];
+  readonly limited: readonly (WorkerPeriod & { readonly perSecond: number })[];
   /** Planned stops, from SIGTERM until the process has ended. */
   readonly stops: readonly Disturbance[];
   readonly processes: readonly ObservedProcess[];
-  readonly ends: readonly ObservedEnd[];
+  readonly ends: readonly FinalState[];
 }
 
 /** Target of a fault that affects all instances and the store. */
-export const EVERYTHING = "*";
+export const ALL_TARGETS = "*";
 /** Target of a fault that affects the store. */
 export const STORE = "store";
 
--- a/bench/soak/operator.ts
+++ b/bench/soak/operator.ts
@@ -3,22 +3,22 @@
 import { systemClock } from "../../src/process/system_clock.ts";
 import { CLIENT_KEY, configuration } from "../../platform/testing/entry_fleet.ts";
 import type { PlatformStandin } from "../../platform/testing/platform_standin.ts";
-import { HOT_KEY, send } from "./callers.ts";
+import { HOT_ACCOUNT_KEY, sendRequest } from "./callers.ts";
 import type { SoakFleet } from "./fleet.ts";
 import { wallNow } from "./observation.ts";
-import { BOUNDS } from "./promises.ts";
+import { BOUNDS } from "./guarantees.ts";
 import type { SoakRecord } from "./record.ts";
 
 /** Simulated operator: adds routes to the configuration and probes whether the instances apply them. */
 export interface Operator {
   /** Writes a configuration with one additional route. */
-  change(): void;
+  addRoute(): void;
   /** Requests the most recently added routes from each instance periodically, while `isActive` returns true. */
-  probe(fleet: SoakFleet, isActive: () => boolean): Promise<void>;
+  probeRoutes(fleet: SoakFleet, isActive: () => boolean): Promise<void>;
 }
 
 /** Milliseconds between two probes of an instance. */
-const PROBE_PERIOD = 300;
+const PROBE_INTERVAL = 300;
 /** Number of the most recent routes that are probed. */
 const PROBED_ROUTES = 2;
 
@@ -36,7 +36,7 @@
   const [firstRoute] = baseRoutes;
   if (firstRoute === undefined) throw new Error("the configuration has no route");
   const { perSecond, burst } = BOUNDS.quota;
-  const hotAccount = { name: "regatta", api_keys: [HOT_KEY], rate_per_s: perSecond, burst };
+  const hotAccount = { name: "regatta", api_keys: [HOT_ACCOUNT_KEY], rate_per_s: perSecond, burst };
   const added: OperatorRoute[] = [];
   let version = 0;
   let probeCount = 0;
@@ -55,32 +55,32 @@
     const agent = new Agent();
     const id = `probe-${probeCount++}`;
     const probe = { id, instance, path, agent, method: "GET", body: "", key: CLIENT_KEY };
-    const { status } = await send(probe);
+    const { status } = await sendRequest(probe);
     agent.destroy();
     return status;
   };
   const probeInstance = async (fleet: SoakFleet, place: number): Promise<void> => {
-    const instance = fleet.instanceAt(place);
-    const process = fleet.processAt(place);
+    const instance = fleet.instanceAddress(place);
+    const process = fleet.processId(place);
     for (const { name, path_prefix: prefix } of added.slice(-PROBED_ROUTES)) {
       const at = wallNow();
       const status = await requestRoute(instance, `${prefix}x`);
       // If the instance was restarted meanwhile, another process may have answered.
-      if (fleet.processAt(place) !== process) return;
-      record.probed({ instance, process, version: Number(name.slice(1)), at, status });
+      if (fleet.processId(place) !== process) return;
+      record.addProbe({ instance, process, version: Number(name.slice(1)), at, status });
     }
   };
   return {
-    change: () => {
+    addRoute: () => {
       const next = version + 1;
       added.push({ ...firstRoute, name: `v${next}`, path_prefix: `/added-${next}/` });
       write();
-      record.configured(next);
+      record.addConfiguration(next);
     },
-    probe: async (fleet, isActive) => {
+    probeRoutes: async (fleet, isActive) => {
       while (isActive()) {
         await Promise.all(fleet.places.map((place) => probeInstance(fleet, place)));
-        await sleep(systemClock, PROBE_PERIOD);
+        await sleep(systemClock, PROBE_INTERVAL);
       }
     },
   };
--- a/bench/soak/plan.ts
+++ b/bench/soak/plan.ts
@@ -81,27 +81,27 @@
 }
 
 /** Milliseconds without faults at the start, and at the end, within which the fleet has to recover. */
-export const QUIET = { before: 2_000, after: 9_000 };
+export const FAULT_FREE_TIME = { before: 2_000, after: 9_000 };
 /** Maximum duration of a fault beyond its minimum of 300 ms, in milliseconds. */
-const LONGEST = 5_000;
+const MAX_FAULT_DURATION = 5_000;
 /** Mean time between the starts of two faults, in milliseconds. */
-const FAULT_EVERY = 1_800;
+const FAULT_INTERVAL = 1_800;
 /** Share of the processes that are instances. */
-const INSTANCE_PART = 0.4;
+const INSTANCE_RATIO = 0.4;
 /** Minimum numbers of processes. */
-const FEWEST = { instances: 3, workers: 5 };
+const MIN_COUNTS = { instances: 3, workers: 5 };
 
 /** Generates a plan; the same seed and size always give the same plan. */
 export function drawPlan(seed: number, { length, processes }: PlanSize): SoakPlan {
   const random = createSeededRandom(seed);
-  const instances = Math.max(FEWEST.instances, Math.round(processes * INSTANCE_PART));
-  const workers = Math.max(FEWEST.workers, processes - instances);
-  const faultsEnd = Math.max(QUIET.before, length - QUIET.after);
-  const count = Math.max(1, Math.round((faultsEnd - QUIET.before) / FAULT_EVERY));
+  const instances = Math.max(MIN_COUNTS.instances, Math.round(processes * INSTANCE_RATIO));
+  const workers = Math.max(MIN_COUNTS.workers, processes - instances);
+  const faultsEnd = Math.max(FAULT_FREE_TIME.before, length - FAULT_FREE_TIME.after);
+  const count = Math.max(1, Math.round((faultsEnd - FAULT_FREE_TIME.before) / FAULT_INTERVAL));
   const faults = Array.from({ length: count }, () => {
-    const at = QUIET.before + random.next() * (faultsEnd - QUIET.before);
-    const lasts = Math.min(faultsEnd - at, 300 + random.next() * LONGEST);
-    const kind = pick(Object.values(FaultKind), random);
+    const at = FAULT_FREE_TIME.before + random.next() * (faultsEnd - FAULT_FREE_TIME.before);
+    const lasts = Math.min(faultsEnd - at, 300 + random.next() * MAX_FAULT_DURATION);
+    const kind = pickRandom(Object.values(FaultKind), random);
     return { kind, at, lasts, place: Math.floor(random.next() * 1_000) };
   });
   return {
@@ -114,7 +114,7 @@
   };
 }
 
-function pick<T>(values: readonly T[], random: Random): T {
+function pickRandom<T>(values: readonly T[], random: Random): T {
   const value = values[Math.floor(random.next() * values.length)];
   if (value === undefined) throw new Error("cannot pick from an empty list");
   return value;
--- a/bench/soak/processes.ts
+++ b/bench/soak/processes.ts
@@ -13,7 +13,7 @@
 import { WorkerMood } from "../../platform/testing/worker_standin.ts";
 import type { GuardMessage } from "./guard.ts";
 import type { ObservedRun } from "./observation.ts";
-import type { WorkerMessage, WorkerOrder, WorkerProcessSettings } from "./worker_process.ts";
+import type { WorkerMessage, WorkerCommand, WorkerProcessSettings } from "./worker_process.ts";
 
 /** Processes of one soak test. All of them are ended with it, even if the test process itself is killed. */
 export interface SoakProcesses {
@@ -40,7 +40,7 @@
   /** Sends a signal; does nothing if the process has ended. */
   signal(name: NodeJS.Signals): void;
   /** Resolves when the process has ended. */
-  ended(): Promise<void>;
+  waitForExit(): Promise<void>;
 }
 
 /** Process of an entry instance. */
@@ -58,22 +58,22 @@
   /** `IP:PORT` at which it listens. */
   readonly address: string;
   /** Sends a command; does nothing once the process has disconnected. */
-  send(command: WorkerOrder): void;
+  send(command: WorkerCommand): void;
 }
 
 /** The entry instance that `node build.mjs platform` builds. */
-const PROGRAM = "target/entry.cjs";
+const ENTRY_PROGRAM = "target/entry.cjs";
 /** Maximum number of log lines that are kept per instance. */
-const KEPT_LINES = 6_000;
-const KILOBYTE = 1_024;
+const MAX_KEPT_LINES = 6_000;
+const BYTES_PER_KIBIBYTE = 1_024;
 /** The modules of the child processes are TypeScript; the loader of the test process may not be inherited. */
 const EXEC_ARGUMENTS = ["--import", "tsx"];
 
 /** Command that resets a backend server to its normal behavior without a limit. */
-export const WELL: WorkerOrder = { mood: WorkerMood.Well, limit: undefined };
+export const NORMAL_BEHAVIOR: WorkerCommand = { mood: WorkerMood.Well, limit: undefined };
 
 /** Starts the guard process and returns the functions that start the other processes. */
-export async function openProcesses(): Promise<SoakProcesses> {
+export async function createSoakProcesses(): Promise<SoakProcesses> {
   const folder = mkdtempSync(path.join(tmpdir(), "soak-"));
   const children = new Set<ChildProcess>();
   const guard = fork(moduleFile("guard"), [], { execArgv: EXEC_ARGUMENTS });
@@ -103,14 +103,14 @@
       signal: (name) => {
         if (!hasEnded()) child.kill(name);
       },
-      ended: () => exited,
+      waitForExit: () => exited,
     };
   };
   return {
     startInstance: (settings) => {
       const file = path.join(folder, `${settings.name}.jsonc`);
       writeFileSync(file, JSON.stringify(settings));
-      const child = spawn(process.execPath, [PROGRAM], {
+      const child = spawn(process.execPath, [ENTRY_PROGRAM], {
         env: { ...process.env, SAMPHIRESHORE_BOOT: file },
         stdio: ["ignore", "pipe", "pipe"],
       });
@@ -121,7 +121,7 @@
         createInterface({ input: stream }).on("line", (line) => {
           lineCount++;
           lastLines.push(line);
-          if (lastLines.length > KEPT_LINES) lastLines.shift();
+          if (lastLines.length > MAX_KEPT_LINES) lastLines.shift();
         });
       }
       return Object.defineProperties(running as InstanceProcess, {
@@ -148,7 +148,7 @@
       return Object.defineProperties(running as WorkerProcess, {
         address: { value: address },
         send: {
-          value: (command: WorkerOrder) => {
+          value: (command: WorkerCommand) => {
             if (child.connected) child.send(command);
           },
         },
@@ -178,7 +178,7 @@
     const status = readFileSync(`/proc/${pid}/status`, "utf8");
     const kilobytes = Number(/VmRSS:\s+(\d+)/.exec(status)?.[1] ?? 0);
     return {
-      memory: kilobytes * KILOBYTE,
+      memory: kilobytes * BYTES_PER_KIBIBYTE,
       descriptors: readdirSync(`/proc/${pid}/fd`).length,
     };
   } catch {
--- a/bench/soak/record.ts
+++ b/bench/soak/record.ts
@@ -1,57 +1,57 @@
 import type { PlatformStandin } from "../../platform/testing/platform_standin.ts";
-import { EVERYTHING, wallNow } from "./observation.ts";
+import { ALL_TARGETS, wallNow } from "./observation.ts";
 import type {
   Disturbance,
   ObservedRequest,
-  ObservedEnd,
+  FinalState,
   ObservedProbe,
   ObservedProcess,
   ObservedRun,
   Observations,
-  WorkerStatement,
+  WorkerPeriod,
 } from "./observation.ts";
 
 /** Collects the records of a running soak test. */
 export interface SoakRecord {
   /** Adds the name that an instance uses in its platform calls, with its address. */
-  named(name: string, instance: string): void;
+  addInstance(name: string, instance: string): void;
   /** Sets the start time of the test. */
-  begin(): void;
+  start(): void;
   /** Sets the end time of the test and its final states. */
-  end(ends: readonly ObservedEnd[]): void;
+  finish(ends: readonly FinalState[]): void;
   /** Adds a request whose answer has ended. */
-  answered(request: ObservedRequest): void;
+  addRequest(request: ObservedRequest): void;
   /** Adds a run. */
-  ran(run: ObservedRun): void;
+  addRun(run: ObservedRun): void;
   /** Adds a probe. */
-  probed(probe: ObservedProbe): void;
+  addProbe(probe: ObservedProbe): void;
   /** Records that the store has received a configuration. */
-  configured(version: number): void;
+  addConfiguration(version: number): void;
   /** Starts a disturbance of a target; the returned function ends it. */
-  disturbed(target: string, how?: { readonly isPlanned: boolean }): () => void;
+  startDisturbance(target: string, how?: { readonly isPlanned: boolean }): () => void;
   /** Starts a planned stop of an instance; the returned function ends it. */
-  stopping(instance: string): () => void;
+  startStop(instance: string): () => void;
   /** Starts the draining of a backend server; the returned function ends it. */
-  leaving(worker: string): () => void;
+  startDraining(worker: string): () => void;
   /** Starts the period of an announced limit, in requests per second; the returned function ends it. */
-  limited(worker: string, perSecond: number): () => void;
+  startLimit(worker: string, perSecond: number): () => void;
   /**
    * Adds samples of the instances' resource usage. The interval was to last `expected` milliseconds; if it lasted much
    * longer, the test process itself was stalled, which counts as a disturbance of everything.
    */
-  looked(
+  addSamples(
     processes: readonly ObservedProcess[],
     look: { readonly from: number; readonly to: number; readonly expected: number },
   ): void;
   /** Returns all records. */
-  seen(): Observations;
+  observations(): Observations;
 }
 
 /** Delay of a sample above which the test process counts as stalled, in milliseconds. */
-const STALL = 150;
+const STALL_THRESHOLD = 150;
 
 /** Creates an empty record. */
-export function createRecord(platform: Pick<PlatformStandin, "duties">): SoakRecord {
+export function createSoakRecord(platform: Pick<PlatformStandin, "duties">): SoakRecord {
   const requests: ObservedRequest[] = [];
   const runs: ObservedRun[] = [];
   const probes: ObservedProbe[] = [];
@@ -60,9 +60,9 @@
   const processes: ObservedProcess[] = [];
   const disturbances: Disturbance[] = [];
   const stops: Disturbance[] = [];
-  const leaving: WorkerStatement[] = [];
-  const limited: (WorkerStatement & { perSecond: number })[] = [];
-  let ends: readonly ObservedEnd[] = [];
+  const draining: WorkerPeriod[] = [];
+  const limited: (WorkerPeriod & { perSecond: number })[] = [];
+  let ends: readonly FinalState[] = [];
   let startedAt = 0;
   let endedAt = 0;
 
@@ -78,30 +78,30 @@
     };
   };
   return {
-    named: (name, instance) => void addresses.set(name, instance),
-    begin: () => void (startedAt = wallNow()),
-    end: (finalStates) => {
+    addInstance: (name, instance) => void addresses.set(name, instance),
+    start: () => void (startedAt = wallNow()),
+    finish: (finalStates) => {
       endedAt = wallNow();
       ends = finalStates;
     },
-    answered: (request) => void requests.push(request),
-    ran: (run) => void runs.push(run),
-    probed: (probe) => void probes.push(probe),
-    configured: (version) => void configurations.set(version, wallNow()),
-    disturbed: (target, { isPlanned } = { isPlanned: false }) =>
+    addRequest: (request) => void requests.push(request),
+    addRun: (run) => void runs.push(run),
+    addProbe: (probe) => void probes.push(probe),
+    addConfiguration: (version) => void configurations.set(version, wallNow()),
+    startDisturbance: (target, { isPlanned } = { isPlanned: false }) =>
       startPeriod(disturbances, (span) => ({ target, isPlanned, ...span })),
-    stopping: (instance) =>
+    startStop: (instance) =>
       startPeriod(stops, (span) => ({ target: instance, isPlanned: true, ...span })),
-    leaving: (worker) => startPeriod(leaving, (span) => ({ worker, ...span })),
-    limited: (worker, perSecond) =>
+    startDraining: (worker) => startPeriod(draining, (span) => ({ worker, ...span })),
+    startLimit: (worker, perSecond) =>
       startPeriod(limited, (span) => ({ worker, perSecond, ...span })),
-    looked: (samples, { from, to, expected }) => {
+    addSamples: (samples, { from, to, expected }) => {
       processes.push(...samples);
-      if (to - from > expected + STALL) {
-        disturbances.push({ target: EVERYTHING, isPlanned: false, from, to });
+      if (to - from > expected + STALL_THRESHOLD) {
+        disturbances.push({ target: ALL_TARGETS, isPlanned: false, from, to });
       }
     },
-    seen: () => ({
+    observations: () => ({
       startedAt,
       endedAt,
       requests,
@@ -113,7 +113,7 @@
         holder: addresses.get(duty.holder) ?? duty.holder,
       })),
       disturbances,
-      leaving,
+      leaving: draining,
       limited,
       stops,
       processes,
--- a/bench/soak/play.ts
+++ b/bench/soak/run_soak.ts
@@ -8,82 +8,83 @@
 import { startPlatformStandin, StoreMood } from "../../platform/testing/platform_standin.ts";
 import type { PlatformStandin } from "../../platform/testing/platform_standin.ts";
 import { isReadyAt, resolveAt, runCaller, runOpenLoopCaller } from "./callers.ts";
-import type { CallerParts } from "./callers.ts";
+import type { CallerOptions } from "./callers.ts";
 import { createFleet } from "./fleet.ts";
 import type { SoakFleet } from "./fleet.ts";
-import { LinkMood } from "./link_proxy.ts";
-import { RequestKind, EVERYTHING, STORE, wallNow } from "./observation.ts";
-import type { Observations, ObservedRequest, ObservedEnd } from "./observation.ts";
+import { LinkCondition } from "./link_proxy.ts";
+import { RequestKind, ALL_TARGETS, STORE, wallNow } from "./observation.ts";
+import type { Observations, ObservedRequest, FinalState } from "./observation.ts";
 import { createOperator } from "./operator.ts";
 import type { Operator } from "./operator.ts";
-import { FaultKind, QUIET } from "./plan.ts";
+import { FaultKind, FAULT_FREE_TIME } from "./plan.ts";
 import type { Fault, SoakPlan } from "./plan.ts";
-import { openProcesses } from "./processes.ts";
-import { createRecord } from "./record.ts";
+import { createSoakProcesses } from "./processes.ts";
+import { createSoakRecord } from "./record.ts";
 import type { SoakRecord } from "./record.ts";
 import { WorkerMood } from "../../platform/testing/worker_standin.ts";
 
 /** Result of a soak test. */
-export interface Played {
+export interface SoakResult {
   /** Records that the checks use. */
-  readonly seen: Observations;
+  readonly observations: Observations;
   /** Last lines of each instance's log, by the name of the instance. */
   readonly logs: ReadonlyMap<string, readonly string[]>;
 }
 
 /** Milliseconds between two crashing requests. */
-const CRASHING_PAUSE = 250;
+const CRASHING_REQUEST_INTERVAL = 250;
 /** Milliseconds between two requests of the client account that exceeds its quota. */
-const HOT_PAUSE = 12;
+const HOT_REQUEST_INTERVAL = 12;
 /** Limit that a backend server announces, in requests per second. */
-const NAMED_LIMIT = 1;
+const ANNOUNCED_LIMIT = 1;
 /** Pause of a rolling restart after each restarted instance, in milliseconds. */
 const ROLLING_PAUSE = 600;
 /** Milliseconds between two samples of the instances' resource usage. */
-const LOOK_PERIOD = 500;
+const SAMPLE_INTERVAL = 500;
 
 /** Objects that an injection acts on. */
-interface Stage {
+interface SoakContext {
   readonly fleet: SoakFleet;
   readonly platform: PlatformStandin;
   readonly operator: Operator;
   readonly record: SoakRecord;
-  readonly callers: Omit<CallerParts, "isActive">;
+  readonly callers: Omit<CallerOptions, "isActive">;
 }
 
 /** Runs a plan with newly started processes and returns the records. */
-export async function playSoak(plan: SoakPlan): Promise<Played> {
+export async function runSoak(plan: SoakPlan): Promise<SoakResult> {
   const random = createSeededRandom(plan.seed + 1);
-  const processes = await openProcesses();
+  const processes = await createSoakProcesses();
   const platform = await startPlatformStandin();
-  const record = createRecord(platform);
+  const record = createSoakRecord(platform);
   const operator = createOperator(platform, record);
   const fleet = await createFleet(plan, { processes, platform, record });
   try {
-    await fleet.untilReady();
+    await fleet.waitUntilReady();
     const { resolvers } = fleet;
     const callers = {
       resolvers,
       random,
-      onRequest: (request: ObservedRequest): void => record.answered(request),
+      onRequest: (request: ObservedRequest): void => record.addRequest(request),
     };
-    const stage = { fleet, platform, operator, record, callers };
-    record.begin();
+    const context = { fleet, platform, operator, record, callers };
+    record.start();
     const faultsEnd = { at: Infinity };
     const minEnd = wallNow() + plan.length;
-    const isActive = (): boolean => wallNow() < Math.max(minEnd, faultsEnd.at + QUIET.after);
+    const isActive = (): boolean =>
+      wallNow() < Math.max(minEnd, faultsEnd.at + FAULT_FREE_TIME.after);
     const load = Array.from({ length: plan.callers }, (_, index) =>
       runCaller(`c${index}`, { ...callers, isActive }),
     );
-    const probes = operator.probe(fleet, isActive);
-    const samples = lookAt(stage, isActive);
-    const faults = plan.faults.map((fault, index) => inject(stage, fault, index));
+    const probes = operator.probeRoutes(fleet, isActive);
+    const samples = sampleResources(context, isActive);
+    const faults = plan.faults.map((fault, index) => injectFault(context, fault, index));
     // A rolling restart may end later than planned, so the load continues until all faults are over.
     await Promise.all(faults);
     faultsEnd.at = wallNow();
     await Promise.all([...load, probes, samples]);
-    record.end(await endsOf(fleet));
-    return { seen: record.seen(), logs: fleet.logs() };
+    record.finish(await readFinalStates(fleet));
+    return { observations: record.observations(), logs: fleet.logs() };
   } finally {
     await fleet.close();
     await processes.close();
@@ -92,11 +93,13 @@
 }
 
 /** Waits until a fault is due, injects it, and ends it after its duration. */
-async function inject(stage: Stage, fault: Fault, index: number): Promise<void> {
+async function injectFault(context: SoakContext, fault: Fault, index: number): Promise<void> {
   await sleep(systemClock, fault.at);
-  const { target, begin, end } = INJECTIONS[fault.kind](stage, fault, `f${index}`);
+  const { target, begin, end } = INJECTIONS[fault.kind](context, fault, `f${index}`);
   const from = wallNow();
-  const endDisturbance = stage.record.disturbed(target, { isPlanned: PLANNED.has(fault.kind) });
+  const endDisturbance = context.record.startDisturbance(target, {
+    isPlanned: PLANNED_FAULTS.has(fault.kind),
+  });
   await begin();
   const remaining = fault.lasts - (wallNow() - from);
   if (remaining > 0) await sleep(systemClock, remaining);
@@ -112,51 +115,51 @@
 }
 
 /** Faults that correspond to planned actions of an operator. */
-const PLANNED: ReadonlySet<FaultKind> = new Set([
+const PLANNED_FAULTS: ReadonlySet<FaultKind> = new Set([
   FaultKind.InstanceStopped,
   FaultKind.RollingRestart,
 ]);
 
 /** Target of a fault that excuses no violations. */
-const NOTHING_DISTURBED = "";
+const NO_TARGET = "";
 
-type InjectionOf = (stage: Stage, fault: Fault, name: string) => Injection;
+type CreateInjection = (context: SoakContext, fault: Fault, name: string) => Injection;
 
 const instanceInjection =
-  (act: (fleet: SoakFleet, place: number) => Pick<Injection, "begin" | "end">): InjectionOf =>
-  ({ fleet }, { place }) => ({ target: fleet.instanceAt(place), ...act(fleet, place) });
+  (act: (fleet: SoakFleet, place: number) => Pick<Injection, "begin" | "end">): CreateInjection =>
+  ({ fleet }, { place }) => ({ target: fleet.instanceAddress(place), ...act(fleet, place) });
 
-const storeLink =
-  (mood: LinkMood): InjectionOf =>
+const storeLinkInjection =
+  (condition: LinkCondition): CreateInjection =>
   ({ fleet }, { place }) => ({
-    target: fleet.instanceAt(place),
-    begin: () => fleet.storeLink(place).setMood(mood),
-    end: () => fleet.storeLink(place).setMood(LinkMood.Well),
+    target: fleet.instanceAddress(place),
+    begin: () => fleet.storeLink(place).setCondition(condition),
+    end: () => fleet.storeLink(place).setCondition(LinkCondition.Normal),
   });
 
-const workerMood =
-  (mood: WorkerMood, limit?: number): InjectionOf =>
+const workerBehaviorInjection =
+  (mood: WorkerMood, limit?: number): CreateInjection =>
   ({ fleet }, { place }) => ({
-    target: NOTHING_DISTURBED,
-    begin: () => fleet.tellWorker(place, { mood, limit }),
-    end: () => fleet.tellWorker(place, { mood: WorkerMood.Well, limit: undefined }),
+    target: NO_TARGET,
+    begin: () => fleet.setWorkerBehavior(place, { mood, limit }),
+    end: () => fleet.setWorkerBehavior(place, { mood: WorkerMood.Well, limit: undefined }),
   });
 
-const workerLink =
-  (mood: LinkMood): InjectionOf =>
+const workerLinkInjection =
+  (condition: LinkCondition): CreateInjection =>
   ({ fleet }, { place }) => ({
-    target: NOTHING_DISTURBED,
-    begin: () => fleet.workerLink(place).setMood(mood),
-    end: () => fleet.workerLink(place).setMood(LinkMood.Well),
+    target: NO_TARGET,
+    begin: () => fleet.workerLink(place).setCondition(condition),
+    end: () => fleet.workerLink(place).setCondition(LinkCondition.Normal),
   });
 
-const openLoop =
-  (kind: RequestKind, pause: number): InjectionOf =>
+const openLoopInjection =
+  (kind: RequestKind, pause: number): CreateInjection =>
   ({ callers }, { lasts }, name) => {
     const until = wallNow() + lasts;
     let sending: Promise<void> | undefined;
     return {
-      target: NOTHING_DISTURBED,
+      target: NO_TARGET,
       begin: () => {
         const isActive = (): boolean => wallNow() < until;
         sending = runOpenLoopCaller(name, { ...callers, kind, pause, isActive });
@@ -165,7 +168,7 @@
     };
   };
 
-const INJECTIONS: Readonly<Record<FaultKind, InjectionOf>> = {
+const INJECTIONS: Readonly<Record<FaultKind, CreateInjection>> = {
   [FaultKind.InstanceKilled]: instanceInjection((fleet, place) => ({
     begin: () => fleet.killInstance(place),
     end: () => fleet.restartInstance(place),
@@ -179,7 +182,7 @@
     end: () => fleet.restartInstance(place),
   })),
   [FaultKind.RollingRestart]: ({ fleet }) => ({
-    target: EVERYTHING,
+    target: ALL_TARGETS,
     begin: async () => {
       for (const place of fleet.places) {
         await fleet.stopInstance(place);
@@ -190,12 +193,12 @@
     end: () => undefined,
   }),
   [FaultKind.AllKilled]: ({ fleet }) => ({
-    target: EVERYTHING,
+    target: ALL_TARGETS,
     begin: () => Promise.all(fleet.places.map((place) => fleet.killInstance(place))),
     end: () => fleet.places.forEach((place) => fleet.restartInstance(place)),
   }),
-  [FaultKind.StoreLinkSilent]: storeLink(LinkMood.Silent),
-  [FaultKind.StoreAnswersLost]: storeLink(LinkMood.AnswersLost),
+  [FaultKind.StoreLinkSilent]: storeLinkInjection(LinkCondition.Silent),
+  [FaultKind.StoreAnswersLost]: storeLinkInjection(LinkCondition.AnswersLost),
   [FaultKind.StoreAway]: ({ platform }) => ({
     target: STORE,
     begin: () => void (platform.mood = StoreMood.Busy),
@@ -203,55 +206,64 @@
   }),
   [FaultKind.StoreSlow]: ({ fleet }) => ({
     target: STORE,
-    begin: () => fleet.places.forEach((place) => fleet.storeLink(place).setMood(LinkMood.Slow)),
-    end: () => fleet.places.forEach((place) => fleet.storeLink(place).setMood(LinkMood.Well)),
+    begin: () =>
+      fleet.places.forEach((place) => fleet.storeLink(place).setCondition(LinkCondition.Slow)),
+    end: () =>
+      fleet.places.forEach((place) => fleet.storeLink(place).setCondition(LinkCondition.Normal)),
   }),
   [FaultKind.StoreForgets]: ({ platform }) => ({
-    target: NOTHING_DISTURBED,
+    target: NO_TARGET,
     begin: () => platform.compact(),
     end: () => undefined,
   }),
   [FaultKind.WorkerKilled]: ({ fleet }, { place }) => ({
-    target: NOTHING_DISTURBED,
+    target: NO_TARGET,
     begin: () => fleet.killWorker(place),
     end: () => undefined,
   }),
   [FaultKind.WorkerPaused]: ({ fleet }, { place }) => ({
-    target: NOTHING_DISTURBED,
+    target: NO_TARGET,
     begin: () => fleet.signalWorker(place, "SIGSTOP"),
     end: () => fleet.signalWorker(place, "SIGCONT"),
   }),
-  [FaultKind.WorkerFails]: workerMood(WorkerMood.Failing),
-  [FaultKind.WorkerBreaks]: workerMood(WorkerMood.Breaking),
-  [FaultKind.WorkerFull]: workerMood(WorkerMood.Full),
+  [FaultKind.WorkerFails]: workerBehaviorInjection(WorkerMood.Failing),
+  [FaultKind.WorkerBreaks]: workerBehaviorInjection(WorkerMood.Breaking),
+  [FaultKind.WorkerFull]: workerBehaviorInjection(WorkerMood.Full),
   [FaultKind.WorkerLeaves]: ({ fleet }, { place }) => ({
-    target: NOTHING_DISTURBED,
+    target: NO_TARGET,
     begin: () => fleet.replaceWorker(place),
     end: () => undefined,
   }),
-  [FaultKind.WorkerLinkReset]: workerLink(LinkMood.Resetting),
-  [FaultKind.WorkerLinkSlow]: workerLink(LinkMood.Slow),
-  [FaultKind.WorkerLimited]: workerMood(WorkerMood.Well, NAMED_LIMIT),
-  [FaultKind.CrashingRequest]: openLoop(RequestKind.Crashing, CRASHING_PAUSE),
-  [FaultKind.HotAccount]: openLoop(RequestKind.Hot, HOT_PAUSE),
+  [FaultKind.WorkerLinkReset]: workerLinkInjection(LinkCondition.Resetting),
+  [FaultKind.WorkerLinkSlow]: workerLinkInjection(LinkCondition.Slow),
+  [FaultKind.WorkerLimited]: workerBehaviorInjection(WorkerMood.Well, ANNOUNCED_LIMIT),
+  [FaultKind.CrashingRequest]: openLoopInjection(RequestKind.Crashing, CRASHING_REQUEST_INTERVAL),
+  [FaultKind.HotAccount]: openLoopInjection(RequestKind.Hot, HOT_REQUEST_INTERVAL),
   [FaultKind.ConfigurationChanged]: ({ operator }) => ({
-    target: NOTHING_DISTURBED,
-    begin: () => operator.change(),
+    target: NO_TARGET,
+    begin: () => operator.addRoute(),
     end: () => undefined,
   }),
 };
 
 /** Records the resource usage of the instances, and stalls of this process. */
-async function lookAt({ fleet, record }: Stage, isActive: () => boolean): Promise<void> {
+async function sampleResources(
+  { fleet, record }: SoakContext,
+  isActive: () => boolean,
+): Promise<void> {
   while (isActive()) {
     const at = wallNow();
-    await sleep(systemClock, LOOK_PERIOD);
-    record.looked(fleet.uses(), { from: at, to: wallNow(), expected: LOOK_PERIOD });
+    await sleep(systemClock, SAMPLE_INTERVAL);
+    record.addSamples(fleet.sampleProcesses(), {
+      from: at,
+      to: wallNow(),
+      expected: SAMPLE_INTERVAL,
+    });
   }
 }
 
 /** Requests the readiness and the resolved addresses of each instance at the end of the test. */
-function endsOf(fleet: SoakFleet): Promise<ObservedEnd[]> {
+function readFinalStates(fleet: SoakFleet): Promise<FinalState[]> {
   return Promise.all(
     fleet.listens.map(async ({ callers, ready, resolve }) => {
       const isReady = await isReadyAt(ready);
--- a/bench/soak/soak_test.ts
+++ b/bench/soak/soak_test.ts
@@ -8,9 +8,9 @@
 import { beforeAll, expect, test } from "vitest";
 import { drawPlan, FaultKind } from "./plan.ts";
 import type { Fault, SoakPlan } from "./plan.ts";
-import { playSoak } from "./play.ts";
-import { checkPromises } from "./promises.ts";
-import type { Finding } from "./promises.ts";
+import { runSoak } from "./run_soak.ts";
+import { checkGuarantees } from "./guarantees.ts";
+import type { Finding } from "./guarantees.ts";
 
 const TIMEOUT = 120_000;
 
@@ -19,8 +19,8 @@
 });
 
 async function findingsOf(plan: SoakPlan): Promise<Map<string, Finding>> {
-  const { seen } = await playSoak(plan);
-  return new Map(checkPromises(seen).map((finding) => [finding.promise, finding]));
+  const { observations } = await runSoak(plan);
+  return new Map(checkGuarantees(observations).map((finding) => [finding.promise, finding]));
 }
 
 function violations(findings: ReadonlyMap<string, Finding>): string[] {
--- a/bench/soak/worker_process.ts
+++ b/bench/soak/worker_process.ts
@@ -26,7 +26,7 @@
   | { readonly kind: "run"; readonly run: ObservedRun };
 
 /** Command to the process. */
-export interface WorkerOrder {
+export interface WorkerCommand {
   /** Behavior from now on. */
   readonly mood: WorkerMood;
   /** Limit that it announces, in requests per second; undefined for none. */
@@ -58,7 +58,7 @@
     process.kill(process.pid, "SIGKILL");
   },
 });
-process.on("message", ({ mood, limit }: WorkerOrder) => {
+process.on("message", ({ mood, limit }: WorkerCommand) => {
   worker.mood = mood;
   worker.limit = limit;
 });
