--- a/bench/decision_cost.ts
+++ b/bench/decision_cost.ts
@@ -1,3 +1,11 @@
+/**
+ * Measures the time that the scheduling decisions for one request take.
+ *
+ * Each request passes admission, the fair queue and placement. If one of these scans all backend servers or all queued
+ * requests, its cost grows with their number and limits the request rate of an instance.
+ *
+ * @module
+ */
 import { performance } from "node:perf_hooks";
 import { build } from "hdr-histogram-js";
 import type { Histogram } from "hdr-histogram-js";
--- a/bench/entry_cost.ts
+++ b/bench/entry_cost.ts
@@ -1,3 +1,11 @@
+/**
+ * Measures what an entry instance adds to the latency, processor time and memory of a request.
+ *
+ * The entry instance, its backup and the stand-ins run as processes of their own, so that their processor time and
+ * memory are measured separately. The same load is sent to the stand-in directly and through the entry instance.
+ *
+ * @module
+ */
 import { setMaxListeners } from "node:events";
 import { startChild } from "./child.ts";
 import type { Child } from "./child.ts";
@@ -200,11 +208,11 @@
   const before = { owner: await owner.usage(), backup: await backup.usage() };
   const target = entryTarget(owner.ready.callers, BenchService.Held);
   const agent = createAgent();
-  const ending = new AbortController();
-  setMaxListeners(0, ending.signal);
+  const abortController = new AbortController();
+  setMaxListeners(0, abortController.signal);
   const heldRequests: Promise<number>[] = [];
   while (heldRequests.length < HELD_REQUESTS) {
-    const request = sendRequest(target, { agent, tokens: 2, signal: ending.signal });
+    const request = sendRequest(target, { agent, tokens: 2, signal: abortController.signal });
     heldRequests.push(
       request.then(
         () => 1,
@@ -215,12 +223,12 @@
   }
   await sleep(SETTLE_TIME);
   const after = { owner: await owner.usage(), backup: await backup.usage() };
-  ending.abort();
+  abortController.abort();
   const ended = (await Promise.all(heldRequests)).reduce((a, b) => a + b, 0);
   await agent.destroy();
   const inProgress = HELD_REQUESTS - ended;
-  const perThousand = (after: number, before: number): number =>
-    inProgress === 0 ? 0 : Math.round(((after - before) * 1_000) / inProgress);
+  const perThousand = (current: number, baseline: number): number =>
+    inProgress === 0 ? 0 : Math.round(((current - baseline) * 1_000) / inProgress);
   return {
     inProgress,
     ownerResident: perThousand(after.owner.resident, before.owner.resident),
--- a/bench/faults/fleet.ts
+++ b/bench/faults/fleet.ts
@@ -22,7 +22,7 @@
 import { ZONES } from "./scenario.ts";
 import type { Scenario } from "./scenario.ts";
 
-/** Above the number of connections that callers open to one instance at once. More listeners indicate a leak. */
+/** Exceeds the number of connections that callers open to one instance at once; more listeners indicate a leak. */
 const MAX_LISTENERS = 100;
 
 /** One entry instance with in-memory fakes of its environment. */
@@ -31,7 +31,7 @@
   /** Index of the availability zone. */
   readonly zone: number;
   readonly core: EntryCore;
-  /** Pauses the instance, as a stopped process would be. */
+  /** Freezes the instance, like a paused process. */
   readonly freezer: Freezer;
   /** Aborted when the instance is killed. */
   readonly termination: AbortController;
--- a/bench/faults/guarantees.ts
+++ b/bench/faults/guarantees.ts
@@ -1,3 +1,10 @@
+/**
+ * Checks the guarantees of the product against the records of a fault scenario: a request that is not repeatable runs
+ * only once, answers are correct and complete, "not run" is true, accepted requests get a final state, and the revision
+ * in force never goes back.
+ *
+ * @module
+ */
 import { RequestState } from "../../src/interface/index.ts";
 import type { EngineRun } from "../../src/standin/memory/index.ts";
 import { keyedId } from "../../src/request/request_key.ts";
--- a/bench/faults/run_scenario.ts
+++ b/bench/faults/run_scenario.ts
@@ -1,3 +1,12 @@
+/**
+ * Runs one scenario of the fault simulation.
+ *
+ * Real entry cores run over a virtual clock with an in-memory store, network and backend servers. Callers submit
+ * requests while faults are injected. Afterwards the records of the callers and the backend servers show whether a
+ * request ran twice, was lost or received a wrong answer.
+ *
+ * @module
+ */
 import { REVISION_KEY } from "../../src/version/index.ts";
 import { MINIMAL_DOCUMENT } from "../../src/version/testing/minimal_revision.ts";
 import { formatRevision, parseRevision } from "../../src/version/index.ts";
@@ -19,7 +28,7 @@
 
 /** Time between the reclaim notice and the termination of an instance, in milliseconds. */
 const RECLAIM_NOTICE = 4_000;
-/** Time within which all callers must have ended, in milliseconds; longer than all faults together. */
+/** Time within which all faults are over and all callers must have received a final state, in milliseconds. */
 const SETTLE_TIMEOUT = 60_000;
 /** Milliseconds by which the virtual clock advances at a time. */
 const CLOCK_STEP = 250;
--- a/bench/faults/scenario.ts
+++ b/bench/faults/scenario.ts
@@ -17,7 +17,19 @@
   readonly tokens: number;
 }
 
-/** A fault; `at` in milliseconds after the fleet has formed, `span` as a duration in milliseconds. */
+/**
+ * A fault. `at` is its start in milliseconds after the fleet has formed, `span` its duration in milliseconds; `a` and
+ * `b` are the instances of a connection.
+ *
+ * - `kill`: an instance ends at once; `reclaim`, `zone-reclaim`: one or all instances of a zone end after a notice.
+ * - `freeze`: an instance is paused.
+ * - `cut`: calls between two instances get no answer; `silence`: their open connections go silent for good.
+ * - `lose-answers`: the next `count` calls are executed, but their answers are lost.
+ * - `store-down`: all store calls fail; `store-loses-answers`: the next `count` writes are applied, but their answers
+ *   are lost; `watches-silent`: open watches never report again.
+ * - `worker-kill`, `worker-silence`: a backend server ends, or its open connections go silent for good.
+ * - `operators`: two operators switch the preset at the same time.
+ */
 export type Fault =
   | { readonly kind: "kill" | "reclaim"; readonly at: number; readonly instance: number }
   | { readonly kind: "zone-reclaim"; readonly at: number; readonly zone: number }
@@ -57,6 +69,7 @@
   readonly seed: number;
   readonly instances: number;
   readonly workers: number;
+  /** Requests of the workload. */
   readonly demands: readonly CallerRequest[];
   readonly faults: readonly Fault[];
 }
--- a/bench/rollouts/simulate_order.ts
+++ b/bench/rollouts/simulate_order.ts
@@ -251,9 +251,9 @@
   const callbacks = new Map<number, (() => void)[]>();
   const runAt = (time: number, run: () => void): void => {
     const step = Math.max(now() + 1, Math.ceil(time / CLOCK_STEP));
-    const list = callbacks.get(step) ?? [];
-    callbacks.set(step, list);
-    list.push(run);
+    const stepCallbacks = callbacks.get(step) ?? [];
+    callbacks.set(step, stepCallbacks);
+    stepCallbacks.push(run);
   };
   const now = (): number => Math.floor(clock.now() / CLOCK_STEP);
   const isBadNow = (worker: Worker, route: string): boolean => {
@@ -265,7 +265,7 @@
   };
   const sendRequest = (): void => {
     const instance = fleet[Math.floor(random.next() * fleet.length)];
-    const route = drawRoute(random);
+    const route = pickRoute(random);
     if (instance === undefined) return;
     const worker = chooseWorker(instance);
     if (worker === undefined) return;
@@ -313,7 +313,7 @@
     const admission = view.admitting(SERVICE);
     const serving = workers.filter(({ entry: server }) => admission?.serves(server) ?? true);
     if (admission === undefined) return leastLoaded(serving, random);
-    if (method.ramp === "even") return leastLoaded(drawAllNew(view) ?? serving, random);
+    if (method.ramp === "even") return leastLoaded(selectAllNew(view) ?? serving, random);
     const meanRunning = serving.reduce((sum, { running }) => sum + running, 0) / serving.length;
     const trial = workers.filter(
       ({ entry: server, running }) => admission.onTrial.has(server.id) && running <= meanRunning,
@@ -321,11 +321,11 @@
     return leastLoaded(trial.length > 0 ? trial : serving, random);
   };
   /** For the "even" ramp: returns all new backend servers for a random share of the requests. */
-  const drawAllNew = (view: RolloutView): Worker[] | undefined => {
+  const selectAllNew = (view: RolloutView): Worker[] | undefined => {
     if (view.find(SERVICE)?.phase !== RolloutPhase.Trial) return undefined;
     const { parts } = rolloutCourse(duration, EXPOSURE_BOUND);
-    const isDrawn = random.next() < parts[RolloutPhase.Trial];
-    return isDrawn ? workers.filter(({ isNew }) => isNew) : undefined;
+    const isSelected = random.next() < parts[RolloutPhase.Trial];
+    return isSelected ? workers.filter(({ isNew }) => isNew) : undefined;
   };
 
   const startDisturbance = (kind: DisturbanceKind, until: number): void => {
@@ -424,7 +424,7 @@
   };
 }
 
-function drawRoute(random: Random): (typeof ROUTES)[number] {
+function pickRoute(random: Random): (typeof ROUTES)[number] {
   let left = random.next();
   for (const route of ROUTES) {
     left -= route.part;
--- a/bench/soak/callers.ts
+++ b/bench/soak/callers.ts
@@ -103,7 +103,7 @@
     if (instance === undefined || random.next() < NEW_CONNECTION_RATIO) {
       agent.destroy();
       agent = new Agent({ keepAlive: true, maxSockets: 1 });
-      instance = await addresses.pick();
+      instance = await addresses.choose();
     }
     if (instance === undefined) continue;
     const kind = pickRandom(REGULAR_KINDS, random);
@@ -137,7 +137,7 @@
   const addresses = createAddresses(options);
   const requests: Promise<unknown>[] = [];
   for (let count = 0; options.isActive(); count++) {
-    const instance = await addresses.pick();
+    const instance = await addresses.choose();
     if (instance === undefined) continue;
     const agent = new Agent();
     const body = kind === RequestKind.Crashing ? CRASHING_BODY : `body ${name} ${count}`;
@@ -259,12 +259,12 @@
 
 /** Creates a cache of the resolved addresses. Expired addresses stay in use while no instance resolves new ones. */
 function createAddresses({ resolvers, random }: CallerOptions): {
-  pick(): Promise<string | undefined>;
+  choose(): Promise<string | undefined>;
 } {
   let cached: readonly string[] = [];
   let expiresAt = 0;
   return {
-    pick: async () => {
+    choose: async () => {
       for (let attempt = 0; attempt < MAX_RESOLVE_ATTEMPTS && wallNow() >= expiresAt; attempt++) {
         const resolved = await resolveAt(pickRandom(resolvers, random));
         if (resolved === undefined) continue;
--- a/bench/soak/fleet.ts
+++ b/bench/soak/fleet.ts
@@ -197,12 +197,12 @@
     stopInstance: async (place) => {
       const { process, listen } = instanceAt(place);
       if (process.hasEnded) return;
-      const hasStopped = record.startStop(listen.callers);
+      const endStop = record.startStop(listen.callers);
       process.signal("SIGTERM");
-      const killed = systemClock.after(GRACE, () => process.signal("SIGKILL"));
+      const killTimer = systemClock.after(GRACE, () => process.signal("SIGKILL"));
       await process.waitForExit();
-      killed.close();
-      hasStopped();
+      killTimer.close();
+      endStop();
     },
     restartInstance: (place) => {
       const instance = instanceAt(place);
@@ -224,10 +224,10 @@
       const worker = workerAt(place);
       if (worker.process?.hasEnded !== false) return;
       platform.put("servers", worker.id, workerEntry(worker, place, "draining"));
-      const hasLeft = record.startDraining(worker.id);
+      const endDraining = record.startDraining(worker.id);
       await sleep(systemClock, BOUNDS.drain + DRAIN_MARGIN);
       worker.process.signal("SIGKILL");
-      hasLeft();
+      endDraining();
     },
     waitUntilReady: async () => {
       for (const { listen, process, settings } of instances) {
--- a/bench/soak/record.ts
+++ b/bench/soak/record.ts
@@ -41,7 +41,7 @@
    */
   addSamples(
     processes: readonly ObservedProcess[],
-    look: { readonly from: number; readonly to: number; readonly expected: number },
+    interval: { readonly from: number; readonly to: number; readonly expected: number },
   ): void;
   /** Returns all records. */
   observations(): Observations;
