--- a/bench/faults/faults_test.ts
+++ b/bench/faults/faults_test.ts
@@ -9,13 +9,13 @@
 import { ACCOUNT, createCallerLog } from "./caller.ts";
 import { runScenario } from "./run_scenario.ts";
 import { findViolations } from "./guarantees.ts";
-import { drawScenario } from "./scenario.ts";
+import { generateScenario } from "./scenario.ts";
 import { shrinkScenario } from "./shrink.ts";
 
 test.each([1, 2, 57, 127])("seed %i keeps every guarantee", async (seed) => {
   // Instances, zones, connections, the store and backend servers fail together under load. A violation would give
   // a caller a duplicate run, a wrong answer or no answer.
-  expect((await runScenario(drawScenario(seed))).violations).toEqual([]);
+  expect((await runScenario(generateScenario(seed))).violations).toEqual([]);
 });
 
 test.each([32, 44, 46, 116, 133])(
@@ -23,24 +23,24 @@
   async (seed) => {
     // A caller submits its key to two instances. One that was stopping or partitioned rejected it as "not run"
     // while the other ran it. The caller would resubmit under a new key and be charged twice.
-    expect((await runScenario(drawScenario(seed))).violations).toEqual([]);
+    expect((await runScenario(generateScenario(seed))).violations).toEqual([]);
   },
 );
 
 test("seed 11059: a request that is followed by its id is not reported as not run", async () => {
   // The owner's availability zone is reclaimed, another instance is killed and the store is unavailable. The caller
   // has most of its answer and asks an instance that reaches no owner. It received "not run" for a request that had run.
-  expect((await runScenario(drawScenario(11_059))).violations).toEqual([]);
+  expect((await runScenario(generateScenario(11_059))).violations).toEqual([]);
 });
 
 test("seed 12361: survivors of less than half of a fleet take over the slots", async () => {
   // Three of five instances terminate while the store is unavailable. When callers requested the dead instances'
   // slots, the two survivors answered each other's claims in an endless loop.
-  expect((await runScenario(drawScenario(12_361))).violations).toEqual([]);
+  expect((await runScenario(generateScenario(12_361))).violations).toEqual([]);
 });
 
 test("each violation is detected", () => {
-  const scenario = { ...drawScenario(1), faults: [] };
+  const scenario = { ...generateScenario(1), faults: [] };
   const request = { at: 0, instance: 0, repeatable: false, detached: false, tokens: 2, key: "k" };
   const { id } = keyedId(ACCOUNT, "k");
   const run = { id, worker: "w0", attempt: 1, startedAt: 1, resumedFrom: 0 };
@@ -70,7 +70,7 @@
 });
 
 test("a failing scenario is reduced to the faults that it needs", async () => {
-  const scenario = drawScenario(133);
+  const scenario = generateScenario(133);
   const [requiredFault] = scenario.faults;
   const smallest = await shrinkScenario(scenario, ({ faults }) =>
     Promise.resolve(faults.some((fault) => fault === requiredFault)),
--- a/bench/faults/main.ts
+++ b/bench/faults/main.ts
@@ -1,6 +1,6 @@
 import { parseArgs } from "node:util";
 import { runScenario } from "./run_scenario.ts";
-import { drawScenario } from "./scenario.ts";
+import { generateScenario } from "./scenario.ts";
 import type { Scenario } from "./scenario.ts";
 import { shrinkScenario } from "./shrink.ts";
 
@@ -27,7 +27,7 @@
 }
 
 async function runSeed(seed: number): Promise<Failure | undefined> {
-  const scenario = drawScenario(seed);
+  const scenario = generateScenario(seed);
   const { violations } = await runScenario(scenario);
   if (violations.length === 0) return undefined;
   const smallest = await shrinkScenario(
--- a/bench/faults/scenario.ts
+++ b/bench/faults/scenario.ts
@@ -85,28 +85,28 @@
 const MAX_TOKENS = 60;
 
 /** Generates a scenario; the same seed always gives the same scenario. */
-export function drawScenario(seed: number): Scenario {
+export function generateScenario(seed: number): Scenario {
   const random = createSeededRandom(seed);
   const instances = 3 + randomBelow(random, 3);
   const workers = 2 + randomBelow(random, 2);
   const demands = Array.from({ length: REQUEST_COUNT }, (_, index) =>
-    drawDemand(random, { instances, index }),
+    generateRequest(random, { instances, index }),
   );
   const count = 1 + randomBelow(random, 4);
-  const faults = Array.from({ length: count }, () => drawFault(random, { instances, workers }));
+  const faults = Array.from({ length: count }, () => generateFault(random, { instances, workers }));
   return {
     seed,
     instances,
     workers,
     demands: [
       ...demands,
-      ...demands.flatMap((request) => drawRepeat(random, { request, instances })),
+      ...demands.flatMap((request) => generateRepeat(random, { request, instances })),
     ],
     faults: faults.sort((one, other) => one.at - other.at),
   };
 }
 
-function drawDemand(
+function generateRequest(
   random: Random,
   { instances, index }: { instances: number; index: number },
 ): CallerRequest {
@@ -121,7 +121,7 @@
 }
 
 /** Generates, for half of the requests with a key, a second submission to any instance. */
-function drawRepeat(
+function generateRepeat(
   random: Random,
   { request, instances }: { request: CallerRequest; instances: number },
 ): CallerRequest[] {
@@ -135,7 +135,7 @@
   ];
 }
 
-function drawFault(
+function generateFault(
   random: Random,
   { instances, workers }: { instances: number; workers: number },
 ): Fault {
--- a/bench/rollouts/judges.ts
+++ b/bench/rollouts/judges.ts
@@ -10,7 +10,7 @@
 /** Judges that are compared, by name: "ratio" is the one that the product uses. */
 export const JUDGES: Readonly<Record<string, RolloutJudge>> = {
   ratio: judgeRollout,
-  distance: judgeByDistance,
+  distance: judgeByDifference,
 };
 
 /** Minimum number of runs of the new version before it is judged. */
@@ -19,7 +19,7 @@
 const MAX_EXCESS = { failures: 0.02, times: 0.15 };
 
 /** Judges by a fixed difference between the shares of bad answers, once there are enough runs. */
-function judgeByDistance(routes: Parameters<RolloutJudge>[0]): RolloutVerdict {
+function judgeByDifference(routes: Parameters<RolloutJudge>[0]): RolloutVerdict {
   for (const [metric, fault] of [
     ["answers", RolloutFault.Failures],
     ["times", RolloutFault.SlowAnswers],
--- a/bench/rollouts/main.ts
+++ b/bench/rollouts/main.ts
@@ -15,7 +15,7 @@
 import type { RolloutResult } from "./simulate_order.ts";
 import { exposurePlot, isBoundExceeded, summarize } from "./report.ts";
 import type { Summary } from "./report.ts";
-import { drawScenario, VersionBehavior } from "./scenario.ts";
+import { generateScenario, VersionBehavior } from "./scenario.ts";
 
 const { values } = parseArgs({
   options: {
@@ -28,7 +28,7 @@
 
 const RAMPS: readonly Ramp[] = ["few", "even"];
 /** Name of the way that the product uses. */
-const RUNNING = "ratio, few";
+const PRODUCT_METHOD = "ratio, few";
 const ways = Object.entries(JUDGES).flatMap(([name, judge]) =>
   RAMPS.map((ramp) => ({ name: `${name}, ${ramp}`, judge, ramp })),
 );
@@ -36,7 +36,7 @@
   values.way.length === 0 ? ways : ways.filter(({ name }) => values.way.includes(name));
 const first = Number(values.seed);
 const scenarios = Array.from({ length: Number(values.runs) }, (_, run) =>
-  drawScenario(first + run),
+  generateScenario(first + run),
 );
 
 const summaries: Summary[] = [];
@@ -70,4 +70,6 @@
     }
   }
 }
-process.exitCode = summaries.some((one) => one.way === RUNNING && isBoundExceeded(one)) ? 1 : 0;
+process.exitCode = summaries.some((one) => one.way === PRODUCT_METHOD && isBoundExceeded(one))
+  ? 1
+  : 0;
--- a/bench/rollouts/rollouts_test.ts
+++ b/bench/rollouts/rollouts_test.ts
@@ -2,14 +2,14 @@
 import { JUDGES } from "./judges.ts";
 import { simulateOrder } from "./simulate_order.ts";
 import { isBoundExceeded, summarize } from "./report.ts";
-import { drawScenario } from "./scenario.ts";
+import { generateScenario } from "./scenario.ts";
 
 const SEEDS = [1, 2, 3, 6, 16, 42, 47, 87, 40586, 60052, 60270];
 
 async function runOrder(seed: number): Promise<Parameters<typeof summarize>[1][number]> {
   const { ratio } = JUDGES;
   if (ratio === undefined) throw new Error("the ratio judge is missing");
-  const scenario = drawScenario(seed);
+  const scenario = generateScenario(seed);
   return { scenario, outcome: await simulateOrder(scenario, { judge: ratio, ramp: "few" }) };
 }
 
--- a/bench/rollouts/scenario.ts
+++ b/bench/rollouts/scenario.ts
@@ -61,7 +61,7 @@
 const MIN_REQUESTS_PER_INSTANCE = 0.4;
 
 /** Generates an order; the same seed always gives the same order. */
-export function drawScenario(seed: number): Scenario {
+export function generateScenario(seed: number): Scenario {
   const random = createSeededRandom(hashText(`order ${seed}`));
   const between = (min: number, max: number): number => min + random.next() * (max - min);
   const behavior =
@@ -84,11 +84,11 @@
       random,
     ),
     duration,
-    disturbances: drawDisturbances(random, duration),
+    disturbances: generateDisturbances(random, duration),
   };
 }
 
-function drawDisturbances(random: Random, duration: number): Disturbance[] {
+function generateDisturbances(random: Random, duration: number): Disturbance[] {
   const count = Math.floor(random.next() * 4);
   return Array.from({ length: count }, () => {
     const at = random.next() * duration;
--- a/bench/soak/callers.ts
+++ b/bench/soak/callers.ts
@@ -96,7 +96,7 @@
  */
 export async function runCaller(name: string, options: CallerOptions): Promise<void> {
   const { random, isActive } = options;
-  const addresses = createAddresses(options);
+  const addresses = createAddressCache(options);
   let agent = new Agent({ keepAlive: true, maxSockets: 1 });
   let instance: string | undefined;
   for (let count = 0; isActive(); count++) {
@@ -134,7 +134,7 @@
     ...options
   }: CallerOptions & { readonly kind: RequestKind; readonly pause: number },
 ): Promise<void> {
-  const addresses = createAddresses(options);
+  const addresses = createAddressCache(options);
   const requests: Promise<unknown>[] = [];
   for (let count = 0; options.isActive(); count++) {
     const instance = await addresses.choose();
@@ -258,7 +258,7 @@
 }
 
 /** Creates a cache of the resolved addresses. Expired addresses stay in use while no instance resolves new ones. */
-function createAddresses({ resolvers, random }: CallerOptions): {
+function createAddressCache({ resolvers, random }: CallerOptions): {
   choose(): Promise<string | undefined>;
 } {
   let cached: readonly string[] = [];
--- a/bench/soak/main.ts
+++ b/bench/soak/main.ts
@@ -7,7 +7,7 @@
 import path from "node:path";
 import { parseArgs } from "node:util";
 import { minimize } from "../faults/shrink.ts";
-import { drawPlan } from "./plan.ts";
+import { generatePlan } from "./plan.ts";
 import type { SoakPlan } from "./plan.ts";
 import { runSoak } from "./run_soak.ts";
 import { checkGuarantees } from "./guarantees.ts";
@@ -98,7 +98,7 @@
   const totals = new Map<string, number>();
   const selected = selectRuns();
   for (const { seed, seconds, processes } of selected) {
-    const plan = drawPlan(seed, { length: seconds * MILLISECONDS_PER_SECOND, processes });
+    const plan = generatePlan(seed, { length: seconds * MILLISECONDS_PER_SECOND, processes });
     const findings = await runPlan(plan);
     for (const { promise, chances } of findings) {
       totals.set(promise, (totals.get(promise) ?? 0) + chances);
--- a/bench/soak/plan.ts
+++ b/bench/soak/plan.ts
@@ -92,7 +92,7 @@
 const MIN_COUNTS = { instances: 3, workers: 5 };
 
 /** Generates a plan; the same seed and size always give the same plan. */
-export function drawPlan(seed: number, { length, processes }: PlanSize): SoakPlan {
+export function generatePlan(seed: number, { length, processes }: PlanSize): SoakPlan {
   const random = createSeededRandom(seed);
   const instances = Math.max(MIN_COUNTS.instances, Math.round(processes * INSTANCE_RATIO));
   const workers = Math.max(MIN_COUNTS.workers, processes - instances);
--- a/bench/soak/plan_test.ts
+++ b/bench/soak/plan_test.ts
@@ -5,25 +5,25 @@
  * @module
  */
 import { expect, test } from "vitest";
-import { drawPlan, FaultKind } from "./plan.ts";
+import { generatePlan, FaultKind } from "./plan.ts";
 
 const SIZE = { length: 30_000, processes: 12 };
 
 test("the same seed gives the same plan, and another seed another plan", () => {
-  expect(drawPlan(5, SIZE)).toEqual(drawPlan(5, SIZE));
-  expect(drawPlan(6, SIZE).faults).not.toEqual(drawPlan(5, SIZE).faults);
+  expect(generatePlan(5, SIZE)).toEqual(generatePlan(5, SIZE));
+  expect(generatePlan(6, SIZE).faults).not.toEqual(generatePlan(5, SIZE).faults);
 });
 
 test("no fault is active in the last part of the load", () => {
   for (let seed = 0; seed < 200; seed++) {
-    for (const { at, lasts } of drawPlan(seed, SIZE).faults) {
+    for (const { at, lasts } of generatePlan(seed, SIZE).faults) {
       expect(at + lasts).toBeLessThanOrEqual(SIZE.length - 9_000);
     }
   }
 });
 
 test("all kinds of faults occur, and faults overlap", () => {
-  const plans = Array.from({ length: 100 }, (_, seed) => drawPlan(seed, SIZE));
+  const plans = Array.from({ length: 100 }, (_, seed) => generatePlan(seed, SIZE));
   const kinds = new Set(plans.flatMap(({ faults }) => faults.map(({ kind }) => kind)));
   expect(kinds.size).toBe(Object.values(FaultKind).length);
   const overlapping = plans.filter(({ faults }) =>
@@ -33,6 +33,9 @@
 });
 
 test("processes are divided between instances and backend servers", () => {
-  expect(drawPlan(1, { ...SIZE, processes: 100 })).toMatchObject({ instances: 40, workers: 60 });
-  expect(drawPlan(1, { ...SIZE, processes: 1 })).toMatchObject({ instances: 3, workers: 5 });
+  expect(generatePlan(1, { ...SIZE, processes: 100 })).toMatchObject({
+    instances: 40,
+    workers: 60,
+  });
+  expect(generatePlan(1, { ...SIZE, processes: 1 })).toMatchObject({ instances: 3, workers: 5 });
 });
--- a/bench/soak/soak_test.ts
+++ b/bench/soak/soak_test.ts
@@ -6,7 +6,7 @@
  */
 import { execFileSync } from "node:child_process";
 import { beforeAll, expect, test } from "vitest";
-import { drawPlan, FaultKind } from "./plan.ts";
+import { generatePlan, FaultKind } from "./plan.ts";
 import type { Fault, SoakPlan } from "./plan.ts";
 import { runSoak } from "./run_soak.ts";
 import { checkGuarantees } from "./guarantees.ts";
@@ -65,7 +65,7 @@
 test(
   "the guarantees hold under random faults",
   async () => {
-    const findings = await findingsOf(drawPlan(7, { length: 20_000, processes: 10 }));
+    const findings = await findingsOf(generatePlan(7, { length: 20_000, processes: 10 }));
     expect(violations(findings)).toEqual([]);
   },
   TIMEOUT,
