--- a/bench/faults/main.ts
+++ b/bench/faults/main.ts
@@ -1,3 +1,8 @@
+/**
+ * Command line of the fault simulation: `npm run faults -- --help`.
+ *
+ * @module
+ */
 import { parseArgs } from "node:util";
 import { runScenario } from "./run_scenario.ts";
 import { generateScenario } from "./scenario.ts";
--- a/bench/rollouts/report.ts
+++ b/bench/rollouts/report.ts
@@ -9,11 +9,13 @@
   readonly way: string;
   /** Number of orders of good versions. */
   readonly good: number;
+  /** Good versions that were rolled back by mistake. */
   readonly goodRolledBack: number;
   /** Good versions that were not rolled back but not completed by the deadline. */
   readonly goodLate: number;
   /** Number of orders of bad versions. */
   readonly bad: number;
+  /** Bad versions that were completed. */
   readonly badCompleted: number;
   /** Completed bad versions with too few bad answers to detect them. */
   readonly badUnseen: number;
--- a/bench/rollouts/rollouts_test.ts
+++ b/bench/rollouts/rollouts_test.ts
@@ -1,3 +1,9 @@
+/**
+ * Simulates rollout orders of good and bad versions. A rollout that judges a version wrongly would give a bad version too
+ * many requests, or roll back a good one.
+ *
+ * @module
+ */
 import { expect, test } from "vitest";
 import { JUDGES } from "./judges.ts";
 import { simulateOrder } from "./simulate_order.ts";
--- a/bench/rollouts/scenario.ts
+++ b/bench/rollouts/scenario.ts
@@ -13,22 +13,35 @@
 
 /** When a bad version shows its defect. */
 export enum Onset {
+  /** From the start. */
   AtOnce = "at-once",
+  /** After a part of the time until the deadline. */
   Later = "later",
+  /** While the backend server has more requests in progress than a threshold. */
   UnderLoad = "under-load",
+  /** From the start, but only on one route. */
   OneRoute = "one-route",
 }
 
 /** Kind of disturbance that affects both versions for some seconds. */
 export enum DisturbanceKind {
+  /** Some backend servers fail a part of their runs. */
   FailingWorkers = "failing-workers",
+  /** Some backend servers answer more slowly. */
   SlowWorkers = "slow-workers",
+  /** Some backend servers fail all their runs. */
   CrashedWorkers = "crashed-workers",
+  /** A small part of all runs fails. */
   LostAnswers = "lost-answers",
+  /** The request rate doubles. */
   Burst = "burst",
+  /** The instances of one zone exchange no digests with the others. */
   ZoneCut = "zone-cut",
+  /** The instance that runs the rollout task ends, and another one takes over its lease. */
   HolderDies = "holder-dies",
+  /** Writes of the rollout status fail. */
   StoreAway = "store-away",
+  /** All instances restart and lose their state. */
   AllRestart = "all-restart",
 }
 
@@ -50,12 +63,14 @@
   readonly defectStart: number;
   /** Requests per second of the whole fleet. */
   readonly rate: number;
+  /** Number of entry instances. */
   readonly instances: number;
   /** Time from the order to its deadline, in milliseconds. */
   readonly duration: number;
   readonly disturbances: readonly Disturbance[];
 }
 
+/** Possible numbers of entry instances. */
 const INSTANCE_COUNTS = [6, 6, 9, 20, 76, 300];
 /** Minimum requests per second of an instance: users don't run so many instances that each receives fewer. */
 const MIN_REQUESTS_PER_INSTANCE = 0.4;
