--- a/bench/faults/fleet.ts
+++ b/bench/faults/fleet.ts
@@ -22,43 +22,47 @@
 import { ZONES } from "./scenario.ts";
 import type { Scenario } from "./scenario.ts";
 
-/** More connections than callers have open to one instance at once: beyond, listeners leak. */
-const GREATEST_CONNECTIONS = 100;
+/** Exceeds the number of connections that callers open to one instance at once; more listeners indicate a leak. */
+const MAX_LISTENERS = 100;
 
-/** One entry instance over the fakes. */
+/** One entry instance with in-memory fakes of its environment. */
 export interface Instance {
   readonly id: string;
+  /** Index of the availability zone. */
   readonly zone: number;
   readonly core: EntryCore;
+  /** Freezes the instance, like a paused process. */
   readonly freezer: Freezer;
-  readonly gone: AbortController;
+  /** Aborted when the instance is killed. */
+  readonly termination: AbortController;
 }
 
-/** Entry instances over fakes in memory. */
+/** Entry instances with a shared in-memory clock, store, network and backend servers. */
 export interface Fleet {
   readonly clock: VirtualClock;
   readonly store: MemoryStore;
   readonly engines: MemoryEngines;
   readonly network: MemoryNetwork;
   readonly instances: readonly Instance[];
-  /** Takes an instance away. */
+  /** Kills an instance; does nothing if it is already gone. */
   kill(index: number): void;
+  /** Closes all instances. */
   close(): void;
 }
 
-/** Milliseconds in which a new fleet finds its members and assigns its slots. */
-const FORMING = 8_000;
+/** Time in which a new fleet finds its members and assigns its slots, in milliseconds. */
+const FORMATION_TIME = 8_000;
 
-/** Starts the instances of a scenario and lets them form a fleet. */
+/** Starts the instances of a scenario and waits until they have formed a fleet. */
 export async function startFleet({ seed, instances, workers }: Scenario): Promise<Fleet> {
   const clock = createVirtualClock();
   const store = createMemoryStore(clock);
   const engines = createMemoryEngines(clock);
   const network = createMemoryNetwork(clock);
-  const written = store.connect().put(REVISION_KEY, MINIMAL_REVISION, { expect: 0 });
+  const write = store.connect().put(REVISION_KEY, MINIMAL_REVISION, { expect: 0 });
   await clock.advance(10);
-  await written;
-  const list = Array.from({ length: workers }, (_, index) => deskWorker(`w${index}`));
+  await write;
+  const workerList = Array.from({ length: workers }, (_, index) => deskWorker(`w${index}`));
   const start = (index: number): Instance => {
     const address = `a${index}`;
     const zone = index % ZONES;
@@ -72,19 +76,19 @@
         random: createSeededRandom(seed * 100 + index),
         store: store.connect(gate),
         engine: engines.connect(gate),
-        instances: { workers: () => Promise.resolve(list) },
+        instances: { workers: () => Promise.resolve(workerList) },
         cloud: NO_CLOUD,
         peers: network.peersOf(self.id),
       },
     );
     network.join(self, core.handlers, gate);
     void core.start();
-    const gone = new AbortController();
-    setMaxListeners(GREATEST_CONNECTIONS, gone.signal);
-    return { id: self.id, zone, core, freezer, gone };
+    const termination = new AbortController();
+    setMaxListeners(MAX_LISTENERS, termination.signal);
+    return { id: self.id, zone, core, freezer, termination };
   };
   const all = Array.from({ length: instances }, (_, index) => start(index));
-  await clock.advance(FORMING);
+  await clock.advance(FORMATION_TIME);
   return {
     clock,
     store,
@@ -93,11 +97,11 @@
     instances: all,
     kill: (index) => {
       const instance = all[index];
-      if (instance === undefined || instance.gone.signal.aborted) return;
+      if (instance === undefined || instance.termination.signal.aborted) return;
       network.kill(instance.id);
       instance.freezer.freeze();
       instance.core.close();
-      instance.gone.abort(new Error("The instance has gone."));
+      instance.termination.abort(new Error("the instance was killed"));
     },
     close: () => {
       for (const { core } of all) core.close();
--- a/bench/soak/fleet.ts
+++ b/bench/soak/fleet.ts
@@ -1,3 +1,11 @@
+/**
+ * Entry instances and backend servers of the soak test, as operating-system processes.
+ *
+ * Each instance reaches the store through a fault-injecting proxy, and each backend server is reached through one.
+ * The fleet replaces a backend server that has ended and restarts instances on request.
+ *
+ * @module
+ */
 import { sleep } from "../../src/interface/index.ts";
 import { systemClock } from "../../src/process/system_clock.ts";
 import { takeListens } from "../../platform/testing/entry_fleet.ts";
@@ -5,13 +13,13 @@
 import type { PlatformStandin } from "../../platform/testing/platform_standin.ts";
 import type { WorkerMood } from "../../platform/testing/worker_standin.ts";
 import { CRASHING_BODY, isReadyAt } from "./callers.ts";
-import { openLink } from "./link_proxy.ts";
+import { openLinkProxy } from "./link_proxy.ts";
 import type { LinkProxy } from "./link_proxy.ts";
 import { wallNow } from "./observation.ts";
 import type { ObservedProcess } from "./observation.ts";
 import type { SoakPlan } from "./plan.ts";
-import { BOUNDS } from "./promises.ts";
-import { WELL } from "./processes.ts";
+import { BOUNDS } from "./guarantees.ts";
+import { NORMAL_BEHAVIOR } from "./processes.ts";
 import type {
   InstanceProcess,
   InstanceSettings,
@@ -19,41 +27,57 @@
   WorkerProcess,
 } from "./processes.ts";
 import type { SoakRecord } from "./record.ts";
-import type { WorkerOrder } from "./worker_process.ts";
+import type { WorkerCommand } from "./worker_process.ts";
 
-/** The instances and workers of a soak. Places wrap around, so that any number names one. */
+/**
+ * Instances and backend servers of a soak test.
+ *
+ * A place is the index of an instance or of a backend server; the process that replaces another one takes over its
+ * place. Places wrap around, so that any number is valid.
+ */
 export interface SoakFleet {
-  /** The places of all instances. */
+  /** Places of all instances. */
   readonly places: readonly number[];
+  /** Listen addresses of all instances. */
   readonly listens: readonly Listens[];
-  /** Where callers ask for addresses. */
+  /** Addresses at which the instances serve address resolution. */
   readonly resolvers: readonly string[];
-  /** The address of an instance for callers. */
-  instanceAt(place: number): string;
-  /** Tells the instance's process from those before it. */
-  processAt(place: number): number;
+  /** Returns the address of an instance for callers. */
+  instanceAddress(place: number): string;
+  /** Returns the process id of an instance, which changes with each restart. */
+  processId(place: number): number;
+  /** Returns the proxy between an instance and the store. */
   storeLink(place: number): LinkProxy;
+  /** Returns the proxy in front of a backend server. */
   workerLink(place: number): LinkProxy;
+  /** Kills an instance and waits until its process has ended. */
   killInstance(place: number): Promise<void>;
-  /** Tells an instance to stop and waits until its process has ended. */
+  /** Sends SIGTERM to an instance and waits until its process has ended; kills it after the grace period. */
   stopInstance(place: number): Promise<void>;
-  /** Starts an instance again, unless its process goes on. */
+  /** Restarts an instance; does nothing while its process is running. */
   restartInstance(place: number): void;
+  /** Sends a signal to an instance. */
   signalInstance(place: number, signal: NodeJS.Signals): void;
-  /** Kills a worker; another one takes its place some seconds later. */
+  /** Kills a backend server; a replacement starts 2 seconds later. */
   killWorker(place: number): void;
+  /** Sends a signal to a backend server. */
   signalWorker(place: number, signal: NodeJS.Signals): void;
-  tellWorker(place: number, order: { mood: WorkerMood; limit: number | undefined }): void;
-  /** A worker says that it leaves, serves for a while and ends; another one takes its place. */
+  /** Sets the behavior of a backend server and the rate limit that it announces, in requests per second. */
+  setWorkerBehavior(place: number, command: { mood: WorkerMood; limit: number | undefined }): void;
+  /** Marks a backend server as draining, kills it after its drain time and replaces it. */
   replaceWorker(place: number): Promise<void>;
-  untilReady(): Promise<void>;
-  uses(): ObservedProcess[];
+  /** Waits until all instances are ready. */
+  waitUntilReady(): Promise<void>;
+  /** Samples the memory, open files and log lines of all running instances. */
+  sampleProcesses(): ObservedProcess[];
+  /** Returns the last log lines of each instance, by its name. */
   logs(): Map<string, readonly string[]>;
+  /** Closes the proxies and stops replacing processes. */
   close(): Promise<void>;
 }
 
-/** What a fleet is made with. */
-export interface SoakFleetParts {
+/** Options of a fleet. */
+export interface SoakFleetOptions {
   readonly processes: SoakProcesses;
   readonly platform: PlatformStandin;
   readonly record: SoakRecord;
@@ -61,27 +85,35 @@
 
 const SERVICE = "desk";
 const ZONES = 3;
+/** Grace period of an instance that stops, in milliseconds. */
 const GRACE = 8_000;
+/** Milliseconds that a backend server takes for an answer. */
 const ANSWER_TIME = 8;
+/** Request slots of a backend server. */
 const SLOTS = 16;
-/** Milliseconds until the entry of a worker that has ended is taken out, and until another worker takes its place. */
-const LAPSE = 1_200;
-const REPLACED_AFTER = 2_000;
-/** Milliseconds for which a leaving worker serves beyond what it has to. */
-const LEAVES_LATER = 1_500;
-const READY_LOOK = 20;
-/** Lines of an instance that an error names. */
-const SAID_LINES = 5;
+/** Time until the entry of an ended backend server is removed from the store, in milliseconds. */
+const ENTRY_REMOVAL_DELAY = 1_200;
+/** Time until an ended backend server is replaced, in milliseconds. */
+const REPLACEMENT_DELAY = 2_000;
+/** Time for which a draining backend server continues after its drain limit, in milliseconds. */
+const DRAIN_MARGIN = 1_500;
+/** Milliseconds. */
+const READY_POLL_INTERVAL = 20;
+/** Number of log lines that an error message quotes. */
+const QUOTED_LOG_LINES = 5;
 
+/** Place of a backend server, with its current process. */
 interface WorkerPlace {
+  /** Number of earlier processes at this place. */
   generation: number;
   id: string;
   process: WorkerProcess | undefined;
   link: LinkProxy;
-  /** Ends the time in which it names a limit. */
+  /** Records the end of the period in which the backend server announces a limit. */
   endLimit: () => void;
 }
 
+/** Place of an instance, with its current process. */
 interface InstancePlace {
   readonly listen: Listens;
   readonly settings: InstanceSettings;
@@ -89,10 +121,10 @@
   process: InstanceProcess;
 }
 
-/** Starts the processes of a plan. */
+/** Starts the processes of a plan; does not wait until the instances are ready. */
 export async function createFleet(
   plan: SoakPlan,
-  { processes, platform, record }: SoakFleetParts,
+  { processes, platform, record }: SoakFleetOptions,
 ): Promise<SoakFleet> {
   const workers: WorkerPlace[] = [];
   const instances: InstancePlace[] = [];
@@ -103,20 +135,20 @@
   const startWorker = async (place: number, generation: number): Promise<WorkerPlace> => {
     const id = `w-${place}-${generation}`;
     const settings = { id, service: SERVICE, answerTime: ANSWER_TIME, crashesOn: CRASHING_BODY };
-    const process = await processes.startWorker(settings, (run) => record.ran(run));
-    const link = await openLink(process.address);
-    const found = { generation, id, process, link, endLimit: () => undefined };
-    workers[place] = found;
-    platform.put("servers", id, workerEntry(found, place, "ready"));
-    void process.ended().then(() => replaceEnded(place, found));
-    return found;
+    const process = await processes.startWorker(settings, (run) => record.addRun(run));
+    const link = await openLinkProxy(process.address);
+    const worker = { generation, id, process, link, endLimit: () => undefined };
+    workers[place] = worker;
+    platform.put("servers", id, workerEntry(worker, place, "ready"));
+    void process.waitForExit().then(() => replaceEnded(place, worker));
+    return worker;
   };
   const replaceEnded = async (place: number, ended: WorkerPlace): Promise<void> => {
     ended.endLimit();
-    await sleep(systemClock, LAPSE);
+    await sleep(systemClock, ENTRY_REMOVAL_DELAY);
     platform.remove("servers", ended.id);
     await ended.link.close();
-    await sleep(systemClock, REPLACED_AFTER - LAPSE);
+    await sleep(systemClock, REPLACEMENT_DELAY - ENTRY_REMOVAL_DELAY);
     if (!hasClosed()) await startWorker(place, ended.generation + 1);
   };
   const workerEntry = ({ link }: WorkerPlace, place: number, state: string): object => ({
@@ -130,14 +162,14 @@
     sequence: 1,
     born: Math.round(wallNow()),
   });
-  const workerAt = (place: number): WorkerPlace => at(workers, place);
-  const instanceAt = (place: number): InstancePlace => at(instances, place);
+  const workerAt = (place: number): WorkerPlace => atPlace(workers, place);
+  const instanceAt = (place: number): InstancePlace => atPlace(instances, place);
 
   const addInstance = async (place: number, seed: string): Promise<void> => {
     const listen = takeListens();
-    const link = await openLink(platform.address);
-    const settings = settingsOf(place, { listen, seed, store: link.address, platform });
-    record.named(settings.name, listen.callers);
+    const link = await openLinkProxy(platform.address);
+    const settings = createSettings(place, { listen, seed, store: link.address, platform });
+    record.addInstance(settings.name, listen.callers);
     const process = processes.startInstance(settings);
     instances.push({ listen, link, settings, process });
   };
@@ -153,24 +185,24 @@
     places: instances.map((_, place) => place),
     listens: instances.map(({ listen }) => listen),
     resolvers: instances.map(({ listen }) => listen.resolve),
-    instanceAt: (place) => instanceAt(place).listen.callers,
-    processAt: (place) => instanceAt(place).process.pid,
+    instanceAddress: (place) => instanceAt(place).listen.callers,
+    processId: (place) => instanceAt(place).process.pid,
     storeLink: (place) => instanceAt(place).link,
     workerLink: (place) => workerAt(place).link,
     killInstance: async (place) => {
       const { process } = instanceAt(place);
       process.signal("SIGKILL");
-      await process.ended();
+      await process.waitForExit();
     },
     stopInstance: async (place) => {
       const { process, listen } = instanceAt(place);
       if (process.hasEnded) return;
-      const hasStopped = record.stopping(listen.callers);
+      const endStop = record.startStop(listen.callers);
       process.signal("SIGTERM");
-      const killed = systemClock.after(GRACE, () => process.signal("SIGKILL"));
-      await process.ended();
-      killed.close();
-      hasStopped();
+      const killTimer = systemClock.after(GRACE, () => process.signal("SIGKILL"));
+      await process.waitForExit();
+      killTimer.close();
+      endStop();
     },
     restartInstance: (place) => {
       const instance = instanceAt(place);
@@ -181,36 +213,37 @@
     signalInstance: (place, signal) => instanceAt(place).process.signal(signal),
     killWorker: (place) => workerAt(place).process?.signal("SIGKILL"),
     signalWorker: (place, signal) => workerAt(place).process?.signal(signal),
-    tellWorker: (place, order: WorkerOrder) => {
+    setWorkerBehavior: (place, command: WorkerCommand) => {
       const worker = workerAt(place);
-      worker.process?.tell({ ...WELL, ...order });
+      worker.process?.send({ ...NORMAL_BEHAVIOR, ...command });
       worker.endLimit();
       worker.endLimit =
-        order.limit === undefined ? () => undefined : record.limited(worker.id, order.limit);
+        command.limit === undefined ? () => undefined : record.startLimit(worker.id, command.limit);
     },
     replaceWorker: async (place) => {
       const worker = workerAt(place);
       if (worker.process?.hasEnded !== false) return;
       platform.put("servers", worker.id, workerEntry(worker, place, "draining"));
-      const hasLeft = record.leaving(worker.id);
-      await sleep(systemClock, BOUNDS.drain + LEAVES_LATER);
+      const endDraining = record.startDraining(worker.id);
+      await sleep(systemClock, BOUNDS.drain + DRAIN_MARGIN);
       worker.process.signal("SIGKILL");
-      hasLeft();
+      endDraining();
     },
-    untilReady: async () => {
+    waitUntilReady: async () => {
       for (const { listen, process, settings } of instances) {
         while (!(await isReadyAt(listen.ready))) {
-          const said = process.lastLines.slice(-SAID_LINES).join("\n");
-          if (process.hasEnded) throw new Error(`${settings.name} has ended at its start: ${said}`);
-          await sleep(systemClock, READY_LOOK);
+          const lastLines = process.lastLines.slice(-QUOTED_LOG_LINES).join("\n");
+          if (process.hasEnded)
+            throw new Error(`${settings.name} ended during its start: ${lastLines}`);
+          await sleep(systemClock, READY_POLL_INTERVAL);
         }
       }
     },
-    uses: () =>
+    sampleProcesses: () =>
       instances.flatMap(({ listen, process }) => {
-        const use = process.use();
-        if (use === undefined) return [];
-        return [{ instance: listen.callers, at: wallNow(), lines: process.lines, ...use }];
+        const usage = process.resourceUsage();
+        if (usage === undefined) return [];
+        return [{ instance: listen.callers, at: wallNow(), lines: process.lineCount, ...usage }];
       }),
     logs: () => {
       for (const instance of instances) keepLog(instance);
@@ -224,17 +257,17 @@
   };
 }
 
-function at<T>(all: readonly T[], place: number): T {
-  const found = all[place % all.length];
-  if (found === undefined) throw new Error("The fleet is empty.");
-  return found;
+function atPlace<T>(all: readonly T[], place: number): T {
+  const item = all[place % all.length];
+  if (item === undefined) throw new Error("the fleet is empty");
+  return item;
 }
 
 function zoneOf(place: number): string {
   return `zone-${place % ZONES}`;
 }
 
-function settingsOf(
+function createSettings(
   place: number,
   {
     listen,
