--- a/bench/board_cost.ts
+++ b/bench/board_cost.ts
@@ -39,7 +39,7 @@
 function workerAt(index: number): RoutedWorker {
   return {
     id: `i-${index}`,
-    born: 1,
+    startedAt: 1,
     service: index % SERVICE_STRIDE === 0 ? SERVICE.name : "other",
     address: "127.0.0.1:1",
     zone: index % 2 === 0 ? "a" : "b",
@@ -48,7 +48,7 @@
     purchase: Purchase.Reclaimable,
     isLeaving: false,
     leavesIn: undefined,
-    coldFor: 0,
+    warmupLeft: 0,
   };
 }
 
--- a/bench/faults/caller.ts
+++ b/bench/faults/caller.ts
@@ -7,7 +7,7 @@
  *
  * @module
  */
-import { hasEnded, RequestState } from "../../src/interface/index.ts";
+import { isFinalRequestState, RequestState } from "../../src/interface/index.ts";
 import type { Clock } from "../../src/interface/index.ts";
 import { sleep } from "../../src/interface/index.ts";
 import type { CallerEvent } from "../../src/request/index.ts";
@@ -152,7 +152,7 @@
       break;
     case "ended":
       log.id = event.record.id;
-      if (hasEnded(event.record.state)) log.finalStates.push(event.record.state);
+      if (isFinalRequestState(event.record.state)) log.finalStates.push(event.record.state);
       else log.interruptions.push(event.record.reason);
       break;
     case "rejected":
--- a/bench/faults/fleet.ts
+++ b/bench/faults/fleet.ts
@@ -4,14 +4,14 @@
 import type { EntryCore } from "../../src/process/index.ts";
 import { deskWorker, NO_CLOUD } from "../../src/process/testing/core_fakes.ts";
 import {
-  createFreezer,
+  createPauseControl,
   createMemoryEngines,
   createMemoryNetwork,
   createMemoryStore,
   createVirtualClock,
 } from "../../src/standin/memory/index.ts";
 import type {
-  Freezer,
+  PauseControl,
   MemoryEngines,
   MemoryNetwork,
   MemoryStore,
@@ -32,7 +32,7 @@
   readonly zone: number;
   readonly core: EntryCore;
   /** Freezes the instance, like a paused process. */
-  readonly freezer: Freezer;
+  readonly freezer: PauseControl;
   /** Aborted when the instance is killed. */
   readonly termination: AbortController;
 }
@@ -67,8 +67,8 @@
     const address = `a${index}`;
     const zone = index % ZONES;
     const self = { id: `e${index}#1`, address, callerAddress: address, zone: `z${zone}` };
-    const freezer = createFreezer(clock);
-    const gate = (): Promise<void> => freezer.gate();
+    const freezer = createPauseControl(clock);
+    const gate = (): Promise<void> => freezer.whenRunning();
     const core = createEntryCore(
       { self, region: "test", seeds: ["a0", "a1"] },
       {
@@ -99,7 +99,7 @@
       const instance = all[index];
       if (instance === undefined || instance.termination.signal.aborted) return;
       network.kill(instance.id);
-      instance.freezer.freeze();
+      instance.freezer.pause();
       instance.core.close();
       instance.termination.abort(new Error("the instance was killed"));
     },
--- a/bench/faults/run_scenario.ts
+++ b/bench/faults/run_scenario.ts
@@ -102,9 +102,9 @@
   { core, freezer }: Instance,
   connect: (core: EntryCore) => AsyncIterable<CallerEvent>,
 ): AsyncGenerator<CallerEvent> {
-  await freezer.gate();
+  await freezer.whenRunning();
   for await (const event of connect(core)) {
-    await freezer.gate();
+    await freezer.whenRunning();
     yield event;
   }
 }
@@ -132,31 +132,31 @@
       });
       break;
     case "freeze":
-      instances[fault.instance]?.freezer.freeze();
+      instances[fault.instance]?.freezer.pause();
       break;
     case "cut":
-      network.setCut(idAt(fault.a), idAt(fault.b), true);
+      network.setPartitioned(idAt(fault.a), idAt(fault.b), true);
       break;
     case "silence":
-      network.silence(idAt(fault.a), idAt(fault.b));
+      network.hangOpenConnections(idAt(fault.a), idAt(fault.b));
       break;
     case "lose-answers":
-      network.loseAnswers(idAt(fault.a), idAt(fault.b), fault.count);
+      network.dropResponses(idAt(fault.a), idAt(fault.b), fault.count);
       break;
     case "store-down":
-      store.setDown(true);
+      store.setUnavailable(true);
       break;
     case "store-loses-answers":
-      store.loseAnswers(fault.count);
+      store.dropResponses(fault.count);
       break;
     case "watches-silent":
-      store.silenceWatches();
+      store.hangOpenWatches();
       break;
     case "worker-kill":
       engines.kill(`w${fault.worker}`);
       break;
     case "worker-silence":
-      engines.silence(`w${fault.worker}`);
+      engines.hangOpenConnections(`w${fault.worker}`);
       break;
     case "operators":
       void switchPreset(fleet, "day");
@@ -167,11 +167,11 @@
 
 function endFault(fleet: Fleet, fault: Extract<Fault, { span: number }>): void {
   const idAt = (index: number): string => fleet.instances[index]?.id ?? "";
-  if (fault.kind === "store-down") fleet.store.setDown(false);
-  if (fault.kind === "cut") fleet.network.setCut(idAt(fault.a), idAt(fault.b), false);
+  if (fault.kind === "store-down") fleet.store.setUnavailable(false);
+  if (fault.kind === "cut") fleet.network.setPartitioned(idAt(fault.a), idAt(fault.b), false);
   if (fault.kind !== "freeze") return;
   const instance = fleet.instances[fault.instance];
-  if (instance?.termination.signal.aborted === false) instance.freezer.wake();
+  if (instance?.termination.signal.aborted === false) instance.freezer.resume();
 }
 
 function reclaimInstance(fleet: Fleet, index: number): void {
@@ -180,7 +180,7 @@
   // At least one instance of the fleet always remains.
   const remaining = fleet.instances.filter(({ termination }) => !termination.signal.aborted).length;
   if (remaining <= 1) return;
-  void instance.freezer.gate().then(() => instance.core.reclaim(RECLAIM_NOTICE));
+  void instance.freezer.whenRunning().then(() => instance.core.reclaim(RECLAIM_NOTICE));
   fleet.clock.after(RECLAIM_NOTICE, () => fleet.kill(index));
 }
 
--- a/bench/rollouts/simulate_order.ts
+++ b/bench/rollouts/simulate_order.ts
@@ -405,7 +405,7 @@
   return {
     entry: {
       id: `${isNew ? "n" : "o"}-${index}`,
-      born: isNew ? WARM_UP : 0,
+      startedAt: isNew ? WARM_UP : 0,
       service: SERVICE,
       version: isNew ? "v2" : "v1",
       address: `10.0.${isNew ? 1 : 0}.${index}:80`,
@@ -414,7 +414,7 @@
       purchase: Purchase.OnDemand,
       isLeaving: false,
       leavesIn: undefined,
-      coldFor: 0,
+      warmupLeft: 0,
     },
     isNew,
     zone,
--- a/bench/slopes/control_cost.ts
+++ b/bench/slopes/control_cost.ts
@@ -1,8 +1,12 @@
 import { subscribe, unsubscribe } from "node:diagnostics_channel";
 import type { Socket } from "node:net";
 import { setTimeout as pause } from "node:timers/promises";
-import { startEmbedded } from "../../src/cli/embedded_deployment.ts";
-import { accountKeys, ASSOCIATION, documentValue } from "../../src/cli/template/index.ts";
+import { startEmbeddedDeployment } from "../../src/cli/embedded_deployment.ts";
+import {
+  createAccountKeys,
+  ASSOCIATION_TEMPLATE,
+  createDocumentValue,
+} from "../../src/cli/template/index.ts";
 
 /** Cost of control traffic at one number of instances, all in this process and over loopback. */
 export interface ControlCost {
@@ -29,12 +33,15 @@
   // Only client sockets are counted, in both directions: each byte passes exactly one of them.
   subscribe("net.client.socket", onSocket);
   const heapBefore = process.memoryUsage().heapUsed;
-  const deployment = await startEmbedded({
+  const deployment = await startEmbeddedDeployment({
     port: 0,
-    entryInstances: instances,
-    workers: { "entry-model": 1, "finish-desk": 1 },
-    zones: ASSOCIATION.zones,
-    source: documentValue(ASSOCIATION, accountKeys(ASSOCIATION, {})),
+    entryInstanceCount: instances,
+    workerCounts: { "entry-model": 1, "finish-desk": 1 },
+    zones: ASSOCIATION_TEMPLATE.zones,
+    document: createDocumentValue(
+      ASSOCIATION_TEMPLATE,
+      createAccountKeys(ASSOCIATION_TEMPLATE, {}),
+    ),
     preset: "day",
     operatorKey: "operator-key-of-slopes",
   });
--- a/bench/soak/fleet.ts
+++ b/bench/soak/fleet.ts
@@ -8,10 +8,10 @@
  */
 import { sleep } from "../../src/interface/index.ts";
 import { systemClock } from "../../src/process/system_clock.ts";
-import { takeListens } from "../../platform/testing/entry_fleet.ts";
-import type { Listens } from "../../platform/testing/entry_fleet.ts";
+import { reserveListenAddresses } from "../../platform/testing/entry_fleet.ts";
+import type { ListenAddresses } from "../../platform/testing/entry_fleet.ts";
 import type { PlatformStandin } from "../../platform/testing/platform_standin.ts";
-import type { WorkerMood } from "../../platform/testing/worker_standin.ts";
+import type { WorkerBehavior } from "../../platform/testing/worker_standin.ts";
 import { CRASHING_BODY, isReadyAt } from "./callers.ts";
 import { openLinkProxy } from "./link_proxy.ts";
 import type { LinkProxy } from "./link_proxy.ts";
@@ -39,7 +39,7 @@
   /** Places of all instances. */
   readonly places: readonly number[];
   /** Listen addresses of all instances. */
-  readonly listens: readonly Listens[];
+  readonly listens: readonly ListenAddresses[];
   /** Addresses at which the instances serve address resolution. */
   readonly resolvers: readonly string[];
   /** Returns the address of an instance for callers. */
@@ -63,7 +63,10 @@
   /** Sends a signal to a backend server. */
   signalWorker(place: number, signal: NodeJS.Signals): void;
   /** Sets the behavior of a backend server and the rate limit that it announces, in requests per second. */
-  setWorkerBehavior(place: number, command: { mood: WorkerMood; limit: number | undefined }): void;
+  setWorkerBehavior(
+    place: number,
+    command: { mood: WorkerBehavior; limit: number | undefined },
+  ): void;
   /** Marks a backend server as draining, kills it after its drain time and replaces it. */
   replaceWorker(place: number): Promise<void>;
   /** Waits until all instances are ready. */
@@ -115,7 +118,7 @@
 
 /** Place of an instance, with its current process. */
 interface InstancePlace {
-  readonly listen: Listens;
+  readonly listen: ListenAddresses;
   readonly settings: InstanceSettings;
   readonly link: LinkProxy;
   process: InstanceProcess;
@@ -166,7 +169,7 @@
   const instanceAt = (place: number): InstancePlace => atPlace(instances, place);
 
   const addInstance = async (place: number, seed: string): Promise<void> => {
-    const listen = takeListens();
+    const listen = reserveListenAddresses();
     const link = await openLinkProxy(platform.address);
     const settings = createSettings(place, { listen, seed, store: link.address, platform });
     record.addInstance(settings.name, listen.callers);
@@ -274,7 +277,7 @@
     seed,
     store,
     platform,
-  }: { listen: Listens; seed: string; store: string; platform: PlatformStandin },
+  }: { listen: ListenAddresses; seed: string; store: string; platform: PlatformStandin },
 ): InstanceSettings {
   return {
     name: `edge-${place}`,
--- a/bench/soak/link_proxy.ts
+++ b/bench/soak/link_proxy.ts
@@ -6,7 +6,7 @@
 import { connect, createServer } from "node:net";
 import type { Socket } from "node:net";
 import { splitAddress } from "../../src/connection/http_listener.ts";
-import { takeLoopbackAddress } from "../../src/connection/testing/loopback_address.ts";
+import { reserveLoopbackAddress } from "../../src/connection/testing/loopback_address.ts";
 
 /** Condition of a link: how it treats the bytes and connections that pass through it. */
 export enum LinkCondition {
@@ -96,7 +96,7 @@
     if (condition === LinkCondition.Slow) setTimeout(callback, SLOW_LINK_DELAY);
     else callback();
   };
-  const address = takeLoopbackAddress();
+  const address = reserveLoopbackAddress();
   const [host, port] = splitAddress(address);
   await new Promise<void>((resolve) => server.listen(port, host, resolve));
   return {
--- a/bench/soak/link_proxy_test.ts
+++ b/bench/soak/link_proxy_test.ts
@@ -8,7 +8,7 @@
 import { connect, createServer } from "node:net";
 import type { Server, Socket } from "node:net";
 import { afterEach, expect, test } from "vitest";
-import { takeLoopbackAddress } from "../../src/connection/testing/loopback_address.ts";
+import { reserveLoopbackAddress } from "../../src/connection/testing/loopback_address.ts";
 import { LinkCondition, openLinkProxy } from "./link_proxy.ts";
 import type { LinkProxy } from "./link_proxy.ts";
 
@@ -19,7 +19,7 @@
 
 /** Starts an echo server behind a proxy; `received` collects its input. */
 async function setUp(): Promise<{ link: LinkProxy; server: Server; received: string[] }> {
-  const address = takeLoopbackAddress();
+  const address = reserveLoopbackAddress();
   const [host, port] = address.split(":");
   const received: string[] = [];
   const sockets: Socket[] = [];
--- a/bench/soak/observation.ts
+++ b/bench/soak/observation.ts
@@ -4,7 +4,7 @@
  *
  * @module
  */
-import type { DutyCall } from "../../platform/testing/platform_standin.ts";
+import type { LeaseHolderCall } from "../../platform/testing/platform_standin.ts";
 
 /** Kind of a request. */
 export enum RequestKind {
@@ -110,7 +110,7 @@
   /** Time when the store received each configuration, by version. */
   readonly configurations: ReadonlyMap<number, number>;
   /** Calls that the platform stand-in received from the lease holder. */
-  readonly duties: readonly DutyCall[];
+  readonly duties: readonly LeaseHolderCall[];
   readonly disturbances: readonly Disturbance[];
   /** Draining backend servers, from the time when the store received this state. */
   readonly leaving: readonly WorkerPeriod[];
--- a/bench/soak/processes.ts
+++ b/bench/soak/processes.ts
@@ -10,7 +10,7 @@
 import { tmpdir } from "node:os";
 import path from "node:path";
 import { createInterface } from "node:readline";
-import { WorkerMood } from "../../platform/testing/worker_standin.ts";
+import { WorkerBehavior } from "../../platform/testing/worker_standin.ts";
 import type { GuardMessage } from "./guard.ts";
 import type { ObservedRun } from "./observation.ts";
 import type { WorkerMessage, WorkerCommand, WorkerProcessSettings } from "./worker_process.ts";
@@ -70,7 +70,7 @@
 const EXEC_ARGUMENTS = ["--import", "tsx"];
 
 /** Command that resets a backend server to its normal behavior without a limit. */
-export const NORMAL_BEHAVIOR: WorkerCommand = { mood: WorkerMood.Well, limit: undefined };
+export const NORMAL_BEHAVIOR: WorkerCommand = { mood: WorkerBehavior.Normal, limit: undefined };
 
 /** Starts the guard process and returns the functions that start the other processes. */
 export async function createSoakProcesses(): Promise<SoakProcesses> {
--- a/bench/soak/record.ts
+++ b/bench/soak/record.ts
@@ -51,7 +51,7 @@
 const STALL_THRESHOLD = 150;
 
 /** Creates an empty record. */
-export function createSoakRecord(platform: Pick<PlatformStandin, "duties">): SoakRecord {
+export function createSoakRecord(platform: Pick<PlatformStandin, "leaseHolderCalls">): SoakRecord {
   const requests: ObservedRequest[] = [];
   const runs: ObservedRun[] = [];
   const probes: ObservedProbe[] = [];
@@ -108,7 +108,7 @@
       runs,
       probes,
       configurations,
-      duties: platform.duties.map((duty) => ({
+      duties: platform.leaseHolderCalls.map((duty) => ({
         ...duty,
         holder: addresses.get(duty.holder) ?? duty.holder,
       })),
--- a/bench/soak/run_soak.ts
+++ b/bench/soak/run_soak.ts
@@ -5,7 +5,7 @@
  */
 import { createSeededRandom, sleep } from "../../src/interface/index.ts";
 import { systemClock } from "../../src/process/system_clock.ts";
-import { startPlatformStandin, StoreMood } from "../../platform/testing/platform_standin.ts";
+import { startPlatformStandin, StoreBehavior } from "../../platform/testing/platform_standin.ts";
 import type { PlatformStandin } from "../../platform/testing/platform_standin.ts";
 import { isReadyAt, resolveAt, runCaller, runOpenLoopCaller } from "./callers.ts";
 import type { CallerOptions } from "./callers.ts";
@@ -21,7 +21,7 @@
 import { createSoakProcesses } from "./processes.ts";
 import { createSoakRecord } from "./record.ts";
 import type { SoakRecord } from "./record.ts";
-import { WorkerMood } from "../../platform/testing/worker_standin.ts";
+import { WorkerBehavior } from "../../platform/testing/worker_standin.ts";
 
 /** Result of a soak test. */
 export interface SoakResult {
@@ -138,11 +138,11 @@
   });
 
 const workerBehaviorInjection =
-  (mood: WorkerMood, limit?: number): CreateInjection =>
+  (mood: WorkerBehavior, limit?: number): CreateInjection =>
   ({ fleet }, { place }) => ({
     target: NO_TARGET,
     begin: () => fleet.setWorkerBehavior(place, { mood, limit }),
-    end: () => fleet.setWorkerBehavior(place, { mood: WorkerMood.Well, limit: undefined }),
+    end: () => fleet.setWorkerBehavior(place, { mood: WorkerBehavior.Normal, limit: undefined }),
   });
 
 const workerLinkInjection =
@@ -201,8 +201,8 @@
   [FaultKind.StoreAnswersLost]: storeLinkInjection(LinkCondition.AnswersLost),
   [FaultKind.StoreAway]: ({ platform }) => ({
     target: STORE,
-    begin: () => void (platform.mood = StoreMood.Busy),
-    end: () => void (platform.mood = StoreMood.Well),
+    begin: () => void (platform.behavior = StoreBehavior.Busy),
+    end: () => void (platform.behavior = StoreBehavior.Normal),
   }),
   [FaultKind.StoreSlow]: ({ fleet }) => ({
     target: STORE,
@@ -226,9 +226,9 @@
     begin: () => fleet.signalWorker(place, "SIGSTOP"),
     end: () => fleet.signalWorker(place, "SIGCONT"),
   }),
-  [FaultKind.WorkerFails]: workerBehaviorInjection(WorkerMood.Failing),
-  [FaultKind.WorkerBreaks]: workerBehaviorInjection(WorkerMood.Breaking),
-  [FaultKind.WorkerFull]: workerBehaviorInjection(WorkerMood.Full),
+  [FaultKind.WorkerFails]: workerBehaviorInjection(WorkerBehavior.Failing),
+  [FaultKind.WorkerBreaks]: workerBehaviorInjection(WorkerBehavior.Breaking),
+  [FaultKind.WorkerFull]: workerBehaviorInjection(WorkerBehavior.Full),
   [FaultKind.WorkerLeaves]: ({ fleet }, { place }) => ({
     target: NO_TARGET,
     begin: () => fleet.replaceWorker(place),
@@ -236,7 +236,7 @@
   }),
   [FaultKind.WorkerLinkReset]: workerLinkInjection(LinkCondition.Resetting),
   [FaultKind.WorkerLinkSlow]: workerLinkInjection(LinkCondition.Slow),
-  [FaultKind.WorkerLimited]: workerBehaviorInjection(WorkerMood.Well, ANNOUNCED_LIMIT),
+  [FaultKind.WorkerLimited]: workerBehaviorInjection(WorkerBehavior.Normal, ANNOUNCED_LIMIT),
   [FaultKind.CrashingRequest]: openLoopInjection(RequestKind.Crashing, CRASHING_REQUEST_INTERVAL),
   [FaultKind.HotAccount]: openLoopInjection(RequestKind.Hot, HOT_REQUEST_INTERVAL),
   [FaultKind.ConfigurationChanged]: ({ operator }) => ({
--- a/bench/soak/worker_process.ts
+++ b/bench/soak/worker_process.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import { startWorkerStandin } from "../../platform/testing/worker_standin.ts";
-import type { WorkerMood } from "../../platform/testing/worker_standin.ts";
+import type { WorkerBehavior } from "../../platform/testing/worker_standin.ts";
 import { childSettings } from "../child.ts";
 import { wallNow } from "./observation.ts";
 import type { ObservedRun } from "./observation.ts";
@@ -28,7 +28,7 @@
 /** Command to the process. */
 export interface WorkerCommand {
   /** Behavior from now on. */
-  readonly mood: WorkerMood;
+  readonly mood: WorkerBehavior;
   /** Limit that it announces, in requests per second; undefined for none. */
   readonly limit: number | undefined;
 }
@@ -59,7 +59,7 @@
   },
 });
 process.on("message", ({ mood, limit }: WorkerCommand) => {
-  worker.mood = mood;
+  worker.behavior = mood;
   worker.limit = limit;
 });
 process.on("disconnect", () => process.exit(0));
--- a/bench/standin_process.ts
+++ b/bench/standin_process.ts
@@ -7,7 +7,7 @@
 import { Purchase, WorkerState } from "../src/interface/index.ts";
 import type { Worker } from "../src/interface/index.ts";
 import { systemClock } from "../src/process/index.ts";
-import { startBackend, startPlatform } from "../src/standin/index.ts";
+import { startBackendServer, startPlatformServer } from "../src/standin/index.ts";
 import { formatRevision, REVISION_KEY } from "../src/version/index.ts";
 import { serveParent } from "./child.ts";
 import { BENCH_DEPLOYMENT, BenchService, WORKERS } from "./deployment.ts";
@@ -28,7 +28,11 @@
   const workers: Worker[] = [];
   for (let index = 0; index < WORKERS; index++) {
     const tokenTime = service === BenchService.Quick ? 0 : HELD_TOKEN_TIME;
-    const backend = await startBackend({ listen: LISTEN, clock: systemClock, tokenTime });
+    const backend = await startBackendServer({
+      listen: LISTEN,
+      clock: systemClock,
+      tokenInterval: tokenTime,
+    });
     workers.push({
       id: `${service}-${index}`,
       address: `http://${backend.address}`,
@@ -44,7 +48,7 @@
 
 const quick = await startWorkers(BenchService.Quick);
 const held = await startWorkers(BenchService.Held);
-const platform = await startPlatform({
+const platform = await startPlatformServer({
   listen: LISTEN,
   clock: systemClock,
   workers: [...quick, ...held],
--- a/model/lease_specification.ts
+++ b/model/lease_specification.ts
@@ -9,8 +9,8 @@
  *
  * @module
  */
-import { giveBackIn, hasRunOut, leaseTimeLeft, mayOrder } from "../src/version/index.ts";
-import type { HeldLease, LeaseMoment, LeaseRules } from "../src/version/index.ts";
+import { releaseDelay, hasExpired, leaseTimeLeft, canStartCall } from "../src/version/index.ts";
+import type { HeldLease, ClockReading, LeaseRules } from "../src/version/index.ts";
 import type { Specification, Step } from "./checker.ts";
 
 /** Length of a time step in milliseconds. */
@@ -189,7 +189,7 @@
 }
 
 /** Returns the clock reading of an instance. */
-function readClock({ time }: LeaseState, { clockLag }: Candidate): LeaseMoment {
+function readClock({ time }: LeaseState, { clockLag }: Candidate): ClockReading {
   return { now: time - clockLag, dayOffset: clockLag };
 }
 
@@ -290,7 +290,7 @@
     steps.push(step("renews the lease", withChange({ lease: renewed }, write)));
   }
   if (bounds.givesBack && lease?.version === storedLease.version) {
-    if (giveBackIn(lease, reading.now, { term, rules }) === 0) {
+    if (releaseDelay(lease, reading.now, { term, rules }) === 0) {
       const release = { storedLease: { version, holder: "" } };
       steps.push(step("releases the lease", withChange({ lease: undefined }, release)));
     }
@@ -298,7 +298,7 @@
   const isFree = storedLease.holder === "";
   const isExpired =
     observed?.version === storedLease.version &&
-    hasRunOut({ since: observed.since, term }, reading.now, rules);
+    hasExpired({ since: observed.since, term }, reading.now, rules);
   if (lease === undefined && observed !== undefined && (isFree || isExpired)) {
     const { now, dayOffset } = reading;
     const takenOverAt =
@@ -308,7 +308,7 @@
     steps.push(step("acquires the lease", withChange({ lease: acquired }, write)));
   }
   const canOrder =
-    lease !== undefined && mayOrder(lease, reading, { orderTime: ORDER_TIME, rules });
+    lease !== undefined && canStartCall(lease, reading, { orderTime: ORDER_TIME, rules });
   if (canOrder && state.pendingOrders.length < 2) {
     const order = {
       sender: candidate.name,
--- a/model/rollout_specification.ts
+++ b/model/rollout_specification.ts
@@ -9,7 +9,7 @@
  */
 import { RolloutState } from "../src/interface/index.ts";
 import type { RolloutEntry, RolloutStatus } from "../src/interface/index.ts";
-import { isFinal, nextStatus, stateOfOrder } from "../src/version/index.ts";
+import { isFinalRolloutState, nextStatus, stateOfOrder } from "../src/version/index.ts";
 import type { RolloutRules } from "../src/version/index.ts";
 import type { Specification, Step } from "./checker.ts";
 
@@ -86,7 +86,7 @@
       },
       {
         name: "an order is considered ended only after its end was written",
-        holds: (state) => !isFinal(stateOfOrder(state.stored, rules)) || hasEnd(state),
+        holds: (state) => !isFinalRolloutState(stateOfOrder(state.stored, rules)) || hasEnd(state),
       },
     ],
     isGoal: hasEnd,
@@ -110,7 +110,7 @@
 ): RolloutModelState | undefined {
   const { stored, orderIndex, ends } = state;
   if (expectVersion && expectedVersion !== stored.storeVersion) return undefined;
-  const isEnd = isFinal(status.state) && status.to === stored.order.to;
+  const isEnd = isFinalRolloutState(status.state) && status.to === stored.order.to;
   const isRecorded = ends.some(
     (end) => end.orderIndex === orderIndex && end.state === status.state,
   );
--- a/model/slot_actions.ts
+++ b/model/slot_actions.ts
@@ -6,7 +6,7 @@
  *
  * @module
  */
-import { hasEnded, RequestState, SlotOutcome } from "../src/interface/index.ts";
+import { isFinalRequestState, RequestState, SlotOutcome } from "../src/interface/index.ts";
 import type { RequestRecord } from "../src/interface/index.ts";
 import {
   createSlotHandover,
@@ -30,7 +30,7 @@
   writeRecord,
 } from "../src/request/slot_replica.ts";
 import type { HeldRecord, SlotReplica } from "../src/request/slot_replica.ts";
-import type { Assignment } from "../src/version/index.ts";
+import type { SlotAssignment } from "../src/version/index.ts";
 import type { Step } from "./checker.ts";
 import { REPORTED_ACCEPTED } from "./slot_invariants.ts";
 import { acceptedRecord, encodeRecord, createInstance, memberIdOf, WORKER } from "./slot_state.ts";
@@ -229,7 +229,7 @@
         createStep(`${memberIdOf(instance)} sends ${id} (${held.record.state}) to ${to}`, next),
       );
     }
-    if (!hasEnded(held.record.state))
+    if (!isFinalRequestState(held.record.state))
       steps.push(...requestSteps(state, { instance, bounds, held }));
   }
   return steps;
@@ -404,7 +404,7 @@
 /** Writes a new primary and backup to the store, within the remaining wrong suspicions. */
 function reassignSteps(
   state: SlotState,
-  { instance, pair }: { instance: InstanceState; pair: Pick<Assignment, "primary" | "backup"> },
+  { instance, pair }: { instance: InstanceState; pair: Pick<SlotAssignment, "primary" | "backup"> },
 ): Step<SlotState>[] {
   const { storedAssignment: stored } = state;
   const { primary, backup } = pair;
--- a/model/slot_invariants.ts
+++ b/model/slot_invariants.ts
@@ -1,4 +1,4 @@
-import { hasEnded, RequestState } from "../src/interface/index.ts";
+import { isFinalRequestState, RequestState } from "../src/interface/index.ts";
 import { ownsSlot } from "../src/request/slot_replica.ts";
 import type { Invariant } from "./checker.ts";
 import type { Bounds, CallerRequest, SlotState } from "./slot_state.ts";
@@ -7,7 +7,9 @@
 export const REPORTED_ACCEPTED = "accepted";
 
 /** States in which a request has ended. */
-const END_STATES: ReadonlySet<string> = new Set(Object.values(RequestState).filter(hasEnded));
+const END_STATES: ReadonlySet<string> = new Set(
+  Object.values(RequestState).filter(isFinalRequestState),
+);
 
 /** Creates the invariants of slot ownership for the requests in the bounds. */
 export function slotInvariants({ demands, faults }: Bounds): Invariant<SlotState>[] {
--- a/model/slot_state.ts
+++ b/model/slot_state.ts
@@ -1,8 +1,8 @@
 import { RequestState, Refusal } from "../src/interface/index.ts";
-import type { CedeMessage, ReplicateMessage, RequestRecord } from "../src/interface/index.ts";
+import type { HandoverMessage, ReplicateMessage, RequestRecord } from "../src/interface/index.ts";
 import { emptyReplica, applyAssignment } from "../src/request/slot_replica.ts";
 import type { Rules, SlotReplica } from "../src/request/slot_replica.ts";
-import type { Assignment } from "../src/version/index.ts";
+import type { SlotAssignment } from "../src/version/index.ts";
 
 /** Name of the only backend server. It runs a request once for each time that it receives it. */
 export const WORKER = "w";
@@ -76,7 +76,7 @@
  */
 export type Message =
   | { readonly kind: "record"; readonly to: string; readonly message: ReplicateMessage }
-  | { readonly kind: "handover"; readonly to: string; readonly message: CedeMessage }
+  | { readonly kind: "handover"; readonly to: string; readonly message: HandoverMessage }
   | {
       readonly kind: "acknowledgement";
       readonly to: string;
@@ -92,7 +92,7 @@
    * The slot's assignment in the platform's store. An unavailable store is one that no instance
    * reaches.
    */
-  readonly storedAssignment: Assignment;
+  readonly storedAssignment: SlotAssignment;
   /** Messages in transit by key. */
   readonly messages: ReadonlyMap<string, Message>;
   /** Number of runs at the backend server by request id, counted up to 2. */
@@ -199,7 +199,7 @@
   return [...messages.keys()].sort().join(" ");
 }
 
-function encodeAssignment({ epoch, primary, backup, historyLostAt }: Assignment): string {
+function encodeAssignment({ epoch, primary, backup, historyLostAt }: SlotAssignment): string {
   return `${epoch}${primary}${backup}${historyLostAt}`;
 }
 
--- a/model/usage_specification.ts
+++ b/model/usage_specification.ts
@@ -7,7 +7,7 @@
  *
  * @module
  */
-import { knownAfterFix, nextUsageStep } from "../src/version/index.ts";
+import { usageAfterWrite, nextUsageStep } from "../src/version/index.ts";
 import type { KnownUsage, UsageRecord, UsageRules } from "../src/version/index.ts";
 import type { Specification, Step } from "./checker.ts";
 
@@ -131,14 +131,14 @@
   }
   const writeSteps = (write: Write): Step<UsageState>[] => {
     const { record } = write;
-    const uncertain = { knownUsage: knownAfterFix(record, undefined, rules) };
+    const uncertain = { knownUsage: usageAfterWrite(record, undefined, rules) };
     const stored = applyWrite(state.stored, write, rules);
     const outcomes = [
       stored === undefined
         ? step("gets its write refused", withChange(uncertain))
         : step(
             "writes",
-            withChange({ knownUsage: knownAfterFix(record, stored.version, rules) }, { stored }),
+            withChange({ knownUsage: usageAfterWrite(record, stored.version, rules) }, { stored }),
           ),
     ];
     if (stored !== undefined && state.lostAnswersLeft > 0) {
--- a/src/cli/check.ts
+++ b/src/cli/check.ts
@@ -3,7 +3,7 @@
 import type { z } from "zod";
 import { entrySettingsSchema, routedSettingsSchema } from "../process/index.ts";
 import { deploymentSchema, parseSettings } from "../version/index.ts";
-import type { SettingsFault } from "../version/index.ts";
+import type { SettingsError } from "../version/index.ts";
 
 /** Schemas by the value of `--as`. */
 const SCHEMAS_BY_TYPE: Readonly<Record<string, z.ZodType>> = {
@@ -31,7 +31,7 @@
     }),
   };
 
-  override async run(): Promise<{ valid: boolean; faults: readonly SettingsFault[] }> {
+  override async run(): Promise<{ valid: boolean; faults: readonly SettingsError[] }> {
     const { args, flags } = await this.parse(Check);
     const schema = SCHEMAS_BY_TYPE[flags.as] ?? deploymentSchema;
     const result = parseSettings(await readTextFile(this, args.file), { schema, file: args.file });
@@ -46,7 +46,7 @@
 }
 
 /** Formats a fault as one line, `FILE:LINE: PATH: MESSAGE`, which editors and terminals link to the place. */
-export function formatFault({ file, line, path, message }: SettingsFault): string {
+export function formatFault({ file, line, path, message }: SettingsError): string {
   return path === "" ? `${file}:${line}: ${message}` : `${file}:${line}: ${path}: ${message}`;
 }
 
--- a/src/cli/demo.ts
+++ b/src/cli/demo.ts
@@ -7,9 +7,14 @@
 import type { RunRecords, GuaranteeCheck } from "./demo/guarantees.ts";
 import { runScenario } from "./demo/scenario.ts";
 import type { Scenario } from "./demo/scenario.ts";
-import { startEmbedded } from "./embedded_deployment.ts";
+import { startEmbeddedDeployment } from "./embedded_deployment.ts";
 import type { EmbeddedDeployment } from "./embedded_deployment.ts";
-import { accountKeys, ASSOCIATION, documentValue, createRandomKey } from "./template/index.ts";
+import {
+  createAccountKeys,
+  ASSOCIATION_TEMPLATE,
+  createDocumentValue,
+  createRandomKey,
+} from "./template/index.ts";
 import { formatTable } from "./text_table.ts";
 
 const DEFAULT_SEED = 1;
@@ -46,15 +51,15 @@
 
   override async run(): Promise<DemoReport> {
     const { flags } = await this.parse(Demo);
-    const keys = accountKeys(ASSOCIATION);
+    const keys = createAccountKeys(ASSOCIATION_TEMPLATE);
     const operatorKey = createRandomKey();
-    const deployment = await startEmbedded({
+    const deployment = await startEmbeddedDeployment({
       port: 0,
-      entryInstances: 3,
-      workers: WORKERS_BY_SERVICE,
-      zones: ASSOCIATION.zones,
-      source: documentValue(ASSOCIATION, keys),
-      preset: ASSOCIATION.preset,
+      entryInstanceCount: 3,
+      workerCounts: WORKERS_BY_SERVICE,
+      zones: ASSOCIATION_TEMPLATE.zones,
+      document: createDocumentValue(ASSOCIATION_TEMPLATE, keys),
+      preset: ASSOCIATION_TEMPLATE.preset,
       operatorKey,
     });
     const startedAt = systemClock.now();
--- a/src/cli/dev.ts
+++ b/src/cli/dev.ts
@@ -1,6 +1,11 @@
 import { Command, Flags } from "@oclif/core";
-import { startEmbedded } from "./embedded_deployment.ts";
-import { accountKeys, ASSOCIATION, documentValue, createRandomKey } from "./template/index.ts";
+import { startEmbeddedDeployment } from "./embedded_deployment.ts";
+import {
+  createAccountKeys,
+  ASSOCIATION_TEMPLATE,
+  createDocumentValue,
+  createRandomKey,
+} from "./template/index.ts";
 import { waitForStopSignal } from "./stop_signal.ts";
 
 const DEFAULT_PORT = 8080;
@@ -28,14 +33,14 @@
     const { flags } = await this.parse(Dev);
     const operatorKey = flags["operator-key"] ?? createRandomKey();
     const clientKey = flags["client-key"] ?? createRandomKey();
-    const keys = accountKeys(ASSOCIATION, { [CLIENT_ACCOUNT]: clientKey });
-    const deployment = await startEmbedded({
+    const keys = createAccountKeys(ASSOCIATION_TEMPLATE, { [CLIENT_ACCOUNT]: clientKey });
+    const deployment = await startEmbeddedDeployment({
       port: flags.port,
-      entryInstances: 3,
-      workers: { "entry-model": 3, "finish-desk": 2 },
-      zones: ASSOCIATION.zones,
-      source: documentValue(ASSOCIATION, keys),
-      preset: ASSOCIATION.preset,
+      entryInstanceCount: 3,
+      workerCounts: { "entry-model": 3, "finish-desk": 2 },
+      zones: ASSOCIATION_TEMPLATE.zones,
+      document: createDocumentValue(ASSOCIATION_TEMPLATE, keys),
+      preset: ASSOCIATION_TEMPLATE.preset,
       operatorKey,
     });
     const callers = deployment.entries.map((entry) => entry.self.callerAddress);
--- a/src/cli/embedded_deployment.ts
+++ b/src/cli/embedded_deployment.ts
@@ -4,8 +4,8 @@
 import type { Worker } from "../interface/index.ts";
 import { startEntry, systemClock, systemRandom } from "../process/index.ts";
 import type { EntryInstance, EntrySettings } from "../process/index.ts";
-import { startBackend, startPlatform } from "../standin/index.ts";
-import type { BackendListener, EntryPlace, PlatformListener } from "../standin/index.ts";
+import { startBackendServer, startPlatformServer } from "../standin/index.ts";
+import type { BackendServer, EntryLocation, PlatformServer } from "../standin/index.ts";
 import { formatRevision, REVISION_KEY } from "../version/index.ts";
 
 /** Settings of an embedded deployment. */
@@ -13,13 +13,13 @@
   /** Port of the first entry instance; the others use the following ports. 0 selects free ports. */
   readonly port: number;
   /** Number of entry instances. */
-  readonly entryInstances: number;
+  readonly entryInstanceCount: number;
   /** Number of workers by service. */
-  readonly workers: Readonly<Record<string, number>>;
+  readonly workerCounts: Readonly<Record<string, number>>;
   /** Availability zones, assigned in turn to the entry instances and to the workers of each service. */
   readonly zones: readonly string[];
   /** The deployment document as a parsed value, not yet validated. */
-  readonly source: unknown;
+  readonly document: unknown;
   /** Name of the preset in the first revision. */
   readonly preset: string;
   /** Operator credential; the entry instances also use it among each other. */
@@ -29,7 +29,7 @@
 /** A backend server stand-in and its entry in the platform's list of workers. */
 export interface EmbeddedBackend {
   readonly worker: Worker;
-  readonly listener: BackendListener;
+  readonly listener: BackendServer;
 }
 
 /** A deployment in one process: entry instances, and stand-ins for the platform and the backend servers. */
@@ -37,7 +37,7 @@
   readonly entries: readonly EntryInstance[];
   readonly backends: readonly EmbeddedBackend[];
   /** The platform stand-in, which can reclaim instances and simulate an outage of its object API. */
-  readonly platform: PlatformListener;
+  readonly platform: PlatformServer;
   /** Stops the entry instances, the backend servers and the platform, in this order. */
   close(): Promise<void>;
 }
@@ -56,15 +56,17 @@
  * @returns The deployment, once every slot has its owners or {@linkcode SLOT_ASSIGNMENT_TIMEOUT} has passed.
  * @throws {Error} If the first revision can't be written to the platform stand-in.
  */
-export async function startEmbedded(settings: EmbeddedSettings): Promise<EmbeddedDeployment> {
+export async function startEmbeddedDeployment(
+  settings: EmbeddedSettings,
+): Promise<EmbeddedDeployment> {
   const backends = await startBackends(settings);
   const entries: EntryInstance[] = [];
-  const platform = await startPlatform({
+  const platform = await startPlatformServer({
     listen: `${LOOPBACK}:0`,
     clock: systemClock,
     workers: backends.map(({ worker }) => worker),
     entries: createEntryPlaces(settings),
-    taken: (instance) => {
+    onInstanceRemoved: (instance) => {
       // A reclaimed worker or entry instance stops immediately and loses its requests in progress.
       void backends.find(({ worker }) => worker.id === instance)?.listener.close();
       void entries.find(({ self }) => self.id.startsWith(`${instance}#`))?.close();
@@ -86,13 +88,13 @@
 }
 
 async function startBackends(settings: EmbeddedSettings): Promise<EmbeddedBackend[]> {
-  const workers = Object.entries(settings.workers).flatMap(([service, count]) =>
+  const workers = Object.entries(settings.workerCounts).flatMap(([service, count]) =>
     Array.from({ length: count }, (_, index) => ({ service, index })),
   );
   const started = workers.map(async ({ service, index }) => {
-    const listener = await startBackend({
+    const listener = await startBackendServer({
       listen: `${LOOPBACK}:0`,
-      tokenTime: TOKEN_TIME,
+      tokenInterval: TOKEN_TIME,
       clock: systemClock,
     });
     return { listener, worker: createWorker(settings, { service, index, backend: listener }) };
@@ -117,8 +119,8 @@
   }
 }
 
-function createEntryPlaces({ entryInstances, zones }: EmbeddedSettings): EntryPlace[] {
-  return Array.from({ length: entryInstances }, (_, index) => ({
+function createEntryPlaces({ entryInstanceCount, zones }: EmbeddedSettings): EntryLocation[] {
+  return Array.from({ length: entryInstanceCount }, (_, index) => ({
     name: `entry-${index + 1}`,
     zone: zones[index % zones.length] ?? "",
   }));
@@ -141,7 +143,7 @@
 
 async function writeFirstRevision(settings: EmbeddedSettings, platform: string): Promise<void> {
   const store = createHttpObjectStore(platform);
-  const { source, preset } = settings;
+  const { document: source, preset } = settings;
   const value = formatRevision({ source, preset, changes: [] });
   const outcome = await store.put(REVISION_KEY, value, { expect: 0 });
   store.close();
@@ -154,7 +156,7 @@
   platform: string,
 ): Promise<EntryInstance[]> {
   const entries: EntryInstance[] = [];
-  for (let index = 0; index < settings.entryInstances; index++) {
+  for (let index = 0; index < settings.entryInstanceCount; index++) {
     const port = settings.port === 0 ? 0 : settings.port + index;
     const entry: EntrySettings = {
       name: `entry-${index + 1}`,
--- a/src/cli/embedded_deployment_test.ts
+++ b/src/cli/embedded_deployment_test.ts
@@ -1,23 +1,26 @@
 import OpenAI from "openai";
 import { expect, test } from "vitest";
-import { startEmbedded } from "./embedded_deployment.ts";
-import { accountKeys, ASSOCIATION, documentValue } from "./template/index.ts";
+import { startEmbeddedDeployment } from "./embedded_deployment.ts";
+import { createAccountKeys, ASSOCIATION_TEMPLATE, createDocumentValue } from "./template/index.ts";
 
 const CLIENT_KEY = "client-key-of-tests";
 
 const SETTINGS = {
   port: 0,
-  entryInstances: 3,
-  workers: { "entry-model": 1, "finish-desk": 1 },
-  zones: ASSOCIATION.zones,
-  source: documentValue(ASSOCIATION, accountKeys(ASSOCIATION, { "club-sofia": CLIENT_KEY })),
+  entryInstanceCount: 3,
+  workerCounts: { "entry-model": 1, "finish-desk": 1 },
+  zones: ASSOCIATION_TEMPLATE.zones,
+  document: createDocumentValue(
+    ASSOCIATION_TEMPLATE,
+    createAccountKeys(ASSOCIATION_TEMPLATE, { "club-sofia": CLIENT_KEY }),
+  ),
   preset: "day",
   operatorKey: "operator-key-of-tests",
 };
 
 test("the unmodified openai client receives a streamed response with each token once", async () => {
   // Guards against response formats that the client library can't parse, and against lost or repeated tokens.
-  const deployment = await startEmbedded(SETTINGS);
+  const deployment = await startEmbeddedDeployment(SETTINGS);
   const client = new OpenAI({
     baseURL: `http://${deployment.entries[0]?.self.callerAddress ?? ""}/v1`,
     apiKey: CLIENT_KEY,
--- a/src/cli/embedded_operator_test.ts
+++ b/src/cli/embedded_operator_test.ts
@@ -1,23 +1,23 @@
 import { expect, test } from "vitest";
 import { changeOutcomeMessage, servicesMessage, statusMessage } from "../connection/index.ts";
 import type { StatusMessage } from "../connection/index.ts";
-import { startEmbedded } from "./embedded_deployment.ts";
+import { startEmbeddedDeployment } from "./embedded_deployment.ts";
 import type { EmbeddedDeployment } from "./embedded_deployment.ts";
-import { accountKeys, ASSOCIATION, documentValue } from "./template/index.ts";
+import { createAccountKeys, ASSOCIATION_TEMPLATE, createDocumentValue } from "./template/index.ts";
 
 const OPERATOR_KEY = "operator-key-of-tests";
 
-const DOCUMENT = documentValue(
-  ASSOCIATION,
-  accountKeys(ASSOCIATION, { "club-sofia": "client-key-of-tests" }),
+const DOCUMENT = createDocumentValue(
+  ASSOCIATION_TEMPLATE,
+  createAccountKeys(ASSOCIATION_TEMPLATE, { "club-sofia": "client-key-of-tests" }),
 );
 
 const SETTINGS = {
   port: 0,
-  entryInstances: 3,
-  workers: { "entry-model": 1, "finish-desk": 1 },
-  zones: ASSOCIATION.zones,
-  source: DOCUMENT,
+  entryInstanceCount: 3,
+  workerCounts: { "entry-model": 1, "finish-desk": 1 },
+  zones: ASSOCIATION_TEMPLATE.zones,
+  document: DOCUMENT,
   preset: "day",
   operatorKey: OPERATOR_KEY,
 };
@@ -60,7 +60,7 @@
 test("operators can switch presets, see where they are in force, and drain an instance", async () => {
   // Runs the operators' routes through a whole deployment and checks the status code and body of each response, from
   // which the commands derive their exit codes.
-  const deployment = await startEmbedded(SETTINGS);
+  const deployment = await startEmbeddedDeployment(SETTINGS);
   try {
     const switched = await callInstance(deployment, "/v1/operator/preset/peak?wait=1", {
       method: "PUT",
@@ -105,7 +105,7 @@
 test("operator routes reject a wrong credential without any effect and count the refusals", async () => {
   // The operators' routes share a port with the callers, so any caller can reach them. With a wrong key they must
   // neither return data nor change anything.
-  const deployment = await startEmbedded(SETTINGS);
+  const deployment = await startEmbeddedDeployment(SETTINGS);
   try {
     const paths = ["/v1/operator/status", "/v1/operator/services", "/metrics"];
     for (const path of paths) {
--- a/src/cli/embedded_reclaim_test.ts
+++ b/src/cli/embedded_reclaim_test.ts
@@ -1,25 +1,28 @@
 import { expect, test } from "vitest";
 import { sleep, WorkerState } from "../interface/index.ts";
 import { systemClock } from "../process/index.ts";
-import { startEmbedded } from "./embedded_deployment.ts";
-import { accountKeys, ASSOCIATION, documentValue } from "./template/index.ts";
+import { startEmbeddedDeployment } from "./embedded_deployment.ts";
+import { createAccountKeys, ASSOCIATION_TEMPLATE, createDocumentValue } from "./template/index.ts";
 
 const CLIENT_KEY = "client-key-of-tests";
 
 test("after a reclaim notice for a zone, every instance marks its workers and its entry instance as leaving", async () => {
   // The cloud reclaims a zone. The other instances must send requests to workers of other zones, and must no longer
   // return the address of the leaving entry instance to callers.
-  const deployment = await startEmbedded({
+  const deployment = await startEmbeddedDeployment({
     port: 0,
-    entryInstances: 3,
-    workers: { "finish-desk": 3 },
-    zones: ASSOCIATION.zones,
-    source: documentValue(ASSOCIATION, accountKeys(ASSOCIATION, { "club-sofia": CLIENT_KEY })),
+    entryInstanceCount: 3,
+    workerCounts: { "finish-desk": 3 },
+    zones: ASSOCIATION_TEMPLATE.zones,
+    document: createDocumentValue(
+      ASSOCIATION_TEMPLATE,
+      createAccountKeys(ASSOCIATION_TEMPLATE, { "club-sofia": CLIENT_KEY }),
+    ),
     preset: "day",
     operatorKey: "operator-key-of-tests",
   });
   try {
-    const zone = ASSOCIATION.zones[0] ?? "";
+    const zone = ASSOCIATION_TEMPLATE.zones[0] ?? "";
     const reclaimed = deployment.platform.cloud.reclaim({ zone, within: 600_000 });
     expect(reclaimed).toEqual(["finish-desk-0", "entry-1"]);
     const isLeavingEverywhere = (): boolean =>
--- a/src/cli/init.ts
+++ b/src/cli/init.ts
@@ -1,9 +1,9 @@
 import { mkdir, writeFile } from "node:fs/promises";
 import { join } from "node:path";
 import { Args, Command, Flags } from "@oclif/core";
-import { ASSOCIATION, KORTFILM_TEMPLATE, createSettingsFiles } from "./template/index.ts";
+import { ASSOCIATION_TEMPLATE, KORTFILM_TEMPLATE, createSettingsFiles } from "./template/index.ts";
 
-const TEMPLATES = { association: ASSOCIATION, kortfilm: KORTFILM_TEMPLATE };
+const TEMPLATES = { association: ASSOCIATION_TEMPLATE, kortfilm: KORTFILM_TEMPLATE };
 /** File modes: files with credentials are readable by their owner only, the others by everyone. */
 const OWNER_ONLY_MODE = 0o600;
 const WORLD_READABLE_MODE = 0o644;
@@ -27,7 +27,7 @@
 
   override async run(): Promise<{ files: string[] }> {
     const { args, flags } = await this.parse(Init);
-    const template = args.deployment === "kortfilm" ? KORTFILM_TEMPLATE : ASSOCIATION;
+    const template = args.deployment === "kortfilm" ? KORTFILM_TEMPLATE : ASSOCIATION_TEMPLATE;
     await mkdir(args.dir, { recursive: true });
     const files: string[] = [];
     for (const file of createSettingsFiles(template)) {
--- a/src/cli/replay.ts
+++ b/src/cli/replay.ts
@@ -6,7 +6,7 @@
   parseTrace,
   plotReplay,
   PolicyName,
-  policyOf,
+  getPolicy,
   replay,
 } from "../standin/replay/index.ts";
 import type { Report, Sample, Trace } from "../standin/replay/index.ts";
@@ -58,7 +58,7 @@
         const recordSample = (sample: Sample): void => {
           if (isFirst) samples.push(sample);
         };
-        const report = replay(trace, { policy: policyOf(name), seed, sample: recordSample });
+        const report = replay(trace, { policy: getPolicy(name), seed, onSample: recordSample });
         reports.push(report);
         if (flags.json) this.log(JSON.stringify(report));
       }
--- a/src/cli/standin.ts
+++ b/src/cli/standin.ts
@@ -3,7 +3,7 @@
 import { Purchase, WorkerState } from "../interface/index.ts";
 import type { Listener } from "../connection/index.ts";
 import { systemClock } from "../process/index.ts";
-import { startBackend, startPlatform } from "../standin/index.ts";
+import { startBackendServer, startPlatformServer } from "../standin/index.ts";
 import { duration } from "../version/index.ts";
 import { readSettings } from "./read_settings.ts";
 import { waitForStopSignal } from "./stop_signal.ts";
@@ -61,13 +61,13 @@
 
   private async startPlatform(file: string): Promise<Listener[]> {
     const settings = await readSettings(this, file, { schema: platformSchema });
-    return [await startPlatform({ ...settings, clock: systemClock })];
+    return [await startPlatformServer({ ...settings, clock: systemClock })];
   }
 
   private async startBackends(file: string): Promise<Listener[]> {
     const { servers, tokenTime } = await readSettings(this, file, { schema: backendSchema });
     const started = servers.map(({ listen }) =>
-      startBackend({ listen, tokenTime, clock: systemClock }),
+      startBackendServer({ listen, tokenInterval: tokenTime, clock: systemClock }),
     );
     return Promise.all(started);
   }
--- a/src/cli/template/association.ts
+++ b/src/cli/template/association.ts
@@ -1,7 +1,7 @@
 import type { DeploymentTemplate } from "./deployment_template.ts";
 
 /** The Association's deployment at full size: four availability zones, a model service and a lookup service. */
-export const ASSOCIATION: DeploymentTemplate = {
+export const ASSOCIATION_TEMPLATE: DeploymentTemplate = {
   region: "sofia",
   zones: ["sofia-a", "sofia-b", "sofia-c", "sofia-d"],
   machineClass: "standard",
--- a/src/cli/template/deployment_template.ts
+++ b/src/cli/template/deployment_template.ts
@@ -25,7 +25,7 @@
 }
 
 /** Returns an API key for each client account of a template: the given one, or else a random one. */
-export function accountKeys(
+export function createAccountKeys(
   template: DeploymentTemplate,
   given: Readonly<Record<string, string>> = {},
 ): Record<string, string> {
@@ -44,7 +44,7 @@
 }
 
 /** Returns the same document as a parsed value, without its comments. */
-export function documentValue(
+export function createDocumentValue(
   template: DeploymentTemplate,
   keys: Readonly<Record<string, string>>,
 ): unknown {
--- a/src/cli/template/settings_files.ts
+++ b/src/cli/template/settings_files.ts
@@ -1,4 +1,8 @@
-import { accountKeys, formatTemplateDocument, createRandomKey } from "./deployment_template.ts";
+import {
+  createAccountKeys,
+  formatTemplateDocument,
+  createRandomKey,
+} from "./deployment_template.ts";
 import type { DeploymentTemplate } from "./deployment_template.ts";
 
 /** One settings file of a deployment. */
@@ -23,7 +27,7 @@
  * @returns The deployment document, the credentials, the settings of the stand-ins and of each entry instance.
  */
 export function createSettingsFiles(template: DeploymentTemplate): SettingsFile[] {
-  const keys = accountKeys(template);
+  const keys = createAccountKeys(template);
   const secrets = { operatorKey: createRandomKey(), peerKey: createRandomKey() };
   return [
     { name: "deployment.jsonc", text: formatTemplateDocument(template, keys), isSecret: false },
--- a/src/cli/template/settings_files_test.ts
+++ b/src/cli/template/settings_files_test.ts
@@ -1,12 +1,12 @@
 import { describe, expect, test } from "vitest";
 import { entrySettingsSchema, secretsSchema } from "../../process/index.ts";
 import { deploymentSchema, parseSettings } from "../../version/index.ts";
-import { ASSOCIATION } from "./association.ts";
+import { ASSOCIATION_TEMPLATE } from "./association.ts";
 import { KORTFILM_TEMPLATE } from "./kortfilm.ts";
 import { createSettingsFiles } from "./settings_files.ts";
 
 describe.each([
-  ["the Association", ASSOCIATION],
+  ["the Association", ASSOCIATION_TEMPLATE],
   ["Kortfilm", KORTFILM_TEMPLATE],
 ])("the settings files of %s", (_name, template) => {
   const files = createSettingsFiles(template);
@@ -46,7 +46,7 @@
 test("reports every fault of a document with its line", () => {
   // An operator makes several mistakes in one edit. If only the first were reported, each would need another run, and
   // an accepted wrong unit could make a target a thousand times too strict.
-  const text = createSettingsFiles(ASSOCIATION)[0]?.text ?? "";
+  const text = createSettingsFiles(ASSOCIATION_TEMPLATE)[0]?.text ?? "";
   const broken = text
     .replace('"1.6 s"', '"1.6 seconds"')
     .replace('"lane": "lookup"', '"lane": "lookup", "colour": 1')
--- a/src/connection/caller_listener.ts
+++ b/src/connection/caller_listener.ts
@@ -1,7 +1,7 @@
 import { createServer } from "node:http";
 import type { IncomingMessage, ServerResponse } from "node:http";
 import type { CallerLimits } from "../version/index.ts";
-import { listenerOf, splitAddress } from "./http_listener.ts";
+import { createListener, splitAddress } from "./http_listener.ts";
 import type { Listener } from "./http_listener.ts";
 
 /** Handles the requests that a listener accepts. */
@@ -13,8 +13,8 @@
 
 /** Limits used until a configuration was received: the platform's usual ones. */
 const DEFAULT_LIMITS: CallerLimits = {
-  headerBytes: 16_384,
-  bodyBytes: 4_194_304,
+  maxHeaderBytes: 16_384,
+  maxBodyBytes: 4_194_304,
   headerTimeout: 3_000,
   idleTimeout: 15_000,
 };
@@ -51,7 +51,7 @@
       noDelay: true,
     },
     (request, response) => {
-      const { headerBytes, headerTimeout, idleTimeout } = limits();
+      const { maxHeaderBytes: headerBytes, headerTimeout, idleTimeout } = limits();
       server.headersTimeout = headerTimeout;
       server.keepAliveTimeout = idleTimeout;
       if (headerSize(request) <= headerBytes) {
@@ -66,7 +66,7 @@
   return new Promise((resolve, reject) => {
     server.once("error", reject);
     server.listen({ host, port, backlog: MAX_PENDING_CONNECTIONS }, () =>
-      resolve(listenerOf(server)),
+      resolve(createListener(server)),
     );
   });
 }
--- a/src/connection/caller_routes_test.ts
+++ b/src/connection/caller_routes_test.ts
@@ -206,7 +206,7 @@
   socket.on("data", (data) => (text += data.toString()));
   const head = `POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer ${KEY}`;
   socket.write(`${head}\r\ncontent-length: 100\r\n\r\n{`);
-  await vi.waitFor(() => expect(clock.pending()).toBe(1));
+  await vi.waitFor(() => expect(clock.pendingTimers()).toBe(1));
   await clock.advance(30_000);
   await vi.waitFor(() => expect(text).toContain("HTTP/1.1 400"));
   expect(text).toContain('"not_run":true');
--- a/src/connection/datagrams.ts
+++ b/src/connection/datagram_socket.ts
@@ -2,7 +2,7 @@
 import { splitAddress } from "./http_listener.ts";
 
 /** A bound socket for sending and receiving datagrams. */
-export interface Datagrams {
+export interface DatagramSocket {
   /** Sends a datagram to an `IP:PORT`. It may be lost, duplicated, delayed or reordered. */
   send(bytes: Uint8Array, address: string): void;
   /** Closes the socket. */
@@ -10,13 +10,13 @@
 }
 
 /** Options for opening a datagram socket. */
-export interface DatagramParts {
+export interface DatagramSocketOptions {
   /** Local address to bind, as `IP:PORT`. */
   readonly address: string;
   /** Called with each datagram received. */
   readonly onMessage: (bytes: Uint8Array) => void;
   /** Called with an error message if a datagram couldn't be sent or the socket failed. */
-  readonly onFault: (detail: string) => void;
+  readonly onError: (detail: string) => void;
 }
 
 /**
@@ -24,8 +24,8 @@
  *
  * @returns The socket, once it is bound. Rejects if the address can't be bound.
  */
-export function openDatagrams(options: DatagramParts): Promise<Datagrams> {
-  const { address, onMessage, onFault } = options;
+export function openDatagramSocket(options: DatagramSocketOptions): Promise<DatagramSocket> {
+  const { address, onMessage, onError } = options;
   const [host, port] = splitAddress(address);
   return new Promise((resolve, reject) => {
     const socket = createSocket("udp4");
@@ -33,12 +33,12 @@
     socket.on("message", onMessage);
     socket.bind({ address: host, port }, () => {
       socket.off("error", reject);
-      socket.on("error", (error) => onFault(`The digest socket failed: ${error.message}.`));
+      socket.on("error", (error) => onError(`The digest socket failed: ${error.message}.`));
       resolve({
         send: (bytes, target) => {
           const [targetHost, targetPort] = splitAddress(target);
           socket.send(bytes, targetPort, targetHost, (error) => {
-            if (error !== null) onFault(`Sending a digest to ${target} failed: ${error.message}.`);
+            if (error !== null) onError(`Sending a digest to ${target} failed: ${error.message}.`);
           });
         },
         close: () => void socket.close(),
--- a/src/connection/http_engine.ts
+++ b/src/connection/http_engine.ts
@@ -1,13 +1,13 @@
 import { Agent, request } from "undici";
 import { z } from "zod";
-import { EngineKnowledge } from "../interface/index.ts";
+import { EngineRequestState } from "../interface/index.ts";
 import type {
   Dispatch,
   Engine,
   EngineEvent,
   EngineFailure,
   LoadReport,
-  Order,
+  DesiredEngineState,
   Worker,
 } from "../interface/index.ts";
 import { parseEvents } from "./event_stream.ts";
@@ -77,15 +77,15 @@
     cancel: async (worker, id) => {
       await call(worker, "/engine/cancel", { id });
     },
-    ask: async (worker, id, { bar }) =>
+    queryRequest: async (worker, id, { bar }) =>
       z
-        .object({ knowledge: z.enum(EngineKnowledge) })
+        .object({ knowledge: z.enum(EngineRequestState) })
         .parse(await call(worker, "/engine/ask", { id, bar })).knowledge,
     exportCache: async (worker, id) =>
       z.object({ cache: z.string() }).parse(await call(worker, "/engine/export", { id })).cache,
-    report: async (worker): Promise<LoadReport> =>
+    fetchLoad: async (worker): Promise<LoadReport> =>
       loadReportSchema.parse(await call(worker, "/engine/report", {})),
-    order: async (worker, order: Order) => {
+    setDesiredState: async (worker, order: DesiredEngineState) => {
       await call(worker, "/engine/order", order);
     },
     close: () => void agent.destroy(),
--- a/src/connection/http_listener.ts
+++ b/src/connection/http_listener.ts
@@ -47,7 +47,7 @@
   return new Promise((resolve, reject) => {
     server.once("error", reject);
     server.listen({ host, port }, () => {
-      resolve(listenerOf(server));
+      resolve(createListener(server));
     });
   });
 }
@@ -67,7 +67,7 @@
 }
 
 /** Returns the {@linkcode Listener} of a server that is already listening. */
-export function listenerOf(server: Server): Listener {
+export function createListener(server: Server): Listener {
   const bound = server.address() as AddressInfo;
   return {
     address: `${bound.address}:${bound.port}`,
--- a/src/connection/json_call.ts
+++ b/src/connection/json_client.ts
@@ -14,7 +14,7 @@
 }
 
 /** A complete response. */
-export interface JsonAnswer {
+export interface JsonResponse {
   readonly status: number;
   /** The parsed body; undefined if the response had none. */
   readonly body: unknown;
@@ -29,7 +29,7 @@
    * @throws {Error} If no complete response arrives in time, or its body isn't JSON. The service may have
    *   processed the request all the same.
    */
-  call(request: JsonRequest): Promise<JsonAnswer>;
+  call(request: JsonRequest): Promise<JsonResponse>;
   /** Closes all connections. */
   close(): void;
 }
@@ -46,10 +46,16 @@
  * @param address `IP:PORT` of the service.
  * @param connections Maximum number of connections; further calls wait for a free one.
  */
-export function createJsonCaller(address: string, connections: number): JsonClient {
+export function createJsonClient(address: string, connections: number): JsonClient {
   const [host, port] = splitAddress(address);
   const agent = new Agent({ keepAlive: true, maxSockets: connections, noDelay: true });
-  const call = ({ method, path, headers = {}, body, timeout }: JsonRequest): Promise<JsonAnswer> =>
+  const call = ({
+    method,
+    path,
+    headers = {},
+    body,
+    timeout,
+  }: JsonRequest): Promise<JsonResponse> =>
     new Promise((resolve, reject) => {
       const text = body === undefined ? undefined : JSON.stringify(body);
       const framing =
@@ -99,7 +105,7 @@
 function settleCall(call: {
   response: { statusCode?: number | undefined };
   chunks: readonly Buffer[];
-  resolve: (response: JsonAnswer) => void;
+  resolve: (response: JsonResponse) => void;
   reject: (error: Error) => void;
 }): void {
   const text = Buffer.concat(call.chunks).toString("utf8");
--- a/src/connection/operator_routes.ts
+++ b/src/connection/operator_routes.ts
@@ -71,7 +71,7 @@
   app.get(
     "/v1/operator/changes/:id",
     operatorRoute(async (request, response) => {
-      const outcome = await operators.ask(routeParameter(request, "id"));
+      const outcome = await operators.getChangeOutcome(routeParameter(request, "id"));
       sendJson(response, outcome, { status: HTTP_STATUSES[outcome.kind] });
     }),
   );
@@ -95,7 +95,7 @@
     "/v1/operator/requests/:id",
     operatorRoute(async (request, response) => {
       const id = routeParameter(request, "id");
-      const found = await operators.request(id);
+      const found = await operators.findRequest(id);
       if (found !== undefined) sendJson(response, found);
       else {
         const detail = `None of the instances that responded knows the request ${id}.`;
@@ -155,27 +155,27 @@
   },
 ): Promise<void> {
   const { change, base, request, response } = call;
-  const outcome = await operators.apply(change, base);
+  const outcome = await operators.applyChange(change, base);
   const status = HTTP_STATUSES[outcome.kind];
   const query = new URL(request.url ?? "/", "http://localhost").searchParams;
   if (outcome.kind !== "accepted" || query.get("wait") !== "1") {
     sendJson(response, outcome, { status });
     return;
   }
-  const everywhere = await operators.everywhere(outcome.revision);
+  const everywhere = await operators.waitUntilInForce(outcome.revision);
   sendJson(response, { ...outcome, everywhere }, { status });
 }
 
 /** Drains this instance, or forwards the order to the named one, by member id or name. */
 async function drain(context: OperatorRouteContext, instance: string): Promise<DrainMessage> {
-  const { members, operators, present } = context;
+  const { members, operators, presentMembers } = context;
   const isNamed = ({ id }: Member): boolean =>
     id === instance || id.slice(0, id.lastIndexOf("#")) === instance;
   if (isNamed(members.self)) {
     operators.drain();
     return { kind: "draining", instance: members.self.id };
   }
-  const member = present().find(isNamed);
+  const member = presentMembers().find(isNamed);
   if (member === undefined) return { kind: "unknown-instance", instance };
   try {
     const reply = await send(drainUrl(context, member), {
@@ -191,7 +191,7 @@
   }
 }
 
-function drainUrl({ secure }: OperatorRouteContext, member: Member): string {
-  const scheme = secure ? "https" : "http";
+function drainUrl({ isSecure }: OperatorRouteContext, member: Member): string {
+  const scheme = isSecure ? "https" : "http";
   return `${scheme}://${member.callerAddress}/v1/operator/drain/${encodeURIComponent(member.id)}`;
 }
--- a/src/connection/peer_client.ts
+++ b/src/connection/peer_client.ts
@@ -52,7 +52,7 @@
  * A unary call or replication that fails or times out is retried once on a new connection, then rejects
  * with a {@linkcode PeerFailure}. A relay isn't retried.
  */
-export function createConnectPeers({ self, clock, security }: PeerClientOptions): Peers {
+export function createPeerClient({ self, clock, security }: PeerClientOptions): Peers {
   const connections = new Map<string, PeerConnection>();
   const connectionTo = (address: string): PeerConnection => {
     const existing = connections.get(address);
--- a/src/connection/peer_client_test.ts
+++ b/src/connection/peer_client_test.ts
@@ -3,7 +3,7 @@
 import { afterEach, expect, test } from "vitest";
 import { Refusal, RequestState, SlotOutcome } from "../interface/index.ts";
 import type { Clock, Member, PeerHandlers, RequestRecord } from "../interface/index.ts";
-import { createConnectPeers } from "./peer_client.ts";
+import { createPeerClient } from "./peer_client.ts";
 import { listenPeers } from "./peer_listener.ts";
 
 const CLOCK: Clock = {
@@ -83,8 +83,8 @@
   return { address: listener.address, refused: () => refused };
 }
 
-function createPeers(peerKey: string): ReturnType<typeof createConnectPeers> {
-  const peers = createConnectPeers({ self: "e1#1", clock: CLOCK, security: { peerKey } });
+function createPeers(peerKey: string): ReturnType<typeof createPeerClient> {
+  const peers = createPeerClient({ self: "e1#1", clock: CLOCK, security: { peerKey } });
   closers.push(() => peers.close());
   return peers;
 }
--- a/src/connection/peer_codec.ts
+++ b/src/connection/peer_codec.ts
@@ -26,8 +26,8 @@
 import type {
   AskMessage,
   AskReply,
-  CedeMessage,
-  MemberDelta,
+  HandoverMessage,
+  MembershipUpdate,
   ProbeMessage,
   ProbeReply,
   RelayEvent,
@@ -35,7 +35,7 @@
   ReplicateMessage,
   RequestRecord,
   SlotReply,
-  VersionMark,
+  ObjectVersion,
 } from "../interface/index.ts";
 import { encodeEnum, decodeEnum } from "./enum_codec.ts";
 
@@ -146,7 +146,7 @@
 }
 
 /** Encodes a slot handover. */
-export function encodeCede(message: CedeMessage): wire.CedeRequest {
+export function encodeCede(message: HandoverMessage): wire.CedeRequest {
   return create(CedeRequestSchema, {
     ...message,
     epoch: BigInt(message.epoch),
@@ -155,7 +155,7 @@
 }
 
 /** Decodes a slot handover. */
-export function decodeCede(message: wire.CedeRequest): CedeMessage {
+export function decodeCede(message: wire.CedeRequest): HandoverMessage {
   return {
     from: message.from,
     slot: message.slot,
@@ -166,7 +166,7 @@
   };
 }
 
-function encodeMemberDelta({ member, state, rise, backend }: MemberDelta): wire.MemberDelta {
+function encodeMemberDelta({ member, state, rise, backend }: MembershipUpdate): wire.MemberDelta {
   return create(MemberDeltaSchema, {
     instance: member.id,
     address: member.address,
@@ -178,7 +178,7 @@
   });
 }
 
-function decodeMemberDelta(message: wire.MemberDelta): MemberDelta {
+function decodeMemberDelta(message: wire.MemberDelta): MembershipUpdate {
   return {
     member: {
       id: message.instance,
@@ -192,11 +192,11 @@
   };
 }
 
-function encodeVersionMark({ key, version }: VersionMark): wire.VersionMark {
+function encodeVersionMark({ key, version }: ObjectVersion): wire.VersionMark {
   return create(VersionMarkSchema, { key, version: BigInt(version) });
 }
 
-function decodeVersionMark({ key, version }: wire.VersionMark): VersionMark {
+function decodeVersionMark({ key, version }: wire.VersionMark): ObjectVersion {
   return { key, version: Number(version) };
 }
 
--- a/src/connection/probe_worker.ts
+++ b/src/connection/probe_worker.ts
@@ -1,5 +1,5 @@
 import { connect } from "node:net";
-import { Reach } from "../interface/index.ts";
+import { ConnectResult } from "../interface/index.ts";
 import type { Clock } from "../interface/index.ts";
 import { splitAddress } from "./http_listener.ts";
 
@@ -12,19 +12,19 @@
  * @param address `IP:PORT`.
  * @returns Whether the connection was accepted, was refused, or failed in another way or timed out.
  */
-export function probeWorker(address: string, clock: Clock): Promise<Reach> {
+export function probeWorker(address: string, clock: Clock): Promise<ConnectResult> {
   const [host, port] = splitAddress(address);
   return new Promise((resolve) => {
     const socket = connect({ host, port });
-    const finish = (result: Reach): void => {
+    const finish = (result: ConnectResult): void => {
       timeout.close();
       socket.destroy();
       resolve(result);
     };
-    const timeout = clock.after(CONNECT_TIMEOUT, () => finish(Reach.Unanswered));
-    socket.on("connect", () => finish(Reach.Accepted));
+    const timeout = clock.after(CONNECT_TIMEOUT, () => finish(ConnectResult.Unanswered));
+    socket.on("connect", () => finish(ConnectResult.Accepted));
     socket.on("error", (error: NodeJS.ErrnoException) =>
-      finish(isConnectionRefused(error) ? Reach.Refused : Reach.Unanswered),
+      finish(isConnectionRefused(error) ? ConnectResult.Refused : ConnectResult.Unanswered),
     );
   });
 }
--- a/src/connection/probe_worker_test.ts
+++ b/src/connection/probe_worker_test.ts
@@ -1,20 +1,20 @@
 import { createServer } from "node:net";
 import { expect, test } from "vitest";
-import { Reach } from "../interface/index.ts";
+import { ConnectResult } from "../interface/index.ts";
 import { createVirtualClock } from "../standin/memory/index.ts";
 import { isConnectionRefused, probeWorker } from "./probe_worker.ts";
-import { takeLoopbackAddress } from "./testing/loopback_address.ts";
+import { reserveLoopbackAddress } from "./testing/loopback_address.ts";
 
 // Guards against keeping a worker whose process has ended, and against dropping one that still listens.
 test("a listening process is accepted and an ended one is refused", async () => {
   const server = createServer((socket) => socket.destroy());
-  const address = takeLoopbackAddress();
+  const address = reserveLoopbackAddress();
   const [host, port] = address.split(":");
   await new Promise<void>((resolve) => server.listen(Number(port), host, resolve));
   const clock = createVirtualClock();
-  expect(await probeWorker(address, clock)).toBe(Reach.Accepted);
+  expect(await probeWorker(address, clock)).toBe(ConnectResult.Accepted);
   await new Promise((resolve) => server.close(resolve));
-  expect(await probeWorker(address, clock)).toBe(Reach.Refused);
+  expect(await probeWorker(address, clock)).toBe(ConnectResult.Refused);
 });
 
 // Guards against taking a reset for proof that no process listens: the worker may still be running.
--- a/src/connection/response_parser.ts
+++ b/src/connection/response_parser.ts
@@ -9,12 +9,12 @@
  *
  * @module
  */
-import type { AnswerHead } from "../interface/index.ts";
+import type { ResponseHead } from "../interface/index.ts";
 
 /** Receives the parsed parts of a response, in order. */
 export interface ResponseSink {
   /** Called once, with the head of the final response; interim (1xx) responses are skipped. */
-  head(head: AnswerHead): void;
+  head(head: ResponseHead): void;
   /** Called with each piece of the body, without chunk framing. */
   data(chunk: Buffer): void;
   /** Called once the response is complete. */
@@ -199,7 +199,7 @@
   };
 }
 
-function parseHead(text: string): AnswerHead | undefined {
+function parseHead(text: string): ResponseHead | undefined {
   const [first = "", ...lines] = text.split("\r\n");
   const status = STATUS_LINE.exec(first)?.[1];
   if (status === undefined) return undefined;
@@ -222,7 +222,7 @@
 }
 
 function responseFraming(
-  { status, byName }: AnswerHead,
+  { status, byName }: ResponseHead,
   method: string,
 ): { state: ParserState; length: number } | undefined {
   if (method === "HEAD" || status === NO_CONTENT || status === NOT_MODIFIED) {
--- a/src/connection/route_context.ts
+++ b/src/connection/route_context.ts
@@ -16,7 +16,7 @@
 export interface OperatorRouteContext extends CallerRouteContext {
   readonly operators: OperatorService;
   /** Returns all members that aren't dead, including this one. */
-  readonly present: () => readonly Member[];
+  readonly presentMembers: () => readonly Member[];
   /** Whether callers connect over TLS. */
-  readonly secure: boolean;
+  readonly isSecure: boolean;
 }
--- a/src/connection/testing/loopback_address.ts
+++ b/src/connection/testing/loopback_address.ts
@@ -22,7 +22,7 @@
  * Outgoing connections use 127.0.0.1, and no other process on the machine uses this address, so neither can
  * take the port before the test binds it.
  */
-export function takeLoopbackAddress(): string {
+export function reserveLoopbackAddress(): string {
   return `${loopbackAddressOf(process.pid)}:${nextPort++}`;
 }
 
--- a/src/connection/testing/loopback_address_test.ts
+++ b/src/connection/testing/loopback_address_test.ts
@@ -2,7 +2,7 @@
 import { connect, createServer } from "node:net";
 import type { AddressInfo, Server, Socket } from "node:net";
 import { afterEach, expect, test } from "vitest";
-import { takeLoopbackAddress } from "./loopback_address.ts";
+import { reserveLoopbackAddress } from "./loopback_address.ts";
 
 const servers: Server[] = [];
 const sockets: Socket[] = [];
@@ -22,7 +22,7 @@
 // Guards against a test instance that fails to bind its port because an outgoing connection already uses it.
 test("an address can be bound while an outgoing connection uses the same port", async () => {
   const target = await listen("127.0.0.1", 0);
-  const [host = ""] = takeLoopbackAddress().split(":");
+  const [host = ""] = reserveLoopbackAddress().split(":");
   for (let index = 0; index < 20; index++) {
     const outgoing = connect(target, "127.0.0.1");
     sockets.push(outgoing);
@@ -34,6 +34,6 @@
 
 // Guards against two listeners of one test on the same address.
 test("no address is returned twice", () => {
-  const taken = Array.from({ length: 100 }, takeLoopbackAddress);
+  const taken = Array.from({ length: 100 }, reserveLoopbackAddress);
   expect(new Set(taken).size).toBe(taken.length);
 });
--- a/src/connection/worker_connection.ts
+++ b/src/connection/worker_connection.ts
@@ -10,7 +10,7 @@
 import { connect } from "node:net";
 import type { Socket } from "node:net";
 import type {
-  AnswerHead,
+  ResponseHead,
   Clock,
   Exchange,
   ExchangeSink,
@@ -107,7 +107,7 @@
     else options.onIdle();
     sink?.end({ kind: "complete" });
   };
-  const acceptHead = (head: AnswerHead, id: string | undefined): boolean => {
+  const acceptHead = (head: ResponseHead, id: string | undefined): boolean => {
     if (!isResponseTo(head, { id, matching })) return false;
     const keepAlive = KEEP_ALIVE_TIMEOUT.exec(head.byName.get("keep-alive") ?? "")?.[1];
     if (keepAlive !== undefined) idleTimeout = Number(keepAlive) * MILLISECONDS_PER_SECOND;
@@ -191,7 +191,7 @@
 
 /** Returns whether a response belongs to the request; a late one may belong to an earlier request. */
 function isResponseTo(
-  { byName }: AnswerHead,
+  { byName }: ResponseHead,
   { id, matching }: { id: string | undefined; matching: ResponseMatching },
 ): boolean {
   if (id === undefined) return true;
--- a/src/connection/worker_connections.ts
+++ b/src/connection/worker_connections.ts
@@ -1,4 +1,4 @@
-import type { Clock, WorkerConnections, WorkerPlace } from "../interface/index.ts";
+import type { Clock, WorkerConnections, WorkerEndpoint } from "../interface/index.ts";
 import { probeWorker } from "./probe_worker.ts";
 import { openWorkerConnection } from "./worker_connection.ts";
 import type { ResponseMatching, WorkerConnection } from "./worker_connection.ts";
@@ -42,7 +42,7 @@
   const pools = new Map<string, ConnectionPool>();
   let opened = 0;
 
-  const open = ({ id, address }: WorkerPlace, pool: ConnectionPool): WorkerConnection => {
+  const open = ({ id, address }: WorkerEndpoint, pool: ConnectionPool): WorkerConnection => {
     opened++;
     // The pool was removed if its last connection was closed before.
     pools.set(id, pool);
@@ -65,7 +65,7 @@
     return connection;
   };
   return {
-    exchange: (place, request, { sink, repeatable, most }) => {
+    exchange: (place, request, { sink, repeatable, maxConnections: most }) => {
       const pool = pools.get(place.id) ?? { connections: [], lastReceivedAt: undefined };
       for (const stale of pool.connections.filter(
         (connection) => connection.isIdle() && !canReuse(connection, true),
@@ -83,19 +83,19 @@
       }
       return open(place, pool).exchange(request, sink);
     },
-    reach: ({ address }) => {
+    tryConnect: ({ address }) => {
       opened++;
       return probeWorker(address, clock);
     },
-    keepOnly: (ids) => {
+    retainWorkers: (ids) => {
       for (const [id, pool] of pools) {
         if (ids.has(id)) continue;
         for (const idle of pool.connections.filter((connection) => connection.isIdle()))
           idle.close();
       }
     },
-    heardAt: (id) => pools.get(id)?.lastReceivedAt,
-    get opened() {
+    lastReceivedAt: (id) => pools.get(id)?.lastReceivedAt,
+    get openedCount() {
       return opened;
     },
     close: () => {
--- a/src/decision/worker_mix.ts
+++ b/src/decision/worker_mix.ts
@@ -146,12 +146,12 @@
   // One place stays free for a reclaimable worker while the market is empty: only an order shows
   // when it has workers again.
   const freePlaces = stock.map(({ reclaimable, isDry }) =>
-    Math.max(0, scaling.most - Math.min(reclaimable, target) - (isDry ? 1 : 0)),
+    Math.max(0, scaling.maxWorkers - Math.min(reclaimable, target) - (isDry ? 1 : 0)),
   );
   const onDemand = spreadOnDemand(wanted, { stock, freePlaces, prices: scaling.zonePrices });
   const orders = stock.flatMap(({ zone }, index) => {
     const bought = onDemand[index] ?? 0;
-    const reclaimable = Math.max(0, Math.min(target, scaling.most - bought));
+    const reclaimable = Math.max(0, Math.min(target, scaling.maxWorkers - bought));
     return [
       { zone, purchase: Purchase.Reclaimable, count: reclaimable },
       { zone, purchase: Purchase.OnDemand, count: bought },
@@ -204,7 +204,7 @@
 
 /** Returns the number of reclaimable workers that each zone should have. */
 function reclaimableTarget(
-  { least, most }: ServiceScaling,
+  { minWorkers: least, maxWorkers: most }: ServiceScaling,
   { zones, inUse }: { zones: number; inUse: number },
 ): number {
   const remainingZones = Math.max(1, zones - TOLERATED_ZONE_LOSSES);
--- a/src/decision/worker_mix_test.ts
+++ b/src/decision/worker_mix_test.ts
@@ -5,8 +5,8 @@
 import type { MixOrder, ZoneStock } from "./worker_mix.ts";
 
 const SCALING = {
-  least: 1,
-  most: 10,
+  minWorkers: 1,
+  maxWorkers: 10,
   startUp: 4_000,
   reclaimablePrice: 0.18,
   zonePrices: new Map([
@@ -137,8 +137,8 @@
         for (const zone of SCALING.zonePrices.keys()) {
           const here = orders.filter((order) => order.zone === zone);
           const sum = here.reduce((total, order) => total + order.count, 0);
-          expect(sum).toBeLessThanOrEqual(SCALING.most);
-          expect(sum).toBeGreaterThanOrEqual(SCALING.least);
+          expect(sum).toBeLessThanOrEqual(SCALING.maxWorkers);
+          expect(sum).toBeGreaterThanOrEqual(SCALING.minWorkers);
           expect(here.every((order) => order.count >= 0)).toBe(true);
         }
       },
--- a/src/interface/cloud.ts
+++ b/src/interface/cloud.ts
@@ -17,7 +17,7 @@
   | { readonly kind: "unknown"; readonly detail: string };
 
 /** A notice that the cloud will reclaim a machine. */
-export interface Notice {
+export interface ReclaimNotice {
   /** The worker's id or the entry instance's name. */
   readonly instance: string;
   /** Milliseconds from now until the machine is reclaimed. */
@@ -31,7 +31,7 @@
   /** Terminates a machine. */
   terminate(instance: string): Promise<void>;
   /** Returns the active reclaim notices for entry instances and workers. */
-  notices(): Promise<readonly Notice[]>;
+  notices(): Promise<readonly ReclaimNotice[]>;
 }
 
 /** The platform's list of live and leaving workers. It is updated with a delay. */
--- a/src/interface/engine.ts
+++ b/src/interface/engine.ts
@@ -58,7 +58,7 @@
 }
 
 /** The state of a request id at a backend server. */
-export enum EngineKnowledge {
+export enum EngineRequestState {
   Running = "running",
   Finished = "finished",
   Cancelled = "cancelled",
@@ -69,7 +69,7 @@
 }
 
 /** The desired state of a backend server. It is absolute, not relative to the current state, so it can be sent again. */
-export interface Order {
+export interface DesiredEngineState {
   /** Fencing number: the version of the sender's lease. */
   readonly fence: number;
   /** The models that the server must have loaded. */
@@ -91,13 +91,13 @@
   /** Cancels a running request. */
   cancel(worker: Worker, id: string): Promise<void>;
   /** Returns the state of a request id at the server. With `bar`, the server also refuses the id from now on. */
-  ask(worker: Worker, id: string, options: { bar: boolean }): Promise<EngineKnowledge>;
+  queryRequest(worker: Worker, id: string, options: { bar: boolean }): Promise<EngineRequestState>;
   /** Exports the KV cache of a running request. Resolves with a name for {@linkcode Dispatch.cache}. */
   exportCache(worker: Worker, id: string): Promise<string>;
   /** Fetches the server's current load. */
-  report(worker: Worker): Promise<LoadReport>;
+  fetchLoad(worker: Worker): Promise<LoadReport>;
   /** Sets the server's desired state. */
-  order(worker: Worker, order: Order): Promise<void>;
+  setDesiredState(worker: Worker, order: DesiredEngineState): Promise<void>;
 }
 
 /** The error of a failed call to a backend server. */
--- a/src/interface/index.ts
+++ b/src/interface/index.ts
@@ -8,7 +8,7 @@
 export * from "./record.ts";
 export * from "./seeded_random.ts";
 export * from "./header_names.ts";
-export * from "./fleet_orders.ts";
+export * from "./platform_calls.ts";
 export * from "./object_feed.ts";
 export * from "./rollout.ts";
 export * from "./routed_worker.ts";
--- a/src/interface/object_feed.ts
+++ b/src/interface/object_feed.ts
@@ -10,7 +10,7 @@
 }
 
 /** A snapshot of all objects of a kind. */
-export interface FeedList {
+export interface FeedSnapshot {
   readonly objects: readonly FeedObject[];
   /** The version from which to watch for changes. */
   readonly version: number;
@@ -47,7 +47,7 @@
 /** A store whose objects can be listed and watched by kind. A call without a response in time rejects. */
 export interface ObjectFeed {
   /** Lists all objects of a kind. */
-  listKind(kind: string): Promise<FeedList>;
+  listKind(kind: string): Promise<FeedSnapshot>;
   /**
    * Waits for changes of a kind's objects.
    *
--- a/src/interface/object_store.ts
+++ b/src/interface/object_store.ts
@@ -24,9 +24,9 @@
   | { readonly kind: "unavailable"; readonly detail: string };
 
 /** A store whose objects can be deleted. */
-export interface ErasableStore {
+export interface DeletableStore {
   /** Deletes an object. Resolves with true only if the object certainly no longer exists. */
-  erase(key: string): Promise<boolean>;
+  delete(key: string): Promise<boolean>;
 }
 
 /** Options of {@linkcode ObjectStore.put}. */
--- a/src/interface/peer.ts
+++ b/src/interface/peer.ts
@@ -22,7 +22,7 @@
 }
 
 /** A membership update, or a notice that a backend server is leaving. It is sent along with probes. */
-export interface MemberDelta {
+export interface MembershipUpdate {
   readonly member: Member;
   readonly state: MemberState;
   /** The member's counter (the incarnation number of SWIM). Only the member itself increases it, to refute a suspicion. */
@@ -32,7 +32,7 @@
 }
 
 /** The version of a configuration object that the sender has applied. */
-export interface VersionMark {
+export interface ObjectVersion {
   readonly key: string;
   readonly version: number;
 }
@@ -58,7 +58,7 @@
 }
 
 /** The records of a slot that its owner hands over. */
-export interface CedeMessage {
+export interface HandoverMessage {
   /** Member id of the sender. */
   readonly from: string;
   readonly slot: number;
@@ -83,8 +83,8 @@
   readonly from: string;
   /** The member that the receiver must probe for the sender; absent for a direct probe. */
   readonly target?: Member;
-  readonly deltas: readonly MemberDelta[];
-  readonly versions: readonly VersionMark[];
+  readonly deltas: readonly MembershipUpdate[];
+  readonly versions: readonly ObjectVersion[];
 }
 
 /** The reply to a probe, with the replier's membership updates. */
@@ -93,8 +93,8 @@
   readonly from: string;
   /** Whether the probed member has replied. */
   readonly reached: boolean;
-  readonly deltas: readonly MemberDelta[];
-  readonly versions: readonly VersionMark[];
+  readonly deltas: readonly MembershipUpdate[];
+  readonly versions: readonly ObjectVersion[];
 }
 
 /** A request that is forwarded to the owner of its slot. */
@@ -148,7 +148,7 @@
   /** Sends a request record to the slot's backup. */
   replicate(to: Member, message: ReplicateMessage): Promise<SlotReply>;
   /** Hands over the records of a slot. */
-  cede(to: Member, message: CedeMessage): Promise<SlotReply>;
+  cede(to: Member, message: HandoverMessage): Promise<SlotReply>;
   /** Probes a member, directly or through another one. */
   probe(to: Member, message: ProbeMessage): Promise<ProbeReply>;
   /** Fetches a peer's version of a configuration object; undefined if the peer has none. */
@@ -164,7 +164,7 @@
 /** The server side of {@linkcode Peers}: handlers for calls from other entry instances. */
 export interface PeerHandlers {
   replicate(message: ReplicateMessage): SlotReply;
-  cede(message: CedeMessage): SlotReply;
+  cede(message: HandoverMessage): SlotReply;
   probe(message: ProbeMessage): Promise<ProbeReply>;
   pull(key: string): { version: number; value: string } | undefined;
   relay(message: RelayMessage, signal: AbortSignal): AsyncIterable<RelayEvent>;
--- a/src/interface/fleet_orders.ts
+++ b/src/interface/platform_calls.ts
@@ -12,7 +12,7 @@
  * Milliseconds after which the response to such a call counts as lost. A holder starts no call that could outlast its
  * lease, so the calls' timeout and the check of the lease must use the same value.
  */
-export const DUTY_CALL_TIME = 1_000;
+export const PLATFORM_CALL_TIMEOUT = 1_000;
 
 /** The desired number of workers of a service in an availability zone, for one kind of purchase. */
 export interface WorkerOrder {
--- a/src/interface/record.ts
+++ b/src/interface/record.ts
@@ -107,7 +107,7 @@
  * @param state The state of a record.
  * @returns True for complete, not run, may have run and cancelled.
  */
-export function hasEnded(state: RequestState): boolean {
+export function isFinalRequestState(state: RequestState): boolean {
   return (
     state === RequestState.Complete ||
     state === RequestState.NotRun ||
--- a/src/interface/routed_worker.ts
+++ b/src/interface/routed_worker.ts
@@ -5,7 +5,7 @@
   /** The worker's id, which is sent along with requests. A restarted worker may have the same id. */
   readonly id: string;
   /** When the worker started, in Unix milliseconds. It distinguishes workers that have used the same id. */
-  readonly born: number;
+  readonly startedAt: number;
   readonly service: string;
   /** Version of the worker's software. */
   readonly version: string;
@@ -21,5 +21,5 @@
   /** Milliseconds from its announcement that it leaves until it ends; undefined if unknown. */
   readonly leavesIn: number | undefined;
   /** Milliseconds until the worker has warmed up, at the time of its last report. */
-  readonly coldFor: number;
+  readonly warmupLeft: number;
 }
--- a/src/interface/worker_exchange.ts
+++ b/src/interface/worker_exchange.ts
@@ -1,5 +1,5 @@
 /** The status and the headers of a response. */
-export interface AnswerHead {
+export interface ResponseHead {
   readonly status: number;
   /** Header names as received and values, alternating. */
   readonly headers: readonly string[];
@@ -35,7 +35,7 @@
 
 /** Receives the response of an exchange. `end` is the last call. */
 export interface ExchangeSink {
-  head(head: AnswerHead): void;
+  head(head: ResponseHead): void;
   data(chunk: Buffer): void;
   end(end: ExchangeEnd): void;
 }
@@ -51,7 +51,7 @@
 }
 
 /** The id and address of a worker that a request is sent to. */
-export interface WorkerPlace {
+export interface WorkerEndpoint {
   readonly id: string;
   /** `IP:PORT`. */
   readonly address: string;
@@ -63,11 +63,11 @@
   /** Whether the request may be sent again. If not, it is sent only on a connection that is known to be open. */
   readonly repeatable: boolean;
   /** The maximum number of connections that this instance may have open to the worker. */
-  readonly most: number;
+  readonly maxConnections: number;
 }
 
 /** The result of a connection attempt that only checks whether a worker accepts connections. */
-export enum Reach {
+export enum ConnectResult {
   Accepted = "accepted",
   /** The machine is reachable, but no process listens at the address. */
   Refused = "refused",
@@ -83,18 +83,18 @@
    * @returns The exchange, or undefined if the maximum number of connections is in use.
    */
   exchange(
-    place: WorkerPlace,
+    place: WorkerEndpoint,
     request: WorkerRequest,
     options: ExchangeOptions,
   ): Exchange | undefined;
   /** Checks whether the worker's process accepts connections. */
-  reach(place: WorkerPlace): Promise<Reach>;
+  tryConnect(place: WorkerEndpoint): Promise<ConnectResult>;
   /** Closes the idle connections of all workers except those with the given ids. Exchanges in progress continue. */
-  keepOnly(ids: ReadonlySet<string>): void;
+  retainWorkers(ids: ReadonlySet<string>): void;
   /** Returns when data was last received from the worker, in milliseconds of the clock; undefined if never. */
-  heardAt(id: string): number | undefined;
+  lastReceivedAt(id: string): number | undefined;
   /** The number of connections opened so far. */
-  readonly opened: number;
+  readonly openedCount: number;
   /** Closes all connections. */
   close(): void;
 }
--- a/src/process/configuration.ts
+++ b/src/process/configuration.ts
@@ -1,5 +1,12 @@
 import { sleep } from "../interface/index.ts";
-import type { Clock, Member, ObjectStore, Peers, Random, VersionMark } from "../interface/index.ts";
+import type {
+  Clock,
+  Member,
+  ObjectStore,
+  Peers,
+  Random,
+  ObjectVersion,
+} from "../interface/index.ts";
 import type { ConfigurationView } from "../request/index.ts";
 import {
   EMPTY_SLOT_MAP,
@@ -49,9 +56,9 @@
    * Compares the versions that a peer has applied with the local ones and pulls newer objects from
    * it.
    */
-  receiveVersions(from: Member, marks: readonly VersionMark[]): void;
+  receiveVersions(from: Member, marks: readonly ObjectVersion[]): void;
   /** Returns the versions that this instance has applied. */
-  versions(): readonly VersionMark[];
+  versions(): readonly ObjectVersion[];
   /** Returns the local version of an object for a peer that pulls it. */
   pull(key: string): VersionedValue | undefined;
   /** Limits the rate of this instance's control calls to the store. */
@@ -180,7 +187,7 @@
   };
 }
 
-function markOf(follower: ObjectFollower): VersionMark[] {
+function markOf(follower: ObjectFollower): ObjectVersion[] {
   const version = follower.latest()?.version;
   return version === undefined ? [] : [{ key: follower.key, version }];
 }
--- a/src/process/configuration_test.ts
+++ b/src/process/configuration_test.ts
@@ -48,7 +48,7 @@
   // All open watches stop without an error, as when a firewall drops its connection state. An
   // undetected preset switch would leave the service at the capacity of an ordinary day.
   const fleet = await startFleet(8);
-  fleet.store.silenceWatches();
+  fleet.store.hangOpenWatches();
   await writeObject(fleet, { key: REVISION_KEY, value: revisionWith("peak") });
   await fleet.clock.advance(IN_FORCE_WITHIN);
   expect(new Set(fleet.nodes.map(presetOf))).toEqual(new Set(["peak"]));
@@ -65,12 +65,12 @@
   const applying = changes.apply({ kind: "preset", id: "c1", preset: "peak" });
   await fleet.clock.advance(20);
   expect(await applying).toEqual({ kind: "accepted", change: "c1", revision: 2 });
-  fleet.store.setDown(true);
+  fleet.store.setUnavailable(true);
   await fleet.clock.advance(IN_FORCE_WITHIN);
   expect(new Set(fleet.nodes.map(presetOf))).toEqual(new Set(["peak"]));
   await fleet.clock.advance(60_000);
   expect(fleet.nodes.some(({ configuration }) => configuration.isCutOff())).toBe(false);
-  fleet.store.setDown(false);
+  fleet.store.setUnavailable(false);
   await fleet.clock.advance(60_000);
   expect(new Set(fleet.nodes.map((node) => fleet.versionAt(node)))).toEqual(new Set([2]));
   fleet.close();
@@ -83,7 +83,7 @@
   const [first] = fleet.nodes;
   if (first === undefined) throw new Error("The fleet is empty.");
   const changes = changesAt(fleet, first);
-  fleet.store.loseAnswers(1);
+  fleet.store.dropResponses(1);
   const applying = changes.apply({ kind: "preset", id: "c1", preset: "peak" });
   await fleet.clock.advance(2_000);
   expect(await applying).toEqual({ kind: "accepted", change: "c1", revision: 2 });
@@ -98,13 +98,13 @@
   const [first] = fleet.nodes;
   if (first === undefined) throw new Error("The fleet is empty.");
   const changes = changesAt(fleet, first);
-  fleet.store.loseAnswers(1);
+  fleet.store.dropResponses(1);
   const applying = changes.apply({ kind: "preset", id: "c1", preset: "peak" });
   await fleet.clock.advance(4);
-  fleet.store.setDown(true);
+  fleet.store.setUnavailable(true);
   await fleet.clock.advance(12_000);
   expect(await applying).toMatchObject({ kind: "unknown", change: "c1" });
-  fleet.store.setDown(false);
+  fleet.store.setUnavailable(false);
   const asking = changes.getOutcome("c1");
   await fleet.clock.advance(20);
   expect(await asking).toMatchObject({ kind: "accepted", revision: 2 });
@@ -115,11 +115,11 @@
   const fleet = await startFleet(4);
   const [first] = fleet.nodes;
   if (first === undefined) throw new Error("The fleet is empty.");
-  fleet.store.setDown(true);
+  fleet.store.setUnavailable(true);
   const applying = changesAt(fleet, first).apply({ kind: "preset", id: "c1", preset: "peak" });
   await fleet.clock.advance(12_000);
   expect(await applying).toMatchObject({ kind: "refused" });
-  fleet.store.setDown(false);
+  fleet.store.setUnavailable(false);
   await fleet.clock.advance(20_000);
   expect(new Set(fleet.nodes.map(presetOf))).toEqual(new Set(["day"]));
   fleet.close();
@@ -159,7 +159,7 @@
   const fleet = await startFleet(6);
   await writeObject(fleet, { key: REVISION_KEY, value: revisionWith("peak") });
   await fleet.clock.advance(IN_FORCE_WITHIN);
-  fleet.store.setDown(true);
+  fleet.store.setUnavailable(true);
   const late = fleet.add("e9", { zone: "z1" });
   expect(late.configuration.revision()).toBeUndefined();
   await fleet.clock.advance(10_000);
@@ -170,12 +170,12 @@
 
 test("an instance that starts alone while the store is down has no revision and is cut off", async () => {
   const fleet = await startControlFleet({ count: 0, zones: 1, revision: MINIMAL_REVISION });
-  fleet.store.setDown(true);
+  fleet.store.setUnavailable(true);
   const alone = fleet.add("e0", { zone: "z0" });
   await fleet.clock.advance(30_000);
   expect(alone.configuration.revision()).toBeUndefined();
   expect(alone.configuration.isCutOff()).toBe(true);
-  fleet.store.setDown(false);
+  fleet.store.setUnavailable(false);
   await fleet.clock.advance(10_000);
   expect(presetOf(alone)).toBe("day");
   expect(alone.configuration.isCutOff()).toBe(false);
@@ -187,10 +187,10 @@
   // configuration; its callers must be sent to another instance.
   const fleet = await startFleet(4);
   const [lost, ...others] = fleet.nodes;
-  for (const { self } of others) fleet.network.setCut("e0#1", self.id, true);
+  for (const { self } of others) fleet.network.setPartitioned("e0#1", self.id, true);
   await fleet.clock.advance(8_000);
   expect(lost?.configuration.isCutOff()).toBe(false);
-  fleet.store.setDown(true);
+  fleet.store.setUnavailable(true);
   await fleet.clock.advance(8_000);
   expect(lost?.configuration.isCutOff()).toBe(true);
   expect(others.map(({ configuration }) => configuration.isCutOff())).toEqual([
--- a/src/process/entry_instance.ts
+++ b/src/process/entry_instance.ts
@@ -6,7 +6,7 @@
 import {
   addCallerRoutes,
   addOperatorRoutes,
-  createConnectPeers,
+  createPeerClient,
   createHttpCloud,
   createHttpEngine,
   createHttpInstanceList,
@@ -58,7 +58,7 @@
   const engine = createHttpEngine();
   const cloud = createHttpCloud(settings.platform.cloud);
   const { clock, random } = runtime;
-  const peers = createConnectPeers({ self: self.id, clock, security });
+  const peers = createPeerClient({ self: self.id, clock, security });
   const recording = openRecording(settings.record);
   const sink = openSink(settings);
   const core = createEntryCore(
@@ -86,7 +86,7 @@
   const { operatorKey } = settings.secrets;
   const present = (): readonly Member[] => core.members.present();
   const secure = settings.tls !== undefined;
-  const parts = { ...core, clock, random, operatorKey, present, secure };
+  const parts = { ...core, clock, random, operatorKey, presentMembers: present, isSecure: secure };
   addCallerRoutes(app, parts);
   addOperatorRoutes(app, parts);
   sockets.serveCallers((request, response) => {
--- a/src/process/feed_follower.ts
+++ b/src/process/feed_follower.ts
@@ -3,7 +3,7 @@
   Clock,
   FeedChange,
   FeedDelta,
-  FeedList,
+  FeedSnapshot,
   FeedObject,
   ObjectFeed,
   Random,
@@ -50,7 +50,7 @@
   /** When the store last answered, in milliseconds of `clock`; undefined if it never has. */
   readonly answeredAt: number | undefined;
   /** Applies a list from another instance unless it is older than what is known. */
-  applyList(list: FeedList): void;
+  applyList(list: FeedSnapshot): void;
   /**
    * Applies changes from another instance. A delta that starts after the last known change is
    * ignored, because there would be a gap.
@@ -172,7 +172,7 @@
     }
     return newer;
   };
-  const replaceObjects = (found: FeedList, from: ChangeArrival): void => {
+  const replaceObjects = (found: FeedSnapshot, from: ChangeArrival): void => {
     // A list older than the known version would restore removed objects.
     if (found.version < version) return;
     const previous = objects;
@@ -191,7 +191,7 @@
     const at = found.changedAt ?? (isRemoval ? found.version : latest);
     recordChanges(Math.max(changedAt, at), changes, arrival);
   };
-  const applyList = (found: FeedList): void =>
+  const applyList = (found: FeedSnapshot): void =>
     replaceObjects(found, { source: ChangeSource.Fetch, age: found.age ?? 0, isFirst: false });
   const applyDelta = (delta: FeedDelta): void => {
     if (delta.from > changedAt || delta.to <= changedAt || isListNeeded) return;
--- a/src/process/fleet_sync.ts
+++ b/src/process/fleet_sync.ts
@@ -1,5 +1,5 @@
 import { randomInt } from "node:crypto";
-import type { DatagramParts, Datagrams } from "../connection/datagrams.ts";
+import type { DatagramSocketOptions, DatagramSocket } from "../connection/datagram_socket.ts";
 import type {
   RepeatBudget,
   SharedQuota,
@@ -61,7 +61,7 @@
   readonly onDigest: (peer: PeerInstance) => void;
   /** Called with every digest after the store changes in it have been applied. */
   readonly onDigestApplied: (peer: PeerInstance) => void;
-  readonly open: (parts: DatagramParts) => Promise<Datagrams>;
+  readonly open: (parts: DatagramSocketOptions) => Promise<DatagramSocket>;
 }
 
 /**
--- a/src/process/lease_task.ts
+++ b/src/process/lease_task.ts
@@ -2,16 +2,16 @@
 import type { Clock, ObjectStore, PutOutcome, Random } from "../interface/index.ts";
 import {
   formatLease,
-  giveBackIn,
-  hasRunOut,
+  releaseDelay,
+  hasExpired,
   LEASE_TERM,
   leaseKey,
   leaseTimeLeft,
-  mayOrder,
+  canStartCall,
   parseLease,
   rendezvousOrder,
 } from "../version/index.ts";
-import type { HeldLease, Lease, LeaseMoment } from "../version/index.ts";
+import type { HeldLease, Lease, ClockReading } from "../version/index.ts";
 import type { StoreThrottle } from "./store_throttle.ts";
 
 /** Number of renewals per lease term. */
@@ -124,7 +124,7 @@
     return rendezvousOrder(leaseKey(service), candidates)[0] === self;
   };
   const dayOffset = (): number => clock.date().getTime() - clock.now();
-  const moment = (): LeaseMoment => ({ now: clock.now(), dayOffset: dayOffset() });
+  const moment = (): ClockReading => ({ now: clock.now(), dayOffset: dayOffset() });
   const isHeld = (service: string): boolean => {
     const lease = held.get(service);
     return lease !== undefined && leaseTimeLeft(lease, moment()) > 0;
@@ -158,7 +158,7 @@
     const isReturned = found === undefined || found.lease.holder === "";
     const isExpired =
       found !== undefined &&
-      hasRunOut({ since: found.firstSeenAt, term: found.lease.term }, clock.now());
+      hasExpired({ since: found.firstSeenAt, term: found.lease.term }, clock.now());
     if (!isReturned && !isExpired) return;
     const sentAt = clock.now();
     const offsetThen = dayOffset();
@@ -216,7 +216,7 @@
     const lease = held.get(service);
     // From here on, no order is started.
     held.delete(service);
-    const wait = lease === undefined ? undefined : giveBackIn(lease, clock.now(), { term });
+    const wait = lease === undefined ? undefined : releaseDelay(lease, clock.now(), { term });
     if (lease === undefined || wait === undefined) return;
     if (wait > 0) await sleep(clock, wait);
     await write(service, { holder: "", expect: lease.version });
@@ -246,7 +246,7 @@
     held: () => duties().filter(isHeld),
     fence: (service, orderTime) => {
       const lease = held.get(service);
-      if (lease === undefined || !mayOrder(lease, moment(), { orderTime })) return undefined;
+      if (lease === undefined || !canStartCall(lease, moment(), { orderTime })) return undefined;
       const ordersUntil = Math.max(lease.ordersUntil ?? 0, clock.now() + orderTime);
       held.set(service, { ...lease, ordersUntil });
       return lease.fence;
--- a/src/process/lease_task_test.ts
+++ b/src/process/lease_task_test.ts
@@ -68,19 +68,19 @@
   const loaded = new Map<string, string>();
   const highest = new Map<string, number>();
   const engineOf: Servers["engineOf"] = (node, fleet) => {
-    const part: Pick<Engine, "report" | "order"> = {
-      report: async (worker) => {
+    const part: Pick<Engine, "fetchLoad" | "setDesiredState"> = {
+      fetchLoad: async (worker) => {
         await sleep(fleet.clock, 1);
-        await node.freezer.gate();
+        await node.freezer.whenRunning();
         const model = loaded.get(worker.service);
         return {
           worker: worker.id,
           loaded: model === undefined ? [] : [model],
         } as unknown as LoadReport;
       },
-      order: async (worker, { fence, models }) => {
+      setDesiredState: async (worker, { fence, models }) => {
         // An order already handed to the network before the pause arrives after it.
-        await node.freezer.gate();
+        await node.freezer.whenRunning();
         await sleep(fleet.clock, 1);
         const { service } = worker;
         const model = models[0] ?? "";
@@ -115,7 +115,7 @@
       duties: () => SERVICES,
       clock: node.freezer.clock,
       random: createSeededRandom(index + 50),
-      store: fleet.store.connect(() => node.freezer.gate()),
+      store: fleet.store.connect(() => node.freezer.whenRunning()),
       maxOrderTime: ORDER_TIMEOUT,
       count: () => undefined,
     };
@@ -167,12 +167,12 @@
     const { fleet, servers, holderOf, tasks, close } = await startLeases(4);
     const before = holderOf(service);
     const paused = fleet.nodes[before];
-    paused?.freezer.freeze();
+    paused?.freezer.pause();
     await writeObject(fleet, { key: REVISION_KEY, value: revisionWith("b") });
     await fleet.clock.advance(60_000);
     expect(servers.loaded(service)).toBe("b");
     const orders = servers.orders.length;
-    paused?.freezer.wake();
+    paused?.freezer.resume();
     expect(tasks[before]?.fence(service, ORDER_TIMEOUT)).toBeUndefined();
     await fleet.clock.advance(30_000);
     expect(servers.orders.slice(orders)).toEqual([]);
@@ -191,15 +191,19 @@
     const node = fleet.nodes[holderOf(service)];
     if (node === undefined) throw new Error("No instance holds the lease.");
     const stale = servers.engineOf(node, fleet);
-    node.freezer.freeze();
-    const late = stale.order(workerOf(service), { fence: 1, models: ["a"], role: "serve" });
+    node.freezer.pause();
+    const late = stale.setDesiredState(workerOf(service), {
+      fence: 1,
+      models: ["a"],
+      role: "serve",
+    });
     const ended = late.then(
       () => "obeyed",
       () => "refused",
     );
     await writeObject(fleet, { key: REVISION_KEY, value: revisionWith("b") });
     await fleet.clock.advance(60_000);
-    node.freezer.wake();
+    node.freezer.resume();
     await fleet.clock.advance(10);
     expect(await ended).toBe(service === "checking" ? "refused" : "obeyed");
     await fleet.clock.advance(15_000);
@@ -219,7 +223,7 @@
     return fleet.clock.now();
   };
   const diedAt = fleet.clock.now();
-  fleet.nodes[before]?.freezer.freeze();
+  fleet.nodes[before]?.freezer.pause();
   const takenAt = await until((task) => task.held().includes("ignoring"));
   // The last renewal was at most a quarter of the term before the pause.
   expect(takenAt - diedAt).toBeGreaterThanOrEqual(7_500);
@@ -231,7 +235,7 @@
 test("renewals with lost responses never cause a second holder", async () => {
   const { fleet, servers, tasks, close } = await startLeases(3);
   for (let round = 0; round < 10; round++) {
-    fleet.store.loseAnswers(2);
+    fleet.store.dropResponses(2);
     await fleet.clock.advance(3_000);
     for (const service of SERVICES) {
       expect(tasks.filter((task) => task.fence(service, 0) !== undefined).length).toBeLessThan(2);
@@ -289,12 +293,12 @@
 test("a lease acquired after expiry is not passed on within a term", async () => {
   const { fleet, tasks, holderOf, close } = await startLeases(3);
   const first = holderOf("checking");
-  fleet.nodes[first]?.freezer.freeze();
+  fleet.nodes[first]?.freezer.pause();
   const isOther = (): boolean => ![-1, first].includes(holderOf("checking"));
   while (!isOther()) await fleet.clock.advance(10);
   const takenAt = fleet.clock.now();
   const second = holderOf("checking");
-  fleet.nodes[first]?.freezer.wake();
+  fleet.nodes[first]?.freezer.resume();
   fleet.nodes[second]?.members.leave();
   void tasks[second]?.release();
   const isPassedOn = (): boolean => ![-1, second].includes(holderOf("checking"));
@@ -338,7 +342,7 @@
       duties: () => ["duty"],
       clock: node.freezer.clock,
       random: createSeededRandom(index + 50),
-      store: store.connect(() => node.freezer.gate()),
+      store: store.connect(() => node.freezer.whenRunning()),
       maxOrderTime: 300,
       pollInterval: 500,
       isHeldElsewhere: () =>
@@ -357,7 +361,7 @@
   };
   while (clock.now() < 30_000) await pass();
   dead = holder();
-  nodes[dead]?.freezer.freeze();
+  nodes[dead]?.freezer.pause();
   nodes[dead]?.members.leave();
   const diedAt = clock.now();
   while (holder() < 0) await pass();
--- a/src/process/load_reports.ts
+++ b/src/process/load_reports.ts
@@ -34,7 +34,7 @@
     pending.add(worker.id);
     const sentAt = clock.now();
     try {
-      const report = await engine.report(worker);
+      const report = await engine.fetchLoad(worker);
       // The report is dated by the local send time, because the worker's clock differs: requests sent after the poll
       // may be missing from the report.
       scheduler.recordLoadReport({ ...report, worker: worker.id, takenAt: sentAt }, clock.now());
--- a/src/process/member_table.ts
+++ b/src/process/member_table.ts
@@ -1,5 +1,5 @@
 import { MemberState } from "../interface/index.ts";
-import type { Member, MemberDelta, Random } from "../interface/index.ts";
+import type { Member, MembershipUpdate, Random } from "../interface/index.ts";
 
 /**
  * States in increasing precedence. At the same incarnation number (`rise`), a later state overrides
@@ -26,7 +26,7 @@
 const RETENTION_TIME = 600_000;
 
 /** State of one member or backend server. */
-export interface MemberEntry extends MemberDelta {
+export interface MemberEntry extends MembershipUpdate {
   /** When the state was recorded, in milliseconds of the clock that the caller uses. */
   readonly changedAt: number;
 }
@@ -37,7 +37,7 @@
  */
 export interface MemberTable {
   /** Applies a delta. Returns false if it is not newer than the known state. */
-  merge(delta: MemberDelta, now: number): boolean;
+  merge(delta: MembershipUpdate, now: number): boolean;
   find(id: string): MemberEntry | undefined;
   /** Returns the entry instances other than this one. */
   members(): readonly MemberEntry[];
@@ -47,9 +47,9 @@
    * Returns deltas for one message: those sent least often, and one random entry as a safeguard
    * against lost messages.
    */
-  nextDeltas(random: Random): readonly MemberDelta[];
+  nextDeltas(random: Random): readonly MembershipUpdate[];
   /** Returns all entries, for an instance that joins. */
-  all(): readonly MemberDelta[];
+  all(): readonly MembershipUpdate[];
   /** Removes entries that have been dead or leaving for long enough. */
   prune(now: number): void;
 }
@@ -102,13 +102,13 @@
   };
 }
 
-function overrides(delta: MemberDelta, known: MemberEntry | undefined): boolean {
+function overrides(delta: MembershipUpdate, known: MemberEntry | undefined): boolean {
   if (known === undefined) return true;
   if (delta.rise !== known.rise) return delta.rise > known.rise;
   return PRECEDENCE.indexOf(delta.state) > PRECEDENCE.indexOf(known.state);
 }
 
-function deltaOf(entry: MemberEntry | undefined): MemberDelta[] {
+function deltaOf(entry: MemberEntry | undefined): MembershipUpdate[] {
   if (entry === undefined) return [];
   const { member, state, rise, backend } = entry;
   return [{ member, state, rise, backend }];
--- a/src/process/membership.ts
+++ b/src/process/membership.ts
@@ -2,13 +2,13 @@
 import type {
   Clock,
   Member,
-  MemberDelta,
+  MembershipUpdate,
   PeerHandlers,
   Peers,
   ProbeMessage,
   ProbeReply,
   Random,
-  VersionMark,
+  ObjectVersion,
 } from "../interface/index.ts";
 import type { MembershipView } from "../request/index.ts";
 import { createMemberTable, instanceNameOf } from "./member_table.ts";
@@ -55,7 +55,7 @@
    * Asks every live member for the versions that it has applied. Members that don't answer are
    * missing from the result.
    */
-  survey(): Promise<ReadonlyMap<string, readonly VersionMark[]>>;
+  survey(): Promise<ReadonlyMap<string, readonly ObjectVersion[]>>;
   /**
    * Returns when a message last arrived from a peer, in milliseconds of `clock`; undefined if none
    * has arrived.
@@ -77,9 +77,9 @@
   readonly random: Random;
   readonly peers: Peers;
   /** Returns the versions that this instance has applied. */
-  readonly versions: () => readonly VersionMark[];
+  readonly versions: () => readonly ObjectVersion[];
   /** Called with the versions that a peer reports as applied. */
-  readonly receiveVersions: (from: Member, marks: readonly VersionMark[]) => void;
+  readonly receiveVersions: (from: Member, marks: readonly ObjectVersion[]) => void;
 }
 
 /**
@@ -93,7 +93,7 @@
   const table = createMemberTable();
   const listeners = new Set<() => void>();
   const noticeListeners = new Set<() => void>();
-  let own: MemberDelta = { member: self, state: MemberState.Alive, rise: 0, backend: false };
+  let own: MembershipUpdate = { member: self, state: MemberState.Alive, rise: 0, backend: false };
   let lastMessageAt: number | undefined;
   let closed = false;
   let isSendScheduled = false;
@@ -102,13 +102,13 @@
   const changed = (): void => {
     for (const listener of listeners) listener();
   };
-  const merge = (delta: MemberDelta): boolean => {
+  const merge = (delta: MembershipUpdate): boolean => {
     if (delta.member.id === self.id) return mergeOwnState(delta);
     const isNew = table.merge(delta, clock.now());
     if (isNew && !delta.backend && delta.state === MemberState.Suspect) scheduleDeath(delta);
     return isNew;
   };
-  const mergeOwnState = (delta: MemberDelta): boolean => {
+  const mergeOwnState = (delta: MembershipUpdate): boolean => {
     const isNotice = delta.state === MemberState.Leaving && own.state === MemberState.Alive;
     if (isNotice && delta.rise >= own.rise) {
       own = { ...own, state: MemberState.Leaving, rise: delta.rise + 1 };
@@ -122,7 +122,7 @@
     own = { ...own, rise: delta.rise + 1 };
     return true;
   };
-  const scheduleDeath = ({ member, rise }: MemberDelta): void => {
+  const scheduleDeath = ({ member, rise }: MembershipUpdate): void => {
     clock.after(SUSPICION_TIMEOUT, () => {
       const known = table.find(member.id);
       if (closed || known?.rise !== rise || known.state === MemberState.Dead) return;
@@ -133,22 +133,22 @@
    * Probes a leaving member once more before it is declared dead, since it cannot be marked as
    * suspected.
    */
-  const confirmLeavingMember = ({ member, rise }: MemberDelta): void => {
+  const confirmLeavingMember = ({ member, rise }: MembershipUpdate): void => {
     const probeAgain = async (): Promise<void> => {
       if (closed || (await probe(member))) return;
       announce({ member, state: MemberState.Dead, rise, backend: false });
     };
     clock.after(SUSPICION_TIMEOUT, () => void probeAgain());
   };
-  const announce = (delta: MemberDelta): void => {
+  const announce = (delta: MembershipUpdate): void => {
     if (!merge(delta)) return;
     changed();
     sendDeltas();
   };
   const receive = (
     from: string,
-    deltas: readonly MemberDelta[],
-    marks: readonly VersionMark[],
+    deltas: readonly MembershipUpdate[],
+    marks: readonly ObjectVersion[],
   ): void => {
     lastMessageAt = clock.now();
     const newDeltas = deltas.filter(merge);
@@ -261,7 +261,7 @@
     const deltas = isNew ? [own, ...table.all()] : outgoing(message.from).deltas;
     return { from: self.id, reached, deltas, versions: parts.versions() };
   };
-  const survey = async (): Promise<ReadonlyMap<string, readonly VersionMark[]>> => {
+  const survey = async (): Promise<ReadonlyMap<string, readonly ObjectVersion[]>> => {
     const found = new Map([[self.id, parts.versions()]]);
     const askOne = async (member: Member): Promise<void> => {
       try {
@@ -324,7 +324,7 @@
 }
 
 /** Returns the suspicion or death recorded for a member, so that it can refute it. */
-function suspicionOf(table: MemberTable, id: string): MemberDelta[] {
+function suspicionOf(table: MemberTable, id: string): MembershipUpdate[] {
   const known = table.find(id);
   if (known === undefined) return [];
   const { member, state, rise, backend } = known;
--- a/src/process/membership_test.ts
+++ b/src/process/membership_test.ts
@@ -48,7 +48,7 @@
   // Only one link fails. Without probes through other members, the one peer would have the instance
   // declared dead and its slots taken over while it is serving callers.
   const fleet = await startFleet(6);
-  fleet.network.setCut("e0#1", "e1#1", true);
+  fleet.network.setPartitioned("e0#1", "e1#1", true);
   await fleet.clock.advance(60_000);
   expect(statesOf(fleet, "e1#1")).toEqual(new Set([MemberState.Alive]));
   fleet.close();
@@ -57,10 +57,10 @@
 test("a paused instance that was declared dead is alive again after it resumes", async () => {
   const fleet = await startFleet(6);
   const [paused] = fleet.nodes;
-  paused?.freezer.freeze();
+  paused?.freezer.pause();
   await fleet.clock.advance(15_000);
   expect(statesOf(fleet, "e0#1")).toEqual(new Set([MemberState.Dead]));
-  paused?.freezer.wake();
+  paused?.freezer.resume();
   await fleet.clock.advance(15_000);
   expect(statesOf(fleet, "e0#1")).toEqual(new Set([MemberState.Alive]));
   fleet.close();
@@ -72,10 +72,10 @@
   const pairs = fleet.nodes.flatMap(({ self: a }, i) =>
     fleet.nodes.flatMap(({ self: b }, j) => (isLeft(i) && !isLeft(j) ? [[a.id, b.id]] : [])),
   );
-  for (const [a = "", b = ""] of pairs) fleet.network.setCut(a, b, true);
+  for (const [a = "", b = ""] of pairs) fleet.network.setPartitioned(a, b, true);
   await fleet.clock.advance(30_000);
   expect(fleet.nodes[0]?.members.alive()).toHaveLength(4);
-  for (const [a = "", b = ""] of pairs) fleet.network.setCut(a, b, false);
+  for (const [a = "", b = ""] of pairs) fleet.network.setPartitioned(a, b, false);
   await fleet.clock.advance(30_000);
   for (const { members } of fleet.nodes) expect(members.alive()).toHaveLength(8);
   fleet.close();
@@ -119,7 +119,7 @@
   const missing = "e9#1";
   const cut = (isCut: boolean): void => {
     for (const { self } of fleet.nodes) {
-      if (self.id !== missing) fleet.network.setCut(missing, self.id, isCut);
+      if (self.id !== missing) fleet.network.setPartitioned(missing, self.id, isCut);
     }
   };
   cut(true);
@@ -135,7 +135,7 @@
 
 test("a survey returns the versions of every instance that answers and omits the others", async () => {
   const fleet = await startFleet(6);
-  fleet.nodes[4]?.freezer.freeze();
+  fleet.nodes[4]?.freezer.pause();
   const surveying = fleet.nodes[0]?.members.survey();
   await fleet.clock.advance(2_000);
   const found = await surveying;
--- a/src/process/mix_task.ts
+++ b/src/process/mix_task.ts
@@ -1,6 +1,6 @@
 import { createZoneLosses, estimateInitialDemand, planMix, sum } from "../decision/index.ts";
 import type { DemandLevel, MixOrder } from "../decision/index.ts";
-import { DUTY_CALL_TIME, Purchase } from "../interface/index.ts";
+import { PLATFORM_CALL_TIMEOUT, Purchase } from "../interface/index.ts";
 import type { CallOutcome, Clock, Platform, RoutedWorker } from "../interface/index.ts";
 import type { RoutedService } from "../version/index.ts";
 
@@ -100,7 +100,7 @@
     { zone, purchase, count }: MixOrder,
     { readyCount, inputs }: { readyCount: ReadyCount; inputs: PlanInputs },
   ): Promise<boolean> => {
-    const fence = parts.fence(DUTY_CALL_TIME);
+    const fence = parts.fence(PLATFORM_CALL_TIMEOUT);
     if (fence === undefined) return false;
     let isNewlyExhausted = false;
     const by = { holder: parts.holder, fence };
@@ -201,7 +201,7 @@
   };
   const run = async (): Promise<void> => {
     while (!isClosed()) {
-      if (parts.fence(DUTY_CALL_TIME) === undefined) {
+      if (parts.fence(PLATFORM_CALL_TIMEOUT) === undefined) {
         sent.clear();
         initialDemand.clear();
         observedDemand.clear();
--- a/src/process/mix_task_test.ts
+++ b/src/process/mix_task_test.ts
@@ -11,8 +11,8 @@
   maxConnections: 100,
   engine: undefined,
   scaling: {
-    least: 1,
-    most: 10,
+    minWorkers: 1,
+    maxWorkers: 10,
     startUp: 4_000,
     reclaimablePrice: 0.2,
     zonePrices: new Map(ZONES.map((zone) => [zone, 1])),
@@ -42,7 +42,7 @@
   let created = 0;
   const worker = (zone: string, purchase: Purchase): RoutedWorker => ({
     id: `w${created++}`,
-    born: 1,
+    startedAt: 1,
     service: SERVICE.name,
     address: "10.0.0.1:80",
     zone,
@@ -51,7 +51,7 @@
     purchase,
     isLeaving: false,
     leavesIn: undefined,
-    coldFor: 0,
+    warmupLeft: 0,
   });
   const market: Market = {
     orders: [],
--- a/src/process/operator_service.ts
+++ b/src/process/operator_service.ts
@@ -1,7 +1,7 @@
 import type { OperatorService, RequestMessage, StatusMessage } from "../connection/index.ts";
 import type { ServicesMessage } from "../connection/index.ts";
 import { sleep } from "../interface/index.ts";
-import type { Clock, RequestRecord, VersionMark } from "../interface/index.ts";
+import type { Clock, RequestRecord, ObjectVersion } from "../interface/index.ts";
 import type { RequestService } from "../request/index.ts";
 import { assignmentOf, REVISION_KEY, SLOT_MAP_KEY } from "../version/index.ts";
 import type { Revision, Service, SlotMap } from "../version/index.ts";
@@ -32,13 +32,13 @@
 export function createOperatorService(parts: OperatorServiceParts): OperatorService {
   const { changes, counters } = parts;
   return {
-    apply: (change, base) => changes.apply(change, base),
-    ask: (id) => changes.getOutcome(id),
-    everywhere: (revision) => waitEverywhere(parts, revision),
+    applyChange: (change, base) => changes.apply(change, base),
+    getChangeOutcome: (id) => changes.getOutcome(id),
+    waitUntilInForce: (revision) => waitEverywhere(parts, revision),
     status: () => statusOf(parts),
     services: () => servicesOf(parts),
     drain: parts.drain,
-    request: (id) => findRequest(parts, id),
+    findRequest: (id) => findRequest(parts, id),
     metrics: () => counters.text(),
   };
 }
@@ -59,7 +59,7 @@
   }
 }
 
-function versionOf(marks: readonly VersionMark[] | undefined, key: string): number | undefined {
+function versionOf(marks: readonly ObjectVersion[] | undefined, key: string): number | undefined {
   return marks?.find((mark) => mark.key === key)?.version;
 }
 
--- a/src/process/order_task.ts
+++ b/src/process/order_task.ts
@@ -44,7 +44,7 @@
   const isClosed = (): boolean => closed;
 
   const reconcile = async (worker: Worker, models: readonly string[]): Promise<void> => {
-    const reading = engine.report(worker);
+    const reading = engine.fetchLoad(worker);
     const report = await withTimeout(clock, reading, { limit: ORDER_TIMEOUT, step: "read" });
     if (models.every((model) => report.loaded.includes(model))) return;
     // The fencing token is taken immediately before the order is sent. A holder that was suspended while it read or
@@ -52,7 +52,7 @@
     const fence = leases.fence(worker.service, ORDER_TIMEOUT);
     if (fence === undefined) return;
     count("order.sent");
-    const order = engine.order(worker, { fence, models, role: ROLE });
+    const order = engine.setDesiredState(worker, { fence, models, role: ROLE });
     await withTimeout(clock, order, { limit: ORDER_TIMEOUT, step: "order" });
   };
   const tryReconcile = async (worker: Worker, models: readonly string[]): Promise<void> => {
--- a/src/process/peer_exchange.ts
+++ b/src/process/peer_exchange.ts
@@ -13,7 +13,7 @@
  *
  * @module
  */
-import type { DatagramParts, Datagrams } from "../connection/datagrams.ts";
+import type { DatagramSocketOptions, DatagramSocket } from "../connection/datagram_socket.ts";
 import { sample } from "../decision/index.ts";
 import { sleep } from "../interface/index.ts";
 import type { Clock, FeedDelta, Random, Timer } from "../interface/index.ts";
@@ -104,7 +104,7 @@
   readonly onChange: () => void;
   /** Called with a description when something could not be sent or read. */
   readonly onFault: (detail: string) => void;
-  readonly open: (parts: DatagramParts) => Promise<Datagrams>;
+  readonly open: (parts: DatagramSocketOptions) => Promise<DatagramSocket>;
 }
 
 /** Milliseconds between two digests to the same instance. */
@@ -148,7 +148,7 @@
     ownCountsAt: (round) => rounds.ownCountsAt(round),
     onUpdate: parts.onUpdate,
   });
-  let socket: Datagrams | undefined;
+  let socket: DatagramSocket | undefined;
   let bytesSent = 0;
   let sentAt = NEVER;
   let startedRuns = 0;
@@ -336,7 +336,11 @@
     start: async () => {
       const { onFault } = parts;
       table.start();
-      socket = await parts.open({ address: introduction.peers, onMessage: receive, onFault });
+      socket = await parts.open({
+        address: introduction.peers,
+        onMessage: receive,
+        onError: onFault,
+      });
       parts.onChange();
       void run();
     },
--- a/src/process/peer_exchange_test.ts
+++ b/src/process/peer_exchange_test.ts
@@ -283,7 +283,7 @@
   const stranger = await network.open({
     address: "10.9.9.9:9",
     onMessage: () => undefined,
-    onFault: () => undefined,
+    onError: () => undefined,
   });
   for (let size = 0; size < 200; size++) {
     const bytes = Uint8Array.from({ length: size }, () => Math.floor(random.next() * 256));
--- a/src/process/peer_fetch.ts
+++ b/src/process/peer_fetch.ts
@@ -1,5 +1,5 @@
 import { z } from "zod";
-import { createJsonCaller } from "../connection/json_call.ts";
+import { createJsonClient } from "../connection/json_client.ts";
 
 /** Timeout in milliseconds for fetching a peer's objects. */
 const FETCH_TIMEOUT = 1_000;
@@ -29,7 +29,7 @@
  * @throws {Error} If the peer doesn't answer in time or its response is invalid.
  */
 export async function fetchObjects(peer: string, kind: string): Promise<FetchedObjects> {
-  const caller = createJsonCaller(peer, 1);
+  const caller = createJsonClient(peer, 1);
   try {
     const path = `/objects/${encodeURIComponent(kind)}`;
     const answer = await caller.call({ method: "GET", path, timeout: FETCH_TIMEOUT });
--- a/src/process/planned_stop_test.ts
+++ b/src/process/planned_stop_test.ts
@@ -58,7 +58,7 @@
   const reader = owner === 1 ? undefined : script;
   void fleet.core(owner).drain();
   await fleet.clock.advance(100);
-  fleet.store.setDown(true);
+  fleet.store.setUnavailable(true);
   const handedOver = fleet.core(owner).reclaim(5_000);
   await fleet.clock.advance(4_000);
   await handedOver;
--- a/src/process/recorder_test.ts
+++ b/src/process/recorder_test.ts
@@ -3,7 +3,7 @@
 import type { Arrival, Scheduler } from "../decision/index.ts";
 import { Purchase, Refusal, WorkerState } from "../interface/index.ts";
 import type { Worker } from "../interface/index.ts";
-import { parseTrace, policyOf, PolicyName, replay } from "../standin/replay/index.ts";
+import { parseTrace, getPolicy, PolicyName, replay } from "../standin/replay/index.ts";
 import type { Trace } from "../standin/replay/index.ts";
 import { sampleDeployment } from "../standin/replay/sample_trace.ts";
 import { formatRevision, parseRevision } from "../version/index.ts";
@@ -66,7 +66,7 @@
     { t: 1_000, a: "club", s: "desk", p: 600, n: 40, m: 500, dl: 30_000 },
     { t: 2_000, n: 70, d: true, r: false, x: "a", xt: 512 },
   ]);
-  const report = replay(trace, { policy: policyOf(PolicyName.Current), seed: 1 });
+  const report = replay(trace, { policy: getPolicy(PolicyName.Current), seed: 1 });
   expect(report.groups["desk/script"]).toMatchObject({ arrived: 2, answered: 2 });
 });
 
--- a/src/process/request_quarantine.ts
+++ b/src/process/request_quarantine.ts
@@ -3,7 +3,7 @@
 import { sleep } from "../interface/index.ts";
 import type {
   Clock,
-  ErasableStore,
+  DeletableStore,
   FeedObject,
   ObjectStore,
   PutOutcome,
@@ -35,7 +35,7 @@
   readonly clock: Clock;
   /** Returns the time synchronized across instances, in milliseconds since the Unix epoch. */
   readonly time: () => number;
-  readonly store: Pick<ObjectStore, "put"> & ErasableStore;
+  readonly store: Pick<ObjectStore, "put"> & DeletableStore;
   /** Duration of a quarantine, in milliseconds. */
   readonly duration: number;
   /** Returns the total counts of all other instances for a key. */
@@ -186,7 +186,7 @@
       ? remainingTime(record) <= 0
       : time() - record.since > CRASH_TTL || evidence.hasAnswer(record.fingerprint);
   const erase = async ({ fingerprint: { name }, crashes }: CrashRecord): Promise<void> => {
-    const isGone = await store.erase(`${QUARANTINE_KEY}/${name}`);
+    const isGone = await store.delete(`${QUARANTINE_KEY}/${name}`);
     const step = isQuarantined(crashes) ? "quarantine-ended" : "suspect-ended";
     log.changed(step, { print: name, isGone });
   };
--- a/src/process/request_quarantine_test.ts
+++ b/src/process/request_quarantine_test.ts
@@ -28,7 +28,7 @@
         written.push(`${key} ${value} ${version}`);
         return Promise.resolve(outcomes.shift() ?? { kind: "written", version: 9 });
       },
-      erase: (key) => {
+      delete: (key) => {
         erased.push(key);
         return Promise.resolve(true);
       },
--- a/src/process/rollout_task.ts
+++ b/src/process/rollout_task.ts
@@ -7,9 +7,9 @@
   RouteEvidence,
   RunCounts,
 } from "../decision/index.ts";
-import { DUTY_CALL_TIME, RolloutState, sleep } from "../interface/index.ts";
+import { PLATFORM_CALL_TIMEOUT, RolloutState, sleep } from "../interface/index.ts";
 import type { Clock, ObjectStore, RolloutStore } from "../interface/index.ts";
-import { isFinal, nextStatus } from "../version/index.ts";
+import { isFinalRolloutState, nextStatus } from "../version/index.ts";
 import { countsSince, createCountHistory } from "./count_history.ts";
 import type { CountHistory } from "./count_history.ts";
 import type { RolloutView, ServiceRollout } from "./rollout_view.ts";
@@ -153,7 +153,7 @@
     { state, ...details }: Decision,
   ): Promise<void> => {
     const status = nextStatus(entry, state);
-    if (status === undefined || parts.fence(DUTY_CALL_TIME) === undefined) return;
+    if (status === undefined || parts.fence(PLATFORM_CALL_TIMEOUT) === undefined) return;
     const outcome = await parts.rollouts.setStatus(entry, status);
     log("rollout", {
       service,
@@ -168,7 +168,7 @@
   };
   const advance = async (service: string): Promise<void> => {
     const order = view.find(service);
-    if (order === undefined || isFinal(order.state)) {
+    if (order === undefined || isFinalRolloutState(order.state)) {
       startRecords.delete(service);
       histories.delete(service);
       return;
@@ -191,7 +191,7 @@
       return;
     }
     const startedAt = await loadStartTime(service, order);
-    const fence = parts.fence(DUTY_CALL_TIME);
+    const fence = parts.fence(PLATFORM_CALL_TIMEOUT);
     if (startedAt === undefined || fence === undefined) return;
     const { switchAt, completeAt } = planRollout(duration, bounds);
     const elapsed = time() - startedAt;
@@ -229,7 +229,7 @@
   };
   const run = async (): Promise<void> => {
     while (!isClosed()) {
-      if (parts.fence(DUTY_CALL_TIME) === undefined) {
+      if (parts.fence(PLATFORM_CALL_TIMEOUT) === undefined) {
         startRecords.clear();
         histories.clear();
       } else for (const service of view.services()) await advance(service);
--- a/src/process/rollout_view.ts
+++ b/src/process/rollout_view.ts
@@ -16,7 +16,7 @@
 import { RolloutState } from "../interface/index.ts";
 import type { Clock, Random, RolloutEntry, RoutedWorker } from "../interface/index.ts";
 import { rendezvousOrder, servedVersions, stateOfOrder } from "../version/index.ts";
-import type { ServedVersions, VersionStock } from "../version/index.ts";
+import type { ServedVersions, VersionWorkers } from "../version/index.ts";
 import { createRolloutPlans } from "./rollout_plan.ts";
 import type { RolloutPlan } from "./rollout_plan.ts";
 import type { RoutedLog } from "./routed_log.ts";
@@ -162,10 +162,10 @@
     }
     const stock = countVersions(serviceState.workers);
     const served = servedVersions({
-      stock,
+      workersByVersion: stock,
       entry,
-      before: previous?.base,
-      barred: serviceState.barred,
+      previousBase: previous?.base,
+      rolledBack: serviceState.barred,
     });
     if (served?.tried !== previous?.tried) {
       serviceState.share = newShare(entry);
@@ -370,9 +370,9 @@
   );
 }
 
-function countVersions(workers: readonly RoutedWorker[]): Map<string, VersionStock> {
-  const stock = new Map<string, VersionStock>();
-  for (const { version, born } of workers) {
+function countVersions(workers: readonly RoutedWorker[]): Map<string, VersionWorkers> {
+  const stock = new Map<string, VersionWorkers>();
+  for (const { version, startedAt: born } of workers) {
     const previous = stock.get(version) ?? { workers: 0, oldest: Infinity };
     stock.set(version, {
       workers: previous.workers + 1,
--- a/src/process/routed_entry.ts
+++ b/src/process/routed_entry.ts
@@ -1,4 +1,4 @@
-import { openDatagrams } from "../connection/datagrams.ts";
+import { openDatagramSocket } from "../connection/datagram_socket.ts";
 import { createWorkerConnections } from "../connection/worker_connections.ts";
 import {
   createRepeatBudget,
@@ -149,7 +149,7 @@
     onWorkers: (workers) => {
       versions?.setWorkers(workers);
       board.setWorkers(workers);
-      connections.keepOnly(new Set(workers.map(({ id }) => id)));
+      connections.retainWorkers(new Set(workers.map(({ id }) => id)));
       mix.workersChanged();
     },
   });
@@ -180,7 +180,7 @@
       versions?.updatePlans(peer.plans);
     },
     onDigestApplied: (peer) => view.afterDigest(peer),
-    open: openDatagrams,
+    open: openDatagramSocket,
   });
   const { incarnation } = fleet;
 
@@ -274,7 +274,7 @@
     repeats,
     checks: createWorkerChecks({
       clock,
-      reach: (worker) => connections.reach(worker),
+      reach: (worker) => connections.tryConnect(worker),
       isLeaving: ({ id }) => board.isLeaving(id),
       log,
       onEnded: (_worker, prints) => quarantine.recordCrash(prints),
@@ -315,7 +315,7 @@
   metrics.addGauge(
     "samphireshore_worker_connections_opened",
     "Connections opened.",
-    () => connections.opened,
+    () => connections.openedCount,
   );
 
   const drain = async (): Promise<void> => {
--- a/src/process/routed_entry_parts.ts
+++ b/src/process/routed_entry_parts.ts
@@ -1,8 +1,8 @@
 import type { IncomingMessage, ServerResponse } from "node:http";
 import type {
   Clock,
-  ErasableStore,
-  FeedList,
+  DeletableStore,
+  FeedSnapshot,
   FeedObject,
   HeaderNames,
   ObjectFeed,
@@ -42,7 +42,7 @@
   readonly clock: Clock;
   readonly random: Random;
   readonly feed: ObjectFeed;
-  readonly store: Pick<ObjectStore, "get" | "put"> & ErasableStore;
+  readonly store: Pick<ObjectStore, "get" | "put"> & DeletableStore;
   readonly rollouts: RolloutStore;
   readonly platform: Platform;
   readonly kinds: StoredKinds;
@@ -62,7 +62,7 @@
   /** Returns addresses of ready instances for callers, and their time to live in milliseconds. */
   resolve(): { addresses: string[]; life: number };
   /** Returns this instance's copy of the objects of a kind; undefined for kinds without any data. */
-  objects(kind: string): FeedList | undefined;
+  objects(kind: string): FeedSnapshot | undefined;
   /** Returns the active configuration; undefined before the first one. */
   routing(): Routing | undefined;
   /** Returns the status of this instance and its view of the fleet, for operators. */
--- a/src/process/routed_worker_table.ts
+++ b/src/process/routed_worker_table.ts
@@ -166,7 +166,7 @@
   };
   const updatedEntry = (worker: RoutedWorker): WorkerEntry => {
     const known = entries.get(worker.id);
-    const isSameProcess = known?.worker.born === worker.born;
+    const isSameProcess = known?.worker.startedAt === worker.startedAt;
     const isLeaving = worker.isLeaving || (isSameProcess && known.isLeaving);
     const hasChanged = !isSameProcess || known.worker.isLeaving !== worker.isLeaving;
     return {
@@ -239,7 +239,7 @@
       slots: worker.slots,
       excessFailureRate: health.excessFailureRate(hash, worker.service, now),
       isSameZone: worker.zone === zone,
-      warmupLeft: Math.max(0, worker.coldFor - (now - entry.seenAt)),
+      warmupLeft: Math.max(0, worker.warmupLeft - (now - entry.seenAt)),
       address: worker.address,
       service: worker.service,
       maxConnections: maxConnections,
@@ -376,7 +376,8 @@
       }
       for (const worker of workers) {
         const entry = updatedEntry(worker);
-        if (entries.get(worker.id)?.worker.born !== worker.born) limits.forget(entry.hash);
+        if (entries.get(worker.id)?.worker.startedAt !== worker.startedAt)
+          limits.forget(entry.hash);
         entries.set(worker.id, entry);
         if (entry.isLeaving) scheduleLeave(entry);
       }
@@ -442,5 +443,5 @@
 }
 
 function startKey({ worker }: WorkerEntry): string {
-  return `${worker.id}@${worker.born}`;
+  return `${worker.id}@${worker.startedAt}`;
 }
--- a/src/process/routed_worker_table_test.ts
+++ b/src/process/routed_worker_table_test.ts
@@ -36,7 +36,7 @@
 function workerNamed(id: string): RoutedWorker {
   return {
     id,
-    born: 1,
+    startedAt: 1,
     service: "desk",
     address: "127.0.0.1:1",
     zone: "a",
@@ -45,7 +45,7 @@
     purchase: Purchase.Reclaimable,
     isLeaving: false,
     leavesIn: undefined,
-    coldFor: 0,
+    warmupLeft: 0,
   };
 }
 
@@ -146,7 +146,7 @@
 test("removes the limit of a worker that restarts under the same id", () => {
   const board = startBoard();
   answerWithLimit(board, "w0", 0.2);
-  board.setWorkers([{ ...workerNamed("w0"), born: 2 }, workerNamed("w1")]);
+  board.setWorkers([{ ...workerNamed("w0"), startedAt: 2 }, workerNamed("w1")]);
   expect(sendForSeconds(board, 1)["w0"]).toBe(100);
 });
 
--- a/src/process/slot_task.ts
+++ b/src/process/slot_task.ts
@@ -7,12 +7,12 @@
   planBackups,
   planSwaps,
   planTakeover,
-  promotedBackup,
+  promoteBackup,
   rendezvousOrder,
   SLOT_MAP_KEY,
   withBackup,
 } from "../version/index.ts";
-import type { Assignment, SlotChange, SlotFleet, SlotMap } from "../version/index.ts";
+import type { SlotAssignment, SlotChange, SlotFleet, SlotMap } from "../version/index.ts";
 import type { Configuration } from "./configuration.ts";
 import type { Membership } from "./membership.ts";
 
@@ -176,7 +176,7 @@
     return (await writeMap(map.slots)) === "written";
   };
   const maintainOwnSlots = async (): Promise<boolean> => {
-    const options = { self, fleet: fleetOf(members), mostMoves: MAX_MOVES };
+    const options = { self, fleet: fleetOf(members), maxMoves: MAX_MOVES };
     const changes = [...(await copyRecords(planBackups(map, options)))];
     if (closed) return false;
     const moving = new Set(changes.map(({ slot }) => slot));
@@ -200,7 +200,7 @@
       // A leaving primary that has ceded its slots copies no more. Its backup already serves them
       // and is promoted.
       return isLeaving()
-        ? mapSlots(baseMap, slots, (before) => promotedBackup(before, present))
+        ? mapSlots(baseMap, slots, (before) => promoteBackup(before, present))
         : [];
     });
     return (await Promise.all(copies)).flat();
@@ -268,7 +268,7 @@
   const leavingZones = zonesUnderNotice(members, present);
   const outsideLeavingZones = able.filter(({ zone }) => !leavingZones.has(zone));
   const ids = new Set(present.map(({ id }) => id));
-  return { able: outsideLeavingZones.length > 0 ? outsideLeavingZones : able, present: ids };
+  return { eligible: outsideLeavingZones.length > 0 ? outsideLeavingZones : able, present: ids };
 }
 
 /**
@@ -310,7 +310,7 @@
 function mapSlots(
   map: SlotMap,
   slots: readonly number[],
-  change: (before: Assignment) => Assignment | undefined,
+  change: (before: SlotAssignment) => SlotAssignment | undefined,
 ): readonly SlotChange[] {
   return slots.flatMap((slot) => {
     const before = map.slots[slot];
--- a/src/process/slot_task_test.ts
+++ b/src/process/slot_task_test.ts
@@ -63,7 +63,7 @@
   const [first, ...survivors] = fleet.nodes;
   const before = mapAt(first);
   first?.kill();
-  fleet.store.loseAnswers(1);
+  fleet.store.dropResponses(1);
   await fleet.clock.advance(15_000);
   expect(counted(survivors, "slots.write.unknown")).toBe(1);
   const after = mapAt(survivors[0]);
@@ -111,13 +111,13 @@
   const fleet = await startAssigned({ count: 5, zones: 5 });
   const [alone, ...others] = fleet.nodes;
   const takeovers = alone?.counts.get("slots.takeover");
-  for (const { self } of others) fleet.network.setCut("e0#1", self.id, true);
+  for (const { self } of others) fleet.network.setPartitioned("e0#1", self.id, true);
   await fleet.clock.advance(30_000);
   expect(alone?.counts.get("slots.claim")).toBeGreaterThan(0);
   expect(alone?.counts.get("slots.takeover")).toBe(takeovers);
   const map = mapAt(others[0]);
   expect(ownersOf(map)).toEqual(new Set(others.map(({ self }) => self.id)));
-  for (const { self } of others) fleet.network.setCut("e0#1", self.id, false);
+  for (const { self } of others) fleet.network.setPartitioned("e0#1", self.id, false);
   await fleet.clock.advance(40_000);
   expect(ownersOf(mapAt(others[0])).has("e0#1")).toBe(true);
   fleet.close();
@@ -154,7 +154,7 @@
   // other in turn.
   const fleet = await startAssigned({ count: 4, zones: 4 });
   for (const one of ["e0#1", "e1#1"]) {
-    for (const other of ["e2#1", "e3#1"]) fleet.network.setCut(one, other, true);
+    for (const other of ["e2#1", "e3#1"]) fleet.network.setPartitioned(one, other, true);
   }
   // The members of the other half are declared dead one after another; when the first one is, most
   // owners are still considered live.
--- a/src/process/status_parts.ts
+++ b/src/process/status_parts.ts
@@ -24,7 +24,7 @@
 
 /** Returns the status of the routes, for operators. */
 export function routeStatuses(routes: readonly Route[]): RoutedStatus["routes"] {
-  return routes.map(({ name, host, pathPrefix, shares, timeout, attempts }) => {
+  return routes.map(({ name, host, pathPrefix, shares, timeout, maxAttempts: attempts }) => {
     const services = shares.map(({ service, weight }) => `${service} ${weight}`);
     return { name, host, pathPrefix, services, timeout, attempts };
   });
--- a/src/process/store_view.ts
+++ b/src/process/store_view.ts
@@ -221,7 +221,7 @@
     for (const worker of now) {
       const known = removed.get(worker.id);
       removed.delete(worker.id);
-      if (known?.born === worker.born && known.isLeaving === worker.isLeaving) continue;
+      if (known?.startedAt === worker.startedAt && known.isLeaving === worker.isLeaving) continue;
       const { id, service, zone, purchase, isLeaving, leavesIn } = worker;
       log.changed("worker", { worker: id, service, zone, purchase, isLeaving, leavesIn });
     }
--- a/src/process/testing/control_fleet.ts
+++ b/src/process/testing/control_fleet.ts
@@ -1,13 +1,13 @@
 import { createSeededRandom } from "../../interface/index.ts";
 import type { Member } from "../../interface/index.ts";
 import {
-  createFreezer,
+  createPauseControl,
   createMemoryNetwork,
   createMemoryStore,
   createVirtualClock,
 } from "../../standin/memory/index.ts";
 import type {
-  Freezer,
+  PauseControl,
   MemoryNetwork,
   MemoryStore,
   VirtualClock,
@@ -19,7 +19,7 @@
 /** The control tasks of one entry instance, with fake dependencies. */
 export interface ControlNode extends Control {
   readonly self: Member;
-  readonly freezer: Freezer;
+  readonly freezer: PauseControl;
   /** Counter values by name. */
   readonly counts: ReadonlyMap<string, number>;
   /** Requested copies of request records: the slots and the target member. */
@@ -67,7 +67,7 @@
     const self = { id: `${name}#${incarnation}`, address, callerAddress: address, zone };
     const counts = new Map<string, number>();
     const copies: { slots: readonly number[]; member: string }[] = [];
-    const freezer = createFreezer(clock);
+    const freezer = createPauseControl(clock);
     const copyTo = async (slots: readonly number[], member: Member): Promise<boolean> => {
       copies.push({ slots, member: member.id });
       return (await options.copyTo?.()) ?? true;
@@ -77,12 +77,12 @@
       seeds,
       clock: freezer.clock,
       random: createSeededRandom((options.seed ?? 1) * 1_000 + nodes.length),
-      store: store.connect(() => freezer.gate()),
+      store: store.connect(() => freezer.whenRunning()),
       peers: network.peersOf(self.id),
       requests: () => ({ copyTo }),
       count: (counted) => counts.set(counted, (counts.get(counted) ?? 0) + 1),
     });
-    network.join(self, handlersOf(control), () => freezer.gate());
+    network.join(self, handlersOf(control), () => freezer.whenRunning());
     const kill = (): void => {
       network.kill(self.id);
       control.close();
--- a/src/process/testing/datagram_network.ts
+++ b/src/process/testing/datagram_network.ts
@@ -1,9 +1,9 @@
-import type { DatagramParts, Datagrams } from "../../connection/datagrams.ts";
+import type { DatagramSocketOptions, DatagramSocket } from "../../connection/datagram_socket.ts";
 import type { Clock, Random } from "../../interface/index.ts";
 
 /** In-memory datagram network for tests, with fault injection. */
 export interface DatagramNetwork {
-  readonly open: (parts: DatagramParts) => Promise<Datagrams>;
+  readonly open: (parts: DatagramSocketOptions) => Promise<DatagramSocket>;
   /** Fractions of datagrams to lose and to duplicate, from 0 to 1. */
   faults: { lost: number; twice: number };
   /** Links that drop all datagrams, in the form `from>to`. */
@@ -18,7 +18,7 @@
 
 /** Creates a network without faults. */
 export function createDatagramNetwork(clock: Clock, random: Random): DatagramNetwork {
-  const receivers = new Map<string, DatagramParts>();
+  const receivers = new Map<string, DatagramSocketOptions>();
   const deliver = (bytes: Uint8Array, to: string): void => {
     clock.after(random.next() * MAX_DELAY, () => receivers.get(to)?.onMessage(bytes));
   };
--- a/src/process/testing/sync_fleet.ts
+++ b/src/process/testing/sync_fleet.ts
@@ -176,7 +176,7 @@
 function workerAt(index: number): RoutedWorker {
   return {
     id: `w-${index}`,
-    born: 1,
+    startedAt: 1,
     service: FLEET_SERVICE,
     address: `10.9.${index >> 8}.${index & 255}:80`,
     zone: "z0",
@@ -185,7 +185,7 @@
     purchase: Purchase.OnDemand,
     isLeaving: false,
     leavesIn: undefined,
-    coldFor: 0,
+    warmupLeft: 0,
   };
 }
 
--- a/src/process/usage_task.ts
+++ b/src/process/usage_task.ts
@@ -1,8 +1,13 @@
-import { DUTY_CALL_TIME, sleep } from "../interface/index.ts";
+import { PLATFORM_CALL_TIMEOUT, sleep } from "../interface/index.ts";
 import type { Clock, ObjectStore, Platform } from "../interface/index.ts";
 import { sum } from "../decision/index.ts";
 import type { AccountCounts, UsageLedger } from "../decision/index.ts";
-import { KEPT_WINDOWS, knownAfterFix, nextUsageStep, parseUsageRecord } from "../version/index.ts";
+import {
+  MAX_KEPT_WINDOWS,
+  usageAfterWrite,
+  nextUsageStep,
+  parseUsageRecord,
+} from "../version/index.ts";
 import type { KnownUsage, UsageRecord } from "../version/index.ts";
 
 /** Store key of the record with the final counts of each window. */
@@ -63,7 +68,7 @@
     const last = windowAt(now - COUNT_DELAY) - 1;
     const first = Math.max(
       windowAt(now - parts.windowLength - parts.lateAfter) + 1,
-      windowAt(startedAt) - KEPT_WINDOWS,
+      windowAt(startedAt) - MAX_KEPT_WINDOWS,
     );
     const windows: number[] = [];
     for (let window = first; window <= last; window++)
@@ -83,12 +88,12 @@
     record: UsageRecord,
     expect: number,
   ): Promise<KnownUsage | undefined> => {
-    if (parts.fence(DUTY_CALL_TIME) === undefined) return undefined;
+    if (parts.fence(PLATFORM_CALL_TIMEOUT) === undefined) return undefined;
     const outcome = await store.put(USAGE_KEY, JSON.stringify(record), { expect });
-    return knownAfterFix(record, outcome.kind === "written" ? outcome.version : undefined);
+    return usageAfterWrite(record, outcome.kind === "written" ? outcome.version : undefined);
   };
   const sendReport = async (window: number, counts: AccountCounts): Promise<void> => {
-    const fence = parts.fence(DUTY_CALL_TIME);
+    const fence = parts.fence(PLATFORM_CALL_TIMEOUT);
     if (fence === undefined) return;
     const outcome = await platform.reportUsage({ window, counts }, { holder: parts.holder, fence });
     const runs = sum(Object.values(counts));
@@ -111,8 +116,8 @@
   };
   const run = async (): Promise<void> => {
     while (!isClosed()) {
-      ledger.forgetBefore(windowAt(parts.time()) - KEPT_WINDOWS);
-      if (parts.fence(DUTY_CALL_TIME) !== undefined) {
+      ledger.forgetBefore(windowAt(parts.time()) - MAX_KEPT_WINDOWS);
+      if (parts.fence(PLATFORM_CALL_TIMEOUT) !== undefined) {
         for (const window of dueWindows()) await report(window);
       }
       await sleep(clock, POLL_INTERVAL);
--- a/src/process/worker_checks.ts
+++ b/src/process/worker_checks.ts
@@ -1,5 +1,5 @@
-import { Reach } from "../interface/index.ts";
-import type { Clock, WorkerPlace } from "../interface/index.ts";
+import { ConnectResult } from "../interface/index.ts";
+import type { Clock, WorkerEndpoint } from "../interface/index.ts";
 import type { RequestFingerprint, WorkerChecks } from "../request/index.ts";
 import type { RoutedLog } from "./routed_log.ts";
 
@@ -7,12 +7,12 @@
 export interface WorkerChecksParts {
   readonly clock: Clock;
   /** Tries to open a connection to a worker. */
-  readonly reach: (worker: WorkerPlace) => Promise<Reach>;
+  readonly reach: (worker: WorkerEndpoint) => Promise<ConnectResult>;
   /** Whether the worker was leaving or no longer registered, which explains its end. */
-  readonly isLeaving: (worker: WorkerPlace) => boolean;
+  readonly isLeaving: (worker: WorkerEndpoint) => boolean;
   readonly log: Pick<RoutedLog, "changed">;
   /** Called when a worker that wasn't leaving has ended, with the distinct requests that it was running. */
-  readonly onEnded: (worker: WorkerPlace, fingerprints: readonly RequestFingerprint[]) => void;
+  readonly onEnded: (worker: WorkerEndpoint, fingerprints: readonly RequestFingerprint[]) => void;
 }
 
 /** Time for which a worker's end is remembered, in milliseconds: its last connections break during this time. */
@@ -34,11 +34,11 @@
   /** Clock time at which each recently ended worker was found to have ended, by worker id. */
   const endedAt = new Map<string, number>();
 
-  const hasEnded = ({ id }: WorkerPlace): boolean =>
+  const hasEnded = ({ id }: WorkerEndpoint): boolean =>
     clock.now() - (endedAt.get(id) ?? -Infinity) < ENDED_TTL;
-  const check = async (worker: WorkerPlace): Promise<void> => {
+  const check = async (worker: WorkerEndpoint): Promise<void> => {
     const isLeaving = parts.isLeaving(worker);
-    const found = hasEnded(worker) ? Reach.Refused : await reach(worker);
+    const found = hasEnded(worker) ? ConnectResult.Refused : await reach(worker);
     const fingerprints = [...(pending.get(worker.id)?.values() ?? [])];
     pending.delete(worker.id);
     const names = fingerprints.slice(0, MAX_LOGGED_FINGERPRINTS).map(({ name }) => name);
@@ -49,7 +49,7 @@
       leaving: isLeaving,
       prints: names.join(" "),
     });
-    if (found !== Reach.Refused) return;
+    if (found !== ConnectResult.Refused) return;
     dropExpired();
     if (!hasEnded(worker)) endedAt.set(worker.id, clock.now());
     if (!isLeaving) onEnded(worker, fingerprints);
--- a/src/process/worker_checks_test.ts
+++ b/src/process/worker_checks_test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from "vitest";
-import { Reach } from "../interface/index.ts";
+import { ConnectResult } from "../interface/index.ts";
 import { fingerprintFromName } from "../request/index.ts";
 import { createVirtualClock } from "../standin/memory/index.ts";
 import { createWorkerChecks } from "./worker_checks.ts";
@@ -7,7 +7,7 @@
 const WORKER = { id: "i-1", address: "10.0.0.1:80" };
 const [a, b, c] = ["a", "b", "c"].map((letter) => fingerprintFromName(letter.repeat(16)));
 
-function setUp(found: Reach, isLeaving = false) {
+function setUp(found: ConnectResult, isLeaving = false) {
   const clock = createVirtualClock();
   const ended: string[][] = [];
   let reached = 0;
@@ -26,7 +26,7 @@
 }
 
 test("reports a worker that refuses connections as ended with all its requests, after one attempt", async () => {
-  const { clock, checks, ended, reached } = setUp(Reach.Refused);
+  const { clock, checks, ended, reached } = setUp(ConnectResult.Refused);
   for (const print of [a, b, a])
     if (print !== undefined) checks.reportBrokenConnection(WORKER, print);
   await clock.advance(10);
@@ -35,7 +35,7 @@
 });
 
 test("attributes a run whose connection breaks slightly later to the same end of the worker", async () => {
-  const { clock, checks, ended, reached } = setUp(Reach.Refused);
+  const { clock, checks, ended, reached } = setUp(ConnectResult.Refused);
   if (a !== undefined) checks.reportBrokenConnection(WORKER, a);
   await clock.advance(300);
   if (c !== undefined) checks.reportBrokenConnection(WORKER, c);
@@ -45,14 +45,14 @@
 });
 
 test("does not report the requests of a leaving worker as the cause of its end", async () => {
-  const { clock, checks, ended } = setUp(Reach.Refused, true);
+  const { clock, checks, ended } = setUp(ConnectResult.Refused, true);
   if (a !== undefined) checks.reportBrokenConnection(WORKER, a);
   await clock.advance(10);
   expect(ended).toEqual([]);
 });
 
 // Connections may be reset while their workers keep running. Their requests must not count as crashes.
-test.each([Reach.Accepted, Reach.Unanswered])(
+test.each([ConnectResult.Accepted, ConnectResult.Unanswered])(
   "does not report a worker as ended if a new connection is %s",
   async (found) => {
     const { clock, checks, ended } = setUp(found);
--- a/src/process/worker_roster_test.ts
+++ b/src/process/worker_roster_test.ts
@@ -7,7 +7,7 @@
 function worker(id: string, isLeaving = false): RoutedWorker {
   return {
     id,
-    born: 1,
+    startedAt: 1,
     service: "desk",
     address: "10.0.0.1:80",
     zone: "a",
@@ -16,7 +16,7 @@
     purchase: Purchase.OnDemand,
     isLeaving,
     leavesIn: undefined,
-    coldFor: 0,
+    warmupLeft: 0,
   };
 }
 
--- a/src/request/answer_whole_test.ts
+++ b/src/request/answer_whole_test.ts
@@ -23,7 +23,7 @@
     const fleet = await startedFleet();
     const caller = fleet.submit(0);
     await fleet.clock.advance(at);
-    fleet.engines.silence("w1");
+    fleet.engines.hangOpenConnections("w1");
     await fleet.clock.advance(40_000);
     expect(caller.text).toBe(expectedAnswer());
     expect(endedRecord(caller)?.state).toBe(RequestState.Complete);
@@ -38,7 +38,7 @@
   const fleet = await startedFleet();
   const caller = fleet.submit(2, { key: "k", body: '{"max_tokens":20}' });
   await fleet.clock.advance(100);
-  fleet.network.silence("e2#1", "e0#1");
+  fleet.network.hangOpenConnections("e2#1", "e0#1");
   await fleet.clock.advance(10_000);
   expect(caller.text).toBe(expectedAnswer(20));
   expect(fleet.engines.runs).toHaveLength(1);
@@ -90,7 +90,7 @@
   const fleet = await startedFleet();
   const caller = fleet.submit(0, { body: '{"max_tokens":20}' });
   await fleet.clock.advance(100);
-  fleet.engines.slow("w1", 1_000);
+  fleet.engines.setSlowdown("w1", 1_000);
   await fleet.clock.advance(30_000);
   expect(caller.text).toBe(expectedAnswer(20));
   await fleet.clock.advance(60_000);
--- a/src/request/at_most_once_test.ts
+++ b/src/request/at_most_once_test.ts
@@ -50,11 +50,11 @@
     const fleet = await startedFleet();
     const caller = fleet.submit(2, ENTRY);
     await fleet.clock.advance(at);
-    fleet.node(0).freezer.freeze();
+    fleet.node(0).freezer.pause();
     await fleet.clock.advance(3_000);
     fleet.assign(1, 2);
     await fleet.clock.advance(2_000);
-    fleet.node(0).freezer.wake();
+    fleet.node(0).freezer.resume();
     await fleet.clock.advance(90_000);
     expectConsistent(fleet, caller);
     fleet.close();
@@ -66,8 +66,8 @@
   // submits the entry to it, and another submits the same entry to the new owner.
   const fleet = await startedFleet();
   fleet.node(0).isIsolated = true;
-  fleet.network.setCut("e0#1", "e1#1", true);
-  fleet.network.setCut("e0#1", "e2#1", true);
+  fleet.network.setPartitioned("e0#1", "e1#1", true);
+  fleet.network.setPartitioned("e0#1", "e2#1", true);
   fleet.assign(1, 2);
   await fleet.clock.advance(10);
   const behind = fleet.submit(0, ENTRY);
@@ -75,8 +75,8 @@
   await fleet.clock.advance(10_000);
   expect(ahead.text).toBe(expectedAnswer());
   expect(behind.events.at(-1)).toMatchObject({ kind: "rejected", rejection: { notRun: false } });
-  fleet.network.setCut("e0#1", "e1#1", false);
-  fleet.network.setCut("e0#1", "e2#1", false);
+  fleet.network.setPartitioned("e0#1", "e1#1", false);
+  fleet.network.setPartitioned("e0#1", "e2#1", false);
   await fleet.clock.advance(90_000);
   expect(fleet.engines.runs).toHaveLength(1);
   fleet.close();
@@ -92,7 +92,7 @@
   await fleet.clock.advance(2);
   fleet.setWorkers([]);
   await fleet.clock.advance(100);
-  fleet.network.setCut("e0#1", "e1#1", true);
+  fleet.network.setPartitioned("e0#1", "e1#1", true);
   fleet.setWorkers(workers);
   await fleet.clock.advance(10_000);
   expect(fleet.engines.runs).toHaveLength(0);
--- a/src/request/caller_response.ts
+++ b/src/request/caller_response.ts
@@ -1,5 +1,5 @@
 import type { ServerResponse } from "node:http";
-import type { AnswerHead } from "../interface/index.ts";
+import type { ResponseHead } from "../interface/index.ts";
 import { buildResponseHeaders } from "./routed_headers.ts";
 
 /** Reason for which the entry instance itself ends a routed request. */
@@ -60,9 +60,9 @@
   /** Whether the response has ended or the caller has disconnected. */
   readonly isClosed: boolean;
   /** Sends a complete worker response. */
-  sendComplete(head: AnswerHead, body: Buffer): void;
+  sendComplete(head: ResponseHead, body: Buffer): void;
   /** Starts a worker response of unknown length. */
-  start(head: AnswerHead): void;
+  start(head: ResponseHead): void;
   /**
    * Writes a part of a response that was started.
    *
--- a/src/request/handover.ts
+++ b/src/request/handover.ts
@@ -1,5 +1,5 @@
 import { MemberState, SlotOutcome, sleep } from "../interface/index.ts";
-import type { CedeMessage, Member, Timer } from "../interface/index.ts";
+import type { HandoverMessage, Member, Timer } from "../interface/index.ts";
 import { rendezvousOrder } from "../version/index.ts";
 import type { Environment } from "./environment.ts";
 import type { OwnedRequests } from "./owned_requests.ts";
@@ -57,7 +57,7 @@
 
   const sendHandover = async (
     to: Member,
-    message: CedeMessage,
+    message: HandoverMessage,
   ): Promise<SlotOutcome | undefined> => {
     for (let tries = 0; tries < MAX_ATTEMPTS; tries++) {
       try {
--- a/src/request/moved_run_test.ts
+++ b/src/request/moved_run_test.ts
@@ -52,7 +52,7 @@
   // Without a token there is nothing to continue from. At another server, the request would run a
   // second time.
   const fleet = await fleetWith([createTestWorker("w1")]);
-  fleet.engines.slow("w1", 1_000);
+  fleet.engines.setSlowdown("w1", 1_000);
   fleet.submit(0, { key: "entry", repeatable: false, body: BODY });
   await fleet.clock.advance(1_000);
   await reclaimFirst(fleet);
@@ -104,7 +104,7 @@
   // The notice comes while the server still reads the prompt, so the request can't be moved yet. It
   // must be moved once tokens arrive, before the server is gone.
   const fleet = await fleetWith([createTestWorker("w1")]);
-  fleet.engines.slow("w1", 50);
+  fleet.engines.setSlowdown("w1", 50);
   const caller = fleet.submit(0, { key: "entry", repeatable: false, body: BODY });
   await fleet.clock.advance(100);
   await reclaimFirst(fleet);
--- a/src/request/not_run_test.ts
+++ b/src/request/not_run_test.ts
@@ -15,7 +15,7 @@
   // have it and run it after a takeover, so "not run" could become false. The caller can ask with
   // the id.
   const fleet = await startedFleet();
-  fleet.network.setCut("e0#1", "e1#1", true);
+  fleet.network.setPartitioned("e0#1", "e1#1", true);
   const caller = fleet.submit(0);
   await fleet.clock.advance(2_100);
   expect(caller.events).toMatchObject([
@@ -23,7 +23,7 @@
   ]);
   const [rejected] = caller.events;
   const id = rejected?.kind === "rejected" ? (rejected.rejection.id ?? "") : "";
-  fleet.network.setCut("e0#1", "e1#1", false);
+  fleet.network.setPartitioned("e0#1", "e1#1", false);
   await fleet.clock.advance(5_000);
   const follower = fleet.follow(2, id);
   await fleet.clock.advance(1_000);
@@ -88,7 +88,7 @@
   // The backup has stored the record, but its acknowledgement was lost. The caller sees only a
   // short delay.
   const fleet = await startedFleet();
-  fleet.network.loseAnswers("e0#1", "e1#1", 1);
+  fleet.network.dropResponses("e0#1", "e1#1", 1);
   const caller = fleet.submit(0);
   await fleet.clock.advance(3_000);
   expect(caller.text).toBe(expectedAnswer());
@@ -102,7 +102,7 @@
   const fleet = await startedFleet();
   const caller = fleet.submit(2, { key: "entry", repeatable: false });
   await fleet.clock.advance(5);
-  fleet.network.loseAnswers("e0#1", "e1#1", 5);
+  fleet.network.dropResponses("e0#1", "e1#1", 5);
   await fleet.clock.advance(10);
   fleet.kill(0);
   fleet.assign(1, 2);
@@ -138,7 +138,7 @@
   await fleet.clock.settle();
   fleet.setWorkers([]);
   await fleet.clock.advance(100);
-  fleet.network.setCut("e0#1", "e1#1", true);
+  fleet.network.setPartitioned("e0#1", "e1#1", true);
   await fleet.clock.advance(6_000);
   expect(caller.events.at(-1)).toMatchObject({
     kind: "rejected",
--- a/src/request/owned_requests.ts
+++ b/src/request/owned_requests.ts
@@ -1,5 +1,5 @@
 import type { Job } from "../decision/index.ts";
-import { hasEnded, Refusal, RequestState, RetryCause } from "../interface/index.ts";
+import { isFinalRequestState, Refusal, RequestState, RetryCause } from "../interface/index.ts";
 import type { RelayEvent, RelayMessage, RequestRecord } from "../interface/index.ts";
 import { toArrival, createInheritedJob } from "./arrival.ts";
 import {
@@ -84,7 +84,7 @@
     slotRequests?.delete(live);
     if (slotRequests?.size === 0) liveBySlot.delete(slot);
     const record = table.find(slot, id);
-    if (record !== undefined && hasEnded(record.state)) retention.add(record);
+    if (record !== undefined && isFinalRequestState(record.state)) retention.add(record);
     ownedRequests.onSettled(slot);
   };
   const run = async (
@@ -236,7 +236,7 @@
       return refusal(record, { reason: Refusal.KeyConflict, detail });
     }
     if (live !== undefined) return live;
-    if (!hasEnded(held.state)) return continueRequest(held);
+    if (!isFinalRequestState(held.state)) return continueRequest(held);
     // A request that has certainly not run may be retried with the same key.
     if (!follow && held.keyed && held.state === RequestState.NotRun)
       return acceptAgain(held, record);
@@ -275,7 +275,7 @@
       if (live === undefined) return table.find(slot, id);
       const snapshot = live.snapshot();
       // An end that may not be reported yet is shown as a request in progress.
-      const isUnreported = hasEnded(snapshot.state) && live.finalEvent === undefined;
+      const isUnreported = isFinalRequestState(snapshot.state) && live.finalEvent === undefined;
       return isUnreported
         ? { ...snapshot, state: RequestState.Streaming, reason: Refusal.None }
         : snapshot;
@@ -292,7 +292,7 @@
           remove(live);
         }
         if (liveById.has(record.id)) replicator.send(record);
-        else if (!hasEnded(record.state)) continueRequest(record);
+        else if (!isFinalRequestState(record.state)) continueRequest(record);
         else {
           replicator.send(record);
           retention.add(record);
--- a/src/request/replicator.ts
+++ b/src/request/replicator.ts
@@ -1,4 +1,4 @@
-import { hasEnded, RequestState, SlotOutcome } from "../interface/index.ts";
+import { isFinalRequestState, RequestState, SlotOutcome } from "../interface/index.ts";
 import type { ReplicateMessage, RequestRecord } from "../interface/index.ts";
 import type { Environment } from "./environment.ts";
 import {
@@ -79,7 +79,8 @@
   const settle = (replication: Replication, state: CopyState): void => {
     const { id, slot } = replication.key;
     replications.delete(id);
-    if (hasEnded(table.find(slot, id)?.state ?? RequestState.Complete)) copiedTokens.delete(id);
+    if (isFinalRequestState(table.find(slot, id)?.state ?? RequestState.Complete))
+      copiedTokens.delete(id);
     for (const notify of replication.listeners) notify(state);
     replication.listeners.clear();
   };
--- a/src/request/request_forwarding.ts
+++ b/src/request/request_forwarding.ts
@@ -1,4 +1,10 @@
-import { hasEnded, MemberState, Refusal, RequestState, RetryCause } from "../interface/index.ts";
+import {
+  isFinalRequestState,
+  MemberState,
+  Refusal,
+  RequestState,
+  RetryCause,
+} from "../interface/index.ts";
 import type { Member, RelayEvent, RelayMessage, RequestRecord } from "../interface/index.ts";
 import { assignmentOf } from "../version/index.ts";
 import type { Environment } from "./environment.ts";
@@ -182,7 +188,7 @@
   { record, retryAfter }: Extract<RelayEvent, { kind: "ended" }>,
 ): CallerEvent {
   const notRun = record.state === RequestState.NotRun;
-  if (hasEnded(record.state) && (isAccepted || !notRun)) {
+  if (isFinalRequestState(record.state) && (isAccepted || !notRun)) {
     return { kind: "ended", record, ...(retryAfter === undefined ? {} : { retryAfter }) };
   }
   const rejection: Rejection = {
--- a/src/request/request_inquiry.ts
+++ b/src/request/request_inquiry.ts
@@ -1,4 +1,4 @@
-import { EngineKnowledge, Refusal } from "../interface/index.ts";
+import { EngineRequestState, Refusal } from "../interface/index.ts";
 import type { Worker } from "../interface/index.ts";
 import { reattach } from "./engine_attempt.ts";
 import { StopReason } from "./live_request.ts";
@@ -74,19 +74,21 @@
 ): Promise<RunOutcome | undefined> {
   const { engine } = context.environment;
   const { id } = live.record;
-  const inquiry = engine.ask(worker, id, { bar: true }).catch(() => EngineKnowledge.Unknown);
+  const inquiry = engine
+    .queryRequest(worker, id, { bar: true })
+    .catch(() => EngineRequestState.Unknown);
   const knowledge = await unlessStopped(live, inquiry);
   if (live.stopReason !== undefined) return stopOutcome(live);
-  if (knowledge === EngineKnowledge.Barred) {
+  if (knowledge === EngineRequestState.Barred) {
     live.isPossiblySent = false;
     live.refusedBy.add(worker.id);
     return undefined;
   }
-  if (knowledge === EngineKnowledge.Cancelled && live.tokens.length > 0) {
+  if (knowledge === EngineRequestState.Cancelled && live.tokens.length > 0) {
     markMovable(live, worker);
     return undefined;
   }
-  if (knowledge === EngineKnowledge.Running || knowledge === EngineKnowledge.Finished) {
+  if (knowledge === EngineRequestState.Running || knowledge === EngineRequestState.Finished) {
     const end = await reattach(context, live, { worker, cause: undefined });
     const outcome = toOutcome(end, live);
     if (outcome !== undefined) return outcome;
--- a/src/request/request_run.ts
+++ b/src/request/request_run.ts
@@ -1,6 +1,12 @@
 import { RunEnd } from "../decision/index.ts";
 import type { Job } from "../decision/index.ts";
-import { hasEnded, Refusal, RequestState, RetryCause, sleep } from "../interface/index.ts";
+import {
+  isFinalRequestState,
+  Refusal,
+  RequestState,
+  RetryCause,
+  sleep,
+} from "../interface/index.ts";
 import type { Worker } from "../interface/index.ts";
 import { reattach, dispatch } from "./engine_attempt.ts";
 import { StopReason } from "./live_request.ts";
@@ -179,7 +185,8 @@
   const { id, slot, repeatable } = live.record;
   // The slot may have ended the request meanwhile, because this instance missed another owner's
   // changes.
-  if (hasEnded(table.find(slot, id)?.state ?? live.record.state)) return Permission.NotOwner;
+  if (isFinalRequestState(table.find(slot, id)?.state ?? live.record.state))
+    return Permission.NotOwner;
   if (!repeatable && ownsSlot(table.get(slot))) {
     live.record = table.write({
       ...live.record,
--- a/src/request/request_service.ts
+++ b/src/request/request_service.ts
@@ -1,9 +1,9 @@
 import { EntryMode, Lane } from "../decision/index.ts";
-import { hasEnded, Refusal, RequestState, SlotOutcome } from "../interface/index.ts";
+import { isFinalRequestState, Refusal, RequestState, SlotOutcome } from "../interface/index.ts";
 import type {
   AskMessage,
   AskReply,
-  CedeMessage,
+  HandoverMessage,
   RequestRecord,
   SlotReply,
 } from "../interface/index.ts";
@@ -160,10 +160,11 @@
     if (epoch > reply.epoch) void configuration.refresh().catch(() => undefined);
     return reply;
   };
-  const receiveCede = (message: CedeMessage): SlotReply => {
+  const receiveCede = (message: HandoverMessage): SlotReply => {
     const before = table.get(message.slot);
     const reply = table.applyTransition(receiveHandover(before, message));
-    for (const record of message.records) if (hasEnded(record.state)) retention.add(record);
+    for (const record of message.records)
+      if (isFinalRequestState(record.state)) retention.add(record);
     const after = table.get(message.slot);
     // Changes of the role are handled by the listener. This continues records that an owner
     // received.
@@ -184,7 +185,7 @@
     handlers: {
       replicate: (message) => {
         const reply = table.applyTransition(receiveRecord(table.get(message.slot), message));
-        if (hasEnded(message.record.state)) retention.add(message.record);
+        if (isFinalRequestState(message.record.state)) retention.add(message.record);
         return refreshIfBehind(reply, message);
       },
       cede: receiveCede,
--- a/src/request/request_service_test.ts
+++ b/src/request/request_service_test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from "vitest";
-import { EngineKnowledge, MemberState, Refusal, RequestState } from "../interface/index.ts";
+import { EngineRequestState, MemberState, Refusal, RequestState } from "../interface/index.ts";
 import {
   expectedAnswer,
   createRequestFleet,
@@ -84,9 +84,11 @@
   await fleet.clock.advance(100);
   await cancelled;
   expect(endedRecord(caller)?.state).toBe(RequestState.Cancelled);
-  const knowledge = fleet.engines.connect().ask(createTestWorker("w1"), caller.id, { bar: false });
+  const knowledge = fleet.engines
+    .connect()
+    .queryRequest(createTestWorker("w1"), caller.id, { bar: false });
   await fleet.clock.advance(100);
-  expect(await knowledge).toBe(EngineKnowledge.Cancelled);
+  expect(await knowledge).toBe(EngineRequestState.Cancelled);
   fleet.close();
 });
 
--- a/src/request/routed_arrival.ts
+++ b/src/request/routed_arrival.ts
@@ -52,7 +52,7 @@
   if (route === undefined) return { kind: "no-route" };
   let account: RoutedAccount | undefined;
   if (table.routing.accounts !== undefined && !route.isPublic) {
-    account = table.accountOf(header(names.key) ?? "");
+    account = table.accountForKey(header(names.key) ?? "");
     if (account === undefined) return { kind: "unknown-key" };
   }
   const deadline = parsePositiveNumber(header(names.deadline)) ?? Infinity;
@@ -65,7 +65,7 @@
     deadlineAt: now + Math.min(deadline, route.timeout),
     declaredTokens: parseTokens(header(names.tokens)),
     promptParts: parsePromptParts(header(names.promptParts)),
-    rank: account?.rank ?? route.rank,
+    rank: account?.priority ?? route.priority,
   };
 }
 
--- a/src/request/routed_attempt.ts
+++ b/src/request/routed_attempt.ts
@@ -1,5 +1,5 @@
 import { isWorkerSilent } from "../decision/index.ts";
-import type { AnswerHead, Exchange } from "../interface/index.ts";
+import type { ResponseHead, Exchange } from "../interface/index.ts";
 import type { WorkerRun, CandidateWorker } from "./routed_context.ts";
 
 /** One attempt to run a request at one worker. */
@@ -13,7 +13,7 @@
   /** The HTTP exchange; undefined until the request is sent. */
   exchange: Exchange | undefined;
   /** The head of the response; undefined until it arrives. */
-  head: AnswerHead | undefined;
+  head: ResponseHead | undefined;
   /** Buffered body of a response that is not streamed. */
   readonly chunks: Buffer[];
   /** Bytes of the body received so far. */
--- a/src/request/routed_context.ts
+++ b/src/request/routed_context.ts
@@ -11,7 +11,7 @@
   HeaderNames,
   Random,
   WorkerConnections,
-  WorkerPlace,
+  WorkerEndpoint,
 } from "../interface/index.ts";
 import type { RoutedService, RouteTable } from "../version/index.ts";
 import type { RequestFingerprint } from "./request_fingerprint.ts";
@@ -51,7 +51,7 @@
 }
 
 /** A worker that may receive requests. */
-export interface CandidateWorker extends RankedWorker, WorkerPlace {
+export interface CandidateWorker extends RankedWorker, WorkerEndpoint {
   /** Name of the worker's service. */
   readonly service: string;
   /** Maximum number of connections from this instance to the worker. */
@@ -101,7 +101,7 @@
 /** Determines what happened to workers that lost their connection during a run. */
 export interface WorkerChecks {
   /** Reports that the connection to the worker broke while it ran the request. */
-  reportBrokenConnection(worker: WorkerPlace, print: RequestFingerprint): void;
+  reportBrokenConnection(worker: WorkerEndpoint, print: RequestFingerprint): void;
 }
 
 /** The fields of a line of the decision log besides the request id. */
--- a/src/request/routed_headers.ts
+++ b/src/request/routed_headers.ts
@@ -1,5 +1,5 @@
 import type { IncomingMessage } from "node:http";
-import type { AnswerHead, HeaderNames } from "../interface/index.ts";
+import type { ResponseHead, HeaderNames } from "../interface/index.ts";
 
 /**
  * Headers that apply to a single connection. The framing of the body is set again for the next
@@ -80,7 +80,7 @@
 }
 
 /** Returns the headers of a worker's response that are sent to the caller. */
-export function buildResponseHeaders({ headers, byName }: AnswerHead): string[] {
+export function buildResponseHeaders({ headers, byName }: ResponseHead): string[] {
   const dropped = new Set([
     ...CONNECTION_HEADERS,
     ...parseConnectionHeader(byName.get("connection")),
@@ -95,7 +95,7 @@
  * Returns undefined if the header is missing or malformed.
  */
 export function parseWorkerLimit(
-  { byName }: Pick<AnswerHead, "byName">,
+  { byName }: Pick<ResponseHead, "byName">,
   names: Pick<HeaderNames, "workerLimit">,
 ): number | undefined {
   const text = byName.get(names.workerLimit);
--- a/src/request/routed_run.ts
+++ b/src/request/routed_run.ts
@@ -2,7 +2,7 @@
 import { createEventSplitter } from "./event_splitter.ts";
 import { offerRetryDelay } from "../decision/index.ts";
 import type { RankedChoice } from "../decision/index.ts";
-import type { AnswerHead, Exchange, ExchangeEnd, Timer } from "../interface/index.ts";
+import type { ResponseHead, Exchange, ExchangeEnd, Timer } from "../interface/index.ts";
 import { Delivery, Repetition } from "../version/index.ts";
 import type { RoutedService } from "../version/index.ts";
 import { RoutedRefusal } from "./caller_response.ts";
@@ -208,7 +208,7 @@
           end: (end) => onEnd(attempt, end),
         },
         repeatable,
-        most: worker.maxConnections,
+        maxConnections: worker.maxConnections,
       },
     );
     if (exchange === undefined) {
@@ -237,7 +237,7 @@
     }
     return true;
   };
-  const onHead = (attempt: Attempt, head: AnswerHead): void => {
+  const onHead = (attempt: Attempt, head: ResponseHead): void => {
     if (current !== attempt) return;
     attempt.lastReceivedAt = clock.now();
     attempt.head = head;
@@ -359,7 +359,7 @@
     }
     sendComplete(head, body);
   };
-  const sendComplete = (head: AnswerHead, body: Buffer): void =>
+  const sendComplete = (head: ResponseHead, body: Buffer): void =>
     complete(head.status, () => response.sendComplete(head, body));
   /** Tries another worker, or calls the function if there is none. */
   const tryNextOrElse = (fallback: () => void): void => {
@@ -367,7 +367,7 @@
     if (hasOtherWorker) tryNext();
     else fallback();
   };
-  const handleRefusedContinuation = (attempt: Attempt, head: AnswerHead): void => {
+  const handleRefusedContinuation = (attempt: Attempt, head: ResponseHead): void => {
     if (head.byName.has(names.notRun)) runs--;
     logStep("not-continued", { worker: attempt.worker.id, status: head.status });
     retryElsewhere("not-continued");
@@ -389,7 +389,7 @@
     logStep("answered", { status, runs, after: Math.round(elapsed) });
     if (!response.isClosed) write();
   };
-  const canRepeat = (): boolean => repeatable && runs < route.attempts;
+  const canRepeat = (): boolean => repeatable && runs < route.maxAttempts;
   /** Handles an attempt that failed after it may have run. */
   const retry = (cause: string): void => {
     hasPossiblyRun = true;
@@ -402,7 +402,7 @@
   };
   const retryElsewhere = (cause: string): void => {
     endAttempt(RunResult.Failed);
-    if (runs >= route.attempts || !repeats.take(service.name, clock.now())) {
+    if (runs >= route.maxAttempts || !repeats.take(service.name, clock.now())) {
       giveUp(RoutedRefusal.Refused, BUSY_RETRY_AFTER);
       return;
     }
@@ -414,12 +414,12 @@
     silenceTimer?.close();
     silenceTimer = clock.after(SILENCE_CHECK_INTERVAL, () => {
       if (isDone || current !== attempt) return;
-      const heardAt = connections.heardAt(attempt.worker.id);
+      const heardAt = connections.lastReceivedAt(attempt.worker.id);
       const check = {
         now: clock.now(),
         workerLastReceivedAt: heardAt,
         isStream,
-        target: route.target,
+        target: route.latencyTarget,
       };
       if (!isHungAttempt(attempt, check) || !canRepeat()) {
         watchSilence(attempt);
--- a/src/request/routed_service.ts
+++ b/src/request/routed_service.ts
@@ -79,7 +79,7 @@
       refuse(callerResponse, { reason, id });
       return;
     }
-    readBody(request, table.routing.limits.bodyBytes, (body) => {
+    readBody(request, table.routing.limits.maxBodyBytes, (body) => {
       if (body === "too-large") {
         refuse(callerResponse, { reason: RoutedRefusal.BodyTooLarge, id });
         return;
--- a/src/request/slot_replica.ts
+++ b/src/request/slot_replica.ts
@@ -10,15 +10,15 @@
  *
  * @module
  */
-import { hasEnded, Refusal, RequestState, SlotOutcome } from "../interface/index.ts";
+import { isFinalRequestState, Refusal, RequestState, SlotOutcome } from "../interface/index.ts";
 import type {
-  CedeMessage,
+  HandoverMessage,
   ReplicateMessage,
   RequestRecord,
   SlotReply,
 } from "../interface/index.ts";
 import { UNASSIGNED } from "../version/index.ts";
-import type { Assignment } from "../version/index.ts";
+import type { SlotAssignment } from "../version/index.ts";
 
 /** The role of an instance for a slot. */
 export enum Stance {
@@ -108,7 +108,7 @@
   readonly self: string;
   readonly slot: number;
   /** The latest assignment received. */
-  readonly assignment: Assignment;
+  readonly assignment: SlotAssignment;
   /** The instance's role for the slot. */
   readonly stance: Stance;
   /** Epoch up to which this instance has received every record of the slot. */
@@ -197,7 +197,7 @@
  */
 export function applyAssignment(
   replica: SlotReplica,
-  assignment: Assignment,
+  assignment: SlotAssignment,
   rules: Rules = ALL_RULES,
 ): SlotReplica {
   if (assignment.epoch <= replica.assignment.epoch) return replica;
@@ -243,7 +243,7 @@
 
 function completeThroughAfter(
   replica: SlotReplica,
-  { assignment, stance }: { assignment: Assignment; stance: Stance },
+  { assignment, stance }: { assignment: SlotAssignment; stance: Stance },
 ): number {
   // The history starts anew where the slot map marks it as lost. Older keys are refused because of
   // that mark.
@@ -261,7 +261,7 @@
   const { record } = held;
   const isFresh = held.latestThroughEpoch >= replica.assignment.epoch || !rules.freshCopy;
   if (isFresh || replica.stance !== Stance.Primary) return held;
-  if (record.repeatable || hasEnded(record.state)) return held;
+  if (record.repeatable || isFinalRequestState(record.state)) return held;
   const ended = {
     ...record,
     state: RequestState.MayHaveRun,
@@ -272,7 +272,7 @@
   return { record: ended, acknowledged: 0, epoch, latestThroughEpoch: epoch, own: true };
 }
 
-function roleIn(assignment: Assignment, self: string): Stance {
+function roleIn(assignment: SlotAssignment, self: string): Stance {
   if (assignment.primary === self) return Stance.Primary;
   if (assignment.backup === self) return Stance.Backup;
   return Stance.None;
@@ -469,7 +469,7 @@
 /** Whether the end in the record may be reported to the caller. */
 export function canReportEnd(replica: SlotReplica, id: string, rules: Rules = ALL_RULES): boolean {
   const held = replica.records.get(id);
-  if (held === undefined || !hasEnded(held.record.state)) return false;
+  if (held === undefined || !isFinalRequestState(held.record.state)) return false;
   if (!ownsSlot(replica)) return false;
   const needsAcknowledgement =
     held.record.state === RequestState.NotRun ? rules.notRunAck : mustSurviveOwner(held);
@@ -483,7 +483,7 @@
 
 /** Returns what a new owner does with an inherited record. */
 export function takeoverActionFor(record: RequestRecord, rules: Rules = ALL_RULES): TakeoverAction {
-  if (hasEnded(record.state)) return TakeoverAction.Keep;
+  if (isFinalRequestState(record.state)) return TakeoverAction.Keep;
   if (record.repeatable || record.state === RequestState.Accepted) return TakeoverAction.Run;
   return rules.intentBlocks ? TakeoverAction.Inquire : TakeoverAction.Run;
 }
@@ -491,7 +491,7 @@
 /** The state of a slot after a handover, and the message that performs it. */
 export interface SlotHandover {
   readonly replica: SlotReplica;
-  readonly message: CedeMessage;
+  readonly message: HandoverMessage;
 }
 
 /**
@@ -512,7 +512,7 @@
     rules.cedeToNamed && !(replica.assignment.backup === to && canHandOver(replica));
   const isOrWasOwner = ownsSlot(replica) || replica.stance === Stance.Ceded;
   const { epoch } = replica.assignment;
-  const message: CedeMessage = {
+  const message: HandoverMessage = {
     from: replica.self,
     slot: replica.slot,
     epoch: isOrWasOwner ? epoch : Math.min(epoch - 1, oldestCopyEpoch(replica)),
@@ -532,7 +532,7 @@
  * this instance continues to own the slot, so they carry epoch 0 and any copy made after the new
  * assignment replaces them.
  */
-export function createCopyMessage(replica: SlotReplica): CedeMessage {
+export function createCopyMessage(replica: SlotReplica): HandoverMessage {
   return {
     from: replica.self,
     slot: replica.slot,
@@ -551,7 +551,7 @@
  * @returns Undefined if this primary doesn't have the whole history itself, or the backup hasn't
  * acknowledged every record yet.
  */
-export function createCompletionMessage(replica: SlotReplica): CedeMessage | undefined {
+export function createCompletionMessage(replica: SlotReplica): HandoverMessage | undefined {
   const { epoch, backup } = replica.assignment;
   if (replica.stance !== Stance.Primary || backup === "" || replica.completeThroughEpoch < epoch) {
     return undefined;
@@ -590,7 +590,7 @@
 /** Handles a handover message. A duplicate is acknowledged again and changes nothing. */
 export function receiveHandover(
   replica: SlotReplica,
-  message: CedeMessage,
+  message: HandoverMessage,
   rules: Rules = ALL_RULES,
 ): TransitionResult {
   const { epoch } = message;
--- a/src/request/testing/request_fleet.ts
+++ b/src/request/testing/request_fleet.ts
@@ -2,19 +2,19 @@
 import { createSeededRandom, MemberState, Purchase, WorkerState } from "../../interface/index.ts";
 import type { Member, PeerHandlers, RequestRecord, Worker } from "../../interface/index.ts";
 import {
-  createFreezer,
+  createPauseControl,
   createMemoryEngines,
   createMemoryNetwork,
   createVirtualClock,
 } from "../../standin/memory/index.ts";
 import type {
-  Freezer,
+  PauseControl,
   MemoryEngines,
   MemoryNetwork,
   VirtualClock,
 } from "../../standin/memory/index.ts";
 import { EMPTY_SLOT_MAP } from "../../version/index.ts";
-import type { Assignment, SlotMap } from "../../version/index.ts";
+import type { SlotAssignment, SlotMap } from "../../version/index.ts";
 import type { Counters } from "../environment.ts";
 import type { CallerEvent, RequestService, Submission } from "../request_api.ts";
 import { createRequestService } from "../request_service.ts";
@@ -23,7 +23,7 @@
 export interface RequestNode {
   readonly member: Member;
   readonly requests: RequestService;
-  readonly freezer: Freezer;
+  readonly freezer: PauseControl;
   /** Values of the counters by name. */
   readonly counts: ReadonlyMap<string, number>;
   /** Whether the instance receives no changes of the slot map and of members. */
@@ -87,9 +87,9 @@
   const stateOf = (id: string): MemberState => states.get(id) ?? MemberState.Alive;
 
   const createNode = (self: Member, index: number): RequestNode => {
-    const freezer = createFreezer(clock);
+    const freezer = createPauseControl(clock);
     const counts = new Map<string, number>();
-    const gate = (): Promise<void> => freezer.gate();
+    const gate = (): Promise<void> => freezer.whenRunning();
     const scheduler = createScheduler();
     scheduler.setWorkers(workers, 0);
     workerListeners.add(() => scheduler.setWorkers(workers, clock.now()));
@@ -97,7 +97,7 @@
     const subscribe = (set: Set<() => void>, listener: () => void): { close(): void } => {
       const notify = (): void => {
         if (node.isIsolated) return;
-        void freezer.gate().then(() => {
+        void freezer.whenRunning().then(() => {
           knownMap = map;
           listener();
         });
@@ -156,7 +156,7 @@
       const epoch = (map.slots[0]?.epoch ?? 0) + 1;
       const idAt = (index: number): string => members[index]?.id ?? "";
       const ids = { primary: idAt(primary), backup: idAt(backup) };
-      const assignment: Assignment = { epoch, ...ids, historyLostAt };
+      const assignment: SlotAssignment = { epoch, ...ids, historyLostAt };
       map = { version: map.version + 1, slots: map.slots.map(() => assignment) };
       notifyListeners();
     },
@@ -167,7 +167,7 @@
     kill: (index) => {
       const { member, freezer, requests } = nodeAt(index);
       network.kill(member.id);
-      freezer.freeze();
+      freezer.pause();
       requests.close();
       states.set(member.id, MemberState.Dead);
       notifyListeners();
--- a/src/standin/backend_server.ts
+++ b/src/standin/backend_server.ts
@@ -14,7 +14,7 @@
 import { z } from "zod";
 import { listenHttp, readBody, sendJson } from "../connection/index.ts";
 import type { Listener } from "../connection/index.ts";
-import type { Clock, Dispatch, EngineEvent, Order } from "../interface/index.ts";
+import type { Clock, Dispatch, EngineEvent, DesiredEngineState } from "../interface/index.ts";
 import { CHAT_PATH, formatCacheName } from "./engine_request.ts";
 import type { EngineCapacity } from "./engine_model.ts";
 import { createPlainService } from "./plain_service.ts";
@@ -33,7 +33,7 @@
    * Milliseconds between two tokens, whatever else is in progress; 0 sends the whole answer at
    * once. If absent, the engine model determines the rate from `capacity`.
    */
-  readonly tokenTime?: number;
+  readonly tokenInterval?: number;
   /** Throughput and memory of the machine class; defaults to 900 tokens per second. */
   readonly capacity?: EngineCapacity;
   /** Factor by which the engine model runs faster than the clock; defaults to 1. */
@@ -47,11 +47,11 @@
 }
 
 /** A running simulated backend server. */
-export interface BackendListener extends Listener {
+export interface BackendServer extends Listener {
   /** Number of runs of each request that started here from its beginning, by request id. */
   readonly runs: ReadonlyMap<string, number>;
   /** Returns the last order that was accepted. */
-  order(): Order;
+  order(): DesiredEngineState;
 }
 
 /** Maximum size of a request body in bytes. */
@@ -81,7 +81,7 @@
 const attachSchema = z.object({ id: z.string(), fromToken: z.number().int() });
 const idSchema = z.object({ id: z.string() });
 const askSchema = z.object({ id: z.string(), bar: z.boolean() });
-const orderSchema: z.ZodType<Order> = z.object({
+const orderSchema: z.ZodType<DesiredEngineState> = z.object({
   fence: z.number(),
   models: z.array(z.string()),
   role: z.string(),
@@ -96,12 +96,12 @@
  * @param settings Options of the server.
  * @returns The server, once it is listening.
  */
-export async function startBackend(settings: BackendServerOptions): Promise<BackendListener> {
+export async function startBackendServer(settings: BackendServerOptions): Promise<BackendServer> {
   const source = createTokenSource(settings);
   const checksFence = settings.checksFence ?? false;
   const requests = createRequestTable(source, { checksFence });
   const plain = createPlainService();
-  let order: Order = { fence: 0, models: settings.loadedModels ?? [], role: "serve" };
+  let order: DesiredEngineState = { fence: 0, models: settings.loadedModels ?? [], role: "serve" };
   let address = settings.listen;
   const app = polka({
     onNoMatch: (request, response) => {
@@ -175,7 +175,7 @@
  * model.
  */
 function createTokenSource(settings: BackendServerOptions): TokenSource {
-  const { clock, tokenTime, capacity = DEFAULT_CAPACITY, timeScale = 1 } = settings;
+  const { clock, tokenInterval: tokenTime, capacity = DEFAULT_CAPACITY, timeScale = 1 } = settings;
   return tokenTime === undefined
     ? createEngineTokenSource(clock, { capacity, timeScale })
     : createConstantRateSource(clock, tokenTime);
--- a/src/standin/backend_server_test.ts
+++ b/src/standin/backend_server_test.ts
@@ -2,8 +2,8 @@
 import { createHttpEngine } from "../connection/index.ts";
 import { Purchase, WorkerState } from "../interface/index.ts";
 import type { Dispatch, EngineEvent, Worker } from "../interface/index.ts";
-import { startBackend } from "./backend_server.ts";
-import type { BackendListener } from "./backend_server.ts";
+import { startBackendServer } from "./backend_server.ts";
+import type { BackendServer } from "./backend_server.ts";
 import { createVirtualClock } from "./memory/index.ts";
 
 const NEVER_ABORTED = new AbortController().signal;
@@ -36,11 +36,16 @@
   run: (
     engine: ReturnType<typeof createHttpEngine>,
     worker: Worker,
-    backend: BackendListener,
+    backend: BackendServer,
   ) => Promise<void>,
 ): Promise<void> {
   const clock = createVirtualClock();
-  const backend = await startBackend({ listen: "127.0.0.1:0", clock, tokenTime: 0, checksFence });
+  const backend = await startBackendServer({
+    listen: "127.0.0.1:0",
+    clock,
+    tokenInterval: 0,
+    checksFence,
+  });
   const engine = createHttpEngine();
   await run(engine, workerAt(backend.address), backend);
   engine.close();
@@ -63,8 +68,8 @@
       engine.attach(worker, "r1", { fromToken: 2, signal: NEVER_ABORTED }),
     );
     expect(attachEvents.filter(({ kind }) => kind === "token")).toHaveLength(1);
-    expect(await engine.ask(worker, "r1", { bar: false })).toBe("finished");
-    expect(await engine.report(worker)).toMatchObject({ running: 0, waiting: 0 });
+    expect(await engine.queryRequest(worker, "r1", { bar: false })).toBe("finished");
+    expect(await engine.fetchLoad(worker)).toMatchObject({ running: 0, waiting: 0 });
   });
 });
 
@@ -106,8 +111,8 @@
   // one then resumes and sends its own. If the worker followed it, it would unload the model that
   // the service needs now.
   await withBackend(true, async (engine, worker, backend) => {
-    await engine.order(worker, { fence: 5, models: ["new"], role: "serve" });
-    const lateOrder = engine.order(worker, { fence: 4, models: ["old"], role: "serve" });
+    await engine.setDesiredState(worker, { fence: 5, models: ["new"], role: "serve" });
+    const lateOrder = engine.setDesiredState(worker, { fence: 4, models: ["old"], role: "serve" });
     await expect(lateOrder).rejects.toMatchObject({ step: "order", peer: "desk-0" });
     expect(backend.order().models).toEqual(["new"]);
   });
@@ -115,8 +120,8 @@
 
 test("a server that doesn't check fencing numbers accepts every order", async () => {
   await withBackend(false, async (engine, worker, backend) => {
-    await engine.order(worker, { fence: 5, models: ["new"], role: "serve" });
-    await engine.order(worker, { fence: 4, models: ["old"], role: "serve" });
+    await engine.setDesiredState(worker, { fence: 5, models: ["new"], role: "serve" });
+    await engine.setDesiredState(worker, { fence: 4, models: ["old"], role: "serve" });
     expect(backend.order().models).toEqual(["old"]);
   });
 });
--- a/src/standin/memory/index.ts
+++ b/src/standin/memory/index.ts
@@ -1,4 +1,4 @@
-export * from "./freezer.ts";
+export * from "./pause_control.ts";
 export * from "./memory_engines.ts";
 export * from "./memory_network.ts";
 export * from "./memory_store.ts";
--- a/src/standin/memory/memory_engines.ts
+++ b/src/standin/memory/memory_engines.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { CANCELLED_RUN, EngineKnowledge, sleep } from "../../interface/index.ts";
+import { CANCELLED_RUN, EngineRequestState, sleep } from "../../interface/index.ts";
 import type {
   Clock,
   Dispatch,
@@ -38,9 +38,9 @@
   /** Stops a worker. Its streams fail, and calls to it are refused. */
   kill(worker: string): void;
   /** Makes the connections that are open to a worker hang forever. New connections work. */
-  silence(worker: string): void;
+  hangOpenConnections(worker: string): void;
   /** Multiplies the time between a worker's tokens by a factor. */
-  slow(worker: string, factor: number): void;
+  setSlowdown(worker: string, factor: number): void;
 }
 
 /** Milliseconds between two tokens. */
@@ -147,7 +147,7 @@
       );
       if (run !== undefined) run.cancelledAt ??= clock.now();
     },
-    ask: async (worker, id, { bar }) => {
+    queryRequest: async (worker, id, { bar }) => {
       await connectTo(worker, "order");
       const state = progress.get(`${worker.id} ${id}`);
       if (state === undefined && bar) barred.add(`${worker.id} ${id}`);
@@ -158,7 +158,7 @@
       await connectTo(worker, "order");
       return `${worker.id}/${id}`;
     },
-    report: async (worker) => {
+    fetchLoad: async (worker) => {
       await connectTo(worker, "order");
       const running = [...progress].filter(
         ([key, state]) => key.startsWith(`${worker.id} `) && !state.isFinished,
@@ -166,22 +166,23 @@
       const load = { running, waiting: 0, cacheTokens: 0, cacheCapacity: 100_000, loaded: [] };
       return { worker: worker.id, takenAt: clock.now(), ...load };
     },
-    order: (worker) => connectTo(worker, "order"),
+    setDesiredState: (worker) => connectTo(worker, "order"),
   });
   return {
     connect,
     runs,
     kill: (worker) => killed.add(worker),
-    silence: (worker) =>
+    hangOpenConnections: (worker) =>
       connectionGenerations.set(worker, (connectionGenerations.get(worker) ?? 0) + 1),
-    slow: (worker, factor) => slowdowns.set(worker, factor),
+    setSlowdown: (worker, factor) => slowdowns.set(worker, factor),
   };
 }
 
-function knowledgeOf(runProgress: RunProgress | undefined, bar: boolean): EngineKnowledge {
-  if (runProgress === undefined) return bar ? EngineKnowledge.Barred : EngineKnowledge.Unknown;
-  if (runProgress.isCancelled) return EngineKnowledge.Cancelled;
-  return runProgress.isFinished ? EngineKnowledge.Finished : EngineKnowledge.Running;
+function knowledgeOf(runProgress: RunProgress | undefined, bar: boolean): EngineRequestState {
+  if (runProgress === undefined)
+    return bar ? EngineRequestState.Barred : EngineRequestState.Unknown;
+  if (runProgress.isCancelled) return EngineRequestState.Cancelled;
+  return runProgress.isFinished ? EngineRequestState.Finished : EngineRequestState.Running;
 }
 
 function answerTokensOf(dispatch: Dispatch): number {
--- a/src/standin/memory/memory_network.ts
+++ b/src/standin/memory/memory_network.ts
@@ -29,13 +29,13 @@
   /**
    * Partitions or reconnects two instances in both directions. Calls across a partition time out.
    */
-  setCut(a: string, b: string, shouldPartition: boolean): void;
+  setPartitioned(a: string, b: string, shouldPartition: boolean): void;
   /**
    * Makes the connections that are open between two instances hang forever. New connections work.
    */
-  silence(a: string, b: string): void;
+  hangOpenConnections(a: string, b: string): void;
   /** Executes the next `count` calls from `a` to `b` but drops their responses. */
-  loseAnswers(a: string, b: string, count: number): void;
+  dropResponses(a: string, b: string, count: number): void;
 }
 
 /** Network delay in one direction, in milliseconds. */
@@ -137,12 +137,12 @@
       node?.killed.abort();
     },
     peersOf,
-    setCut: (a, b, shouldPartition) => {
+    setPartitioned: (a, b, shouldPartition) => {
       if (shouldPartition) partitions.add(pairKey(a, b));
       else partitions.delete(pairKey(a, b));
     },
-    silence: (a, b) => connectionGenerations.set(pairKey(a, b), generationOf(a, b) + 1),
-    loseAnswers: (a, b, count) => responsesToDrop.set(`${a}>${b}`, count),
+    hangOpenConnections: (a, b) => connectionGenerations.set(pairKey(a, b), generationOf(a, b) + 1),
+    dropResponses: (a, b, count) => responsesToDrop.set(`${a}>${b}`, count),
   };
 }
 
--- a/src/standin/memory/memory_store.ts
+++ b/src/standin/memory/memory_store.ts
@@ -14,11 +14,11 @@
    * Makes the store unavailable or available again. While it is unavailable, calls fail without
    * effect, and watches hang.
    */
-  setDown(isUnavailable: boolean): void;
+  setUnavailable(isUnavailable: boolean): void;
   /** Applies the next `count` writes but drops their responses. */
-  loseAnswers(count: number): void;
+  dropResponses(count: number): void;
   /** Makes the watches that are open hang forever. New watches work. */
-  silenceWatches(): void;
+  hangOpenWatches(): void;
   /** Returns the number of calls so far, including watches. */
   calls(): number;
 }
@@ -88,13 +88,13 @@
   };
   return {
     connect,
-    setDown: (value) => {
+    setUnavailable: (value) => {
       state.isUnavailable = value;
     },
-    loseAnswers: (count) => {
+    dropResponses: (count) => {
       responsesToDrop = count;
     },
-    silenceWatches: () => {
+    hangOpenWatches: () => {
       watchGeneration++;
     },
     calls: () => callCount,
--- a/src/standin/memory/freezer.ts
+++ b/src/standin/memory/pause_control.ts
@@ -1,22 +1,22 @@
 import type { Clock } from "../../interface/index.ts";
 
 /** Pauses the clock and the incoming calls of one instance, as when its process is suspended. */
-export interface Freezer {
+export interface PauseControl {
   /** The clock that is passed to the instance. */
   readonly clock: Clock;
   /** Resolves when the instance is running. All calls to the instance wait for it. */
-  gate(): Promise<void>;
+  whenRunning(): Promise<void>;
   /** Pauses the instance. */
-  freeze(): void;
+  pause(): void;
   /** Resumes the instance and runs what was deferred, in order. */
-  wake(): void;
+  resume(): void;
 }
 
 /**
  * Creates the control of an instance that uses a clock. While the instance is paused, timers that
  * expire are deferred until it resumes.
  */
-export function createFreezer(clock: Clock): Freezer {
+export function createPauseControl(clock: Clock): PauseControl {
   let isPaused = false;
   const deferred: (() => void)[] = [];
   const runOrDefer = (run: () => void): void => {
@@ -42,14 +42,14 @@
         };
       },
     },
-    gate: () =>
+    whenRunning: () =>
       new Promise((resolve) => {
         runOrDefer(resolve);
       }),
-    freeze: () => {
+    pause: () => {
       isPaused = true;
     },
-    wake: () => {
+    resume: () => {
       isPaused = false;
       for (const run of deferred.splice(0)) run();
     },
