--- a/src/standin/memory/virtual_clock.ts
+++ b/src/standin/memory/virtual_clock.ts
@@ -12,7 +12,7 @@
    */
   advance(milliseconds: number): Promise<void>;
   /** Returns the number of open timers. */
-  pending(): number;
+  pendingTimers(): number;
   /** Runs all pending asynchronous work that doesn't wait for a timer. */
   settle(): Promise<void>;
 }
@@ -60,7 +60,7 @@
       openCount++;
       return { close: () => closeTimer(timer) };
     },
-    pending: () => openCount,
+    pendingTimers: () => openCount,
     settle,
     advance: async (milliseconds) => {
       const until = now + milliseconds;
--- a/src/standin/plain_service.ts
+++ b/src/standin/plain_service.ts
@@ -1,4 +1,4 @@
-import { EngineKnowledge } from "../interface/index.ts";
+import { EngineRequestState } from "../interface/index.ts";
 import type { Dispatch } from "../interface/index.ts";
 
 /** A simulated plain service. It echoes requests and counts its runs. */
@@ -12,7 +12,7 @@
    * Returns the state of a request, or undefined if its id is unknown here. With `bar`, an unknown
    * id is barred from then on.
    */
-  query(id: string, bar: boolean): EngineKnowledge | undefined;
+  query(id: string, bar: boolean): EngineRequestState | undefined;
 }
 
 /** Creates a plain service that has run no requests. */
@@ -31,7 +31,7 @@
       return answer;
     },
     query: (id, bar) => {
-      if (answers.has(id)) return EngineKnowledge.Finished;
+      if (answers.has(id)) return EngineRequestState.Finished;
       if (bar) barred.add(id);
       return undefined;
     },
--- a/src/standin/platform_server.ts
+++ b/src/standin/platform_server.ts
@@ -38,13 +38,13 @@
 }
 
 /** A running simulated platform. */
-export interface PlatformListener extends Listener {
+export interface PlatformServer extends Listener {
   readonly cloud: SimulatedCloud;
   /**
    * Makes the object API unavailable or available again. While it is unavailable, reads and writes
    * are refused, and watches get no response.
    */
-  setDown(isUnavailable: boolean): void;
+  setUnavailable(isUnavailable: boolean): void;
 }
 
 const launchSchema = z.object({
@@ -67,7 +67,9 @@
  * @param settings Options of the platform.
  * @returns The platform, once it is listening.
  */
-export async function startPlatform(settings: PlatformServerOptions): Promise<PlatformListener> {
+export async function startPlatformServer(
+  settings: PlatformServerOptions,
+): Promise<PlatformServer> {
   const table = createObjectTable();
   const cloud = createSimulatedCloud(settings);
   const state = { isUnavailable: false };
@@ -89,7 +91,7 @@
     cloud.close();
     await listener.close();
   };
-  return { ...listener, cloud, setDown, close };
+  return { ...listener, cloud, setUnavailable: setDown, close };
 }
 
 function addObjectRoutes(
--- a/src/standin/platform_server_test.ts
+++ b/src/standin/platform_server_test.ts
@@ -8,8 +8,8 @@
 import type { Worker } from "../interface/index.ts";
 import { createVirtualClock } from "./memory/index.ts";
 import type { VirtualClock } from "./memory/index.ts";
-import { startPlatform } from "./platform_server.ts";
-import type { PlatformListener } from "./platform_server.ts";
+import { startPlatformServer } from "./platform_server.ts";
+import type { PlatformServer } from "./platform_server.ts";
 
 const LAG = 60_000;
 
@@ -32,20 +32,20 @@
 };
 
 let clock: VirtualClock;
-let platform: PlatformListener;
+let platform: PlatformServer;
 let removed: string[];
 
 beforeEach(async () => {
   clock = createVirtualClock();
   removed = [];
-  platform = await startPlatform({
+  platform = await startPlatformServer({
     listen: "127.0.0.1:0",
     clock,
     workers: [WORKER],
     entries: [{ name: "entry-1", zone: "a" }],
     listLag: LAG,
     launch: () => Promise.resolve("http://127.0.0.1:2"),
-    taken: (instance) => removed.push(instance),
+    onInstanceRemoved: (instance) => removed.push(instance),
   });
 });
 
--- a/src/standin/replay/lower_bound.ts
+++ b/src/standin/replay/lower_bound.ts
@@ -24,7 +24,7 @@
  *
  * @param trace The trace.
  */
-export function lowerBoundOf(trace: Trace): LowerBound {
+export function computeLowerBound(trace: Trace): LowerBound {
   const services = Object.keys(trace.header.deployment.services);
   const bounds = services.map((service) => ({
     work: workCost(trace, service),
--- a/src/standin/replay/plot_test.ts
+++ b/src/standin/replay/plot_test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from "vitest";
 import { plotReplay } from "./plot.ts";
-import { PolicyName, policyOf } from "./policy.ts";
+import { PolicyName, getPolicy } from "./policy.ts";
 import { replay } from "./replay.ts";
 import type { Sample } from "./sample.ts";
 import { sampleTrace } from "./sample_trace.ts";
@@ -9,7 +9,7 @@
   const trace = sampleTrace([{ kind: "reclaim", t: 30_000, within: 3_000, zone: "sofia-a" }]);
   const samples: Sample[] = [];
   const sample = (newSample: Sample): void => void samples.push(newSample);
-  replay(trace, { policy: policyOf(PolicyName.Current), seed: 1, sample });
+  replay(trace, { policy: getPolicy(PolicyName.Current), seed: 1, onSample: sample });
   expect(samples.length).toBeGreaterThan(5);
   const plot = plotReplay(trace, samples);
   expect(plot.match(/<polyline /g)).toHaveLength(4);
@@ -19,7 +19,7 @@
 
 test("samples don't change the report", () => {
   const trace = sampleTrace([]);
-  const options = { policy: policyOf(PolicyName.Current), seed: 1 };
-  const sampled = replay(trace, { ...options, sample: () => undefined });
+  const options = { policy: getPolicy(PolicyName.Current), seed: 1 };
+  const sampled = replay(trace, { ...options, onSample: () => undefined });
   expect(sampled).toEqual(replay(trace, options));
 });
--- a/src/standin/replay/policy.ts
+++ b/src/standin/replay/policy.ts
@@ -40,7 +40,7 @@
 };
 
 /** Returns the policy with a name. */
-export function policyOf(name: PolicyName): ReplayPolicy {
+export function getPolicy(name: PolicyName): ReplayPolicy {
   switch (name) {
     case PolicyName.Current:
       return CURRENT;
--- a/src/standin/replay/replay.ts
+++ b/src/standin/replay/replay.ts
@@ -35,7 +35,7 @@
   readonly policy: ReplayPolicy;
   readonly seed: number;
   /** Called with a sample of the state at regular intervals, for a plot. */
-  readonly sample?: (sample: Sample) => void;
+  readonly onSample?: (sample: Sample) => void;
 }
 
 /** Number of entry instances that share the fleet. */
@@ -58,7 +58,7 @@
  *
  * @returns The measurements. They are the same for the same trace, policy and seed.
  */
-export function replay(trace: Trace, { policy, seed, sample }: ReplayOptions): Report {
+export function replay(trace: Trace, { policy, seed, onSample: sample }: ReplayOptions): Report {
   const events = createEventQueue();
   const random = createSeededRandom(seed);
   const measurements = createMeasurements();
--- a/src/standin/replay/replay_test.ts
+++ b/src/standin/replay/replay_test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from "vitest";
-import { PolicyName, policyOf } from "./policy.ts";
+import { PolicyName, getPolicy } from "./policy.ts";
 import { comparePolicies } from "./policy_comparison.ts";
 import { replay } from "./replay.ts";
 import type { Report } from "./report_types.ts";
@@ -12,7 +12,7 @@
 ];
 
 function runReplay(trace: Trace, policy = PolicyName.Current, seed = 1): Report {
-  return replay(trace, { policy: policyOf(policy), seed });
+  return replay(trace, { policy: getPolicy(policy), seed });
 }
 
 test.each(Object.values(PolicyName))(
--- a/src/standin/replay/report.ts
+++ b/src/standin/replay/report.ts
@@ -1,6 +1,6 @@
 import { sum } from "../../decision/index.ts";
 import type { FleetControl } from "./fleet_control.ts";
-import { lowerBoundOf } from "./lower_bound.ts";
+import { computeLowerBound } from "./lower_bound.ts";
 import type { GroupMeasurements, Measurements, LatencyMeasurement } from "./measurements.ts";
 import { checkOutcomes } from "./outcome_checks.ts";
 import type { PolicyName } from "./policy.ts";
@@ -25,7 +25,7 @@
   const groups = [...measurements.groups].sort(([a], [b]) => (a < b ? -1 : 1));
   const answered = sum(groups.map(([, group]) => group.answered));
   const goodputTokens = sum(groups.map(([, group]) => group.goodputTokens));
-  const lowerBound = lowerBoundOf(trace);
+  const lowerBound = computeLowerBound(trace);
   const results = {
     trace: trace.header.name,
     policy,
--- a/src/standin/request_table.ts
+++ b/src/standin/request_table.ts
@@ -8,7 +8,7 @@
  *
  * @module
  */
-import { CANCELLED_RUN, EngineKnowledge } from "../interface/index.ts";
+import { CANCELLED_RUN, EngineRequestState } from "../interface/index.ts";
 import type { Dispatch, EngineEvent } from "../interface/index.ts";
 import { parseEngineRequest } from "./engine_request.ts";
 import type { RequestEvent, TokenSource } from "./token_source.ts";
@@ -40,7 +40,7 @@
    * Returns the state of a request. With `bar`, an unknown id is barred, so that it is never run
    * here.
    */
-  query(id: string, bar: boolean): EngineKnowledge;
+  query(id: string, bar: boolean): EngineRequestState;
   /**
    * Number of runs of each request that started here from its beginning. For a request that may not
    * be repeated, the sum over all servers must stay at 1. A run that resumes from tokens or from an
@@ -160,14 +160,14 @@
       const existing = entries.get(id);
       if (existing !== undefined) return knowledgeOf(existing);
       if (bar) barred.add(id);
-      return barred.has(id) ? EngineKnowledge.Barred : EngineKnowledge.Unknown;
+      return barred.has(id) ? EngineRequestState.Barred : EngineRequestState.Unknown;
     },
   };
 }
 
-function knowledgeOf({ isCancelled, endEvent }: RequestEntry): EngineKnowledge {
-  if (isCancelled) return EngineKnowledge.Cancelled;
-  return endEvent === undefined ? EngineKnowledge.Running : EngineKnowledge.Finished;
+function knowledgeOf({ isCancelled, endEvent }: RequestEntry): EngineRequestState {
+  if (isCancelled) return EngineRequestState.Cancelled;
+  return endEvent === undefined ? EngineRequestState.Running : EngineRequestState.Finished;
 }
 
 /** Returns the events from a token onward that a late subscriber has missed. */
--- a/src/standin/request_table_test.ts
+++ b/src/standin/request_table_test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from "vitest";
-import { EngineKnowledge } from "../interface/index.ts";
+import { EngineRequestState } from "../interface/index.ts";
 import type { Dispatch, EngineEvent } from "../interface/index.ts";
 import { createVirtualClock } from "./memory/index.ts";
 import type { VirtualClock } from "./memory/index.ts";
@@ -89,8 +89,8 @@
 test("a barred id is never run", () => {
   // A paused owner resumes and sends a request that its successor has already reported as not run.
   const { table } = createTable();
-  expect(table.query("r1", false)).toBe(EngineKnowledge.Unknown);
-  expect(table.query("r1", true)).toBe(EngineKnowledge.Barred);
+  expect(table.query("r1", false)).toBe(EngineRequestState.Unknown);
+  expect(table.query("r1", true)).toBe(EngineRequestState.Barred);
   expect(table.run(dispatchOf(), collect().subscriber)).toBe("barred");
   expect(table.runs.get("r1")).toBeUndefined();
 });
@@ -105,7 +105,7 @@
   await clock.advance(LONG_TIME);
   expect(events).toHaveLength(countBefore);
   expect(events.at(-1)).toEqual({ kind: "finished", reason: "cancelled" });
-  expect(table.query("r1", false)).toBe(EngineKnowledge.Cancelled);
+  expect(table.query("r1", false)).toBe(EngineRequestState.Cancelled);
 });
 
 test("an older attempt and, if enabled, an older fencing number are refused", () => {
--- a/src/standin/simulated_cloud.ts
+++ b/src/standin/simulated_cloud.ts
@@ -9,10 +9,10 @@
  * @module
  */
 import { WorkerState } from "../interface/index.ts";
-import type { Clock, Launch, LaunchOutcome, Notice, Worker } from "../interface/index.ts";
+import type { Clock, Launch, LaunchOutcome, ReclaimNotice, Worker } from "../interface/index.ts";
 
 /** An entry instance that the cloud can reclaim. */
-export interface EntryPlace {
+export interface EntryLocation {
   /** Name of the instance without its incarnation. */
   readonly name: string;
   readonly zone: string;
@@ -24,7 +24,7 @@
   /** Workers at the start. */
   readonly workers: readonly Worker[];
   /** Entry instances in the zones of the cloud; defaults to none. */
-  readonly entries?: readonly EntryPlace[];
+  readonly entries?: readonly EntryLocation[];
   /** Delay of the list of workers in milliseconds; defaults to 0. */
   readonly listLag?: number;
   /**
@@ -33,7 +33,7 @@
    */
   readonly launch?: (launch: Launch, worker: string) => Promise<string>;
   /** Called when an instance has been reclaimed or terminated. */
-  readonly taken?: (instance: string) => void;
+  readonly onInstanceRemoved?: (instance: string) => void;
 }
 
 /**
@@ -51,7 +51,7 @@
   /** Terminates an instance at once. Returns false if it doesn't exist. */
   terminate(instance: string): boolean;
   /** Returns the announced reclaims, with the milliseconds that remain. */
-  notices(): readonly Notice[];
+  notices(): readonly ReclaimNotice[];
   /** Returns the workers as they were `listLag` milliseconds ago. */
   list(): readonly Worker[];
   /**
@@ -97,7 +97,7 @@
     const isKnown = workers.delete(instance) || entries.delete(instance);
     if (!isKnown || isClosed) return false;
     recordSnapshot();
-    settings.taken?.(instance);
+    settings.onInstanceRemoved?.(instance);
     return true;
   };
   const refusalReason = ({ zone }: Launch): string | undefined => {
--- a/src/version/deployment.ts
+++ b/src/version/deployment.ts
@@ -1,5 +1,5 @@
 import { z } from "zod";
-import { findCrossFieldErrors } from "./deployment_names.ts";
+import { findCrossFieldErrors } from "./cross_field_errors.ts";
 import { duration, price } from "./unit.ts";
 
 const name = z
--- a/src/version/lease_rules.ts
+++ b/src/version/lease_rules.ts
@@ -28,7 +28,7 @@
 }
 
 /** A reading of one instance's clocks, in milliseconds. */
-export interface LeaseMoment {
+export interface ClockReading {
   /** Monotonic time. */
   readonly now: number;
   /** Wall-clock time minus monotonic time. */
@@ -71,7 +71,7 @@
  */
 export function leaseTimeLeft(
   held: HeldLease,
-  { now, dayOffset }: LeaseMoment,
+  { now, dayOffset }: ClockReading,
   rules: LeaseRules = ALL_LEASE_RULES,
 ): number {
   const offsetChange = dayOffset - held.dayOffset;
@@ -80,9 +80,9 @@
 }
 
 /** Returns whether the holder may start a call that takes at most `orderTime` milliseconds. */
-export function mayOrder(
+export function canStartCall(
   held: HeldLease,
-  moment: LeaseMoment,
+  moment: ClockReading,
   options: { orderTime: number; rules?: LeaseRules },
 ): boolean {
   const { orderTime, rules = ALL_LEASE_RULES } = options;
@@ -96,7 +96,7 @@
  * @param seen When this instance first observed the lease's current version, and the lease's term in milliseconds.
  * @param now This instance's monotonic time.
  */
-export function hasRunOut(
+export function hasExpired(
   seen: { since: number; term: number },
   now: number,
   rules: LeaseRules = ALL_LEASE_RULES,
@@ -112,7 +112,7 @@
  * - During a rolling restart, a lease that was taken over a moment ago would move on at once, perhaps back to its
  *   previous holder. Two holders would then alternate within one term, which also looks like split brain.
  */
-export function giveBackIn(
+export function releaseDelay(
   held: HeldLease,
   now: number,
   options: { term: number; rules?: LeaseRules },
--- a/src/version/rollout_rules.ts
+++ b/src/version/rollout_rules.ts
@@ -38,7 +38,7 @@
 }
 
 /** Returns whether a state is final. */
-export function isFinal(state: RolloutState | undefined): boolean {
+export function isFinalRolloutState(state: RolloutState | undefined): boolean {
   return state === RolloutState.Completed || state === RolloutState.RolledBack;
 }
 
@@ -50,7 +50,7 @@
 ): RolloutStatus | undefined {
   const state = stateOfOrder(entry, rules);
   if (state === decided) return undefined;
-  if (isFinal(state) && rules.endOnce) return undefined;
+  if (isFinalRolloutState(state) && rules.endOnce) return undefined;
   return { state: decided, to: entry.order.to };
 }
 
@@ -63,7 +63,7 @@
 }
 
 /** The workers of one version. */
-export interface VersionStock {
+export interface VersionWorkers {
   /** The number of workers. */
   readonly workers: number;
   /** When the oldest of them started, in Unix milliseconds. */
@@ -73,13 +73,13 @@
 /** The input for {@linkcode servedVersions}. */
 export interface ServedVersionsInput {
   /** The available workers, by version. */
-  readonly stock: ReadonlyMap<string, VersionStock>;
+  readonly workersByVersion: ReadonlyMap<string, VersionWorkers>;
   /** The service's rollout order, if there is one. */
   readonly entry: RolloutEntry | undefined;
   /** The base version that this instance served until now; undefined after a start. */
-  readonly before: string | undefined;
+  readonly previousBase: string | undefined;
   /** Versions that were rolled back; they get no requests. */
-  readonly barred: ReadonlySet<string>;
+  readonly rolledBack: ReadonlySet<string>;
 }
 
 /**
@@ -92,7 +92,7 @@
  * @returns The versions, or undefined if there are no workers to determine them from.
  */
 export function servedVersions(known: ServedVersionsInput): ServedVersions | undefined {
-  const { entry, barred } = known;
+  const { entry, rolledBack: barred } = known;
   const state = entry === undefined ? undefined : stateOfOrder(entry);
   if (entry !== undefined && state === RolloutState.Completed) {
     return { base: entry.order.to, tried: undefined };
@@ -108,7 +108,12 @@
   return { base, tried: isTried ? ordered : undefined };
 }
 
-function baseVersion({ stock, entry, before, barred }: ServedVersionsInput): string | undefined {
+function baseVersion({
+  workersByVersion: stock,
+  entry,
+  previousBase: before,
+  rolledBack: barred,
+}: ServedVersionsInput): string | undefined {
   const status = entry?.status;
   if (entry !== undefined && status?.state === RolloutState.Completed) return status.to;
   const canKeepBase = before !== undefined && (stock.has(before) || entry !== undefined);
--- a/src/version/rollout_rules_test.ts
+++ b/src/version/rollout_rules_test.ts
@@ -20,7 +20,13 @@
       { workers, oldest: place },
     ]),
   );
-  return { stock, entry: undefined, before: undefined, barred: NO_VERSIONS, ...overrides };
+  return {
+    workersByVersion: stock,
+    entry: undefined,
+    previousBase: undefined,
+    rolledBack: NO_VERSIONS,
+    ...overrides,
+  };
 }
 
 const statusOf = (state: RolloutState, to: string): RolloutStatus => ({ state, to });
@@ -32,7 +38,7 @@
 
 // More workers of the new version than of the old one have started before the instance has received the order.
 test("the previous base version is kept when workers of another version start", () => {
-  const more = { before: "v1" };
+  const more = { previousBase: "v1" };
   expect(servedVersions(known({ v2: 6, v1: 5 }, more))).toEqual({ base: "v1", tried: undefined });
 });
 
@@ -46,7 +52,7 @@
 
 test("after a completed order, only its version is served", () => {
   const done = entry("v2", statusOf(RolloutState.Completed, "v2"));
-  expect(servedVersions(known({ v1: 9, v2: 3 }, { entry: done, before: "v1" }))).toEqual({
+  expect(servedVersions(known({ v1: 9, v2: 3 }, { entry: done, previousBase: "v1" }))).toEqual({
     base: "v2",
     tried: undefined,
   });
@@ -56,7 +62,7 @@
   const back = entry("v2", statusOf(RolloutState.RolledBack, "v2"));
   expect(servedVersions(known({ v1: 4, v2: 9 }, { entry: back }))?.tried).toBeUndefined();
   expect(servedVersions(known({ v1: 4, v2: 9 }, { entry: back }))?.base).toBe("v1");
-  const again = known({ v1: 4, v2: 9 }, { entry: entry("v2"), barred: new Set(["v2"]) });
+  const again = known({ v1: 4, v2: 9 }, { entry: entry("v2"), rolledBack: new Set(["v2"]) });
   expect(servedVersions(again)).toEqual({ base: "v1", tried: undefined });
 });
 
@@ -72,7 +78,7 @@
 
 test("an order can return a service to its old version", () => {
   const back = entry("v1", statusOf(RolloutState.Completed, "v2"));
-  expect(servedVersions(known({ v1: 4, v2: 4 }, { entry: back, before: "v2" }))).toEqual({
+  expect(servedVersions(known({ v1: 4, v2: 4 }, { entry: back, previousBase: "v2" }))).toEqual({
     base: "v2",
     tried: "v1",
   });
--- a/src/version/route_table.ts
+++ b/src/version/route_table.ts
@@ -13,7 +13,7 @@
   /** Finds a service by its name. */
   service(name: string): RoutedService | undefined;
   /** Finds the client account that an API key belongs to. */
-  accountOf(key: string): RoutedAccount | undefined;
+  accountForKey(key: string): RoutedAccount | undefined;
 }
 
 /**
@@ -40,7 +40,7 @@
       return prefixes === undefined ? undefined : longestPrefix(prefixes, path);
     },
     service: (name) => services.get(name),
-    accountOf: (key) => accounts.get(key),
+    accountForKey: (key) => accounts.get(key),
   };
 }
 
--- a/src/version/routing.ts
+++ b/src/version/routing.ts
@@ -41,13 +41,13 @@
   /** Maximum milliseconds from the arrival of the request to its final response. */
   readonly timeout: number;
   /** Latency target in milliseconds, from the caller's first attempt to the response or its first event. */
-  readonly target: number;
+  readonly latencyTarget: number;
   /** Target for the longest pause between two events, in milliseconds; undefined if there is none. */
   readonly gapTarget: number | undefined;
   /** Priority of the requests; 0 is the highest. */
-  readonly rank: number;
+  readonly priority: number;
   /** Maximum number of workers that one request may run on. */
-  readonly attempts: number;
+  readonly maxAttempts: number;
   readonly shares: readonly RouteShare[];
   /** Whether requests are served without an API key. */
   readonly isPublic: boolean;
@@ -62,17 +62,17 @@
   /** Size of the KV cache per token, in bytes. */
   readonly bytesPerToken: number;
   /** Whether the KV cache of a run can be moved to another engine. */
-  readonly moves: boolean;
+  readonly canMoveCache: boolean;
   /** Whether the KV cache of a run can be continuously copied to another engine. */
-  readonly backups: boolean;
+  readonly canBackUpCache: boolean;
 }
 
 /** Limits and prices for ordering workers of a service. */
 export interface ServiceScaling {
   /** Minimum number of workers per availability zone, reclaimable and on-demand together. */
-  readonly least: number;
+  readonly minWorkers: number;
   /** Maximum number of workers per availability zone, reclaimable and on-demand together. */
-  readonly most: number;
+  readonly maxWorkers: number;
   /** Milliseconds from ordering a worker until it serves its first request. */
   readonly startUp: number;
   /** Price of a reclaimable worker as a fraction of the on-demand price. */
@@ -108,7 +108,7 @@
   readonly name: string;
   readonly keys: readonly string[];
   /** Priority that overrides the route's; 0 is the highest. */
-  readonly rank: number | undefined;
+  readonly priority: number | undefined;
   /** Undefined if the account has no limit. */
   readonly quota: Quota | undefined;
 }
@@ -116,9 +116,9 @@
 /** Limits on callers' requests and connections. */
 export interface CallerLimits {
   /** Maximum size of a request's header in bytes. */
-  readonly headerBytes: number;
+  readonly maxHeaderBytes: number;
   /** Maximum size of a request's body in bytes. */
-  readonly bodyBytes: number;
+  readonly maxBodyBytes: number;
   /** Milliseconds within which the complete header must be received. */
   readonly headerTimeout: number;
   /** Milliseconds after which an idle connection is closed. */
--- a/src/version/settings_text.ts
+++ b/src/version/settings_text.ts
@@ -4,7 +4,7 @@
 import type { z } from "zod";
 
 /** An error in a settings file. */
-export interface SettingsFault {
+export interface SettingsError {
   readonly file: string;
   /** Line number, starting at 1. */
   readonly line: number;
@@ -17,7 +17,7 @@
 /** Valid settings together with the document they were parsed from, or all errors found. */
 export type SettingsResult<T> =
   | { readonly kind: "valid"; readonly settings: T; readonly source: unknown }
-  | { readonly kind: "invalid"; readonly faults: readonly SettingsFault[] };
+  | { readonly kind: "invalid"; readonly faults: readonly SettingsError[] };
 
 /**
  * Parses and validates settings in JSON with comments (JSONC).
@@ -56,7 +56,7 @@
   readonly tree: Node;
 }
 
-function faultsOf(issue: z.core.$ZodIssue, settingsText: SettingsText): SettingsFault[] {
+function faultsOf(issue: z.core.$ZodIssue, settingsText: SettingsText): SettingsError[] {
   const path = issue.path.map((step) => (typeof step === "symbol" ? step.toString() : step));
   if (issue.code === "unrecognized_keys") {
     return issue.keys.map((key) =>
@@ -74,7 +74,7 @@
   path: readonly (string | number)[],
   message: string,
   { text, file, tree }: SettingsText,
-): SettingsFault {
+): SettingsError {
   const node = nearestNode(tree, path);
   return { file, line: lineAt(text, node.offset), path: path.join("."), message };
 }
--- a/src/version/slot_map.ts
+++ b/src/version/slot_map.ts
@@ -4,7 +4,7 @@
 /**
  * The owners of a slot. An epoch identifies exactly one assignment, because the slot map is written conditionally.
  */
-export interface Assignment {
+export interface SlotAssignment {
   /** Increases with each assignment; 0 means that the slot has never been assigned. */
   readonly epoch: number;
   /** Member id of the primary; empty if there is none. */
@@ -22,7 +22,7 @@
 export interface SlotMap {
   /** The object's version in the store; 0 if it has never been written. */
   readonly version: number;
-  readonly slots: readonly Assignment[];
+  readonly slots: readonly SlotAssignment[];
   /**
    * Id of a member that observes most owners as dead. It writes this claim first, and takes over only if no other member
    * has written the map since: the other members may be alive and only unreachable for it.
@@ -31,7 +31,7 @@
 }
 
 /** The assignment of a slot that has never had an owner. */
-export const UNASSIGNED: Assignment = { epoch: 0, primary: "", backup: "", historyLostAt: 0 };
+export const UNASSIGNED: SlotAssignment = { epoch: 0, primary: "", backup: "", historyLostAt: 0 };
 
 /** The slot map before its first write. */
 export const EMPTY_SLOT_MAP: SlotMap = {
@@ -46,6 +46,6 @@
  * @param slot The slot's number, from 0 to {@linkcode SLOT_COUNT} - 1.
  * @returns The assignment, or {@linkcode UNASSIGNED} if the map has none.
  */
-export function assignmentOf(map: SlotMap, slot: number): Assignment {
+export function assignmentOf(map: SlotMap, slot: number): SlotAssignment {
   return map.slots[slot] ?? UNASSIGNED;
 }
--- a/src/version/slot_map_codec.ts
+++ b/src/version/slot_map_codec.ts
@@ -1,6 +1,6 @@
 import { z } from "zod";
 import { SLOT_COUNT } from "./slot_map.ts";
-import type { Assignment, SlotMap } from "./slot_map.ts";
+import type { SlotAssignment, SlotMap } from "./slot_map.ts";
 
 /** The index that stands for "no member". */
 const NO_MEMBER = -1;
@@ -24,7 +24,7 @@
  * @param slots The assignments of all slots.
  * @param claim Id of the member that claims the slots of unreachable owners, if there is one.
  */
-export function formatSlotMap(slots: readonly Assignment[], claim?: string): string {
+export function formatSlotMap(slots: readonly SlotAssignment[], claim?: string): string {
   const members = [...new Set(slots.flatMap(({ primary, backup }) => [primary, backup]))]
     .filter((id) => id !== "")
     .sort();
--- a/src/version/slot_plan.ts
+++ b/src/version/slot_plan.ts
@@ -1,11 +1,11 @@
-import type { Assignment, SlotMap } from "./slot_map.ts";
+import type { SlotAssignment, SlotMap } from "./slot_map.ts";
 import { slotTargets } from "./slot_target.ts";
 import type { SlotMember, SlotTarget } from "./slot_target.ts";
 
 /** The members of a region that matter for slot assignments. */
 export interface SlotFleet {
   /** Members that may be assigned slots: alive, not leaving, and not in a zone that is about to be reclaimed. */
-  readonly able: readonly SlotMember[];
+  readonly eligible: readonly SlotMember[];
   /** Ids of members that still hold their records: the eligible ones, and suspect or leaving ones. */
   readonly present: ReadonlySet<string>;
 }
@@ -13,7 +13,7 @@
 /** A new assignment of a slot. It is written only if the slot is still at the preceding epoch. */
 export interface SlotChange {
   readonly slot: number;
-  readonly assignment: Assignment;
+  readonly assignment: SlotAssignment;
 }
 
 /** Slots of a primary that need a new backup, by the member that is to become the backup. */
@@ -32,10 +32,10 @@
  * @returns The changes; empty if none is needed.
  */
 export function planTakeover(map: SlotMap, fleet: SlotFleet, date: number): readonly SlotChange[] {
-  const eligibleIds = new Set(fleet.able.map(({ id }) => id));
+  const eligibleIds = new Set(fleet.eligible.map(({ id }) => id));
   if (map.slots.every((assignment) => !needsTakeover(assignment, { fleet, eligibleIds })))
     return [];
-  const targets = slotTargets(fleet.able);
+  const targets = slotTargets(fleet.eligible);
   return map.slots.flatMap((before, slot) => {
     const assignment = takeoverAssignment(before, {
       fleet,
@@ -48,7 +48,7 @@
 }
 
 function needsTakeover(
-  assignment: Assignment,
+  assignment: SlotAssignment,
   { fleet, eligibleIds }: { fleet: SlotFleet; eligibleIds: ReadonlySet<string> },
 ): boolean {
   const { primary, backup } = assignment;
@@ -60,25 +60,25 @@
  * Returns whether the only eligible member still has a dead backup. The backup is then removed from the map, so that
  * the owner doesn't wait for its acknowledgments.
  */
-function isLoneOwner({ backup }: Assignment, { able, present }: SlotFleet): boolean {
+function isLoneOwner({ backup }: SlotAssignment, { eligible: able, present }: SlotFleet): boolean {
   return able.length === 1 && backup !== "" && !present.has(backup);
 }
 
 function takeoverAssignment(
-  before: Assignment,
+  before: SlotAssignment,
   view: {
     fleet: SlotFleet;
     eligibleIds: ReadonlySet<string>;
     target: SlotTarget | undefined;
     date: number;
   },
-): Assignment | undefined {
+): SlotAssignment | undefined {
   const { fleet, eligibleIds, target, date } = view;
   const { primary, backup, epoch } = before;
   if (eligibleIds.has(primary))
     return isLoneOwner(before, fleet) ? withBackup(before, "") : undefined;
-  if (fleet.present.has(primary)) return promotedBackup(before, eligibleIds);
-  if (fleet.present.has(backup)) return promotedBackup(before, fleet.present);
+  if (fleet.present.has(primary)) return promoteBackup(before, eligibleIds);
+  if (fleet.present.has(backup)) return promoteBackup(before, fleet.present);
   if (target === undefined || target.primary === "") return undefined;
   // No member holds records of the slot any more, so the backup can be assigned at once.
   return { epoch: epoch + 1, ...target, historyLostAt: epoch === 0 ? 0 : date };
@@ -91,10 +91,10 @@
  * @param among Ids of the members that may be promoted.
  * @returns The assignment, or undefined if the backup may not be promoted.
  */
-export function promotedBackup(
-  before: Assignment,
+export function promoteBackup(
+  before: SlotAssignment,
   among: ReadonlySet<string>,
-): Assignment | undefined {
+): SlotAssignment | undefined {
   const { epoch, backup } = before;
   return among.has(backup)
     ? { ...before, epoch: epoch + 1, primary: backup, backup: "" }
@@ -102,7 +102,7 @@
 }
 
 /**
- * Plans new backups for the slots of a primary: for slots whose backup is missing or leaving, and up to `mostMoves`
+ * Plans new backups for the slots of a primary: for slots whose backup is missing or leaving, and up to `maxMoves`
  * more that bring the slots closer to their targets.
  *
  * @param map The current slot map.
@@ -112,19 +112,19 @@
  */
 export function planBackups(
   map: SlotMap,
-  options: { self: string; fleet: SlotFleet; mostMoves: number },
+  options: { self: string; fleet: SlotFleet; maxMoves: number },
 ): BackupPlan {
-  const { self, fleet, mostMoves } = options;
+  const { self, fleet, maxMoves } = options;
   if (!map.slots.some(({ primary }) => primary === self)) return new Map();
-  const targets = slotTargets(fleet.able);
-  const eligibleIds = new Set(fleet.able.map(({ id }) => id));
+  const targets = slotTargets(fleet.eligible);
+  const eligibleIds = new Set(fleet.eligible.map(({ id }) => id));
   const plan = new Map<string, number[]>();
   let moves = 0;
   map.slots.forEach(({ primary, backup }, slot) => {
     if (primary !== self) return;
     const wanted = targetBackup(self, targets[slot]);
     if (wanted === "" || wanted === backup) return;
-    if (eligibleIds.has(backup) && ++moves > mostMoves) return;
+    if (eligibleIds.has(backup) && ++moves > maxMoves) return;
     plan.set(wanted, [...(plan.get(wanted) ?? []), slot]);
   });
   return plan;
@@ -139,20 +139,20 @@
 /**
  * Plans swaps of primary and backup for slots whose backup should be the primary. Both hold the slot's records.
  *
- * @returns At most `mostMoves` changes, which the current primary may write.
+ * @returns At most `maxMoves` changes, which the current primary may write.
  */
 export function planSwaps(
   map: SlotMap,
-  options: { self: string; fleet: SlotFleet; mostMoves: number },
+  options: { self: string; fleet: SlotFleet; maxMoves: number },
 ): readonly SlotChange[] {
-  const { self, fleet, mostMoves } = options;
+  const { self, fleet, maxMoves } = options;
   if (!map.slots.some(({ primary }) => primary === self)) return [];
-  const targets = slotTargets(fleet.able);
+  const targets = slotTargets(fleet.eligible);
   return map.slots
     .map((before, slot) => ({ before, slot }))
     .filter(({ before }) => before.primary === self && before.backup !== "")
     .filter(({ before, slot }) => targets[slot]?.primary === before.backup)
-    .slice(0, mostMoves)
+    .slice(0, maxMoves)
     .map(({ before, slot }) => ({
       slot,
       assignment: {
@@ -170,7 +170,7 @@
  * @param before The slot's current assignment.
  * @param backup Member id of the new backup, which must hold the slot's records.
  */
-export function withBackup(before: Assignment, backup: string): Assignment {
+export function withBackup(before: SlotAssignment, backup: string): SlotAssignment {
   return { ...before, epoch: before.epoch + 1, backup };
 }
 
@@ -182,7 +182,7 @@
 export function applyChanges(
   map: SlotMap,
   changes: readonly SlotChange[],
-): readonly Assignment[] | undefined {
+): readonly SlotAssignment[] | undefined {
   const slots = [...map.slots];
   let applied = 0;
   for (const { slot, assignment } of changes) {
--- a/src/version/slot_plan_test.ts
+++ b/src/version/slot_plan_test.ts
@@ -9,7 +9,7 @@
 const NOW = 1_000;
 
 function fleetOf(eligible: readonly SlotMember[], leaving: readonly SlotMember[] = []): SlotFleet {
-  return { able: eligible, present: new Set([...eligible, ...leaving].map(({ id }) => id)) };
+  return { eligible: eligible, present: new Set([...eligible, ...leaving].map(({ id }) => id)) };
 }
 
 function members(count: number, zones = 4): SlotMember[] {
@@ -34,7 +34,7 @@
   for (let round = 0; round < 40; round++) {
     const before = map;
     for (const self of fleet.present) {
-      const options = { self, fleet, mostMoves: SLOT_COUNT };
+      const options = { self, fleet, maxMoves: SLOT_COUNT };
       for (const [backup, slots] of planBackups(map, options)) {
         const changes = slots.flatMap((slot) => {
           const assignment = map.slots[slot];
--- a/src/version/usage_report.ts
+++ b/src/version/usage_report.ts
@@ -51,7 +51,7 @@
 };
 
 /** The number of windows whose counts stay in the store. It is several times the number that may still be reported. */
-export const KEPT_WINDOWS = 12;
+export const MAX_KEPT_WINDOWS = 12;
 
 /**
  * Returns the next step for reporting a window.
@@ -70,7 +70,7 @@
   const { version, record } = known;
   const fixed = record.reports.find((report) => report.window === window);
   if (fixed !== undefined) return { kind: "send", counts: fixed.counts };
-  const reports = [...record.reports, { window, counts: { ...counts } }].slice(-KEPT_WINDOWS);
+  const reports = [...record.reports, { window, counts: { ...counts } }].slice(-MAX_KEPT_WINDOWS);
   return { kind: "fix", expect: version, record: { reports } };
 }
 
@@ -81,7 +81,7 @@
  * @param version The new version if the store has confirmed the write; undefined after any other outcome.
  * @returns The record, or undefined if it must be read again.
  */
-export function knownAfterFix(
+export function usageAfterWrite(
   record: UsageRecord,
   version: number | undefined,
   rules: UsageRules = ALL_USAGE_RULES,
--- a/traces/catalogue.ts
+++ b/traces/catalogue.ts
@@ -1,5 +1,5 @@
 import { Lane } from "../src/decision/index.ts";
-import { lowerBoundOf, parseTrace } from "../src/standin/replay/index.ts";
+import { computeLowerBound, parseTrace } from "../src/standin/replay/index.ts";
 import type { Trace, TraceArrival, TraceFault } from "../src/standin/replay/index.ts";
 import { ASSOCIATION_CALM, ASSOCIATION_DEPLOYMENT, ASSOCIATION_PEAK } from "./association.ts";
 import { KORTFILM_CALM, KORTFILM_DEPLOYMENT, KORTFILM_PEAK } from "./kortfilm.ts";
@@ -239,7 +239,7 @@
     recomputed: maxRecomputedTokens(plan, trace),
     ...(isSaturation
       ? { goodput: Math.floor(MIN_GOODPUT_RATIO * bestGoodput(trace)) }
-      : { cost: roundCost(MAX_COST_RATIO * lowerBoundOf(trace).total) }),
+      : { cost: roundCost(MAX_COST_RATIO * computeLowerBound(trace).total) }),
     services: Object.fromEntries([...groups].sort().map((group) => [group, service])),
   };
 }
--- a/traces/traces_test.ts
+++ b/traces/traces_test.ts
@@ -1,6 +1,6 @@
 import { createHash } from "node:crypto";
 import { expect, test } from "vitest";
-import { parseTrace, PolicyName, policyOf, replay } from "../src/standin/replay/index.ts";
+import { parseTrace, PolicyName, getPolicy, replay } from "../src/standin/replay/index.ts";
 import type { Report, Trace } from "../src/standin/replay/index.ts";
 import { generateTraces } from "./catalogue.ts";
 
@@ -16,7 +16,7 @@
 }
 
 function replayTrace(name: string, seed?: number): Report {
-  return replay(loadTrace(name, seed), { policy: policyOf(PolicyName.Current), seed: SEED });
+  return replay(loadTrace(name, seed), { policy: getPolicy(PolicyName.Current), seed: SEED });
 }
 
 /** SHA-256 of each trace with which the figures in the documentation were measured. */
