--- a/src/decision/attempt_silence.ts
+++ b/src/decision/attempt_silence.ts
@@ -47,15 +47,10 @@
 
 /** Returns whether the worker counts as silent. */
 export function isWorkerSilent(wait: AttemptProgress): boolean {
-  const {
-    isStream,
-    hasFirstEvent: hasBegun,
-    silentFor: quietFor,
-    workerSilentFor: workerQuietFor,
-    target,
-    expectedFirstToken: expected,
-  } = wait;
-  if (hasBegun) return quietFor > STREAM_SILENCE && workerQuietFor > STREAM_SILENCE;
+  const { isStream, hasFirstEvent, silentFor, workerSilentFor, target, expectedFirstToken } = wait;
+  if (hasFirstEvent) return silentFor > STREAM_SILENCE && workerSilentFor > STREAM_SILENCE;
   const targetFactor = isStream ? STREAM_FACTOR : WHOLE_ANSWER_FACTOR;
-  return quietFor > Math.max(MIN_SILENCE, targetFactor * target, EXPECTED_FACTOR * expected);
+  return (
+    silentFor > Math.max(MIN_SILENCE, targetFactor * target, EXPECTED_FACTOR * expectedFirstToken)
+  );
 }
--- a/src/decision/ejection.ts
+++ b/src/decision/ejection.ts
@@ -64,10 +64,10 @@
   peers: readonly PeerStats[],
   { gapTarget }: { gapTarget: number },
 ): string[] {
-  const ejectedCount = peers.filter(({ isEjected: isOut }) => isOut).length;
+  const ejectedCount = peers.filter(({ isEjected }) => isEjected).length;
   const maxEjections = Math.floor(peers.length * MAX_EJECTED_FRACTION) - ejectedCount;
   if (maxEjections <= 0 || peers.length <= MIN_PEERS) return [];
-  const candidates = peers.filter(({ isEjected: isOut }) => !isOut);
+  const candidates = peers.filter(({ isEjected }) => !isEjected);
   const scored = candidates.map((peer) => ({
     worker: peer.worker,
     severity: severityOf(peer, candidates),
@@ -80,7 +80,9 @@
 /** Returns how far a worker exceeds its peers; a value above 1 justifies an ejection. */
 function severityOf(peer: PeerStats, all: readonly PeerStats[]): (gapTarget: number) => number {
   const otherPeers = all.filter(({ worker }) => worker !== peer.worker);
-  const gaps = otherPeers.map(({ tokenGap: gap }) => gap).filter((gap) => gap !== undefined);
+  const gaps = otherPeers
+    .map(({ tokenGap }) => tokenGap)
+    .filter((tokenGap) => tokenGap !== undefined);
   const rates = otherPeers.map(failureRate).filter((rate) => rate !== undefined);
   const rate = failureRate(peer);
   const failureSeverity =
--- a/src/decision/fleet_need.ts
+++ b/src/decision/fleet_need.ts
@@ -51,34 +51,30 @@
 
 /** Updates the smoothed demand to the present. */
 export function smoothDemand(
-  { arrivalRate: arriving }: ServiceDemand,
+  { arrivalRate }: ServiceDemand,
   { before, now }: { before: SmoothedDemand | undefined; now: number },
 ): SmoothedDemand {
   if (before === undefined) {
-    return { mean: arriving, deviation: arriving * INITIAL_DEVIATION, at: now };
+    return { mean: arrivalRate, deviation: arrivalRate * INITIAL_DEVIATION, at: now };
   }
   const retention = 2 ** (-(now - before.at) / DEMAND_HALF_LIFE);
-  const difference = arriving - before.mean;
+  const difference = arrivalRate - before.mean;
   const deviation = before.deviation * retention + Math.abs(difference) * (1 - retention);
   const isRise = difference > RISE_DEVIATIONS * before.deviation;
-  const mean = isRise ? arriving : before.mean + difference * (1 - retention);
+  const mean = isRise ? arrivalRate : before.mean + difference * (1 - retention);
   return { mean, deviation, at: now };
 }
 
 /** Computes the capacity that a service requires. */
 export function requiredCapacity(
-  {
-    arrivalRate: arriving,
-    previousArrivalRate: arrivedBefore,
-    waitingWork: waiting,
-  }: ServiceDemand,
+  { arrivalRate, previousArrivalRate, waitingWork }: ServiceDemand,
   { smoothed, startUp }: { smoothed: SmoothedDemand; startUp: number },
 ): RequiredCapacity {
-  const change = arriving - Math.max(arrivedBefore, smoothed.mean - smoothed.deviation);
+  const change = arrivalRate - Math.max(previousArrivalRate, smoothed.mean - smoothed.deviation);
   const isRise = change > RISE_DEVIATIONS * smoothed.deviation;
   const rise = isRise ? change * (startUp / MINUTE) : 0;
   const predicted = Math.min(smoothed.mean + rise, smoothed.mean * MAX_EXTRAPOLATION);
-  const backlog = (waiting * 1_000) / Math.max(MIN_CATCH_UP, startUp);
+  const backlog = (waitingWork * 1_000) / Math.max(MIN_CATCH_UP, startUp);
   return {
     usual: predicted / TARGET_UTILIZATION + backlog,
     afterZoneLoss: smoothed.mean * ZONE_LOSS_FRACTION,
--- a/src/decision/fleet_test.ts
+++ b/src/decision/fleet_test.ts
@@ -24,11 +24,11 @@
   );
 }
 
-function someDemand(arriving: number, changes: Partial<ServiceDemand> = {}): ServiceDemand {
+function someDemand(arrivalRate: number, changes: Partial<ServiceDemand> = {}): ServiceDemand {
   return {
     service: "desk",
-    arrivalRate: arriving,
-    previousArrivalRate: arriving,
+    arrivalRate,
+    previousArrivalRate: arrivalRate,
     waitingWork: 0,
     workInProgress: {},
     workers: [],
@@ -66,11 +66,11 @@
   demand: ServiceDemand,
   until: number,
 ): { at: number; plan: FleetPlan } | undefined {
-  let { plannerState: memory } = planFleet(someView(demand));
+  let { plannerState } = planFleet(someView(demand));
   for (let now = 5_000; now <= until; now += 5_000) {
-    const plan = planFleet(someView(demand, { now, plannerState: memory }));
+    const plan = planFleet(someView(demand, { now, plannerState }));
     if (plan.retire.length > 0) return { at: now, plan };
-    memory = plan.plannerState;
+    plannerState = plan.plannerState;
   }
   return undefined;
 }
@@ -138,8 +138,8 @@
     // The maintenance preset allows four workers; ten are busy. If they were stopped at once, their
     // scripts would be cut off.
     const workers = launched(planFleet(someView(someDemand(1_800))));
-    const inProgress = Object.fromEntries(workers.map(({ id }) => [id, 5_000]));
-    const smaller = { workers, minWorkers: 0, maxWorkers: 4, workInProgress: inProgress };
+    const workInProgress = Object.fromEntries(workers.map(({ id }) => [id, 5_000]));
+    const smaller = { workers, minWorkers: 0, maxWorkers: 4, workInProgress };
     const found = firstRetirement(someDemand(0, smaller), 600_000);
     expect(found?.plan.retire).toHaveLength(1);
     const crowded = workers.slice(0, 4);
@@ -155,17 +155,15 @@
     // The demand of a minute is off by 17 in 100 by chance. A fleet that follows it pays for a
     // start-up at each change.
     const workers = launched(planFleet(someView(someDemand(1_000))));
-    let { plannerState: memory } = planFleet(someView(someDemand(1_000, { workers })));
+    let { plannerState } = planFleet(someView(someDemand(1_000, { workers })));
     for (let now = 5_000; now < 600_000; now += 5_000) {
       const arriving = 1_000 * (1 + 0.15 * Math.sin(now / 10_000));
-      const plan = planFleet(
-        someView(someDemand(arriving, { workers }), { now, plannerState: memory }),
-      );
+      const plan = planFleet(someView(someDemand(arriving, { workers }), { now, plannerState }));
       expect([...plan.launches, ...plan.retire]).toEqual([]);
-      memory = plan.plannerState;
+      plannerState = plan.plannerState;
     }
     const rise = someDemand(1_800, { previousArrivalRate: 1_000, workers });
-    const plan = planFleet(someView(rise, { now: 605_000, plannerState: memory }));
+    const plan = planFleet(someView(rise, { now: 605_000, plannerState }));
     expect(plan.launches.length).toBeGreaterThanOrEqual(4);
   });
 });
--- a/src/decision/rollout_budget.ts
+++ b/src/decision/rollout_budget.ts
@@ -135,9 +135,9 @@
  * share is correct.
  */
 export function createRolloutBudget({
-  limits: bounds,
-  schedule: course,
-  memberCount: members,
+  limits,
+  schedule,
+  memberCount,
   random,
 }: RolloutBudgetOptions): RolloutBudget {
   const initialUsage = random.next();
@@ -148,8 +148,8 @@
       if (isTried) counts.tried++;
     },
     canSendToTrial: (phase) => {
-      const additional = (bounds.slack * PLANNED_SLACK_FRACTION) / Math.max(1, members());
-      return counts.tried + initialUsage < counts.all * course.maxShares[phase] + additional;
+      const additional = (limits.slack * PLANNED_SLACK_FRACTION) / Math.max(1, memberCount());
+      return counts.tried + initialUsage < counts.all * schedule.maxShares[phase] + additional;
     },
     startDelay: initialUsage,
     counts,
@@ -201,17 +201,20 @@
  */
 export function activeTrialWorkers(
   workers: readonly string[],
-  { elapsed: since, duration, maxShare: part, baseWorkers: base, startDelay: delay }: TrialContext,
+  { elapsed, duration, maxShare, baseWorkers, startDelay }: TrialContext,
 ): string[] {
-  const trialWorkers = workers.slice(0, Math.max(TRIAL_WORKERS, Math.ceil(base * part)));
-  const activeCount = Math.min(trialWorkers.length, Math.max(1, Math.round(base * part)));
-  const activeShare = activeCount / Math.max(1, base + activeCount);
+  const trialWorkers = workers.slice(0, Math.max(TRIAL_WORKERS, Math.ceil(baseWorkers * maxShare)));
+  const activeCount = Math.min(
+    trialWorkers.length,
+    Math.max(1, Math.round(baseWorkers * maxShare)),
+  );
+  const activeShare = activeCount / Math.max(1, baseWorkers + activeCount);
   const roundTime = clamp(duration / ROUNDS, ROUND_TIME);
-  const round = Math.max(0, since) / roundTime;
-  const activeFraction = part / Math.max(activeShare, Number.EPSILON);
+  const round = Math.max(0, elapsed) / roundTime;
+  const activeFraction = maxShare / Math.max(activeShare, Number.EPSILON);
   const isActive =
     activeFraction >= 1 ||
-    (round % 1 < activeFraction && round % 1 >= activeFraction * delay * START_SPREAD);
+    (round % 1 < activeFraction && round % 1 >= activeFraction * startDelay * START_SPREAD);
   if (!isActive) return [];
   const first = Math.floor(round) * activeCount;
   return Array.from(
--- a/src/decision/rollout_budget_test.ts
+++ b/src/decision/rollout_budget_test.ts
@@ -26,7 +26,7 @@
   const createBudget = (): ReturnType<typeof createRolloutBudget> =>
     createRolloutBudget({
       limits: LIMITS,
-      schedule: schedule,
+      schedule,
       memberCount: () => instances,
       random,
     });
@@ -84,42 +84,45 @@
 
 test("ends a rollout shortly before its deadline, after a short switch phase", () => {
   for (const duration of [8_000, 12_000, 60_000, 600_000]) {
-    const { switchAt, completeAt, maxShares: parts } = planRollout(duration, LIMITS);
+    const { switchAt, completeAt, maxShares } = planRollout(duration, LIMITS);
     expect(completeAt).toBeLessThanOrEqual(duration - 350);
     expect(completeAt).toBeGreaterThanOrEqual(duration - 700);
     expect(switchAt).toBeLessThan(completeAt);
-    expect(parts.trial).toBeGreaterThan(0.015);
-    expect(parts.switch).toBeGreaterThanOrEqual(parts.trial);
+    expect(maxShares.trial).toBeGreaterThan(0.015);
+    expect(maxShares.switch).toBeGreaterThanOrEqual(maxShares.trial);
   }
 });
 
 // A fault that appears only under load stays hidden if each new worker receives a small share. So a
 // few workers receive as much as an old one.
-test.each([4, 13, 63, 200])("loads workers on trial as much as the %i base workers", (base) => {
-  const workers = Array.from({ length: base }, (_, index) => `n-${index}`);
-  const duration = 40_000;
-  const { maxShares: parts } = planRollout(duration, LIMITS);
-  const used = new Set<string>();
-  let shares = 0;
-  const samples = 4_000;
-  for (let sample = 0; sample < samples; sample++) {
-    const context = {
-      elapsed: (sample * duration) / samples,
-      duration,
-      maxShare: parts.trial,
-      baseWorkers: base,
-      startDelay: 0,
-    };
-    const now = activeTrialWorkers(workers, context);
-    for (const worker of now) used.add(worker);
-    shares += now.length / (base + now.length);
-  }
-  // While they are active they carry the same load as the others; over the whole time they
-  // receive about the share.
-  expect(shares / samples).toBeGreaterThan(0.6 * parts.trial);
-  expect(shares / samples).toBeLessThan(1.5 * parts.trial);
-  expect(used.size).toBeGreaterThanOrEqual(3);
-});
+test.each([4, 13, 63, 200])(
+  "loads workers on trial as much as the %i base workers",
+  (baseWorkers) => {
+    const workers = Array.from({ length: baseWorkers }, (_, index) => `n-${index}`);
+    const duration = 40_000;
+    const { maxShares } = planRollout(duration, LIMITS);
+    const used = new Set<string>();
+    let shares = 0;
+    const samples = 4_000;
+    for (let sample = 0; sample < samples; sample++) {
+      const context = {
+        elapsed: (sample * duration) / samples,
+        duration,
+        maxShare: maxShares.trial,
+        baseWorkers,
+        startDelay: 0,
+      };
+      const now = activeTrialWorkers(workers, context);
+      for (const worker of now) used.add(worker);
+      shares += now.length / (baseWorkers + now.length);
+    }
+    // While they are active they carry the same load as the others; over the whole time they
+    // receive about the share.
+    expect(shares / samples).toBeGreaterThan(0.6 * maxShares.trial);
+    expect(shares / samples).toBeLessThan(1.5 * maxShares.trial);
+    expect(used.size).toBeGreaterThanOrEqual(3);
+  },
+);
 
 test("returns no workers on trial if the version has none", () => {
   const context = { elapsed: 100, duration: 9_000, maxShare: 0.03, baseWorkers: 5, startDelay: 0 };
--- a/src/decision/rollout_tally.ts
+++ b/src/decision/rollout_tally.ts
@@ -160,8 +160,8 @@
    * Baselines for a run: runs with a similar number of prompt tokens, then all runs of the route if
    * the former are too few.
    */
-  const baselineKeys = ({ service, route, prefillTokens: reads }: CountedRun): string[] => [
-    `${service} ${route} ${Math.round(Math.log2(Math.max(1, reads)))}`,
+  const baselineKeys = ({ service, route, prefillTokens }: CountedRun): string[] => [
+    `${service} ${route} ${Math.round(Math.log2(Math.max(1, prefillTokens)))}`,
     `${service} ${route}`,
   ];
   const slowThreshold = (run: CountedRun): number | undefined => {
--- a/src/decision/rollout_tally_test.ts
+++ b/src/decision/rollout_tally_test.ts
@@ -9,18 +9,18 @@
 
 function begin(
   tallies: VersionTallies,
-  now: number,
+  startedAt: number,
   options: { tried?: string; reads?: number; isCold?: boolean } = {},
 ): RunTally {
-  const { tried, reads = 1_000, isCold = false } = options;
+  const { tried: trialWorker, reads: prefillTokens = 1_000, isCold: isWarmingUp = false } = options;
   return tallies.begin({
     service: SERVICE,
     route: "draft",
-    prefillTokens: reads,
-    trialWorker: tried,
-    isWarmingUp: isCold,
+    prefillTokens,
+    trialWorker,
+    isWarmingUp,
     isCompared: true,
-    startedAt: now,
+    startedAt,
   });
 }
 
--- a/src/decision/triage_test.ts
+++ b/src/decision/triage_test.ts
@@ -88,20 +88,20 @@
     const workers = someWorkers(6).map((worker, index) =>
       index === 0 ? { ...worker, state: WorkerState.Leaving, reclaimAt: 5_000 } : worker,
     );
-    const underNotice = workers.filter(({ reclaimAt }) => reclaimAt !== undefined);
+    const workersWithNotice = workers.filter(({ reclaimAt }) => reclaimAt !== undefined);
     const requests = Array.from({ length: 12 }, (_, index) => someRequest({ id: `r${index}` }));
-    const chosen = triage(requests, someView({ targets: workers, workersWithNotice: underNotice }));
+    const chosen = triage(requests, someView({ targets: workers, workersWithNotice }));
     expect(chosen.some(({ target }) => target === "w0" || target === "w4")).toBe(false);
     const onDemand = workers.map((worker) => ({ ...worker, purchase: Purchase.OnDemand }));
-    const kept = triage(requests, someView({ targets: onDemand, workersWithNotice: underNotice }));
+    const kept = triage(requests, someView({ targets: onDemand, workersWithNotice }));
     expect(kept.some(({ target }) => target === "w4")).toBe(true);
   });
 
   test("without capacity elsewhere, requests continue until the last moment", () => {
     // Every other worker is full. If the scripts moved at once, they would wait in a queue while
     // this worker is idle.
-    const room = new Map(someWorkers(4).map(({ id }) => [id, 0]));
-    const [chosen] = triage([someRequest()], someView({ freeCacheTokens: room }));
+    const freeCacheTokens = new Map(someWorkers(4).map(({ id }) => [id, 0]));
+    const [chosen] = triage([someRequest()], someView({ freeCacheTokens }));
     expect(chosen).toMatchObject({ choice: TriageChoice.ResumeLate, at: 4_500 });
   });
 });
--- a/src/decision/worker_health.ts
+++ b/src/decision/worker_health.ts
@@ -90,7 +90,7 @@
       addDecayed(recentCounts, worker, { ...run, now });
       addDecayed(recentByService, service, { ...run, now });
     },
-    receiveCounts: receiveCounts,
+    receiveCounts,
     excessFailureRate: (worker, service, now) => {
       const counts = recentCounts.get(worker);
       // Fast path for nearly all workers, since each request looks up every one of them.
--- a/src/decision/worker_mix.ts
+++ b/src/decision/worker_mix.ts
@@ -119,29 +119,31 @@
 export function planMix({
   scaling,
   stock,
-  demand: inUse,
-  heldOnDemand: held,
-  lossInterval: lossGap,
+  demand,
+  heldOnDemand,
+  lossInterval,
 }: MixContext): MixPlan {
-  const target = reclaimableTarget(scaling, { zones: stock.length, inUse: inUse.smoothed });
+  const target = reclaimableTarget(scaling, { zones: stock.length, inUse: demand.smoothed });
   // If the market is empty, only the existing workers are available; otherwise the rest will start
   // soon.
   const available = stock.map(({ reclaimable, isDry }) =>
     isDry ? Math.min(reclaimable, target) : target,
   );
   const isMarketEmpty = stock.some(({ isDry }) => isDry);
-  const isFastWave = lossGap <= scaling.startUp * FAST_LOSS_START_UPS;
+  const isFastWave = lossInterval <= scaling.startUp * FAST_LOSS_START_UPS;
   const expectedLosses = isFastWave ? EXPECTED_ZONE_LOSSES.fast : EXPECTED_ZONE_LOSSES.slow;
   const missing = Math.max(
     0,
-    Math.ceil(inUse.current * ON_DEMAND_HEADROOM) - sum(available),
-    isMarketEmpty ? inUse.smoothedPrefill - remainingAfterLosses(available, expectedLosses) : 0,
+    Math.ceil(demand.current * ON_DEMAND_HEADROOM) - sum(available),
+    isMarketEmpty ? demand.smoothedPrefill - remainingAfterLosses(available, expectedLosses) : 0,
   );
   const isRecovered = stock.every(({ reclaimable, isDry }) => !isDry && reclaimable >= target);
   // Once the market has workers again, each reclaimable worker that accepts requests replaces an
   // on-demand one.
   const ready = sum(stock.map(({ reclaimable }) => reclaimable));
-  const keptOnDemand = isMarketEmpty ? held : Math.min(held, Math.max(0, inUse.smoothed - ready));
+  const keptOnDemand = isMarketEmpty
+    ? heldOnDemand
+    : Math.min(heldOnDemand, Math.max(0, demand.smoothed - ready));
   const wanted = isRecovered ? 0 : Math.max(missing, keptOnDemand);
   // One place stays free for a reclaimable worker while the market is empty: only an order shows
   // when it has workers again.
--- a/src/decision/worker_mix_test.ts
+++ b/src/decision/worker_mix_test.ts
@@ -38,15 +38,15 @@
   existing: StockCounts,
   options: { inUse: number; held?: number; lossGap?: number },
 ): MixOrder[] {
-  const { inUse, held = 0, lossGap = Infinity } = options;
+  const { inUse, held: heldOnDemand = 0, lossGap: lossInterval = Infinity } = options;
   const level = { current: inUse, smoothed: inUse, smoothedPrefill: inUse, hasLoad: true };
   return [
     ...planMix({
       scaling: SCALING,
       stock: createStock(existing),
       demand: level,
-      heldOnDemand: held,
-      lossInterval: lossGap,
+      heldOnDemand,
+      lossInterval,
     }).orders,
   ];
 }
@@ -59,13 +59,13 @@
 
 test("before any load, orders reclaimable workers by the existing ones and none on demand", () => {
   const smoothed = estimateInitialDemand(SCALING, { reclaimable: 0, onDemand: 13 });
-  const inUse = { current: 0, smoothed, smoothedPrefill: 0, hasLoad: false };
+  const demand = { current: 0, smoothed, smoothedPrefill: 0, hasLoad: false };
   const existing = createStock({ ordered: [4, 3, 3, 3] });
   const orders = [
     ...planMix({
       scaling: SCALING,
       stock: existing,
-      demand: inUse,
+      demand,
       heldOnDemand: 0,
       lossInterval: Infinity,
     }).orders,
--- a/src/decision/worker_offer.ts
+++ b/src/decision/worker_offer.ts
@@ -46,14 +46,17 @@
 
 /** Returns whether the request is offered to a worker. */
 export function shouldOffer({
-  expectedFirstToken: wait,
-  firstTokenTarget: target,
-  timeLeft: left,
-  priorityRank: rank,
-  isRetry: isReturn,
+  expectedFirstToken,
+  firstTokenTarget,
+  timeLeft,
+  priorityRank,
+  isRetry,
 }: WorkerOffer): boolean {
-  if (isReturn) return wait <= left * RETRY_FRACTION;
-  return wait <= Math.min(left, target * TARGET_FACTOR * RANK_FACTOR ** rank);
+  if (isRetry) return expectedFirstToken <= timeLeft * RETRY_FRACTION;
+  return (
+    expectedFirstToken <=
+    Math.min(timeLeft, firstTokenTarget * TARGET_FACTOR * RANK_FACTOR ** priorityRank)
+  );
 }
 
 /**
@@ -63,11 +66,14 @@
  * @returns Milliseconds.
  */
 export function offerRetryDelay({
-  expectedFirstToken: wait,
-  firstTokenTarget: target,
-  priorityRank: rank,
+  expectedFirstToken,
+  firstTokenTarget,
+  priorityRank,
 }: WorkerOffer): number {
-  return Math.max(MIN_RETRY_DELAY, wait - target * TARGET_FACTOR * RANK_FACTOR ** rank);
+  return Math.max(
+    MIN_RETRY_DELAY,
+    expectedFirstToken - firstTokenTarget * TARGET_FACTOR * RANK_FACTOR ** priorityRank,
+  );
 }
 
 /** Milliseconds. After a shorter time nothing has changed at any worker. */
--- a/src/decision/worker_offer_test.ts
+++ b/src/decision/worker_offer_test.ts
@@ -10,16 +10,17 @@
 };
 
 test("offers every request while the workers have capacity", () => {
-  for (const rank of [0, 1, 2, 5]) expect(shouldOffer({ ...CALM, priorityRank: rank })).toBe(true);
+  for (const priorityRank of [0, 1, 2, 5])
+    expect(shouldOffer({ ...CALM, priorityRank })).toBe(true);
 });
 
 // Requests for twice the capacity of the engines arrive. If they were accepted in order of arrival,
 // all would be late.
 test("refuses the less urgent first in saturation, and accepted requests are in time", () => {
-  const taken = [0, 1, 2, 3].map((rank) => {
-    let wait = 0;
-    while (shouldOffer({ ...CALM, priorityRank: rank, expectedFirstToken: wait })) wait += 10;
-    return wait;
+  const taken = [0, 1, 2, 3].map((priorityRank) => {
+    let expectedFirstToken = 0;
+    while (shouldOffer({ ...CALM, priorityRank, expectedFirstToken })) expectedFirstToken += 10;
+    return expectedFirstToken;
   });
   expect(taken).toEqual([...taken].sort((a, b) => b - a));
   expect(taken[0]).toBeLessThan(CALM.firstTokenTarget * 1.5);
--- a/src/decision/worker_ranking.ts
+++ b/src/decision/worker_ranking.ts
@@ -130,8 +130,8 @@
   const seed = Math.floor(random.next() * HASH_RANGE);
   const rankings: RankedChoice<W>[] = [];
   for (const worker of workers) {
-    const reads = totalTokens - sharedTokens * (homes.get(worker) ?? 0);
-    const wait = expectedWait(worker, { unread: reads, speed });
+    const prefillTokens = totalTokens - sharedTokens * (homes.get(worker) ?? 0);
+    const wait = expectedWait(worker, { unread: prefillTokens, speed });
     const cost =
       wait +
       worker.running * CONCURRENT_RUN_COST +
@@ -139,7 +139,7 @@
       worker.warmupLeft * WARMUP_COST_FACTOR +
       (mixHashes(worker.hash, seed) / HASH_RANGE) * MAX_JITTER +
       (worker.isSameZone ? 0 : CROSS_ZONE_COST);
-    rankings.push({ worker, cost, wait, prefillTokens: reads });
+    rankings.push({ worker, cost, wait, prefillTokens });
   }
   return rankings.sort((a, b) => a.cost - b.cost);
 }
--- a/src/process/change_propagation_test.ts
+++ b/src/process/change_propagation_test.ts
@@ -21,7 +21,7 @@
 }
 
 function relaysOf({ members }: SyncFleet): SyncMember[] {
-  return members.filter(({ sync: news }) => news.role === FleetRole.Relay);
+  return members.filter(({ sync }) => sync.role === FleetRole.Relay);
 }
 
 /** Drops all datagrams from one instance to the others. */
@@ -129,7 +129,7 @@
 // the watchers to send it store changes.
 test("an instance that wrongly takes itself for a relay still receives changes", async () => {
   const fleet = await startFleet(67);
-  const isolated = fleet.members.filter(({ sync: news }) => news.role === FleetRole.Member).at(-1);
+  const isolated = fleet.members.filter(({ sync }) => sync.role === FleetRole.Member).at(-1);
   if (isolated === undefined) throw new Error("A fleet of 67 instances must have members.");
   // No digests pass between this instance and the rest of its zone.
   for (const other of fleet.members.filter(
--- a/src/process/count_log.ts
+++ b/src/process/count_log.ts
@@ -52,7 +52,7 @@
       const isSnapshot = since <= lastRound - RETAINED_ROUNDS || since === 0;
       const from = isSnapshot ? 0 : since;
       return {
-        isSnapshot: isSnapshot,
+        isSnapshot,
         admitted: admitted.since(from),
         usage: countsByWindow(withoutTombstones(usage.since(from))),
         workerCounts: use.since(from),
--- a/src/process/crash_evidence_fleet_test.ts
+++ b/src/process/crash_evidence_fleet_test.ts
@@ -86,7 +86,7 @@
     let sent = 0;
     for (let round = 0; round < 60; round++) {
       if (round === 2) {
-        const relays = liveMembers(fleet).filter(({ sync: news }) => news.role === FleetRole.Relay);
+        const relays = liveMembers(fleet).filter(({ sync }) => sync.role === FleetRole.Relay);
         for (const relay of relays.slice(0, 2)) stop(relay);
       }
       const isCounted = round * 200 > PROPAGATION_TIME;
--- a/src/process/fleet_sync.ts
+++ b/src/process/fleet_sync.ts
@@ -187,7 +187,7 @@
   });
   const isFed = (): boolean => {
     const from = clock.now() - FEEDER_TIMEOUT;
-    return exchange.feeders().some(({ receivedAt: heardAt }) => heardAt >= from);
+    return exchange.feeders().some(({ receivedAt }) => receivedAt >= from);
   };
   return Object.assign(exchange, {
     incarnation: incarnationOf(settings.name, session),
--- a/src/process/fleet_sync_test.ts
+++ b/src/process/fleet_sync_test.ts
@@ -44,7 +44,7 @@
 }
 
 function relaysOf(members: readonly SyncMember[]): SyncMember[] {
-  return members.filter(({ sync: news, isLive }) => isLive && news.role === FleetRole.Relay);
+  return members.filter(({ sync, isLive }) => isLive && sync.role === FleetRole.Relay);
 }
 
 function stop(member: SyncMember): void {
@@ -57,7 +57,7 @@
 function watchersOf({ members, store }: SyncFleet): SyncMember[] {
   const before = new Map(store.calls);
   return members.filter(
-    ({ sync: news, isLive }, index) => isLive && !news.isFed() && before.has(`e${index}`),
+    ({ sync, isLive }, index) => isLive && !sync.isFed() && before.has(`e${index}`),
   );
 }
 
@@ -181,13 +181,13 @@
 test("a member of a large fleet sends a few messages per period", async () => {
   const fleet = await startFleet(120);
   const { clock, members } = fleet;
-  const before = members.map(({ sync: news }) => news.bytesSent);
+  const before = members.map(({ sync }) => sync.bytesSent);
   const random = createSeededRandom(3);
   for (let step = 0; step < 40; step++) {
     for (const member of members) if (random.next() < 0.15) startRuns(fleet, member);
     await clock.advance(50);
   }
-  const rates = members.map(({ sync: news }, index) => (news.bytesSent - (before[index] ?? 0)) / 2);
+  const rates = members.map(({ sync }, index) => (sync.bytesSent - (before[index] ?? 0)) / 2);
   for (const [index, member] of members.entries()) {
     if (member.sync.role === FleetRole.Member) expect(rates[index]).toBeLessThan(2_048);
   }
@@ -239,9 +239,9 @@
 // second would admit a share of the quota each time without the others' knowledge.
 test("reading the sums does not count as a report", async () => {
   const { members } = await startFleet(14);
-  for (const { sync: news, quota } of members) {
+  for (const { sync, quota } of members) {
     const tell = vi.spyOn(quota, "createReport");
-    news.sums();
+    sync.sums();
     expect(tell).not.toHaveBeenCalled();
   }
 });
--- a/src/process/mix_task.ts
+++ b/src/process/mix_task.ts
@@ -150,45 +150,45 @@
         readyCount(zone, Purchase.OnDemand),
       isDry: now < (exhaustedUntil.get(`${name} ${zone}`) ?? 0),
     }));
-    const lossGap = losses.observe(name, { stock, now });
+    const lossInterval = losses.observe(name, { stock, now });
     const recent = (recentOnDemand.get(name) ?? []).filter(({ at }) => now - at < HOLD_TIME);
-    const held = Math.max(0, ...recent.map(({ onDemand }) => onDemand));
+    const heldOnDemand = Math.max(0, ...recent.map(({ onDemand }) => onDemand));
     const counts = (purchase: Purchase): number =>
       sum([...scaling.zonePrices.keys()].map((zone) => readyCount(zone, purchase)));
     const first = estimateInitialDemand(scaling, {
       reclaimable: counts(Purchase.Reclaimable),
       onDemand: counts(Purchase.OnDemand),
     });
-    const inUse = parts.inUse(service, initialDemand.get(name) ?? first);
+    const demand = parts.inUse(service, initialDemand.get(name) ?? first);
     if (!initialDemand.has(name)) {
       // When a deployment starts, its workers register one after another. A plan based on the first few would release
       // most of the others and order too few.
       const previous = observedDemand.get(name);
       const seen = previous?.first === first ? previous : { first, since: now };
       observedDemand.set(name, seen);
-      if (!inUse.hasLoad && now - seen.since < SETTLE_TIME) return false;
+      if (!demand.hasLoad && now - seen.since < SETTLE_TIME) return false;
       initialDemand.set(name, first);
     }
     const since = (leaseHeldSince ??= now);
-    const { orders, wantedOnDemand: onDemand } = planMix({
+    const { orders, wantedOnDemand } = planMix({
       scaling,
       stock,
-      demand: inUse,
-      heldOnDemand: held,
-      lossInterval: lossGap,
+      demand,
+      heldOnDemand,
+      lossInterval,
     });
-    recentOnDemand.set(name, [...recent, { onDemand, at: now }]);
+    recentOnDemand.set(name, [...recent, { onDemand: wantedOnDemand, at: now }]);
     const inputs = {
-      inUse: inUse.current,
-      inUseLately: inUse.smoothed,
-      readingLately: inUse.smoothedPrefill,
-      held,
+      inUse: demand.current,
+      inUseLately: demand.smoothed,
+      readingLately: demand.smoothedPrefill,
+      held: heldOnDemand,
       ready: counts(Purchase.Reclaimable) + counts(Purchase.OnDemand),
       dry: stock.filter(({ isDry }) => isDry).length,
     };
     // Workers ordered by the previous lease holder that haven't started yet are not visible. Until they must have
     // started, no on-demand worker is released.
-    const isNew = inUse.hasLoad && now - since < scaling.startUp + TAKEOVER_MARGIN;
+    const isNew = demand.hasLoad && now - since < scaling.startUp + TAKEOVER_MARGIN;
     let isNewlyExhausted = false;
     for (const wanted of orders) {
       const isLess = wanted.count <= readyCount(wanted.zone, wanted.purchase);
--- a/src/process/peer_occupancy.ts
+++ b/src/process/peer_occupancy.ts
@@ -37,11 +37,11 @@
     byInstance.delete(instance);
   };
   return {
-    update: (instance, { workerCounts: use, isSnapshot: isWhole }) => {
-      if (isWhole) remove(instance);
+    update: (instance, { workerCounts, isSnapshot }) => {
+      if (isSnapshot) remove(instance);
       const occupancy = byInstance.get(instance) ?? new Map<number, Occupancy>();
       byInstance.set(instance, occupancy);
-      for (const [worker, { running, unreadTokens }] of use) {
+      for (const [worker, { running, unreadTokens }] of workerCounts) {
         const before = occupancy.get(worker) ?? NO_WORKER_COUNTS;
         add(worker, {
           running: running - before.running,
--- a/src/process/rollout_view.ts
+++ b/src/process/rollout_view.ts
@@ -130,13 +130,13 @@
  * instances.
  */
 export function createRolloutView(parts: RolloutViewParts): RolloutView {
-  const { clock, random, bounds, time, instanceCount: members, log } = parts;
+  const { clock, random, bounds: limits, time, instanceCount, log } = parts;
   const services = new Map<string, ServiceState>();
   const plans = createRolloutPlans();
   const tallies = createVersionTallies(parts.fleetCountsOf);
   const newShare = (entry: RolloutEntry | undefined): RolloutBudget => {
-    const course = planRollout(entry?.order.duration ?? Infinity, bounds);
-    return createRolloutBudget({ limits: bounds, schedule: course, memberCount: members, random });
+    const schedule = planRollout(entry?.order.duration ?? Infinity, limits);
+    return createRolloutBudget({ limits, schedule, memberCount: instanceCount, random });
   };
 
   const serviceStateOf = (service: string): ServiceState => {
@@ -203,16 +203,22 @@
       : workers.filter((worker) => worker.version === version && !worker.isLeaving);
 
   /** Returns the ids of the workers on trial that this instance uses at the moment. */
-  const onTrial = ({ entry, startedAt, share, base, tried }: ServiceState): string[] => {
+  const onTrial = ({
+    entry,
+    startedAt,
+    share,
+    base: baseWorkers,
+    tried,
+  }: ServiceState): string[] => {
     if (entry === undefined || startedAt === undefined) return [];
     const { duration } = entry.order;
-    const part = planRollout(duration, bounds).maxShares[RolloutPhase.Trial];
-    const since = time() - startedAt;
+    const maxShare = planRollout(duration, limits).maxShares[RolloutPhase.Trial];
+    const elapsed = time() - startedAt;
     return activeTrialWorkers(tried, {
-      elapsed: since,
+      elapsed,
       duration,
-      maxShare: part,
-      baseWorkers: base,
+      maxShare,
+      baseWorkers,
       startDelay: share.startDelay,
     });
   };
@@ -268,37 +274,37 @@
     },
     plans: () => plans.list(clock.now()),
     admitting,
-    begin: ({ worker, route, reads, isCold }) => {
+    begin: ({ worker, route, reads: prefillTokens, isCold: isWarmingUp }) => {
       const { service, version, id } = worker;
       parts.onBegin(service, version);
-      const now = clock.now();
+      const startedAt = clock.now();
       const serviceState = services.get(service);
       const triedVersion = serviceState?.served?.tried;
       if (serviceState === undefined || triedVersion === undefined) {
-        const tried = undefined;
+        const trialWorker = undefined;
         return tallies.begin({
           service,
           route,
-          prefillTokens: reads,
-          trialWorker: tried,
-          isWarmingUp: isCold,
+          prefillTokens,
+          trialWorker,
+          isWarmingUp,
           isCompared: false,
-          startedAt: now,
+          startedAt,
         });
       }
       const isTried = version === triedVersion;
       serviceState.share.recordSent(isTried);
       if (isTried) serviceState.everTried.add(id);
-      const tried = isTried ? id : undefined;
+      const trialWorker = isTried ? id : undefined;
       const isCompared = isTried || onTrial(serviceState).length > 0;
       return tallies.begin({
         service,
         route,
-        prefillTokens: reads,
-        trialWorker: tried,
-        isWarmingUp: isCold,
+        prefillTokens,
+        trialWorker,
+        isWarmingUp,
         isCompared,
-        startedAt: now,
+        startedAt,
       });
     },
     counts: () => tallies.counts(clock.now()),
--- a/src/process/routed_entry.ts
+++ b/src/process/routed_entry.ts
@@ -92,14 +92,14 @@
     clock,
     matching: { idHeader: dependencies.names.requestId, notRunHeader: dependencies.names.notRun },
   });
-  const members = (): number => fleet.members;
+  const instanceCount = (): number => fleet.members;
   const quarantine = createRequestQuarantine({
     clock,
     time: synchronizedNow,
     store: dependencies.store,
     duration: settings.quarantine.lasts,
     peerCounts: (key) => fleet.sumOf(key),
-    instanceCount: members,
+    instanceCount,
     canErase: () => lease.held().length > 0,
     log,
   });
@@ -108,7 +108,7 @@
     random,
     zone: settings.zone,
     health,
-    members,
+    members: instanceCount,
     newsAge: () => fleet.updateAge,
     onBegin: () => fleet.reportRunStart(),
     versions,
@@ -190,7 +190,7 @@
     clock,
     random,
     store: dependencies.store,
-    throttle: createStoreThrottle({ clock, random, members }),
+    throttle: createStoreThrottle({ clock, random, members: instanceCount }),
     duties: () => [LEASE_NAME],
     members: {
       self: { id: incarnation },
@@ -212,10 +212,10 @@
   const demands = new Map<string, DemandEstimator>();
   const workersInUse = (service: RoutedService, first: number): DemandLevel => {
     const { name } = service;
-    const { prefillRate: readRate = Infinity } = board.speed(service);
+    const { prefillRate = Infinity } = board.speed(service);
     const loads = board.loads(name).map(({ running, unreadTokens }) => ({
       running,
-      readingTime: unreadTokens / readRate,
+      readingTime: unreadTokens / prefillRate,
     }));
     const demand = demands.get(name) ?? createDemandEstimator();
     demands.set(name, demand);
@@ -301,7 +301,7 @@
     "Configuration in force.",
     () => table()?.routing.version ?? 0,
   );
-  metrics.addGauge("samphireshore_members", "Entry instances expected.", members);
+  metrics.addGauge("samphireshore_members", "Entry instances expected.", instanceCount);
   metrics.addGauge(
     "samphireshore_quarantined_requests",
     "Requests that no worker gets, since workers crashed when they ran them.",
--- a/src/process/routed_worker_table.ts
+++ b/src/process/routed_worker_table.ts
@@ -142,7 +142,7 @@
 export function createRoutedWorkerTable(parts: RoutedWorkerTableParts): RoutedWorkerTable {
   const { clock, random, zone, health, members, newsAge, onBegin, versions } = parts;
   const { time, limits, onLimit = () => undefined } = parts;
-  const { extraCounts: counted = () => new Map<number, RunCounts>() } = parts;
+  const { extraCounts = () => new Map<number, RunCounts>() } = parts;
   const entries = new Map<string, WorkerEntry>();
   /** Entries by service, because each request iterates over those of one service. */
   let byService: ReadonlyMap<string, readonly WorkerEntry[]> = new Map();
@@ -242,7 +242,7 @@
       warmupLeft: Math.max(0, worker.coldFor - (now - entry.seenAt)),
       address: worker.address,
       service: worker.service,
-      maxConnections: maxConnections,
+      maxConnections,
     };
   };
   const candidates = (service: RoutedService): CandidateWorker[] => {
@@ -251,7 +251,7 @@
     return eligible(service, now).map((entry) => boardWorker(entry, maxConnections, now));
   };
   // Every request takes this path. The workers to compare are drawn first, so that objects are created only for them.
-  const compared: RoutedWorkerTable["sample"] = (service, parts) => {
+  const sample: RoutedWorkerTable["sample"] = (service, parts) => {
     const now = clock.now();
     const tried = onTrial(service, now);
     if (tried.length > 0) {
@@ -292,7 +292,7 @@
     return found;
   };
   const begin: RoutedWorkerTable["begin"] = (target, { reads, route }) => {
-    const { id, hash, service, unreadTokens, warmupLeft: coldFor } = target;
+    const { id, hash, service, unreadTokens, warmupLeft } = target;
     const startedAt = clock.now();
     const sentAt = time();
     const routedWorker = entries.get(id)?.worker;
@@ -300,7 +300,12 @@
     const tally =
       routedWorker === undefined
         ? undefined
-        : versions?.begin({ worker: routedWorker, route, reads: unreadTotal, isCold: coldFor > 0 });
+        : versions?.begin({
+            worker: routedWorker,
+            route,
+            reads: unreadTotal,
+            isCold: warmupLeft > 0,
+          });
     const adjustLoad = (by: number, tokensBy: number): void => {
       const entry = entries.get(id);
       if (entry === undefined) return;
@@ -359,7 +364,7 @@
   return {
     candidates,
     timeUntilCapacity: ({ name }) => limits.timeToNextSlot(entriesOf(name).map(({ hash }) => hash)),
-    sample: compared,
+    sample,
     begin,
     speed,
     onLeaving: (id, listener) => {
@@ -407,7 +412,7 @@
         const { runs, failures } = health.ownCounts(hash);
         if (running > 0 || runs > 0) use.set(hash, { running, unreadTokens, runs, failures });
       }
-      for (const counts of [versions?.counts() ?? [], counted()]) {
+      for (const counts of [versions?.counts() ?? [], extraCounts()]) {
         for (const [key, count] of counts) use.set(key, { ...NO_WORKER_COUNTS, ...count });
       }
       return use;
--- a/src/process/testing/sync_fleet.ts
+++ b/src/process/testing/sync_fleet.ts
@@ -99,12 +99,12 @@
   for (let index = 0; index < size.instances; index++) {
     members.push(startMember(index, { clock, random, network, store, members }));
   }
-  for (const { board, quota, sync: news, feed } of members) {
+  for (const { board, quota, sync, feed } of members) {
     board.setWorkers(workers);
     const accounts = size.accounts.map((name) => ({ name, quota: QUOTA }));
     quota.addAccounts(accounts, clock.now());
-    news.addAddresses([addressAt(0), addressAt(1)]);
-    await news.start();
+    sync.addAddresses([addressAt(0), addressAt(1)]);
+    await sync.start();
     feed.start();
   }
   // A run starts the same way whatever the load, so one list of candidates serves all instances.
@@ -125,8 +125,8 @@
     canAdmit: ({ quota }, account) =>
       quota.take({ account, quota: QUOTA, size: 0, now: clock.now() }) === 0,
     close: () => {
-      for (const { sync: news, feed } of members) {
-        news.close();
+      for (const { sync, feed } of members) {
+        sync.close();
         feed.close();
       }
     },
--- a/src/request/handover.ts
+++ b/src/request/handover.ts
@@ -110,8 +110,8 @@
   };
 
   /** A backup that is being reclaimed forwards its copies if the primary can't. */
-  const mustForward = ({ stance, assignment, records: held }: SlotReplica): boolean =>
-    stance === Stance.Backup && held.size > 0 && !isAlive(assignment.primary);
+  const mustForward = ({ stance, assignment, records }: SlotReplica): boolean =>
+    stance === Stance.Backup && records.size > 0 && !isAlive(assignment.primary);
 
   const scheduled = new Map<number, { readonly timer: Timer; readonly dueAt: number }>();
   const forwardNow = async (slot: number): Promise<void> => {
@@ -145,8 +145,8 @@
 
   const handover: Handover = {
     confirmHistory: (slot) => {
-      const { stance, assignment, completeThroughEpoch: completeTo } = table.get(slot);
-      const isConfirmable = stance === Stance.Primary && completeTo >= assignment.epoch;
+      const { stance, assignment, completeThroughEpoch } = table.get(slot);
+      const isConfirmable = stance === Stance.Primary && completeThroughEpoch >= assignment.epoch;
       // The backup of the first epoch knows that there is no earlier history.
       if (!isConfirmable || assignment.epoch <= 1 || assignment.backup === "") return;
       if (confirming.has(slot)) return;
--- a/src/request/routed_attempt.ts
+++ b/src/request/routed_attempt.ts
@@ -31,19 +31,19 @@
 /** Creates an attempt. Its exchange is set when the request is sent. */
 export function createAttempt(
   worker: CandidateWorker,
-  { run, now, wait }: { run: WorkerRun; now: number; wait: number },
+  { run, now: startedAt, wait }: { run: WorkerRun; now: number; wait: number },
 ): Attempt {
   return {
     worker,
     run,
-    startedAt: now,
+    startedAt,
     expectedWait: wait,
     exchange: undefined,
     head: undefined,
     chunks: [],
     size: 0,
     isStreaming: false,
-    lastReceivedAt: now,
+    lastReceivedAt: startedAt,
     hasEvent: false,
     isPaused: false,
   };
--- a/src/request/routed_choice.ts
+++ b/src/request/routed_choice.ts
@@ -46,7 +46,7 @@
   const createOffer = (choice: RankedChoice<CandidateWorker> | undefined): WorkerOffer => ({
     expectedFirstToken: choice?.wait ?? 0,
     firstTokenTarget: arrival.route.target,
-    timeLeft: timeLeft,
+    timeLeft,
     priorityRank: arrival.rank,
     isRetry: arrival.isRetry || tried.size > 0,
   });
--- a/src/request/routed_run.ts
+++ b/src/request/routed_run.ts
@@ -169,16 +169,11 @@
     for (const ranked of choice.inOrder()) if (send(ranked)) return;
     giveUp(RoutedRefusal.Overloaded, BUSY_RETRY_AFTER);
   };
-  const send = ({
-    worker,
-    cost,
-    prefillTokens: reads,
-    wait,
-  }: RankedChoice<CandidateWorker>): boolean => {
+  const send = ({ worker, cost, prefillTokens, wait }: RankedChoice<CandidateWorker>): boolean => {
     const now = clock.now();
     splitter.discardPartial();
     const attempt = createAttempt(worker, {
-      run: board.begin(worker, { reads, route: route.name }),
+      run: board.begin(worker, { reads: prefillTokens, route: route.name }),
       now,
       wait,
     });
--- a/src/request/slot_replica.ts
+++ b/src/request/slot_replica.ts
@@ -212,7 +212,7 @@
     stance,
     completeThroughEpoch: completeThroughAfter(replica, { assignment, stance }),
   };
-  const held = new Map<string, HeldRecord>();
+  const records = new Map<string, HeldRecord>();
   for (const [id, existing] of replica.records) {
     const latestThroughEpoch = extendThroughEpoch(updated, existing.latestThroughEpoch);
     // From here on, the new primary's copy takes precedence over messages still in transit.
@@ -225,9 +225,9 @@
       latestThroughEpoch,
       own: existing.own && isContinuous,
     };
-    held.set(id, endIfStale(updated, updatedRecord, rules));
+    records.set(id, endIfStale(updated, updatedRecord, rules));
   }
-  return { ...updated, records: held };
+  return { ...updated, records };
 }
 
 /**
@@ -424,9 +424,9 @@
 /** Removes a record that was never sent anywhere or whose retention has expired. */
 export function forgetRecord(replica: SlotReplica, id: string): SlotReplica {
   if (!replica.records.has(id)) return replica;
-  const held = new Map(replica.records);
-  held.delete(id);
-  return { ...replica, records: held };
+  const records = new Map(replica.records);
+  records.delete(id);
+  return { ...replica, records };
 }
 
 /** Records that the backup has acknowledged a sequence, if it did so at the current epoch. */
