--- a/src/decision/attempt_silence_test.ts
+++ b/src/decision/attempt_silence_test.ts
@@ -2,7 +2,7 @@
 import { isWorkerSilent } from "./attempt_silence.ts";
 import type { AttemptProgress } from "./attempt_silence.ts";
 
-const WHOLE: AttemptProgress = {
+const LOOKUP: AttemptProgress = {
   isStream: false,
   hasFirstEvent: false,
   silentFor: 0,
@@ -10,11 +10,11 @@
   target: 100,
   expectedFirstToken: 0,
 };
-const STREAM: AttemptProgress = { ...WHOLE, isStream: true, target: 800, expectedFirstToken: 100 };
+const STREAM: AttemptProgress = { ...LOOKUP, isStream: true, target: 800, expectedFirstToken: 100 };
 
 test("gives up a hanging worker of a lookup long before the deadline", () => {
-  expect(isWorkerSilent({ ...WHOLE, silentFor: 150 })).toBe(false);
-  expect(isWorkerSilent({ ...WHOLE, silentFor: 300 })).toBe(true);
+  expect(isWorkerSilent({ ...LOOKUP, silentFor: 150 })).toBe(false);
+  expect(isWorkerSilent({ ...LOOKUP, silentFor: 300 })).toBe(true);
 });
 
 // A prompt of 65,000 tokens takes more than a second to process. Meanwhile its worker sends nothing
@@ -27,7 +27,7 @@
 });
 
 test("doesn't give up a stream that pauses while its worker serves others", () => {
-  const begun = { ...STREAM, hasFirstEvent: true, silentFor: 1_500 };
-  expect(isWorkerSilent({ ...begun, workerSilentFor: 20 })).toBe(false);
-  expect(isWorkerSilent({ ...begun, workerSilentFor: 1_500 })).toBe(true);
+  const streaming = { ...STREAM, hasFirstEvent: true, silentFor: 1_500 };
+  expect(isWorkerSilent({ ...streaming, workerSilentFor: 20 })).toBe(false);
+  expect(isWorkerSilent({ ...streaming, workerSilentFor: 1_500 })).toBe(true);
 });
--- a/src/decision/crash_evidence.ts
+++ b/src/decision/crash_evidence.ts
@@ -127,7 +127,7 @@
  * they have counted nothing.
  */
 export function createCrashEvidence(
-  othersOf: (key: number) => RunCounts | undefined,
+  peerCountsOf: (key: number) => RunCounts | undefined,
 ): CrashEvidence {
   /** The counts that this instance sends to the others, by request name. */
   const ownCounts = new Map<string, SuspectCounts>();
@@ -163,10 +163,10 @@
   };
   const countTotals = ({ name, key }: SuspectRequest): SuspectTotals => {
     const own = ownCounts.get(name) ?? { crashes: 0, answers: 0 };
-    const others = othersOf(key) ?? NO_COUNTS;
+    const peerCounts = peerCountsOf(key) ?? NO_COUNTS;
     return {
-      crashes: own.crashes + others.failures,
-      answers: own.answers + others.runs - others.failures,
+      crashes: own.crashes + peerCounts.failures,
+      answers: own.answers + peerCounts.runs - peerCounts.failures,
       isOwn: own.crashes > 0,
     };
   };
@@ -205,7 +205,7 @@
       const isSuspected =
         ownCounts.has(suspect.name) ||
         restored.has(suspect.name) ||
-        (othersOf(suspect.key)?.failures ?? 0) > 0;
+        (peerCountsOf(suspect.key)?.failures ?? 0) > 0;
       if (isSuspected) touchCounts(suspect, now).answers++;
       rememberAnswer(suspect, now);
     },
@@ -213,7 +213,7 @@
       // Other instances lost workers with a request that was answered here. Report the answers to
       // them before the request is considered the cause.
       const isNew = !ownCounts.has(suspect.name) && answersOf(suspect.name, now) > 0;
-      if (isNew && (othersOf(suspect.key)?.failures ?? 0) > 0) touchCounts(suspect, now);
+      if (isNew && (peerCountsOf(suspect.key)?.failures ?? 0) > 0) touchCounts(suspect, now);
       return isProven(suspect, now);
     },
     hasAnswer: (suspect) => countTotals(suspect).answers > 0,
--- a/src/decision/crash_evidence_test.ts
+++ b/src/decision/crash_evidence_test.ts
@@ -82,19 +82,19 @@
 });
 
 test("keeps a request proven for a while after the instances that counted its crashes have ended", () => {
-  let others: { runs: number; failures: number } | undefined = { runs: 3, failures: 3 };
-  const evidence = createCrashEvidence(() => others);
+  let peerCounts: { runs: number; failures: number } | undefined = { runs: 3, failures: 3 };
+  const evidence = createCrashEvidence(() => peerCounts);
   expect(evidence.isProven(CAUSE, 0)).toBe(true);
-  others = undefined;
+  peerCounts = undefined;
   expect(evidence.isProven(CAUSE, 30_000)).toBe(true);
   expect(evidence.isProven(CAUSE, 61_000)).toBe(false);
 });
 
 test("clears a proven request when other instances report answers", () => {
-  let others = { runs: 3, failures: 3 };
-  const evidence = createCrashEvidence(() => others);
+  let peerCounts = { runs: 3, failures: 3 };
+  const evidence = createCrashEvidence(() => peerCounts);
   expect(evidence.isProven(CAUSE, 0)).toBe(true);
-  others = { runs: 9, failures: 3 };
+  peerCounts = { runs: 9, failures: 3 };
   expect(evidence.isProven(CAUSE, 500)).toBe(false);
 });
 
@@ -118,12 +118,12 @@
 });
 
 test("counts restored crashes after the instances that counted them have ended", () => {
-  let others: { runs: number; failures: number } | undefined = { runs: 1, failures: 1 };
-  const evidence = createCrashEvidence(() => others);
+  let peerCounts: { runs: number; failures: number } | undefined = { runs: 1, failures: 1 };
+  const evidence = createCrashEvidence(() => peerCounts);
   evidence.recordCrash(CAUSE, 0);
   evidence.restore(CAUSE, 2);
   expect(evidence.isProven(CAUSE, 1)).toBe(false);
-  others = undefined;
+  peerCounts = undefined;
   expect(evidence.isProven(CAUSE, 2)).toBe(false);
   evidence.recordCrash(CAUSE, 3);
   expect(evidence.isProven(CAUSE, 4)).toBe(true);
--- a/src/decision/entry_overload_test.ts
+++ b/src/decision/entry_overload_test.ts
@@ -2,10 +2,10 @@
 import { chooseEntryMode, EntryMode } from "./entry_overload.ts";
 
 function stances(readings: readonly { loopDelay: number; memory?: number }[]): EntryMode[] {
-  let stance = EntryMode.Open;
+  let mode = EntryMode.Open;
   return readings.map(({ loopDelay, memory = 100 }) => {
-    stance = chooseEntryMode({ loopDelay, memory, memoryLimit: 1_000, inProgress: 1 }, stance);
-    return stance;
+    mode = chooseEntryMode({ loopDelay, memory, memoryLimit: 1_000, inProgress: 1 }, mode);
+    return mode;
   });
 }
 
--- a/src/decision/prefill_rate.ts
+++ b/src/decision/prefill_rate.ts
@@ -23,7 +23,7 @@
    * Adds a sample: a first token arrived after `took` milliseconds, with `tokens` pending prompt
    * tokens.
    */
-  observe(sample: { tokens: number; took: number }): void;
+  observe(sample: { tokens: number; duration: number }): void;
 }
 
 /** Tokens per millisecond before any sample: engines of common sizes process 50 to 110. */
@@ -46,9 +46,9 @@
     get value() {
       return value;
     },
-    observe: ({ tokens, took }) => {
+    observe: ({ tokens, duration }) => {
       if (tokens < MIN_SAMPLE_TOKENS) return;
-      const sampleRate = tokens / Math.max(1, took - FIXED_LATENCY);
+      const sampleRate = tokens / Math.max(1, duration - FIXED_LATENCY);
       value = Math.min(
         MAX_RATE,
         Math.max(MIN_RATE, sampleRate > value ? value * STEP_FACTOR : value / STEP_FACTOR),
--- a/src/decision/prefill_rate_test.ts
+++ b/src/decision/prefill_rate_test.ts
@@ -8,7 +8,7 @@
   for (let count = 0; count < 300; count++) {
     const tokens = 3_000 + random.next() * 20_000;
     const read = random.next() < 0.2 ? tokens / 3 : tokens;
-    rate.observe({ tokens, took: 35 + read / 110 });
+    rate.observe({ tokens, duration: 35 + read / 110 });
   }
   expect(rate.value).toBeGreaterThan(90);
   expect(rate.value).toBeLessThan(140);
@@ -17,6 +17,6 @@
 test("ignores short prompts", () => {
   const rate = createPrefillRate();
   const before = rate.value;
-  for (let count = 0; count < 100; count++) rate.observe({ tokens: 600, took: 400 });
+  for (let count = 0; count < 100; count++) rate.observe({ tokens: 600, duration: 400 });
   expect(rate.value).toBe(before);
 });
--- a/src/decision/resolve_addresses.ts
+++ b/src/decision/resolve_addresses.ts
@@ -58,8 +58,8 @@
   const candidates = shuffled(context.alive, random);
   const preferred = candidates.filter((member) => isPreferred(member, context));
   const first = lessLoaded(preferred.length > 0 ? preferred : candidates, context);
-  const others = candidates.filter((member) => member !== first);
-  const chosen = first === undefined ? [] : [first, ...others].slice(0, MAX_ADDRESSES);
+  const otherCandidates = candidates.filter((member) => member !== first);
+  const chosen = first === undefined ? [] : [first, ...otherCandidates].slice(0, MAX_ADDRESSES);
   const answer = {
     addresses: chosen.map(({ callerAddress }) => callerAddress),
     keepFor: cacheSeconds(context),
--- a/src/decision/rollout_budget.ts
+++ b/src/decision/rollout_budget.ts
@@ -106,7 +106,7 @@
 /** Counts the requests of one service that one instance sends during a rollout. */
 export interface RolloutBudget {
   /** Records a request that was sent, to the version on trial or to the base version. */
-  recordSent(isTried: boolean): void;
+  recordSent(isTrial: boolean): void;
   /** Whether another request may be sent to the version on trial. */
   canSendToTrial(phase: RolloutPhase): boolean;
   /**
@@ -143,9 +143,9 @@
   const initialUsage = random.next();
   const counts = { all: 0, tried: 0 };
   return {
-    recordSent: (isTried) => {
+    recordSent: (isTrial) => {
       counts.all++;
-      if (isTried) counts.tried++;
+      if (isTrial) counts.tried++;
     },
     canSendToTrial: (phase) => {
       const additional = (limits.slack * PLANNED_SLACK_FRACTION) / Math.max(1, memberCount());
--- a/src/decision/rollout_budget_test.ts
+++ b/src/decision/rollout_budget_test.ts
@@ -42,10 +42,10 @@
     const budget = budgets[Math.floor(random.next() * instances)];
     const phase = at < schedule.switchAt ? RolloutPhase.Trial : RolloutPhase.Switch;
     // After the end of the rollout all requests go to the new version.
-    const isTried = at >= schedule.completeAt || budget?.canSendToTrial(phase) === true;
-    budget?.recordSent(isTried);
+    const isTrial = at >= schedule.completeAt || budget?.canSendToTrial(phase) === true;
+    budget?.recordSent(isTrial);
     all++;
-    if (isTried) tried++;
+    if (isTrial) tried++;
   }
   return { tried, all };
 }
--- a/src/decision/rollout_tally_test.ts
+++ b/src/decision/rollout_tally_test.ts
@@ -10,9 +10,9 @@
 function begin(
   tallies: VersionTallies,
   startedAt: number,
-  options: { tried?: string; reads?: number; isCold?: boolean } = {},
+  options: { trialWorker?: string; prefillTokens?: number; isWarmingUp?: boolean } = {},
 ): RunTally {
-  const { tried: trialWorker, reads: prefillTokens = 1_000, isCold: isWarmingUp = false } = options;
+  const { trialWorker, prefillTokens = 1_000, isWarmingUp = false } = options;
   return tallies.begin({
     service: SERVICE,
     route: "draft",
@@ -40,23 +40,23 @@
   const tallies = createWithBaseline();
   expect(tallies.counts(0).size).toBe(0);
   begin(tallies, 0).recordEnd("well");
-  begin(tallies, 0, { tried: "n-0" }).recordEnd("failed");
-  begin(tallies, 0, { tried: "n-0" }).recordEnd("unknown");
+  begin(tallies, 0, { trialWorker: "n-0" }).recordEnd("failed");
+  begin(tallies, 0, { trialWorker: "n-0" }).recordEnd("unknown");
   expect(tallies.counts(1).get(BASE_KEYS.answers)).toEqual({ runs: 1, failures: 0 });
   expect(tallies.counts(1).get(TRIAL_KEYS.answers)).toEqual({ runs: 1, failures: 1 });
 });
 
 test("compares a run with base version runs that had a similar number of prompt tokens", () => {
   const tallies = createWithBaseline();
-  begin(tallies, 0, { tried: "n-0" }).recordAnswer(120);
-  begin(tallies, 0, { tried: "n-0" }).recordAnswer(250);
+  begin(tallies, 0, { trialWorker: "n-0" }).recordAnswer(120);
+  begin(tallies, 0, { trialWorker: "n-0" }).recordAnswer(250);
   expect(tallies.counts(300).get(TRIAL_KEYS.times)).toEqual({ runs: 2, failures: 1 });
 });
 
 // The new version accepts requests and never answers them. Their deadlines are seconds away.
 test("counts a hanging run as slow before it ends", () => {
   const tallies = createWithBaseline();
-  const hanging = begin(tallies, 0, { tried: "n-0" });
+  const hanging = begin(tallies, 0, { trialWorker: "n-0" });
   expect(tallies.counts(100).get(TRIAL_KEYS.times)).toBeUndefined();
   expect(tallies.counts(400).get(TRIAL_KEYS.times)).toEqual({ runs: 1, failures: 1 });
   hanging.recordAnswer(900);
@@ -69,8 +69,8 @@
   const received = new Map([[BASE_KEYS.baseline, { runs: 40, failures: 40 * 461 }]]);
   const tallies = createVersionTallies((key) => received.get(key));
   tallies.setTrialVersion(SERVICE, "v2");
-  begin(tallies, 0, { tried: "n-0" }).recordAnswer(120);
-  begin(tallies, 0, { tried: "n-0" }).recordAnswer(400);
+  begin(tallies, 0, { trialWorker: "n-0" }).recordAnswer(120);
+  begin(tallies, 0, { trialWorker: "n-0" }).recordAnswer(400);
   expect(tallies.counts(400).get(TRIAL_KEYS.times)).toEqual({ runs: 2, failures: 1 });
   begin(tallies, 0).recordAnswer(100);
   expect(tallies.counts(400).get(BASE_KEYS.baseline)).toEqual({ runs: 1, failures: 461 });
@@ -79,20 +79,20 @@
 // A worker that has just started is slow for a while, whatever its version.
 test("ignores the duration of runs at workers that are warming up", () => {
   const tallies = createWithBaseline();
-  begin(tallies, 0, { tried: "n-0", isCold: true }).recordAnswer(900);
+  begin(tallies, 0, { trialWorker: "n-0", isWarmingUp: true }).recordAnswer(900);
   expect(tallies.counts(1_000).get(TRIAL_KEYS.times)).toBeUndefined();
 });
 
 // A slow version must not raise its own baseline.
 test("does not change the baseline with runs of the new version", () => {
   const tallies = createWithBaseline();
-  for (let run = 0; run < 50; run++) begin(tallies, 0, { tried: "n-0" }).recordAnswer(500);
+  for (let run = 0; run < 50; run++) begin(tallies, 0, { trialWorker: "n-0" }).recordAnswer(500);
   expect(tallies.counts(600).get(TRIAL_KEYS.times)).toEqual({ runs: 50, failures: 50 });
 });
 
 test("restarts the counts when another version is on trial", () => {
   const tallies = createWithBaseline();
-  const before = begin(tallies, 0, { tried: "n-0" });
+  const before = begin(tallies, 0, { trialWorker: "n-0" });
   tallies.setTrialVersion(SERVICE, "v3");
   before.recordEnd("failed");
   expect(tallies.counts(1).size).toBe(0);
--- a/src/decision/scheduler.ts
+++ b/src/decision/scheduler.ts
@@ -435,8 +435,8 @@
       const run = runs.find(id, details.worker);
       if (run === undefined) return;
       runs.end(run, end === RunEnd.Failed && !NON_WORKER_FAILURES.has(details.cause));
-      const took = run.worker.load.recordEnd(id, details.now);
-      if (took !== undefined) pool.recordRunTime(run.job, took);
+      const runTime = run.worker.load.recordEnd(id, details.now);
+      if (runTime !== undefined) pool.recordRunTime(run.job, runTime);
       pool.service(run.job.service).ownRuns--;
       recordOutcome(run, end, details);
       const isOver = end === RunEnd.Complete || end === RunEnd.Cancelled;
--- a/src/decision/shared_quota.ts
+++ b/src/decision/shared_quota.ts
@@ -63,7 +63,7 @@
    * Sets the number of instances that this one receives reports from (itself included), and the
    * number of all instances.
    */
-  setReachability(reach: { heard: number; members: number }): void;
+  setReachability(reach: { reachable: number; members: number }): void;
   /** Returns the amounts that this instance has admitted, for the report that is sent now. */
   createReport(now: number): AdmittedCounts;
 }
@@ -211,9 +211,9 @@
         bucket.recentOthers = Math.max(0, bucket.recentOthers + delta);
       }
     },
-    setReachability: ({ heard, members: memberCount }) => {
+    setReachability: ({ reachable, members: memberCount }) => {
       totalMembers = Math.max(1, memberCount);
-      reachableFraction = Math.min(1, heard / totalMembers);
+      reachableFraction = Math.min(1, reachable / totalMembers);
     },
     createReport: (now) => {
       const decay = 2 ** (-(now - lastReportAt) / RECENT_HALF_LIFE);
--- a/src/decision/shared_quota_test.ts
+++ b/src/decision/shared_quota_test.ts
@@ -33,12 +33,14 @@
     }
     if (now % reportInterval !== 0) continue;
     quotas.forEach((quota, index) => {
-      const others = quotas.filter((_, other) => other !== index);
+      const otherQuotas = quotas.filter((_, other) => other !== index);
       const members = options.instances;
-      quota.setReachability({ heard: options.arePartitioned === true ? 1 : members, members });
+      quota.setReachability({ reachable: options.arePartitioned === true ? 1 : members, members });
       if (options.arePartitioned === true) return;
       const report = new Map(quota.createReport(now));
-      others.forEach((other) => other.receiveReport(String(index), { admitted: report, age: now }));
+      otherQuotas.forEach((other) =>
+        other.receiveReport(String(index), { admitted: report, age: now }),
+      );
     });
   }
   return admitted;
@@ -84,7 +86,7 @@
     if (quota?.take({ account: "a", quota: QUOTA, size, now }) === 0) admitted += size;
     if (now % 700 !== 0) continue;
     for (const [index, from] of quotas.entries()) {
-      from.setReachability({ heard: 6, members: 6 });
+      from.setReachability({ reachable: 6, members: 6 });
       const report = new Map(from.createReport(now));
       for (const to of quotas)
         if (to !== from) to.receiveReport(String(index), { admitted: report, age: now });
@@ -101,7 +103,7 @@
   const quotas = Array.from({ length: instances }, () => createSharedQuota(0));
   const account = { name: "a", quota: QUOTA };
   for (const quota of quotas) {
-    quota.setReachability({ heard: 1, members: 4 });
+    quota.setReachability({ reachable: 1, members: 4 });
     quota.addAccounts([account], 0);
   }
   let admitted = 0;
@@ -112,7 +114,7 @@
     }
     if (now % 500 !== 400) continue;
     for (const [index, from] of quotas.entries()) {
-      from.setReachability({ heard: instances, members: instances });
+      from.setReachability({ reachable: instances, members: instances });
       const report = { admitted: new Map(from.createReport(now)), age: now };
       for (const to of quotas) if (to !== from) to.receiveReport(String(index), report);
     }
@@ -135,7 +137,7 @@
 
 test("admits the whole quota of an account at a single instance", () => {
   const quota = createSharedQuota(0);
-  quota.setReachability({ heard: 6, members: 6 });
+  quota.setReachability({ reachable: 6, members: 6 });
   let admitted = 0;
   for (let now = 60_000; now < 68_000; now += 20) {
     if (quota.take({ account: "a", quota: QUOTA, size: 500, now }) === 0) admitted += 500;
@@ -163,7 +165,7 @@
 
 test("returns the time after which a refused request is admitted", () => {
   const quota = createSharedQuota(0);
-  quota.setReachability({ heard: 1, members: 1 });
+  quota.setReachability({ reachable: 1, members: 1 });
   const request = (now: number): number =>
     quota.take({ account: "a", quota: QUOTA, size: 6_000, now });
   expect(request(60_000)).toBe(0);
@@ -233,7 +235,7 @@
   let sums: { at: number; total: number; own: number[] }[] = [];
   let requested = 0;
   for (const quota of quotas) {
-    quota.setReachability({ heard: instances, members: instances });
+    quota.setReachability({ reachable: instances, members: instances });
     quota.addAccounts([{ name: "a", quota: LARGE_QUOTA }], start);
   }
   for (let now = start; now < start + seconds * 1_000; now += step) {
@@ -244,8 +246,8 @@
     }
     for (const sum of sums.filter(({ at }) => now - at >= delay)) {
       quotas.forEach((quota, index) => {
-        const others = sum.total - (sum.own[index] ?? 0);
-        quota.receiveReport("others", { admitted: new Map([["a", others]]), age: now });
+        const admittedElsewhere = sum.total - (sum.own[index] ?? 0);
+        quota.receiveReport("others", { admitted: new Map([["a", admittedElsewhere]]), age: now });
       });
     }
     sums = sums.filter(({ at }) => now - at < delay);
--- a/src/decision/triage.ts
+++ b/src/decision/triage.ts
@@ -229,23 +229,23 @@
 }
 
 function createTargets(view: TriageView): Targets {
-  const room = new Map(
+  const freeTokens = new Map(
     safeTargets(view).map(({ id }) => [id, view.freeCacheTokens?.get(id) ?? Number.MAX_VALUE]),
   );
   const moved = new Map<string, number>();
-  const withMoreRoom = (a: string, b: string): string => {
-    const difference = (room.get(b) ?? 0) - (room.get(a) ?? 0);
+  const withMoreFreeTokens = (a: string, b: string): string => {
+    const difference = (freeTokens.get(b) ?? 0) - (freeTokens.get(a) ?? 0);
     if (difference !== 0) return difference > 0 ? b : a;
     return (moved.get(b) ?? 0) < (moved.get(a) ?? 0) ? b : a;
   };
   return {
     reserve: (tokens) => {
-      const ids = [...room.keys()];
+      const ids = [...freeTokens.keys()];
       if (ids.length === 0) return undefined;
-      const best = ids.reduce(withMoreRoom);
-      const free = room.get(best) ?? 0;
+      const best = ids.reduce(withMoreFreeTokens);
+      const free = freeTokens.get(best) ?? 0;
       if (free < tokens) return undefined;
-      room.set(best, free - tokens);
+      freeTokens.set(best, free - tokens);
       moved.set(best, (moved.get(best) ?? 0) + 1);
       return best;
     },
@@ -254,12 +254,12 @@
 
 function safeTargets({
   targets,
-  workersWithNotice: underNotice = [],
+  workersWithNotice: withNotice = [],
 }: TriageView): readonly Worker[] {
   const available = targets.filter(
     ({ state, reclaimAt }) => state === WorkerState.Live && reclaimAt === undefined,
   );
-  const workersWithNotice = underNotice.filter(({ reclaimAt }) => reclaimAt !== undefined);
+  const workersWithNotice = withNotice.filter(({ reclaimAt }) => reclaimAt !== undefined);
   const zones = new Set(workersWithNotice.map(({ zone }) => zone));
   const safe = available.filter(
     ({ zone, purchase }) => purchase === Purchase.OnDemand || !zones.has(zone),
--- a/src/decision/usage_ledger_test.ts
+++ b/src/decision/usage_ledger_test.ts
@@ -6,15 +6,15 @@
 test("counts every run once even if messages are lost, repeated or reordered", () => {
   const runs = fc.array(fc.tuple(fc.integer({ min: 0, max: 2 }), fc.integer({ min: 0, max: 1 })));
   fc.assert(
-    fc.property(runs, fc.array(fc.nat()), (begun, order) => {
+    fc.property(runs, fc.array(fc.nat()), (startedRuns, order) => {
       const ledgers = [createUsageLedger(), createUsageLedger(), createUsageLedger()];
-      const said: [number, readonly WindowCounts[]][] = [];
-      for (const [at, account] of begun) {
+      const sentReports: [number, readonly WindowCounts[]][] = [];
+      for (const [at, account] of startedRuns) {
         ledgers[at]?.recordRun(`a${account}`, 7);
-        said.push([at, structuredClone(ledgers[at]?.ownCounts() ?? [])]);
+        sentReports.push([at, structuredClone(ledgers[at]?.ownCounts() ?? [])]);
       }
-      for (const pick of order) {
-        const [from, counts] = said[pick % Math.max(1, said.length)] ?? [0, []];
+      for (const index of order) {
+        const [from, counts] = sentReports[index % Math.max(1, sentReports.length)] ?? [0, []];
         if (from !== 0) ledgers[0]?.mergeInstance(`e${from}`, counts);
       }
       ledgers
@@ -22,7 +22,7 @@
         .forEach((ledger, index) => ledgers[0]?.mergeInstance(`e${index + 1}`, ledger.ownCounts()));
       const total = ledgers[0]?.total(7) ?? {};
       const sum = Object.values(total).reduce((all, count) => all + count, 0);
-      expect(sum).toBe(begun.length);
+      expect(sum).toBe(startedRuns.length);
     }),
   );
 });
--- a/src/decision/worker_limits.ts
+++ b/src/decision/worker_limits.ts
@@ -39,7 +39,7 @@
    */
   recordAnswer(worker: WorkerHash, answer: { perSecond: number | undefined; sentAt: number }): void;
   /** Receives a limit from another instance. */
-  receiveReport(statement: LimitReport): void;
+  receiveReport(report: LimitReport): void;
   /** Returns the recent changes to send to other instances. */
   recentReports(): LimitReport[];
   /** Returns the worker's limit in requests per second; undefined if it has none. */
--- a/src/decision/worker_limits_test.ts
+++ b/src/decision/worker_limits_test.ts
@@ -146,11 +146,11 @@
   const early = first.limits.recentReports();
   clock.now += 500;
   first.limits.recordAnswer(WORKER, { perSecond: undefined, sentAt: clock.now - 1 });
-  for (const statement of first.limits.recentReports()) second.limits.receiveReport(statement);
+  for (const report of first.limits.recentReports()) second.limits.receiveReport(report);
   expect(second.limits.limitOf(WORKER)).toBeUndefined();
-  for (const statement of early) {
-    first.limits.receiveReport(statement);
-    second.limits.receiveReport(statement);
+  for (const report of early) {
+    first.limits.receiveReport(report);
+    second.limits.receiveReport(report);
   }
   expect(first.limits.limitOf(WORKER)).toBeUndefined();
   expect(second.limits.limitOf(WORKER)).toBeUndefined();
--- a/src/decision/worker_load.ts
+++ b/src/decision/worker_load.ts
@@ -46,7 +46,7 @@
   /** Returns the time of the last report; undefined before the first. */
   takenAt(): number | undefined;
   /** Sets the estimated present number of other instances' jobs. */
-  setOthers(others: number): void;
+  setOtherJobs(jobs: number): void;
   /** Returns the estimated tokens of KV cache used by running jobs. */
   cacheTokens(): number;
   /** Returns the capacity of the KV cache in tokens; undefined before the first report. */
@@ -83,11 +83,11 @@
   let ended: EndedRun[] = [];
   let latest: LoadReport | undefined;
   let ownAtReport = 0;
-  let estimatedOthers = 0;
+  let estimatedOtherJobs = 0;
   let ownCacheTokens = 0;
 
   const reported = (): number => (latest?.running ?? 0) + (latest?.waiting ?? 0);
-  const load = (): number => runs.size + estimatedOthers;
+  const load = (): number => runs.size + estimatedOtherJobs;
   const countOwnAt = (time: number): number => {
     const still = [...runs.values()].filter(({ dispatchedAt }) => dispatchedAt <= time).length;
     return still + ended.filter((run) => run.dispatchedAt <= time && run.endedAt > time).length;
@@ -97,8 +97,8 @@
     ownJobs: () => runs.size,
     otherJobs: () => Math.max(0, reported() - ownAtReport),
     takenAt: () => latest?.takenAt,
-    setOthers: (others) => {
-      estimatedOthers = Math.max(0, others);
+    setOtherJobs: (jobs) => {
+      estimatedOtherJobs = Math.max(0, jobs);
     },
     cacheTokens: () => (runs.size === 0 ? 0 : (ownCacheTokens / runs.size) * load()),
     cacheCapacity: () => latest?.cacheCapacity,
--- a/src/decision/worker_mix.ts
+++ b/src/decision/worker_mix.ts
@@ -34,7 +34,7 @@
   /** On-demand workers that are ordered here, ready or not. */
   readonly ordered: number;
   /** Whether the market recently had no reclaimable workers here. */
-  readonly isDry: boolean;
+  readonly isExhausted: boolean;
 }
 
 /** Input for {@linkcode planMix}. */
@@ -108,9 +108,9 @@
  */
 export function estimateInitialDemand(
   { zonePrices }: ServiceScaling,
-  there: { reclaimable: number; onDemand: number },
+  existing: { reclaimable: number; onDemand: number },
 ): number {
-  const wanted = there.reclaimable + there.onDemand * RECLAIMABLE_PER_ON_DEMAND;
+  const wanted = existing.reclaimable + existing.onDemand * RECLAIMABLE_PER_ON_DEMAND;
   const perZone = Math.ceil(wanted / Math.max(1, zonePrices.size));
   return perZone * Math.max(1, zonePrices.size - TOLERATED_ZONE_LOSSES);
 }
@@ -126,10 +126,10 @@
   const target = reclaimableTarget(scaling, { zones: stock.length, inUse: demand.smoothed });
   // If the market is empty, only the existing workers are available; otherwise the rest will start
   // soon.
-  const available = stock.map(({ reclaimable, isDry }) =>
-    isDry ? Math.min(reclaimable, target) : target,
+  const available = stock.map(({ reclaimable, isExhausted }) =>
+    isExhausted ? Math.min(reclaimable, target) : target,
   );
-  const isMarketEmpty = stock.some(({ isDry }) => isDry);
+  const isMarketEmpty = stock.some(({ isExhausted }) => isExhausted);
   const isFastWave = lossInterval <= scaling.startUp * FAST_LOSS_START_UPS;
   const expectedLosses = isFastWave ? EXPECTED_ZONE_LOSSES.fast : EXPECTED_ZONE_LOSSES.slow;
   const missing = Math.max(
@@ -137,7 +137,9 @@
     Math.ceil(demand.current * ON_DEMAND_HEADROOM) - sum(available),
     isMarketEmpty ? demand.smoothedPrefill - remainingAfterLosses(available, expectedLosses) : 0,
   );
-  const isRecovered = stock.every(({ reclaimable, isDry }) => !isDry && reclaimable >= target);
+  const isRecovered = stock.every(
+    ({ reclaimable, isExhausted }) => !isExhausted && reclaimable >= target,
+  );
   // Once the market has workers again, each reclaimable worker that accepts requests replaces an
   // on-demand one.
   const ready = sum(stock.map(({ reclaimable }) => reclaimable));
@@ -147,8 +149,8 @@
   const wanted = isRecovered ? 0 : Math.max(missing, keptOnDemand);
   // One place stays free for a reclaimable worker while the market is empty: only an order shows
   // when it has workers again.
-  const freePlaces = stock.map(({ reclaimable, isDry }) =>
-    Math.max(0, scaling.most - Math.min(reclaimable, target) - (isDry ? 1 : 0)),
+  const freePlaces = stock.map(({ reclaimable, isExhausted }) =>
+    Math.max(0, scaling.most - Math.min(reclaimable, target) - (isExhausted ? 1 : 0)),
   );
   const onDemand = spreadOnDemand(wanted, { stock, freePlaces, prices: scaling.zonePrices });
   const orders = stock.flatMap(({ zone }, index) => {
@@ -193,11 +195,11 @@
   }
   for (let total = sum(counts); total < wanted; total++) {
     // Spread evenly, so that no zone's loss removes most of them; the cheapest zone wins a tie.
-    const zonesWithRoom = cheapestFirst.filter(
+    const zonesWithFreePlaces = cheapestFirst.filter(
       (index) => (counts[index] ?? 0) < (freePlaces[index] ?? 0),
     );
-    const minCount = Math.min(...zonesWithRoom.map((index) => counts[index] ?? 0));
-    const next = zonesWithRoom.find((index) => counts[index] === minCount);
+    const minCount = Math.min(...zonesWithFreePlaces.map((index) => counts[index] ?? 0));
+    const next = zonesWithFreePlaces.find((index) => counts[index] === minCount);
     if (next === undefined) break;
     counts[next] = minCount + 1;
   }
--- a/src/decision/worker_offer_test.ts
+++ b/src/decision/worker_offer_test.ts
@@ -17,13 +17,13 @@
 // Requests for twice the capacity of the engines arrive. If they were accepted in order of arrival,
 // all would be late.
 test("refuses the less urgent first in saturation, and accepted requests are in time", () => {
-  const taken = [0, 1, 2, 3].map((priorityRank) => {
+  const maxWaits = [0, 1, 2, 3].map((priorityRank) => {
     let expectedFirstToken = 0;
     while (shouldOffer({ ...CALM, priorityRank, expectedFirstToken })) expectedFirstToken += 10;
     return expectedFirstToken;
   });
-  expect(taken).toEqual([...taken].sort((a, b) => b - a));
-  expect(taken[0]).toBeLessThan(CALM.firstTokenTarget * 1.5);
+  expect(maxWaits).toEqual([...maxWaits].sort((a, b) => b - a));
+  expect(maxWaits[0]).toBeLessThan(CALM.firstTokenTarget * 1.5);
 });
 
 // A caller was refused and returns after the given delay. A second refusal would waste that time.
--- a/src/decision/worker_pool.ts
+++ b/src/decision/worker_pool.ts
@@ -181,7 +181,7 @@
   const refresh = (entry: PoolWorker, now: number): void => {
     const pool = serviceOf(entry.worker.service);
     const limit = effectiveLimit(entry, now);
-    entry.load.setOthers(estimateOtherJobs(pool, entry, now));
+    entry.load.setOtherJobs(estimateOtherJobs(pool, entry, now));
     entry.limit.recordLoad(entry.load.load());
     entry.limit.adjust(now);
     const reserve = Math.min(reservedSlotsOf(pool, entry), limit * MIN_SCRIPT_FRACTION);
@@ -245,7 +245,7 @@
       live.sort((a, b) => (a.worker.id < b.worker.id ? -1 : 1));
       for (const [rank, entry] of live.entries()) entry.rank = rank;
       pool.liveWorkers = live.length;
-      pool.maxPrice = live.reduce((most, { price }) => Math.max(most, price), 0);
+      pool.maxPrice = live.reduce((highest, { price }) => Math.max(highest, price), 0);
       refreshService(service, now);
     }
   };
@@ -422,8 +422,8 @@
  */
 function reservedSlotsOf(pool: ServicePool, entry: PoolWorker): number {
   const live = Math.max(1, pool.liveWorkers);
-  const whole = Math.floor(pool.reservedSlots / live);
-  return whole + (entry.rank < pool.reservedSlots - whole * live ? 1 : 0);
+  const perWorker = Math.floor(pool.reservedSlots / live);
+  return perWorker + (entry.rank < pool.reservedSlots - perWorker * live ? 1 : 0);
 }
 
 /** Updates the sums from which the service's means are computed. */
@@ -449,11 +449,15 @@
   return mean + (load.otherJobs() - mean) * reportWeight;
 }
 
-function setFreeSlots(pool: ServicePool, entry: PoolWorker, room: PoolWorker["freeSlots"]): void {
-  pool.freeSlots[Lane.Lookup] += room[Lane.Lookup] - entry.freeSlots[Lane.Lookup];
-  pool.freeSlots[Lane.Script] += room[Lane.Script] - entry.freeSlots[Lane.Script];
-  entry.freeSlots = room;
-  const isOpen = room[Lane.Lookup] > 0;
+function setFreeSlots(
+  pool: ServicePool,
+  entry: PoolWorker,
+  freeSlots: PoolWorker["freeSlots"],
+): void {
+  pool.freeSlots[Lane.Lookup] += freeSlots[Lane.Lookup] - entry.freeSlots[Lane.Lookup];
+  pool.freeSlots[Lane.Script] += freeSlots[Lane.Script] - entry.freeSlots[Lane.Script];
+  entry.freeSlots = freeSlots;
+  const isOpen = freeSlots[Lane.Lookup] > 0;
   if (isOpen && entry.openIndex === -1) addOpen(pool, entry);
   if (!isOpen && entry.openIndex !== -1) removeOpen(pool, entry);
 }
--- a/src/process/digest_codec.ts
+++ b/src/process/digest_codec.ts
@@ -263,25 +263,25 @@
   return [running, unread, runs, failures].every(({ length }) => length === workers.length);
 }
 
-function decodeUpdate(news: wire.News): InstanceUpdate {
+function decodeUpdate(message: wire.News): InstanceUpdate {
   const countsAt = (index: number): WorkerCounts => ({
-    running: news.running[index] ?? 0,
-    unreadTokens: (news.unread[index] ?? 0) * UNREAD_TOKENS_PER_UNIT,
-    runs: news.runs[index] ?? 0,
-    failures: news.failures[index] ?? 0,
+    running: message.running[index] ?? 0,
+    unreadTokens: (message.unread[index] ?? 0) * UNREAD_TOKENS_PER_UNIT,
+    runs: message.runs[index] ?? 0,
+    failures: message.failures[index] ?? 0,
   });
   return {
-    isSnapshot: news.whole,
-    uptime: news.age,
-    time: Number(news.time),
+    isSnapshot: message.whole,
+    uptime: message.age,
+    time: Number(message.time),
     admitted: new Map(
-      news.accounts
+      message.accounts
         .filter(({ admitted }) => admitted > 0)
         .map(({ account, admitted }) => [account, Number(admitted)]),
     ),
-    usage: decodeUsage(news),
-    workerCounts: new Map(news.workers.map((worker, index) => [worker, countsAt(index)])),
-    leavingWorkers: news.leaving,
+    usage: decodeUsage(message),
+    workerCounts: new Map(message.workers.map((worker, index) => [worker, countsAt(index)])),
+    leavingWorkers: message.leaving,
   };
 }
 
--- a/src/process/entry_core.ts
+++ b/src/process/entry_core.ts
@@ -122,16 +122,16 @@
     await requests.handOverAll();
   };
   const { readLoad } = settings;
-  const onStanceChange = (stance: EntryMode): void => requests.setStance(stance);
+  const onModeChange = (mode: EntryMode): void => requests.setEntryMode(mode);
   const overload =
     readLoad === undefined
       ? undefined
-      : createOverloadTask({ clock: dependencies.clock, readLoad, onStanceChange, count });
+      : createOverloadTask({ clock: dependencies.clock, readLoad, onModeChange, count });
   const tasks = { ...dependencies, configuration, members, workers, count };
   const leases = createLeaseTask({
     ...tasks,
     throttle: configuration.throttle,
-    duties: () => Object.keys(configuration.revision()?.deployment.services ?? {}),
+    leaseNames: () => Object.keys(configuration.revision()?.deployment.services ?? {}),
     maxOrderTime: ORDER_TIMEOUT,
   });
   const orders = createOrderTask({ ...tasks, leases });
--- a/src/process/fleet_sync.ts
+++ b/src/process/fleet_sync.ts
@@ -56,7 +56,7 @@
   readonly repeats: RepeatBudget;
   readonly ledger: UsageLedger;
   readonly health: WorkerHealth;
-  readonly board: RoutedWorkerTable;
+  readonly workerTable: RoutedWorkerTable;
   /** Called with every digest before its update is applied. */
   readonly onDigest: (peer: PeerInstance) => void;
   /** Called with every digest after the store changes in it have been applied. */
@@ -87,7 +87,7 @@
 
 /** Creates the synchronization. Nothing is sent before it is started. */
 export function createFleetSync(parts: FleetSyncParts): FleetSync {
-  const { settings, clock, random, log, feeds, time, quota, ledger, health, board } = parts;
+  const { settings, clock, random, log, feeds, time, quota, ledger, health, workerTable } = parts;
   const session = randomInt(1, SESSION_RANGE);
   const startedAt = clock.now();
   /** Sums over the instances that this one receives from directly, and over all instances. */
@@ -96,8 +96,8 @@
   const collectOwnCounts = (): InstanceCounts => ({
     admitted: quota.createReport(clock.now()),
     usage: ledger.ownCounts().slice(-SENT_WINDOWS),
-    workerCounts: board.use(),
-    leavingWorkers: board.leaving(),
+    workerCounts: workerTable.ownCounts(),
+    leavingWorkers: workerTable.leaving(),
   });
   /** Counts of all other instances as last received from a relay, if this instance is a member. */
   let relayedCounts: ReadonlyMap<number, WorkerCounts> = new Map();
@@ -113,9 +113,9 @@
   const onUpdate = ({ id, subject, scope }: UpdateSource, update: InstanceUpdate): void => {
     const now = clock.now();
     quota.receiveReport(id, { admitted: update.admitted, age: update.uptime });
-    board.updateOccupancy(id, update);
+    workerTable.updateOccupancy(id, update);
     health.receiveCounts(id, update.workerCounts, now);
-    board.markLeaving(update.leavingWorkers);
+    workerTable.markLeaving(update.leavingWorkers);
     if (scope === UpdateScope.Group) ledger.mergeGroup(subject, update.usage);
     else ledger.mergeInstance(subject, update.usage);
     if (scope === UpdateScope.Fleet) relayedCounts = update.workerCounts;
@@ -144,14 +144,14 @@
     const live = exchange.live();
     const count = exchange.members;
     parts.repeats.setMemberCount(count);
-    quota.setReachability({ heard: live.length + 1, members: count });
+    quota.setReachability({ reachable: live.length + 1, members: count });
     const sources = exchange.sources();
-    board.retainInstances(sources);
+    workerTable.retainInstances(sources);
     health.retainInstances(sources);
     for (const sums of [totals.group, totals.fleet]) sums.retainSources(sources);
     const names = live.map(({ name, ready }) => `${name}${ready ? "" : "-"}`).sort();
-    const heard = names.length > MAX_LOGGED_NAMES ? names.length : names.join(" ");
-    const line = { expected: count, heard, role: exchange.role };
+    const instances = names.length > MAX_LOGGED_NAMES ? names.length : names.join(" ");
+    const line = { expected: count, heard: instances, role: exchange.role };
     const text = JSON.stringify(line);
     if (text !== lastLogged) log.changed("members", line);
     lastLogged = text;
@@ -192,7 +192,9 @@
   return Object.assign(exchange, {
     incarnation: incarnationOf(settings.name, session),
     isFed,
-    sums: () => totals.fleet.plus({ admitted: new Map(), workerCounts: board.use() }).workerCounts,
+    sums: () =>
+      totals.fleet.plus({ admitted: new Map(), workerCounts: workerTable.ownCounts() })
+        .workerCounts,
     sumOf: (key: number) =>
       exchange.role === FleetRole.Member ? relayedCounts.get(key) : totals.fleet.countsOf(key),
   });
--- a/src/process/fleet_sync_test.ts
+++ b/src/process/fleet_sync_test.ts
@@ -29,8 +29,8 @@
   startedRuns.set(member, (startedRuns.get(member) ?? 0) + 1);
 }
 
-function runningCounts({ board }: SyncMember): number[] {
-  return board.loads(FLEET_SERVICE).map((load) => load.running);
+function runningCounts({ workerTable }: SyncMember): number[] {
+  return workerTable.loads(FLEET_SERVICE).map((load) => load.running);
 }
 
 function expected(members: readonly SyncMember[]): number[] {
@@ -240,8 +240,8 @@
 test("reading the sums does not count as a report", async () => {
   const { members } = await startFleet(14);
   for (const { sync, quota } of members) {
-    const tell = vi.spyOn(quota, "createReport");
+    const createReport = vi.spyOn(quota, "createReport");
     sync.sums();
-    expect(tell).not.toHaveBeenCalled();
+    expect(createReport).not.toHaveBeenCalled();
   }
 });
--- a/src/process/fleet_topology.ts
+++ b/src/process/fleet_topology.ts
@@ -78,9 +78,9 @@
  */
 export function planTopology(
   self: TopologyInstance,
-  others: readonly TopologyInstance[],
+  otherInstances: readonly TopologyInstance[],
 ): FleetTopology {
-  const all = [self, ...others];
+  const all = [self, ...otherInstances];
   if (all.length <= MAX_MESH_SIZE) {
     return { role: FleetRole.Mesh, relays: new Map(), watchers: new Set() };
   }
--- a/src/process/instance_hashes.ts
+++ b/src/process/instance_hashes.ts
@@ -7,7 +7,7 @@
   /** This instance's address for other instances. */
   readonly self: string;
   /** Returns the other live instances. */
-  readonly others: () => readonly { readonly peers: string; readonly ready: boolean }[];
+  readonly otherInstances: () => readonly { readonly peers: string; readonly ready: boolean }[];
 }
 
 /** Milliseconds for which the hashes are cached. */
@@ -21,7 +21,7 @@
  * derive from it.
  */
 export function createInstanceHashes(parts: InstanceHashesParts): () => readonly number[] {
-  const { clock, self, others } = parts;
+  const { clock, self, otherInstances } = parts;
   let computedAt = -Infinity;
   let cached: readonly number[] = [hashText(self)];
   const hashByAddress = new Map<string, number>();
@@ -34,7 +34,7 @@
     const now = clock.now();
     if (now - computedAt < CACHE_TIME) return cached;
     computedAt = now;
-    const ready = others().filter((one) => one.ready);
+    const ready = otherInstances().filter((one) => one.ready);
     const hashes = [self, ...ready.map(({ peers }) => peers)].map(hashOf).sort((a, b) => a - b);
     const isSame =
       hashes.length === cached.length && hashes.every((hash, index) => hash === cached[index]);
--- a/src/process/instance_hashes_test.ts
+++ b/src/process/instance_hashes_test.ts
@@ -13,7 +13,7 @@
     createInstanceHashes({
       clock,
       self: peers,
-      others: () => instances.filter((one) => one.peers !== peers),
+      otherInstances: () => instances.filter((one) => one.peers !== peers),
     }),
   );
   const found = first?.();
--- a/src/process/lease_task.ts
+++ b/src/process/lease_task.ts
@@ -64,7 +64,7 @@
   readonly store: Pick<ObjectStore, "get" | "put">;
   readonly throttle: StoreThrottle;
   /** Names of the leases: services, or duties of the whole deployment. */
-  readonly duties: () => readonly string[];
+  readonly leaseNames: () => readonly string[];
   readonly members: {
     readonly self: { readonly id: string };
     /** Instances that can hold a lease. */
@@ -79,7 +79,7 @@
   /**
    * Whether a live instance reports that it holds the lease, so that there is no need to read it.
    */
-  readonly isHeldElsewhere?: (duty: string) => boolean;
+  readonly isHeldElsewhere?: (leaseName: string) => boolean;
   /**
    * Whether this instance has the data that the duties require. If not, it returns the lease at
    * once.
@@ -108,7 +108,7 @@
  * later.
  */
 export function createLeaseTask(parts: LeaseTaskParts): LeaseTask {
-  const { clock, random, store, throttle, duties, members, count } = parts;
+  const { clock, random, store, throttle, leaseNames, members, count } = parts;
   const { term = LEASE_TERM, pollInterval = POLL_INTERVAL, isHeldElsewhere = () => false } = parts;
   const { canHold = () => true } = parts;
   const self = members.self.id;
@@ -237,13 +237,13 @@
   };
   const run = async (): Promise<void> => {
     while (!isClosed()) {
-      await Promise.all(duties().map((duty) => maintain(duty)));
+      await Promise.all(leaseNames().map((leaseName) => maintain(leaseName)));
       const period = held.size > 0 ? term / RENEWALS_PER_TERM : pollInterval;
       await sleep(clock, period * (0.8 + 0.2 * random.next()));
     }
   };
   return {
-    held: () => duties().filter(isHeld),
+    held: () => leaseNames().filter(isHeld),
     fence: (service, orderTime) => {
       const lease = held.get(service);
       if (lease === undefined || !mayOrder(lease, moment(), { orderTime })) return undefined;
--- a/src/process/lease_task_test.ts
+++ b/src/process/lease_task_test.ts
@@ -112,7 +112,7 @@
     const parts = {
       ...node,
       throttle: node.configuration.throttle,
-      duties: () => SERVICES,
+      leaseNames: () => SERVICES,
       clock: node.freezer.clock,
       random: createSeededRandom(index + 50),
       store: fleet.store.connect(() => node.freezer.gate()),
@@ -335,7 +335,7 @@
     createLeaseTask({
       ...node,
       throttle: node.configuration.throttle,
-      duties: () => ["duty"],
+      leaseNames: () => ["duty"],
       clock: node.freezer.clock,
       random: createSeededRandom(index + 50),
       store: store.connect(() => node.freezer.gate()),
@@ -379,7 +379,7 @@
     random,
     store,
     throttle: createStoreThrottle({ clock, random, members: () => 1 }),
-    duties: () => ["duty"],
+    leaseNames: () => ["duty"],
     members: { self: { id: "a" }, alive: () => (mayHold ? [{ id: "a" }] : [{ id: "b" }]) },
     maxOrderTime: 300,
     term: 3_000,
@@ -393,9 +393,9 @@
   mayHold = false;
   await clock.advance(1_500);
   expect(task.held()).toEqual([]);
-  const reading = store.get(leaseKey("duty"));
+  const pendingRead = store.get(leaseKey("duty"));
   await clock.advance(10);
-  const found = await reading;
+  const found = await pendingRead;
   expect(found.kind === "found" ? parseLease(1, found.object.value).holder : found.kind).toBe("");
   task.close();
 });
--- a/src/process/membership.ts
+++ b/src/process/membership.ts
@@ -177,13 +177,13 @@
     deltas: [own, ...suspicionOf(table, to), ...table.nextDeltas(random)],
     versions: parts.versions(),
   });
-  const ask = (to: Member, message: ProbeMessage): Promise<ProbeReply> => {
+  const sendProbe = (to: Member, message: ProbeMessage): Promise<ProbeReply> => {
     const limit = message.target === undefined ? PROBE_TIMEOUT : 2 * PROBE_TIMEOUT;
     return withTimeout(clock, peers.probe(to, message), { limit, step: `probe ${to.id}` });
   };
   const probe = async (to: Member): Promise<boolean> => {
     try {
-      const reply = await ask(to, outgoing(to.id));
+      const reply = await sendProbe(to, outgoing(to.id));
       if (closed) return true;
       receive(reply.from, reply.deltas, reply.versions);
       // The member answered but is recorded as dead. It must receive that state in order to refute
@@ -198,7 +198,7 @@
   };
   const probeThrough = async (helper: Member, target: Member): Promise<boolean> => {
     try {
-      const reply = await ask(helper, { ...outgoing(helper.id), target });
+      const reply = await sendProbe(helper, { ...outgoing(helper.id), target });
       receive(reply.from, reply.deltas, reply.versions);
       return reply.reached;
     } catch {
@@ -265,7 +265,7 @@
     const found = new Map([[self.id, parts.versions()]]);
     const askOne = async (member: Member): Promise<void> => {
       try {
-        const reply = await ask(member, outgoing(member.id));
+        const reply = await sendProbe(member, outgoing(member.id));
         found.set(reply.from, reply.versions);
       } catch {
         // A member that doesn't answer is left out of the result, as callers expect.
@@ -275,8 +275,8 @@
     return found;
   };
   const membersIn = (...states: MemberState[]): readonly Member[] => {
-    const others = table.members().filter(({ state }) => states.includes(state));
-    const found = others.map(({ member }) => member);
+    const otherMembers = table.members().filter(({ state }) => states.includes(state));
+    const found = otherMembers.map(({ member }) => member);
     return states.includes(own.state) ? [self, ...found] : found;
   };
 
--- a/src/process/mix_task.ts
+++ b/src/process/mix_task.ts
@@ -148,7 +148,7 @@
       ordered:
         sent.get(orderKey(name, zone, Purchase.OnDemand))?.count ??
         readyCount(zone, Purchase.OnDemand),
-      isDry: now < (exhaustedUntil.get(`${name} ${zone}`) ?? 0),
+      isExhausted: now < (exhaustedUntil.get(`${name} ${zone}`) ?? 0),
     }));
     const lossInterval = losses.observe(name, { stock, now });
     const recent = (recentOnDemand.get(name) ?? []).filter(({ at }) => now - at < HOLD_TIME);
@@ -184,7 +184,7 @@
       readingLately: demand.smoothedPrefill,
       held: heldOnDemand,
       ready: counts(Purchase.Reclaimable) + counts(Purchase.OnDemand),
-      dry: stock.filter(({ isDry }) => isDry).length,
+      dry: stock.filter(({ isExhausted }) => isExhausted).length,
     };
     // Workers ordered by the previous lease holder that haven't started yet are not visible. Until they must have
     // started, no on-demand worker is released.
--- a/src/process/order_task.ts
+++ b/src/process/order_task.ts
@@ -44,8 +44,8 @@
   const isClosed = (): boolean => closed;
 
   const reconcile = async (worker: Worker, models: readonly string[]): Promise<void> => {
-    const reading = engine.report(worker);
-    const report = await withTimeout(clock, reading, { limit: ORDER_TIMEOUT, step: "read" });
+    const pendingReport = engine.report(worker);
+    const report = await withTimeout(clock, pendingReport, { limit: ORDER_TIMEOUT, step: "read" });
     if (models.every((model) => report.loaded.includes(model))) return;
     // The fencing token is taken immediately before the order is sent. A holder that was suspended while it read or
     // waited in the queue finds that the rest of its lease is too short and sends nothing.
--- a/src/process/overload_task.ts
+++ b/src/process/overload_task.ts
@@ -8,7 +8,7 @@
   /** Reads the instance's own load since the previous call. */
   readonly readLoad: () => EntryLoad;
   /** Called with each new stance, that is, with the kinds of requests that are still accepted. */
-  readonly onStanceChange: (stance: EntryMode) => void;
+  readonly onModeChange: (mode: EntryMode) => void;
   readonly count: (name: string) => void;
 }
 
@@ -23,15 +23,15 @@
 
 /** Creates the task. It does nothing until `start` is called. */
 export function createOverloadTask(parts: OverloadTaskParts): OverloadTask {
-  const { clock, readLoad, onStanceChange, count } = parts;
-  let stance = EntryMode.Open;
+  const { clock, readLoad, onModeChange, count } = parts;
+  let mode = EntryMode.Open;
   let timer: Timer | undefined;
   const sample = (): void => {
-    const next = chooseEntryMode(readLoad(), stance);
-    if (next !== stance) {
-      stance = next;
-      count(`overload.${stance}`);
-      onStanceChange(stance);
+    const next = chooseEntryMode(readLoad(), mode);
+    if (next !== mode) {
+      mode = next;
+      count(`overload.${mode}`);
+      onModeChange(mode);
     }
     timer = clock.after(SAMPLE_INTERVAL, sample);
   };
--- a/src/process/overload_task_test.ts
+++ b/src/process/overload_task_test.ts
@@ -7,25 +7,25 @@
   // Without protection, an overloaded instance sends its heartbeats late and its peers take over its slots. That
   // overloads the next instance in turn.
   const clock = createVirtualClock();
-  const stances: EntryMode[] = [];
+  const modes: EntryMode[] = [];
   let loopDelay = 0;
   const task = createOverloadTask({
     clock,
     readLoad: () => ({ loopDelay, memory: 0, memoryLimit: 1, inProgress: 0 }),
-    onStanceChange: (stance) => stances.push(stance),
+    onModeChange: (mode) => modes.push(mode),
     count: () => undefined,
   });
   task.start();
   await clock.advance(2_000);
-  expect(stances).toEqual([]);
+  expect(modes).toEqual([]);
   loopDelay = 300;
   await clock.advance(500);
-  expect(stances).toEqual([EntryMode.ControlOnly]);
+  expect(modes).toEqual([EntryMode.ControlOnly]);
   loopDelay = 5;
   await clock.advance(1_000);
-  expect(stances.slice(1)).toEqual([EntryMode.LookupsOnly, EntryMode.Open]);
+  expect(modes.slice(1)).toEqual([EntryMode.LookupsOnly, EntryMode.Open]);
   task.close();
   loopDelay = 300;
   await clock.advance(2_000);
-  expect(stances).toHaveLength(3);
+  expect(modes).toHaveLength(3);
 });
--- a/src/process/peer_totals.ts
+++ b/src/process/peer_totals.ts
@@ -11,24 +11,24 @@
    * @returns The totals without this instance's own counts.
    */
   update(
-    news: GroupCounts & { readonly isSnapshot: boolean },
+    update: GroupCounts & { readonly isSnapshot: boolean },
     own: GroupCounts | undefined,
   ): GroupCounts;
 }
 
 /** Creates an instance with empty totals. */
 export function createPeerTotals(): PeerTotals {
-  const use = new Map<number, WorkerCounts>();
+  const countsByWorker = new Map<number, WorkerCounts>();
   const admitted = new Map<string, number>();
   return {
-    update: (news, own) => {
-      if (news.isSnapshot) use.clear();
-      for (const [worker, workerUse] of news.workerCounts) {
-        if (workerUse.running === 0 && workerUse.unreadTokens === 0 && workerUse.runs === 0)
-          use.delete(worker);
-        else use.set(worker, workerUse);
+    update: (update, own) => {
+      if (update.isSnapshot) countsByWorker.clear();
+      for (const [worker, counts] of update.workerCounts) {
+        if (counts.running === 0 && counts.unreadTokens === 0 && counts.runs === 0)
+          countsByWorker.delete(worker);
+        else countsByWorker.set(worker, counts);
       }
-      for (const [account, count] of news.admitted) admitted.set(account, count);
+      for (const [account, count] of update.admitted) admitted.set(account, count);
       return {
         admitted: new Map(
           [...admitted].map(([account, count]) => [
@@ -37,7 +37,7 @@
           ]),
         ),
         workerCounts: new Map(
-          [...use].map(([worker, total]) => [
+          [...countsByWorker].map(([worker, total]) => [
             worker,
             subtract(total, own?.workerCounts.get(worker) ?? NO_WORKER_COUNTS),
           ]),
--- a/src/process/request_quarantine.ts
+++ b/src/process/request_quarantine.ts
@@ -112,7 +112,7 @@
     loggedNames.add(name);
     log.changed("request-quarantined", { print: name, ...fields });
   };
-  const waitFor: Quarantine["remainingTime"] = (fingerprint) => {
+  const timeUntilRelease: Quarantine["remainingTime"] = (fingerprint) => {
     const entry = storedRecords.get(fingerprint.name);
     const left = entry === undefined ? 0 : remainingTime(entry);
     if (left > 0) return left;
@@ -142,9 +142,9 @@
     writeAttempts.set(name, { at, crashes, isDone: false, version: undefined });
     const text = crashRecordText({ crashes, since: time() });
     const outcome = await store.put(`${QUARANTINE_KEY}/${name}`, text, { expect });
-    const { version, crashes: there = 0 } = afterWrite(outcome, name);
-    const isThere = isQuarantined(there) || (there > 0 && !isQuarantined(crashes));
-    const isDone = outcome.kind === "written" || isThere;
+    const { version, crashes: storedCrashes = 0 } = afterWrite(outcome, name);
+    const isStored = isQuarantined(storedCrashes) || (storedCrashes > 0 && !isQuarantined(crashes));
+    const isDone = outcome.kind === "written" || isStored;
     writeAttempts.set(name, { at: clock.now(), crashes, isDone, version });
     writtenVersion = Math.max(writtenVersion, version ?? 0);
     const step = isQuarantined(crashes) ? "quarantine-written" : "suspect-written";
@@ -152,7 +152,8 @@
   };
   /** Whether the store lacks this finding and its write delay has passed. */
   const isDue = ({ suspect: { name }, crashes, since }: CrashFinding, after: number): boolean => {
-    const isCovered = (there: number): boolean => isQuarantined(there) || !isQuarantined(crashes);
+    const isCovered = (storedCrashes: number): boolean =>
+      isQuarantined(storedCrashes) || !isQuarantined(crashes);
     const record = storedRecords.get(name);
     if (record !== undefined && isCovered(record.crashes)) return false;
     const now = clock.now();
@@ -223,7 +224,7 @@
     }
   };
   return {
-    remainingTime: waitFor,
+    remainingTime: timeUntilRelease,
     recordAnswer: (fingerprint) => evidence.recordAnswer(fingerprint, clock.now()),
     recordCrash: (fingerprints) => {
       for (const fingerprint of fingerprints) evidence.recordCrash(fingerprint, clock.now());
--- a/src/process/request_quarantine_test.ts
+++ b/src/process/request_quarantine_test.ts
@@ -261,10 +261,10 @@
 test("limits the number of writes if many workers crash at once", async () => {
   const { clock, quarantine, written } = setUp();
   quarantine.start();
-  const prints = Array.from({ length: 200 }, (_, index) =>
+  const fingerprints = Array.from({ length: 200 }, (_, index) =>
     fingerprintFromName(index.toString(16).padStart(16, "0")),
   );
-  for (let worker = 0; worker < 2; worker++) quarantine.recordCrash(prints);
+  for (let worker = 0; worker < 2; worker++) quarantine.recordCrash(fingerprints);
   await clock.advance(2_000);
   expect(written.length).toBeLessThanOrEqual(8);
   quarantine.close();
--- a/src/process/rollout_view.ts
+++ b/src/process/rollout_view.ts
@@ -226,10 +226,10 @@
     const serviceState = services.get(service);
     if (serviceState?.served === undefined || serviceState.isUniform) return undefined;
     const { served, share } = serviceState;
-    const { base, tried: triedVersion } = served;
+    const { base, tried: trialVersion } = served;
     const phase = phaseOf(service, serviceState);
     if (phase === RolloutPhase.Switch && share.canSendToTrial(phase)) {
-      return { serves: ({ version }) => version === triedVersion, onTrial: NO_WORKERS };
+      return { serves: ({ version }) => version === trialVersion, onTrial: NO_WORKERS };
     }
     const canTry = phase !== undefined && share.canSendToTrial(RolloutPhase.Trial);
     const trialWorkers = canTry ? new Set(onTrial(serviceState)) : NO_WORKERS;
@@ -279,8 +279,8 @@
       parts.onBegin(service, version);
       const startedAt = clock.now();
       const serviceState = services.get(service);
-      const triedVersion = serviceState?.served?.tried;
-      if (serviceState === undefined || triedVersion === undefined) {
+      const trialVersion = serviceState?.served?.tried;
+      if (serviceState === undefined || trialVersion === undefined) {
         const trialWorker = undefined;
         return tallies.begin({
           service,
@@ -292,11 +292,11 @@
           startedAt,
         });
       }
-      const isTried = version === triedVersion;
-      serviceState.share.recordSent(isTried);
-      if (isTried) serviceState.everTried.add(id);
-      const trialWorker = isTried ? id : undefined;
-      const isCompared = isTried || onTrial(serviceState).length > 0;
+      const isTrial = version === trialVersion;
+      serviceState.share.recordSent(isTrial);
+      if (isTrial) serviceState.everTried.add(id);
+      const trialWorker = isTrial ? id : undefined;
+      const isCompared = isTrial || onTrial(serviceState).length > 0;
       return tallies.begin({
         service,
         route,
@@ -310,14 +310,14 @@
     counts: () => tallies.counts(clock.now()),
     evidence: (service, { routes, sums }) => {
       const serviceState = services.get(service);
-      const triedVersion = serviceState?.served?.tried;
-      if (serviceState === undefined || triedVersion === undefined) return [];
+      const trialVersion = serviceState?.served?.tried;
+      if (serviceState === undefined || trialVersion === undefined) return [];
       const countsFor = (key: number): RunCounts => sums.get(key) ?? NO_RUNS;
       return routes.map((route) => {
-        const base = tallyKeys({ service, tried: triedVersion, route, worker: undefined });
+        const base = tallyKeys({ service, tried: trialVersion, route, worker: undefined });
         const tried = [...serviceState.everTried, ...serviceState.tried].map((worker) => ({
           worker,
-          keys: tallyKeys({ service, tried: triedVersion, route, worker }),
+          keys: tallyKeys({ service, tried: trialVersion, route, worker }),
         }));
         return {
           route,
--- a/src/process/roster_log.ts
+++ b/src/process/roster_log.ts
@@ -8,7 +8,7 @@
  */
 export interface RosterLog {
   /** Records the live instances of a round. Round numbers start at 1 and increase. */
-  record(there: readonly RosterEntry[], round: number): void;
+  record(live: readonly RosterEntry[], round: number): void;
   /**
    * Returns the changes after a round, or a complete roster if the round is 0; undefined before the
    * first recorded round.
--- a/src/process/routed_entry.ts
+++ b/src/process/routed_entry.ts
@@ -103,7 +103,7 @@
     canErase: () => lease.held().length > 0,
     log,
   });
-  const board = createRoutedWorkerTable({
+  const workerTable = createRoutedWorkerTable({
     clock,
     random,
     zone: settings.zone,
@@ -120,7 +120,7 @@
       instances: createInstanceHashes({
         clock,
         self: settings.listen.peers,
-        others: () => fleet.live(),
+        otherInstances: () => fleet.live(),
       }),
     }),
     onLimit: ({ worker, limit, isOwn }) =>
@@ -148,7 +148,7 @@
     onRollouts: (entries, age) => versions?.setEntries(entries, age),
     onWorkers: (workers) => {
       versions?.setWorkers(workers);
-      board.setWorkers(workers);
+      workerTable.setWorkers(workers);
       connections.keepOnly(new Set(workers.map(({ id }) => id)));
       mix.workersChanged();
     },
@@ -165,18 +165,18 @@
       ready: isReady(),
       leaseVersion: lease.versionOf(LEASE_NAME),
       plans: versions?.plans() ?? [],
-      limits: board.limitStatements(),
+      limits: workerTable.recentLimitReports(),
     }),
     time,
     quota,
     repeats,
     ledger,
     health,
-    board,
+    workerTable,
     onDigest: (peer) => {
       lease.observe(LEASE_NAME, peer.leaseVersion);
       view.beforeDigest(peer);
-      board.updateLimits(peer.limits);
+      workerTable.updateLimits(peer.limits);
       versions?.updatePlans(peer.plans);
     },
     onDigestApplied: (peer) => view.afterDigest(peer),
@@ -191,14 +191,14 @@
     random,
     store: dependencies.store,
     throttle: createStoreThrottle({ clock, random, members: instanceCount }),
-    duties: () => [LEASE_NAME],
+    leaseNames: () => [LEASE_NAME],
     members: {
       self: { id: incarnation },
       alive: () => [
         ...(canHoldLease() ? [{ id: incarnation }] : []),
         ...fleet
           .leaseCandidates()
-          .filter(({ reachesStore: reaches, ready }) => reaches && ready)
+          .filter(({ reachesStore: isStoreReachable, ready }) => isStoreReachable && ready)
           .map(({ incarnation: id }) => ({ id })),
       ],
     },
@@ -212,8 +212,8 @@
   const demands = new Map<string, DemandEstimator>();
   const workersInUse = (service: RoutedService, first: number): DemandLevel => {
     const { name } = service;
-    const { prefillRate = Infinity } = board.speed(service);
-    const loads = board.loads(name).map(({ running, unreadTokens }) => ({
+    const { prefillRate = Infinity } = workerTable.speed(service);
+    const loads = workerTable.loads(name).map(({ running, unreadTokens }) => ({
       running,
       readingTime: unreadTokens / prefillRate,
     }));
@@ -248,7 +248,8 @@
               .filter(({ shares }) => shares.some((share) => share.service === service))
               .map(({ name }) => name),
           fleetCounts: () => fleet.sums(),
-          runningRequests: (service) => sum(board.loads(service).map(({ running }) => running)),
+          runningRequests: (service) =>
+            sum(workerTable.loads(service).map(({ running }) => running)),
           fence: (callTime) => lease.fence(LEASE_NAME, callTime),
           log: (step, fields) => log.changed(step, fields),
         });
@@ -256,7 +257,7 @@
     clock,
     platform: dependencies.platform,
     services: () => table()?.routing.services ?? [],
-    workers: () => servedWorkers(board.workers(), versions?.served()),
+    workers: () => servedWorkers(workerTable.workers(), versions?.served()),
     inUse: (service, first) => workersInUse(service, first),
     fence: (callTime) => lease.fence(LEASE_NAME, callTime),
     holder: settings.name,
@@ -268,16 +269,16 @@
     random,
     names: dependencies.names,
     table,
-    board,
+    workerLoads: workerTable,
     connections,
     quota,
     repeats,
     checks: createWorkerChecks({
       clock,
       reach: (worker) => connections.reach(worker),
-      isLeaving: ({ id }) => board.isLeaving(id),
+      isLeaving: ({ id }) => workerTable.isLeaving(id),
       log,
-      onEnded: (_worker, prints) => quarantine.recordCrash(prints),
+      onEnded: (_worker, fingerprints) => quarantine.recordCrash(fingerprints),
     }),
     quarantine,
     recordStart: (account, at) => {
@@ -337,9 +338,9 @@
     isReady,
     isStopping,
     resolve: () => {
-      const others = fleet.live().filter(({ ready }) => ready);
+      const peers = fleet.live().filter(({ ready }) => ready);
       const own = { callers: settings.listen.callers, capacity };
-      const instances = isReady() ? [own, ...others] : others;
+      const instances = isReady() ? [own, ...peers] : peers;
       return {
         addresses: sampleAddresses(instances, { most: MAX_ADDRESSES, random }),
         life: Math.min(RESOLVE_TTL, settings.resolveLife),
@@ -377,7 +378,7 @@
           : [rolloutStatus(found, { verdict: rollouts?.verdict(service), now: synchronizedNow() })];
       }),
       quarantine: quarantineStatuses(quarantine.list(), synchronizedNow()),
-      workers: board.overview(),
+      workers: workerTable.overview(),
     }),
     start: async () => {
       log.changed("starting", { incarnation, zone: settings.zone });
@@ -399,7 +400,7 @@
     // A repeated call returns the same promise: the process exits when it resolves.
     stop: () => (stopped ??= drain()),
     close: () => {
-      for (const part of [fleet, view, lease, usage, mix, quarantine, board, connections]) {
+      for (const part of [fleet, view, lease, usage, mix, quarantine, workerTable, connections]) {
         part.close();
       }
       rollouts?.close();
--- a/src/process/routed_metrics.ts
+++ b/src/process/routed_metrics.ts
@@ -57,7 +57,7 @@
   const { Counter, Gauge, Histogram, Registry } = await import("prom-client");
   const registry = new Registry();
   const registers = [registry];
-  const answered = new Counter({
+  const answers = new Counter({
     name: "samphireshore_answers_total",
     help: "Answers of workers that were passed on, by route and status.",
     labelNames: ["route", "status"],
@@ -104,7 +104,7 @@
   });
   return {
     answered: (route, status, milliseconds) => {
-      answered.inc({ route, status: String(status) });
+      answers.inc({ route, status: String(status) });
       duration.observe({ route }, milliseconds / MILLISECONDS_PER_SECOND);
     },
     firstEvent: (route, milliseconds) =>
--- a/src/process/routed_worker_table.ts
+++ b/src/process/routed_worker_table.ts
@@ -33,18 +33,18 @@
    */
   updateOccupancy(
     instance: string,
-    news: Pick<InstanceUpdate, "workerCounts" | "isSnapshot">,
+    update: Pick<InstanceUpdate, "workerCounts" | "isSnapshot">,
   ): void;
   /** Marks workers as leaving that another instance reported, in the form that `leaving` returns. */
   markLeaving(leaving: readonly string[]): void;
   /** Returns the known rate limits of workers, to be sent to other instances. */
-  limitStatements(): readonly LimitReport[];
+  recentLimitReports(): readonly LimitReport[];
   /** Applies rate limits received from another instance. */
-  updateLimits(statements: readonly LimitReport[]): void;
+  updateLimits(reports: readonly LimitReport[]): void;
   /** Removes the load of all instances except these, because the requests of a stopped instance have ended. */
   retainInstances(instances: ReadonlySet<string>): void;
   /** Returns this instance's own load and run counts, by the hashes of the worker ids. */
-  use(): ReadonlyMap<number, WorkerCounts>;
+  ownCounts(): ReadonlyMap<number, WorkerCounts>;
   /** Returns the status of every worker, for operators. */
   overview(): RoutedStatus["workers"];
   /** Whether a worker is leaving or no longer registered. */
@@ -150,10 +150,10 @@
   const peerOccupancy = createPeerOccupancy();
   const runTimes = new Map<string, number>();
   const unseenCache = new Map<string, { unseen: number; at: number }>();
-  const readRates = new Map<string, PrefillRate>();
-  const readRate = (service: string): PrefillRate => {
-    const known = readRates.get(service) ?? createPrefillRate();
-    readRates.set(service, known);
+  const prefillRates = new Map<string, PrefillRate>();
+  const prefillRateOf = (service: string): PrefillRate => {
+    const known = prefillRates.get(service) ?? createPrefillRate();
+    prefillRates.set(service, known);
     return known;
   };
 
@@ -226,7 +226,7 @@
   };
   const maxConnectionsFor = ({ maxConnections }: RoutedService): number =>
     Math.max(1, Math.floor((maxConnections * CONNECTION_SHARE) / members()));
-  const boardWorker = (
+  const createCandidate = (
     entry: WorkerEntry,
     maxConnections: number,
     now: number,
@@ -248,7 +248,7 @@
   const candidates = (service: RoutedService): CandidateWorker[] => {
     const now = clock.now();
     const maxConnections = maxConnectionsFor(service);
-    return eligible(service, now).map((entry) => boardWorker(entry, maxConnections, now));
+    return eligible(service, now).map((entry) => createCandidate(entry, maxConnections, now));
   };
   // Every request takes this path. The workers to compare are drawn first, so that objects are created only for them.
   const sample: RoutedWorkerTable["sample"] = (service, parts) => {
@@ -257,7 +257,7 @@
     if (tried.length > 0) {
       const maxConnections = maxConnectionsFor(service);
       return {
-        workers: tried.map((entry) => boardWorker(entry, maxConnections, now)),
+        workers: tried.map((entry) => createCandidate(entry, maxConnections, now)),
         homes: new Map(),
       };
     }
@@ -269,7 +269,7 @@
     const entriesNow = eligible(service, now);
     const drawn = sampleWorkers(entriesNow, { unseen: unseenNow, parts, random });
     const made = new Map(
-      drawn.workers.map((entry) => [entry, boardWorker(entry, maxConnections, now)]),
+      drawn.workers.map((entry) => [entry, createCandidate(entry, maxConnections, now)]),
     );
     const homes = new Map<CandidateWorker, number>();
     for (const [entry, chance] of drawn.homes) {
@@ -291,12 +291,12 @@
     unseenCache.set(service.name, { unseen: found, at: now });
     return found;
   };
-  const begin: RoutedWorkerTable["begin"] = (target, { reads, route }) => {
+  const begin: RoutedWorkerTable["begin"] = (target, { prefillTokens, route }) => {
     const { id, hash, service, unreadTokens, warmupLeft } = target;
     const startedAt = clock.now();
     const sentAt = time();
     const routedWorker = entries.get(id)?.worker;
-    const unreadTotal = unreadTokens + reads;
+    const unreadTotal = unreadTokens + prefillTokens;
     const tally =
       routedWorker === undefined
         ? undefined
@@ -312,12 +312,12 @@
       entry.running = Math.max(0, entry.running + by);
       entry.unreadTokens = Math.max(0, entry.unreadTokens + tokensBy);
     };
-    let unread = reads;
+    let unread = prefillTokens;
     const stopReading = (): void => {
       adjustLoad(0, -unread);
       unread = 0;
     };
-    adjustLoad(1, reads);
+    adjustLoad(1, prefillTokens);
     limits.recordSent(hash);
     onBegin();
     return {
@@ -328,7 +328,7 @@
       },
       recordFirstEvent: () => {
         const now = clock.now();
-        readRate(service).observe({ tokens: unreadTotal, took: now - startedAt });
+        prefillRateOf(service).observe({ tokens: unreadTotal, duration: now - startedAt });
         tally?.recordAnswer(now);
         stopReading();
       },
@@ -351,12 +351,12 @@
       },
     };
   };
-  const recordRunTime = (service: string, took: number): void => {
-    const before = runTimes.get(service) ?? took;
-    runTimes.set(service, before + (took - before) * RUN_TIME_WEIGHT);
+  const recordRunTime = (service: string, duration: number): void => {
+    const before = runTimes.get(service) ?? duration;
+    runTimes.set(service, before + (duration - before) * RUN_TIME_WEIGHT);
   };
   const speed = ({ name, engine }: RoutedService): ServiceTiming => ({
-    prefillRate: engine === undefined ? undefined : readRate(name).value,
+    prefillRate: engine === undefined ? undefined : prefillRateOf(name).value,
     runTime:
       runTimes.get(name) ??
       (engine === undefined ? INITIAL_RUN_TIME.plain : INITIAL_RUN_TIME.engine),
@@ -392,30 +392,31 @@
     },
     workers: () => [...entries.values()].map(({ worker }) => worker),
     loads: (service) => entriesOf(service).map(loadAt),
-    updateOccupancy: (instance, news) => peerOccupancy.update(instance, news),
+    updateOccupancy: (instance, update) => peerOccupancy.update(instance, update),
     markLeaving: (leaving) => {
       if (leaving.length === 0) return;
       const reported = new Set(leaving);
       for (const entry of entries.values())
         if (reported.has(startKey(entry))) entry.isLeaving = true;
     },
-    limitStatements: () => limits.recentReports(),
-    updateLimits: (statements) => {
-      for (const statement of statements) {
-        trackLimit({ hash: statement.worker, isOwn: false }, () => limits.receiveReport(statement));
+    recentLimitReports: () => limits.recentReports(),
+    updateLimits: (reports) => {
+      for (const report of reports) {
+        trackLimit({ hash: report.worker, isOwn: false }, () => limits.receiveReport(report));
       }
     },
     retainInstances: (instances) => peerOccupancy.retainInstances(instances),
-    use: () => {
-      const use = new Map<number, WorkerCounts>();
+    ownCounts: () => {
+      const countsByHash = new Map<number, WorkerCounts>();
       for (const { hash, running, unreadTokens } of entries.values()) {
         const { runs, failures } = health.ownCounts(hash);
-        if (running > 0 || runs > 0) use.set(hash, { running, unreadTokens, runs, failures });
+        if (running > 0 || runs > 0)
+          countsByHash.set(hash, { running, unreadTokens, runs, failures });
       }
       for (const counts of [versions?.counts() ?? [], extraCounts()]) {
-        for (const [key, count] of counts) use.set(key, { ...NO_WORKER_COUNTS, ...count });
+        for (const [key, count] of counts) countsByHash.set(key, { ...NO_WORKER_COUNTS, ...count });
       }
-      return use;
+      return countsByHash;
     },
     overview: () =>
       [...entries.values()].map((entry) => {
--- a/src/process/routed_worker_table_test.ts
+++ b/src/process/routed_worker_table_test.ts
@@ -16,7 +16,7 @@
 /** Only this instance shares the limits. */
 const INSTANCES = [1];
 
-function startBoard(): RoutedWorkerTable {
+function createTestTable(): RoutedWorkerTable {
   const time = (): number => sharedTime.now;
   const parts = {
     time,
@@ -28,12 +28,12 @@
     random: createSeededRandom(1),
     onBegin: () => undefined,
   };
-  const board = createRoutedWorkerTable({ clock: createVirtualClock(), ...parts });
-  board.setWorkers(["w0", "w1"].map(workerNamed));
-  return board;
+  const table = createRoutedWorkerTable({ clock: createVirtualClock(), ...parts });
+  table.setWorkers(["w0", "w1"].map(createTestWorker));
+  return table;
 }
 
-function workerNamed(id: string): RoutedWorker {
+function createTestWorker(id: string): RoutedWorker {
   return {
     id,
     born: 1,
@@ -58,47 +58,47 @@
   );
 }
 
-function runningAt(board: RoutedWorkerTable): number[] {
-  return board.loads("desk").map(({ running }) => running);
+function runningAt(table: RoutedWorkerTable): number[] {
+  return table.loads("desk").map(({ running }) => running);
 }
 
 // Several instances send requests to the same workers. An instance that counted only its own requests, or another
 // instance's load twice, would choose a full worker or avoid an idle one.
 test("adds up the load of other instances, replaces it and removes it with them", () => {
-  const board = startBoard();
-  board.updateOccupancy("e1", { workerCounts: occupancyOf({ w0: 2, w1: 1 }), isSnapshot: true });
-  board.updateOccupancy("e2", { workerCounts: occupancyOf({ w0: 3 }), isSnapshot: true });
-  expect(runningAt(board)).toEqual([5, 1]);
-  board.updateOccupancy("e1", { workerCounts: occupancyOf({ w1: 4 }), isSnapshot: true });
-  expect(runningAt(board)).toEqual([3, 4]);
-  board.retainInstances(new Set(["e1"]));
-  expect(runningAt(board)).toEqual([0, 4]);
-  board.retainInstances(new Set());
-  expect(runningAt(board)).toEqual([0, 0]);
-  expect(board.workers()).toHaveLength(2);
+  const table = createTestTable();
+  table.updateOccupancy("e1", { workerCounts: occupancyOf({ w0: 2, w1: 1 }), isSnapshot: true });
+  table.updateOccupancy("e2", { workerCounts: occupancyOf({ w0: 3 }), isSnapshot: true });
+  expect(runningAt(table)).toEqual([5, 1]);
+  table.updateOccupancy("e1", { workerCounts: occupancyOf({ w1: 4 }), isSnapshot: true });
+  expect(runningAt(table)).toEqual([3, 4]);
+  table.retainInstances(new Set(["e1"]));
+  expect(runningAt(table)).toEqual([0, 4]);
+  table.retainInstances(new Set());
+  expect(runningAt(table)).toEqual([0, 0]);
+  expect(table.workers()).toHaveLength(2);
 });
 
 // Most load reports contain only the changes. If taken as complete, the load that didn't change would be lost.
 test("keeps the load of workers that a delta does not name", () => {
-  const board = startBoard();
-  board.updateOccupancy("e1", { workerCounts: occupancyOf({ w0: 2, w1: 1 }), isSnapshot: true });
-  board.updateOccupancy("e1", { workerCounts: occupancyOf({ w1: 4 }), isSnapshot: false });
-  expect(runningAt(board)).toEqual([2, 4]);
-  board.updateOccupancy("e1", { workerCounts: occupancyOf({ w0: 0 }), isSnapshot: false });
-  expect(runningAt(board)).toEqual([0, 4]);
-  board.retainInstances(new Set());
-  expect(runningAt(board)).toEqual([0, 0]);
+  const table = createTestTable();
+  table.updateOccupancy("e1", { workerCounts: occupancyOf({ w0: 2, w1: 1 }), isSnapshot: true });
+  table.updateOccupancy("e1", { workerCounts: occupancyOf({ w1: 4 }), isSnapshot: false });
+  expect(runningAt(table)).toEqual([2, 4]);
+  table.updateOccupancy("e1", { workerCounts: occupancyOf({ w0: 0 }), isSnapshot: false });
+  expect(runningAt(table)).toEqual([0, 4]);
+  table.retainInstances(new Set());
+  expect(runningAt(table)).toEqual([0, 0]);
 });
 
 // A worker's registration lapses briefly while the store is unavailable. Its requests continue and must be counted
 // when the registration is back, including load reported in the meantime.
 test("knows the load of other instances at a worker that is registered again", () => {
-  const board = startBoard();
-  board.updateOccupancy("e1", { workerCounts: occupancyOf({ w0: 2 }), isSnapshot: true });
-  board.setWorkers([workerNamed("w1")]);
-  board.updateOccupancy("e2", { workerCounts: occupancyOf({ w0: 1 }), isSnapshot: true });
-  board.setWorkers(["w0", "w1"].map(workerNamed));
-  expect(runningAt(board).reduce((sum, running) => sum + running, 0)).toBe(3);
+  const table = createTestTable();
+  table.updateOccupancy("e1", { workerCounts: occupancyOf({ w0: 2 }), isSnapshot: true });
+  table.setWorkers([createTestWorker("w1")]);
+  table.updateOccupancy("e2", { workerCounts: occupancyOf({ w0: 1 }), isSnapshot: true });
+  table.setWorkers(["w0", "w1"].map(createTestWorker));
+  expect(runningAt(table).reduce((sum, running) => sum + running, 0)).toBe(3);
 });
 
 const DESK: RoutedService = {
@@ -109,12 +109,12 @@
 };
 
 /** Sends each worker a request whenever it may receive one, and returns the counts over this many seconds. */
-function sendForSeconds(board: RoutedWorkerTable, seconds: number): Record<string, number> {
+function sendForSeconds(table: RoutedWorkerTable, seconds: number): Record<string, number> {
   const counts: Record<string, number> = {};
   for (let step = 0; step < seconds * 100; step++) {
     sharedTime.now += 10;
-    for (const worker of board.candidates(DESK)) {
-      board.begin(worker, { reads: 0, route: "r" }).end(RunResult.Answered);
+    for (const worker of table.candidates(DESK)) {
+      table.begin(worker, { prefillTokens: 0, route: "r" }).end(RunResult.Answered);
       counts[worker.id] = (counts[worker.id] ?? 0) + 1;
     }
   }
@@ -122,39 +122,39 @@
 }
 
 /** Sends the worker a request that it answers with this limit. */
-function answerWithLimit(board: RoutedWorkerTable, id: string, limit: number | undefined): void {
-  const worker = board.candidates(DESK).find((one) => one.id === id);
+function answerWithLimit(table: RoutedWorkerTable, id: string, limit: number | undefined): void {
+  const worker = table.candidates(DESK).find((one) => one.id === id);
   if (worker === undefined) throw new Error(`Worker ${id} accepts no request at the moment.`);
-  const run = board.begin(worker, { reads: 0, route: "r" });
+  const run = table.begin(worker, { prefillTokens: 0, route: "r" });
   sharedTime.now += 1;
   run.recordResponse(limit);
   run.end(RunResult.Answered);
 }
 
 test("sends a worker with a limit no more than that, and does not limit the other workers", () => {
-  const board = startBoard();
-  expect(board.timeUntilCapacity(DESK)).toBeUndefined();
-  answerWithLimit(board, "w0", 2);
-  const counts = sendForSeconds(board, 10);
+  const table = createTestTable();
+  expect(table.timeUntilCapacity(DESK)).toBeUndefined();
+  answerWithLimit(table, "w0", 2);
+  const counts = sendForSeconds(table, 10);
   expect(counts["w0"]).toBeGreaterThanOrEqual(19);
   expect(counts["w0"]).toBeLessThanOrEqual(21);
   expect(counts["w1"]).toBe(1_000);
-  expect(board.timeUntilCapacity(DESK)).toBeGreaterThan(0);
-  expect(board.timeUntilCapacity(DESK)).toBeLessThanOrEqual(500);
+  expect(table.timeUntilCapacity(DESK)).toBeGreaterThan(0);
+  expect(table.timeUntilCapacity(DESK)).toBeLessThanOrEqual(500);
 });
 
 test("removes the limit of a worker that restarts under the same id", () => {
-  const board = startBoard();
-  answerWithLimit(board, "w0", 0.2);
-  board.setWorkers([{ ...workerNamed("w0"), born: 2 }, workerNamed("w1")]);
-  expect(sendForSeconds(board, 1)["w0"]).toBe(100);
+  const table = createTestTable();
+  answerWithLimit(table, "w0", 0.2);
+  table.setWorkers([{ ...createTestWorker("w0"), born: 2 }, createTestWorker("w1")]);
+  expect(sendForSeconds(table, 1)["w0"]).toBe(100);
 });
 
 test("lifts a limit when the worker's next answer states none", () => {
-  const board = startBoard();
-  answerWithLimit(board, "w0", 20);
-  sendForSeconds(board, 1);
+  const table = createTestTable();
+  answerWithLimit(table, "w0", 20);
+  sendForSeconds(table, 1);
   sharedTime.now += 100;
-  answerWithLimit(board, "w0", undefined);
-  expect(sendForSeconds(board, 1)["w0"]).toBe(100);
+  answerWithLimit(table, "w0", undefined);
+  expect(sendForSeconds(table, 1)["w0"]).toBe(100);
 });
--- a/src/process/store_outage.ts
+++ b/src/process/store_outage.ts
@@ -40,21 +40,19 @@
   const { clock, staleAfter } = parts;
   let startedAt: number | undefined;
   /** When another instance first reported an answer during this outage. */
-  let othersAnsweredSince: number | undefined;
+  let peersAnsweredSince: number | undefined;
   return {
     start: () => {
       startedAt = clock.now();
-      othersAnsweredSince = undefined;
+      peersAnsweredSince = undefined;
     },
     reportAnswer: () => {
       const now = clock.now();
-      if (startedAt !== undefined && now - startedAt > staleAfter) othersAnsweredSince ??= now;
+      if (startedAt !== undefined && now - startedAt > staleAfter) peersAnsweredSince ??= now;
     },
     end: () => {
       startedAt = undefined;
-      return (
-        othersAnsweredSince === undefined || clock.now() - othersAnsweredSince < RECOVERY_SPREAD
-      );
+      return peersAnsweredSince === undefined || clock.now() - peersAnsweredSince < RECOVERY_SPREAD;
     },
   };
 }
--- a/src/process/testing/control_fleet.ts
+++ b/src/process/testing/control_fleet.ts
@@ -138,8 +138,8 @@
 
 /** Reads the slot map from the store; undefined if there is none. */
 export async function storedSlotMap(fleet: ControlFleet): Promise<string | undefined> {
-  const reading = fleet.store.connect().get(SLOT_MAP_KEY);
+  const pendingRead = fleet.store.connect().get(SLOT_MAP_KEY);
   await fleet.clock.advance(10);
-  const read = await reading;
+  const read = await pendingRead;
   return read.kind === "found" ? read.object.value : undefined;
 }
--- a/src/process/testing/sync_fleet.ts
+++ b/src/process/testing/sync_fleet.ts
@@ -48,7 +48,7 @@
 export interface SyncMember {
   readonly zone: string;
   readonly sync: FleetSync;
-  readonly board: RoutedWorkerTable;
+  readonly workerTable: RoutedWorkerTable;
   readonly ledger: UsageLedger;
   readonly quota: SharedQuota;
   /** Known requests that crash workers. */
@@ -99,8 +99,8 @@
   for (let index = 0; index < size.instances; index++) {
     members.push(startMember(index, { clock, random, network, store, members }));
   }
-  for (const { board, quota, sync, feed } of members) {
-    board.setWorkers(workers);
+  for (const { workerTable, quota, sync, feed } of members) {
+    workerTable.setWorkers(workers);
     const accounts = size.accounts.map((name) => ({ name, quota: QUOTA }));
     quota.addAccounts(accounts, clock.now());
     sync.addAddresses([addressAt(0), addressAt(1)]);
@@ -108,19 +108,19 @@
     feed.start();
   }
   // A run starts the same way whatever the load, so one list of candidates serves all instances.
-  const candidates: readonly CandidateWorker[] = members[0]?.board.candidates(SERVICE) ?? [];
+  const candidates: readonly CandidateWorker[] = members[0]?.workerTable.candidates(SERVICE) ?? [];
   return {
     clock,
     network,
     store,
     members,
     workers,
-    begin: ({ board, ledger, quota }, { worker, account }) => {
+    begin: ({ workerTable, ledger, quota }, { worker, account }) => {
       const found = candidates[worker];
       if (found === undefined) throw new Error(`There is no worker ${worker}.`);
       ledger.recordRun(account, FLEET_WINDOW);
       quota.take({ account, quota: QUOTA, size: 100, now: clock.now() });
-      return board.begin(found, { reads: 640, route: "desk" });
+      return workerTable.begin(found, { prefillTokens: 640, route: "desk" });
     },
     canAdmit: ({ quota }, account) =>
       quota.take({ account, quota: QUOTA, size: 0, now: clock.now() }) === 0,
@@ -203,7 +203,7 @@
   const quota = createSharedQuota(clock.now());
   const ledger = createUsageLedger();
   const evidence = createCrashEvidence((key) => sync.sumOf(key));
-  const board = createRoutedWorkerTable({
+  const workerTable = createRoutedWorkerTable({
     clock,
     random,
     zone,
@@ -216,7 +216,7 @@
     limits: createWorkerLimits({
       time: () => clock.now(),
       self: hashText(address),
-      instances: createInstanceHashes({ clock, self: address, others: () => sync.live() }),
+      instances: createInstanceHashes({ clock, self: address, otherInstances: () => sync.live() }),
     }),
   });
   const feed: FeedFollower = createFeedFollower({
@@ -274,18 +274,18 @@
       leaseVersion: 0,
       hasStoreReturned: false,
       plans: [],
-      limits: board.limitStatements(),
+      limits: workerTable.recentLimitReports(),
     }),
     time: createFleetTime({ date: clock.now(), steady: clock.now() }),
     quota,
     repeats: createRepeatBudget(REPEATS),
     ledger,
     health,
-    board,
-    onDigest: (peer) => board.updateLimits(peer.limits),
+    workerTable,
+    onDigest: (peer) => workerTable.updateLimits(peer.limits),
     onDigestApplied: (peer) => catchUp.receive(peer),
     open: network.open,
   });
-  const parts = { zone, sync, feed, address, board, ledger, quota, evidence };
+  const parts = { zone, sync, feed, address, workerTable, ledger, quota, evidence };
   return { ...parts, isLive: true, canAnswerFetches: true };
 }
--- a/src/process/update_sources.ts
+++ b/src/process/update_sources.ts
@@ -65,7 +65,7 @@
   readonly session: number;
   lostAt: number | undefined;
   readonly source: UpdateSource;
-  readonly others: PeerTotals;
+  readonly peerTotals: PeerTotals;
 }
 
 /**
@@ -119,12 +119,17 @@
         ? subject
         : `${subject}/${peer.session.toString(16)}/${selections}`;
     const source = { id, subject, scope: peer.scope };
-    const found = { session: peer.session, lostAt: undefined, source, others: createPeerTotals() };
+    const found = {
+      session: peer.session,
+      lostAt: undefined,
+      source,
+      peerTotals: createPeerTotals(),
+    };
     selected.set(subject, found);
     return found;
   };
   const subtractOwn = (
-    { others }: SelectedSource,
+    { peerTotals }: SelectedSource,
     update: InstanceUpdate,
     digest: Digest,
   ): InstanceUpdate | undefined => {
@@ -132,7 +137,7 @@
       ? parts.ownCountsAt(digest.acknowledged?.sequence ?? 0)
       : undefined;
     if (digest.includesReceiver && own === undefined) return undefined;
-    return { ...update, ...others.update(update, own), isSnapshot: true };
+    return { ...update, ...peerTotals.update(update, own), isSnapshot: true };
   };
   return {
     receive: (peer, digest) => {
--- a/src/process/usage_task_test.ts
+++ b/src/process/usage_task_test.ts
@@ -31,13 +31,13 @@
           : { kind: "found", object: { key: "usage", ...stored } },
       ),
     put: (_key, value, { expect: expected }): Promise<PutOutcome> => {
-      const trouble = setup.writes.shift();
-      if (trouble === "unavailable") return Promise.resolve({ kind: trouble, detail: "down" });
+      const failure = setup.writes.shift();
+      if (failure === "unavailable") return Promise.resolve({ kind: failure, detail: "down" });
       if (expected !== stored.version) return Promise.resolve({ kind: "conflict" });
       stored.version++;
       stored.value = value;
       return Promise.resolve(
-        trouble === "lost"
+        failure === "lost"
           ? { kind: "unknown", detail: "lost" }
           : { kind: "written", version: stored.version },
       );
--- a/src/process/worker_checks_test.ts
+++ b/src/process/worker_checks_test.ts
@@ -20,15 +20,16 @@
     },
     isLeaving: () => isLeaving,
     log: { changed: () => undefined },
-    onEnded: (_worker, prints) => void ended.push(prints.map(({ name }) => name[0] ?? "")),
+    onEnded: (_worker, fingerprints) =>
+      void ended.push(fingerprints.map(({ name }) => name[0] ?? "")),
   });
   return { clock, checks, ended, reached: () => reached };
 }
 
 test("reports a worker that refuses connections as ended with all its requests, after one attempt", async () => {
   const { clock, checks, ended, reached } = setUp(Reach.Refused);
-  for (const print of [a, b, a])
-    if (print !== undefined) checks.reportBrokenConnection(WORKER, print);
+  for (const fingerprint of [a, b, a])
+    if (fingerprint !== undefined) checks.reportBrokenConnection(WORKER, fingerprint);
   await clock.advance(10);
   expect(ended).toEqual([["a", "b"]]);
   expect(reached()).toBe(1);
--- a/src/process/worker_limits_fleet_test.ts
+++ b/src/process/worker_limits_fleet_test.ts
@@ -30,15 +30,15 @@
   return fleet;
 }
 
-function limitAt({ board }: SyncMember): number | undefined {
-  return board.overview().find(({ id }) => id === LIMITED)?.limit;
+function limitAt({ workerTable }: SyncMember): number | undefined {
+  return workerTable.overview().find(({ id }) => id === LIMITED)?.limit;
 }
 
 /** Sends the worker a request if allowed, which it answers with this limit. Returns whether it was sent. */
-function sendRequest({ board }: SyncMember, limit: number | undefined): boolean {
-  const worker = board.candidates(SERVICE).find(({ id }) => id === LIMITED);
+function sendRequest({ workerTable }: SyncMember, limit: number | undefined): boolean {
+  const worker = workerTable.candidates(SERVICE).find(({ id }) => id === LIMITED);
   if (worker === undefined) return false;
-  const run = board.begin(worker, { reads: 0, route: "r" });
+  const run = workerTable.begin(worker, { prefillTokens: 0, route: "r" });
   run.recordResponse(limit);
   run.end(RunResult.Answered);
   return true;
--- a/src/request/handover.ts
+++ b/src/request/handover.ts
@@ -79,10 +79,10 @@
    * the owner would start a request that is already running.
    */
   const selectCustodian = (slot: number, excluded: string): Member | undefined => {
-    const others = members.alive().filter(({ id }) => isAlive(id) && id !== excluded);
-    const ids = others.map(({ id }) => id);
+    const otherMembers = members.alive().filter(({ id }) => isAlive(id) && id !== excluded);
+    const ids = otherMembers.map(({ id }) => id);
     const [custodianId] = rendezvousOrder(`custody/${slot}`, ids);
-    return others.find(({ id }) => id === custodianId);
+    return otherMembers.find(({ id }) => id === custodianId);
   };
 
   const handOverSlot = async (replica: SlotReplica): Promise<void> => {
--- a/src/request/overloaded_entry_test.ts
+++ b/src/request/overloaded_entry_test.ts
@@ -11,7 +11,7 @@
   await fleet.clock.advance(10);
   const accepted = fleet.submit(0);
   await fleet.clock.advance(30);
-  fleet.node(0).requests.setStance(EntryMode.ControlOnly);
+  fleet.node(0).requests.setEntryMode(EntryMode.ControlOnly);
   const refused = fleet.submit(0);
   const keyed = fleet.submit(0, { key: "entry" });
   await fleet.clock.advance(1_000);
@@ -22,7 +22,7 @@
   // A request with a key may run at another instance: only its owner can report that it was not
   // run.
   expect(keyed.events).toMatchObject([{ kind: "rejected", rejection: { notRun: false } }]);
-  fleet.node(0).requests.setStance(EntryMode.Open);
+  fleet.node(0).requests.setEntryMode(EntryMode.Open);
   const later = fleet.submit(0);
   await fleet.clock.advance(1_000);
   expect(later.text).toBe(expectedAnswer());
--- a/src/request/request_api.ts
+++ b/src/request/request_api.ts
@@ -81,7 +81,7 @@
    */
   copyTo(slots: readonly number[], member: Member): Promise<boolean>;
   /** Restricts new requests to those that the stance allows. Accepted requests continue. */
-  setStance(stance: EntryMode): void;
+  setEntryMode(mode: EntryMode): void;
   /** Stops accepting new requests. Requests in progress continue. */
   stopAccepting(): void;
   /** Resolves once no request is in progress here, whether owned or forwarded to another owner. */
--- a/src/request/request_service.ts
+++ b/src/request/request_service.ts
@@ -70,7 +70,7 @@
   const handover = createHandover(environment, { table, ownedRequests });
   const idleListeners = new Set<() => void>();
   let isAccepting = true;
-  let stance = EntryMode.Open;
+  let entryMode = EntryMode.Open;
   let forwardedCount = 0;
 
   const onSlotChange = ({ before, after }: SlotChange): void => {
@@ -101,7 +101,7 @@
   const submit: RequestService["submit"] = (submission, signal) => {
     const pickSlot = (random: Environment["random"]): number | undefined => table.pickSlot(random);
     const refusal = isAccepting
-      ? refuseWhenOverloaded(environment, { stance, submission })
+      ? refuseWhenOverloaded(environment, { stance: entryMode, submission })
       : DRAINING_REJECTION;
     const record = refusal ?? createRecord(environment, { submission, pickSlot });
     if (!("notRun" in record)) {
@@ -130,7 +130,7 @@
     if (message.cancel) ownedRequests.cancel(message.id);
     return { outcome: SlotOutcome.Acknowledged, epoch, record: found };
   };
-  const ask = async (
+  const askOwner = async (
     id: string,
     { account, cancel }: { account: string; cancel: boolean },
   ): Promise<RequestRecord | Rejection> => {
@@ -179,8 +179,8 @@
   return {
     submit,
     follow,
-    find: (id, account) => ask(id, { account, cancel: false }),
-    cancel: (id, account) => ask(id, { account, cancel: true }),
+    find: (id, account) => askOwner(id, { account, cancel: false }),
+    cancel: (id, account) => askOwner(id, { account, cancel: true }),
     handlers: {
       replicate: (message) => {
         const reply = table.applyTransition(receiveRecord(table.get(message.slot), message));
@@ -192,8 +192,8 @@
       ask: (message) => Promise.resolve(answerAsk(message)),
     },
     copyTo: (slots, member) => handover.copyTo(slots, member),
-    setStance: (next) => {
-      stance = next;
+    setEntryMode: (next) => {
+      entryMode = next;
     },
     stopAccepting: () => {
       isAccepting = false;
@@ -235,11 +235,11 @@
 /** Refuses new requests in two steps while the instance is overloaded. */
 function refuseWhenOverloaded(
   { configuration }: Environment,
-  { stance, submission }: { stance: EntryMode; submission: Submission },
+  { stance: entryMode, submission }: { stance: EntryMode; submission: Submission },
 ): Rejection | undefined {
-  if (stance === EntryMode.Open) return undefined;
+  if (entryMode === EntryMode.Open) return undefined;
   const service = configuration.revision()?.deployment.services[submission.service];
-  if (stance === EntryMode.LookupsOnly && service?.lane === Lane.Lookup) return undefined;
+  if (entryMode === EntryMode.LookupsOnly && service?.lane === Lane.Lookup) return undefined;
   const detail = "This entry instance is overloaded; resolve the address again.";
   return { reason: Refusal.EntryOverloaded, notRun: true, retryAfter: RETRY_AFTER, detail };
 }
--- a/src/request/request_service_test.ts
+++ b/src/request/request_service_test.ts
@@ -61,9 +61,9 @@
   const before = caller.text;
   expect(before.length).toBeGreaterThan(0);
   fleet.setState(0, MemberState.Leaving);
-  const ceded = fleet.node(0).requests.handOverAll();
+  const handover = fleet.node(0).requests.handOverAll();
   await fleet.clock.advance(50);
-  await ceded;
+  await handover;
   fleet.kill(0);
   await fleet.clock.advance(3_000);
   fleet.assign(1, 2);
--- a/src/request/routed_choice.ts
+++ b/src/request/routed_choice.ts
@@ -26,7 +26,7 @@
 
 /** Chooses the workers to which a request is offered. */
 export function chooseWorkers(
-  { board, clock, random }: Pick<RoutedContext, "board" | "clock" | "random">,
+  { workerLoads, clock, random }: Pick<RoutedContext, "workerLoads" | "clock" | "random">,
   { arrival, service, tried }: PlacementRequest,
 ): WorkerChoice {
   const timeLeft = arrival.deadlineAt - clock.now();
@@ -38,7 +38,7 @@
       workers.filter(({ id }) => !tried.has(id)),
       {
         request: { parts: arrival.promptParts },
-        speed: board.speed(service),
+        speed: workerLoads.speed(service),
         random,
         ...(homes === undefined ? {} : { homes }),
       },
@@ -50,11 +50,11 @@
     priorityRank: arrival.rank,
     isRetry: arrival.isRetry || tried.size > 0,
   });
-  const sample = board.sample(service, arrival.promptParts);
+  const sample = workerLoads.sample(service, arrival.promptParts);
   const sampled = rank(sample.workers, sample.homes);
   const isSampleUsable = sampled.length > 0 && shouldOffer(createOffer(sampled[0]));
   // If no worker of the sample is good enough, one of the others may be.
-  const ranked = isSampleUsable ? sampled : rank(board.candidates(service));
+  const ranked = isSampleUsable ? sampled : rank(workerLoads.candidates(service));
   if (ranked.length === 0) return { kind: "none" };
   const offer = createOffer(ranked[0]);
   if (!shouldOffer(offer)) return { kind: "overloaded", offer, candidates: ranked.length };
@@ -63,7 +63,7 @@
     *inOrder() {
       yield* ranked;
       // All sampled workers may have as many connections as this instance may open to them.
-      if (isSampleUsable) yield* rank(board.candidates(service));
+      if (isSampleUsable) yield* rank(workerLoads.candidates(service));
     },
   };
 }
--- a/src/request/routed_context.ts
+++ b/src/request/routed_context.ts
@@ -77,7 +77,7 @@
    */
   begin(
     worker: CandidateWorker,
-    run: { readonly reads: number; readonly route: string },
+    run: { readonly prefillTokens: number; readonly route: string },
   ): WorkerRun;
   /** Returns the reading rate and the run time of the service's workers. */
   speed(service: RoutedService): ServiceTiming;
@@ -93,15 +93,15 @@
    * Returns the milliseconds after which the request may be sent to a worker again; 0 if it may be
    * sent now.
    */
-  remainingTime(print: RequestFingerprint): number;
+  remainingTime(fingerprint: RequestFingerprint): number;
   /** Records that a worker sent a complete response to the request. */
-  recordAnswer(print: RequestFingerprint): void;
+  recordAnswer(fingerprint: RequestFingerprint): void;
 }
 
 /** Determines what happened to workers that lost their connection during a run. */
 export interface WorkerChecks {
   /** Reports that the connection to the worker broke while it ran the request. */
-  reportBrokenConnection(worker: WorkerPlace, print: RequestFingerprint): void;
+  reportBrokenConnection(worker: WorkerPlace, fingerprint: RequestFingerprint): void;
 }
 
 /** The fields of a line of the decision log besides the request id. */
@@ -115,7 +115,7 @@
   readonly names: HeaderNames;
   /** Returns undefined until the first configuration is received. */
   table(): RouteTable | undefined;
-  readonly board: WorkerLoads;
+  readonly workerLoads: WorkerLoads;
   readonly connections: WorkerConnections;
   /** Quotas of the client accounts, shared by all instances. */
   readonly quota: SharedQuota;
--- a/src/request/routed_run.ts
+++ b/src/request/routed_run.ts
@@ -74,7 +74,7 @@
   admitted: AdmittedRequest,
   response: CallerResponse,
 ): RoutedRun {
-  const { clock, names, connections, board, repeats } = context;
+  const { clock, names, connections, workerLoads, repeats } = context;
   const { request, arrival, service, body, fingerprint } = admitted;
   const { route } = arrival;
   const isStream = route.delivery === Delivery.Events;
@@ -148,7 +148,7 @@
     }
     const choice = chooseWorkers(context, { arrival, service, tried });
     if (choice.kind === "none") {
-      const capacityIn = board.timeUntilCapacity(service);
+      const capacityIn = workerLoads.timeUntilCapacity(service);
       const after =
         capacityIn === undefined ? NO_WORKER_RETRY_AFTER : Math.max(BUSY_RETRY_AFTER, capacityIn);
       giveUp(RoutedRefusal.NoWorker, Math.round(after));
@@ -173,7 +173,7 @@
     const now = clock.now();
     splitter.discardPartial();
     const attempt = createAttempt(worker, {
-      run: board.begin(worker, { reads: prefillTokens, route: route.name }),
+      run: workerLoads.begin(worker, { prefillTokens, route: route.name }),
       now,
       wait,
     });
@@ -225,7 +225,7 @@
       from: splitter.lastId,
     });
     if (repeatable) {
-      leavingSubscription = board.onLeaving(worker.id, () => {
+      leavingSubscription = workerLoads.onLeaving(worker.id, () => {
         if (current === attempt && isStream) retry("worker-leaving");
       });
       watchSilence(attempt);
@@ -358,7 +358,7 @@
     complete(head.status, () => response.sendComplete(head, body));
   /** Tries another worker, or calls the function if there is none. */
   const tryNextOrElse = (fallback: () => void): void => {
-    const hasOtherWorker = board.candidates(service).some(({ id }) => !tried.has(id));
+    const hasOtherWorker = workerLoads.candidates(service).some(({ id }) => !tried.has(id));
     if (hasOtherWorker) tryNext();
     else fallback();
   };
@@ -409,10 +409,10 @@
     silenceTimer?.close();
     silenceTimer = clock.after(SILENCE_CHECK_INTERVAL, () => {
       if (isDone || current !== attempt) return;
-      const heardAt = connections.heardAt(attempt.worker.id);
+      const workerLastReceivedAt = connections.heardAt(attempt.worker.id);
       const check = {
         now: clock.now(),
-        workerLastReceivedAt: heardAt,
+        workerLastReceivedAt,
         isStream,
         target: route.target,
       };
--- a/src/request/slot_table.ts
+++ b/src/request/slot_table.ts
@@ -25,7 +25,7 @@
   /** Replaces the state of a slot with the result of a protocol transition. */
   set(replica: SlotReplica): void;
   /** Replaces the state of a slot and returns the reply. */
-  applyTransition(answered: { replica: SlotReplica; reply: SlotReply }): SlotReply;
+  applyTransition(result: { replica: SlotReplica; reply: SlotReply }): SlotReply;
   /** Writes a record as the owner and returns it with its new sequence. */
   write(record: RequestRecord): RequestRecord;
   /** Returns a record, or undefined if this instance doesn't have it. */
