--- a/src/decision/crash_evidence.ts
+++ b/src/decision/crash_evidence.ts
@@ -39,7 +39,8 @@
 }
 
 /**
- * What one instance knows about requests and crashes. All times are in milliseconds of the clock.
+ * What one instance has counted about requests and crashes. All times are in milliseconds of the
+ * clock.
  */
 export interface CrashEvidence {
   /** Records that a worker crashed while running the request. */
@@ -123,7 +124,7 @@
 /**
  * Creates crash evidence without any counts.
  *
- * @param othersOf Returns the total that all other instances have counted under a key; undefined if
+ * @param peerCountsOf Returns the total that all other instances have counted under a key; undefined if
  * they have counted nothing.
  */
 export function createCrashEvidence(
--- a/src/decision/prefill_rate.ts
+++ b/src/decision/prefill_rate.ts
@@ -20,7 +20,7 @@
   /** Tokens per millisecond. */
   readonly value: number;
   /**
-   * Adds a sample: a first token arrived after `took` milliseconds, with `tokens` pending prompt
+   * Adds a sample: a first token arrived after `duration` milliseconds, with `tokens` pending prompt
    * tokens.
    */
   observe(sample: { tokens: number; duration: number }): void;
--- a/src/decision/worker_mix.ts
+++ b/src/decision/worker_mix.ts
@@ -104,7 +104,7 @@
  * Estimates the number of workers that a service's first load will keep busy, from the workers that
  * exist before it.
  *
- * @param there Number of existing workers by purchase type.
+ * @param existing Number of existing workers by purchase type.
  */
 export function estimateInitialDemand(
   { zonePrices }: ServiceScaling,
--- a/src/process/fleet_topology.ts
+++ b/src/process/fleet_topology.ts
@@ -74,7 +74,7 @@
  * Computes the topology from the live instances.
  *
  * @param self This instance.
- * @param others All other live instances.
+ * @param otherInstances All other live instances.
  */
 export function planTopology(
   self: TopologyInstance,
--- a/src/process/overload_task.ts
+++ b/src/process/overload_task.ts
@@ -7,7 +7,7 @@
   readonly clock: Clock;
   /** Reads the instance's own load since the previous call. */
   readonly readLoad: () => EntryLoad;
-  /** Called with each new stance, that is, with the kinds of requests that are still accepted. */
+  /** Called with each new mode, that is, with the kinds of requests that are still accepted. */
   readonly onModeChange: (mode: EntryMode) => void;
   readonly count: (name: string) => void;
 }
--- a/src/process/peer_occupancy.ts
+++ b/src/process/peer_occupancy.ts
@@ -6,7 +6,7 @@
 
 /** The occupancy of workers by other instances. Workers are identified by the hashes of their ids. */
 export interface PeerOccupancy {
-  /** Applies an instance's occupancy: a complete snapshot if `isWhole`, otherwise only the workers that changed. */
+  /** Applies an instance's occupancy: a complete snapshot if `isSnapshot`, otherwise only the workers that changed. */
   update(instance: string, update: Pick<InstanceUpdate, "workerCounts" | "isSnapshot">): void;
   /** Removes all instances except these, because the requests of a stopped instance have ended. */
   retainInstances(instances: ReadonlySet<string>): void;
--- a/src/process/rollout_view.ts
+++ b/src/process/rollout_view.ts
@@ -63,7 +63,7 @@
   /**
    * Records that a run begins at a worker.
    *
-   * @param run `reads` is the number of prompt tokens that the worker has to process before it answers.
+   * @param run `reads` is the number of prompt tokens that the worker has to process before its first token.
    */
   begin(run: { worker: RoutedWorker; route: string; reads: number; isCold: boolean }): RunTally;
   /** Returns this instance's run counts, by hashes from `tallyKeys`. */
--- a/src/process/routed_worker_table.ts
+++ b/src/process/routed_worker_table.ts
@@ -28,7 +28,7 @@
   /** Returns the load of each of the service's workers from all instances. */
   loads(service: string): Occupancy[];
   /**
-   * Applies another instance's load at workers: a complete snapshot if `isWhole`, otherwise only the workers that
+   * Applies another instance's load at workers: a complete snapshot if `isSnapshot`, otherwise only the workers that
    * changed.
    */
   updateOccupancy(
--- a/src/request/request_api.ts
+++ b/src/request/request_api.ts
@@ -80,7 +80,7 @@
    * @returns True once the member has all of them.
    */
   copyTo(slots: readonly number[], member: Member): Promise<boolean>;
-  /** Restricts new requests to those that the stance allows. Accepted requests continue. */
+  /** Restricts new requests to those that the mode allows. Accepted requests continue. */
   setEntryMode(mode: EntryMode): void;
   /** Stops accepting new requests. Requests in progress continue. */
   stopAccepting(): void;
--- a/src/request/routed_context.ts
+++ b/src/request/routed_context.ts
@@ -72,14 +72,14 @@
   /**
    * Registers a run.
    *
-   * @param run `reads` is the number of prompt tokens that the worker has to read for it, `route`
-   * is the name of its route.
+   * @param run `prefillTokens` is the number of prompt tokens that the worker has to process for it,
+   * `route` is the name of its route.
    */
   begin(
     worker: CandidateWorker,
     run: { readonly prefillTokens: number; readonly route: string },
   ): WorkerRun;
-  /** Returns the reading rate and the run time of the service's workers. */
+  /** Returns the prefill rate and the run time of the service's workers. */
   speed(service: RoutedService): ServiceTiming;
   /**
    * Calls the listener when the worker is about to leave, so that its runs can continue elsewhere.
