--- a/src/decision/rollout_tally.ts
+++ b/src/decision/rollout_tally.ts
@@ -80,11 +80,11 @@
  */
 export function tallyKeys(of: {
   service: string;
-  tried: string;
+  trialVersion: string;
   route: string;
   worker: string | undefined;
 }): TallyKeys {
-  const name = `${of.service} ${of.tried} ${of.route} ${of.worker ?? ""}`;
+  const name = `${of.service} ${of.trialVersion} ${of.route} ${of.worker ?? ""}`;
   const cached = keyCache.get(name);
   if (cached !== undefined) return cached;
   const created = {
@@ -174,9 +174,7 @@
   const sharedMean = ({ service, route }: CountedRun): number | undefined => {
     const trialVersion = trialVersions.get(service);
     if (trialVersion === undefined) return undefined;
-    const sums = sumOf(
-      tallyKeys({ service, tried: trialVersion, route, worker: undefined }).baseline,
-    );
+    const sums = sumOf(tallyKeys({ service, trialVersion, route, worker: undefined }).baseline);
     if (sums === undefined || sums.runs < MIN_SAMPLES) return undefined;
     return sums.failures / sums.runs / LOG_UNITS;
   };
@@ -187,7 +185,7 @@
   const shareBaseline = ({ service, route }: CountedRun, duration: number): void => {
     const trialVersion = trialVersions.get(service);
     if (trialVersion === undefined) return;
-    const { baseline: key } = tallyKeys({ service, tried: trialVersion, route, worker: undefined });
+    const { baseline: key } = tallyKeys({ service, trialVersion, route, worker: undefined });
     const count = countOf(service, key);
     count.runs++;
     count.failures += Math.round(Math.log(Math.max(1, duration)) * LOG_UNITS);
@@ -210,7 +208,7 @@
     const { service, route, trialWorker: worker } = run;
     const entry = {
       run,
-      keys: tallyKeys({ service, tried: trialVersion, route, worker }),
+      keys: tallyKeys({ service, trialVersion, route, worker }),
       isTimeCounted: run.isWarmingUp,
     };
     pending.add(entry);
--- a/src/decision/rollout_tally_test.ts
+++ b/src/decision/rollout_tally_test.ts
@@ -3,7 +3,7 @@
 import type { RunTally, VersionTallies } from "./rollout_tally.ts";
 
 const SERVICE = "model";
-const NAMES = { service: SERVICE, tried: "v2", route: "draft" };
+const NAMES = { service: SERVICE, trialVersion: "v2", route: "draft" };
 const BASE_KEYS = tallyKeys({ ...NAMES, worker: undefined });
 const TRIAL_KEYS = tallyKeys({ ...NAMES, worker: "n-0" });
 
--- a/src/decision/worker_mix_test.ts
+++ b/src/decision/worker_mix_test.ts
@@ -132,8 +132,8 @@
       fc.record({ reclaimable: counts, ordered: counts, exhausted: fc.subarray(ALL_ZONES) }),
       fc.nat(60),
       fc.nat(40),
-      (existing, inUse, held) => {
-        const orders = plan(existing, { inUse, heldOnDemand: held });
+      (existing, inUse, heldOnDemand) => {
+        const orders = plan(existing, { inUse, heldOnDemand });
         for (const zone of SCALING.zonePrices.keys()) {
           const here = orders.filter((order) => order.zone === zone);
           const sum = here.reduce((total, order) => total + order.count, 0);
--- a/src/process/feed_follower.ts
+++ b/src/process/feed_follower.ts
@@ -65,7 +65,7 @@
    */
   changesSince(
     version: number,
-    fits?: (group: readonly FeedChange[]) => boolean,
+    fits?: (batch: readonly FeedChange[]) => boolean,
   ): FeedDelta | undefined;
   start(): void;
   close(): void;
--- a/src/process/fleet_sync.ts
+++ b/src/process/fleet_sync.ts
@@ -201,7 +201,7 @@
 }
 
 /** Creates a function that reports whether a further batch of changes still fits into a digest. */
-function createDeltaBudget(): (group: readonly FeedChange[]) => boolean {
+function createDeltaBudget(): (batch: readonly FeedChange[]) => boolean {
   let count = 0;
   let characters = 0;
   return (batch) => {
--- a/src/process/rollout_task.ts
+++ b/src/process/rollout_task.ts
@@ -111,11 +111,11 @@
   };
   /** Whether the new workers can take over the current load, or have at least about the old workers' capacity. */
   const hasCapacity = (service: string): boolean => {
-    const { base, tried } = view.stock(service);
-    const capacity = sum(tried.map(({ slots }) => slots)) * MAX_OCCUPANCY;
+    const { base, trial } = view.stock(service);
+    const capacity = sum(trial.map(({ slots }) => slots)) * MAX_OCCUPANCY;
     const minCapacity = sum(base.map(({ slots }) => slots)) * MAX_OCCUPANCY ** 2;
     return (
-      tried.length > 0 && (parts.runningRequests(service) <= capacity || capacity >= minCapacity)
+      trial.length > 0 && (parts.runningRequests(service) <= capacity || capacity >= minCapacity)
     );
   };
   /**
--- a/src/process/rollout_view.ts
+++ b/src/process/rollout_view.ts
@@ -80,7 +80,7 @@
   /** Returns the served versions by service, as far as this instance knows them. */
   served(): ReadonlyMap<string, ServedVersions>;
   /** Returns the workers of the serving version and of the version on trial, without those that leave. */
-  stock(service: string): { base: RoutedWorker[]; tried: RoutedWorker[] };
+  stock(service: string): { base: RoutedWorker[]; trial: RoutedWorker[] };
 }
 
 /** Dependencies of {@linkcode createRolloutView}. */
@@ -109,9 +109,9 @@
   /** Limits the share of requests sent to the version on trial. */
   share: RolloutBudget;
   /** Ids of the workers of the version on trial, in the order in which they are used. */
-  tried: readonly string[];
+  trialWorkers: readonly string[];
   /** Ids of all workers on trial that have received a request from this instance. */
-  readonly everTried: Set<string>;
+  readonly usedTrialWorkers: Set<string>;
   /** Number of workers of the serving version. */
   base: number;
   workers: readonly RoutedWorker[];
@@ -146,8 +146,8 @@
       served: undefined,
       barred: new Set<string>(),
       share: newShare(undefined),
-      tried: [],
-      everTried: new Set<string>(),
+      trialWorkers: [],
+      usedTrialWorkers: new Set<string>(),
       base: 0,
       workers: [],
       isUniform: true,
@@ -169,13 +169,13 @@
     });
     if (served?.tried !== previous?.tried) {
       serviceState.share = newShare(entry);
-      serviceState.everTried.clear();
+      serviceState.usedTrialWorkers.clear();
       tallies.setTrialVersion(service, served?.tried);
       if (served?.tried === undefined) plans.forget(service);
     }
     serviceState.served = served;
     serviceState.base = readyWorkers(serviceState, served?.base).length;
-    serviceState.tried = rendezvousOrder(
+    serviceState.trialWorkers = rendezvousOrder(
       service,
       readyWorkers(serviceState, served?.tried).map(({ id }) => id),
     );
@@ -208,7 +208,7 @@
     startedAt,
     share,
     base: baseWorkers,
-    tried,
+    trialWorkers: tried,
   }: ServiceState): string[] => {
     if (entry === undefined || startedAt === undefined) return [];
     const { duration } = entry.order;
@@ -294,7 +294,7 @@
       }
       const isTrial = version === trialVersion;
       serviceState.share.recordSent(isTrial);
-      if (isTrial) serviceState.everTried.add(id);
+      if (isTrial) serviceState.usedTrialWorkers.add(id);
       const trialWorker = isTrial ? id : undefined;
       const isCompared = isTrial || onTrial(serviceState).length > 0;
       return tallies.begin({
@@ -314,20 +314,27 @@
       if (serviceState === undefined || trialVersion === undefined) return [];
       const countsFor = (key: number): RunCounts => sums.get(key) ?? NO_RUNS;
       return routes.map((route) => {
-        const base = tallyKeys({ service, tried: trialVersion, route, worker: undefined });
-        const tried = [...serviceState.everTried, ...serviceState.tried].map((worker) => ({
+        const base = tallyKeys({ service, trialVersion, route, worker: undefined });
+        const workersWithKeys = [
+          ...serviceState.usedTrialWorkers,
+          ...serviceState.trialWorkers,
+        ].map((worker) => ({
           worker,
-          keys: tallyKeys({ service, tried: trialVersion, route, worker }),
+          keys: tallyKeys({ service, trialVersion, route, worker }),
         }));
         return {
           route,
           answers: {
             base: countsFor(base.answers),
-            tried: new Map(tried.map(({ worker, keys }) => [worker, countsFor(keys.answers)])),
+            tried: new Map(
+              workersWithKeys.map(({ worker, keys }) => [worker, countsFor(keys.answers)]),
+            ),
           },
           times: {
             base: countsFor(base.times),
-            tried: new Map(tried.map(({ worker, keys }) => [worker, countsFor(keys.times)])),
+            tried: new Map(
+              workersWithKeys.map(({ worker, keys }) => [worker, countsFor(keys.times)]),
+            ),
           },
         };
       });
@@ -356,10 +363,10 @@
       ),
     stock: (service) => {
       const serviceState = services.get(service);
-      if (serviceState === undefined) return { base: [], tried: [] };
+      if (serviceState === undefined) return { base: [], trial: [] };
       return {
         base: readyWorkers(serviceState, serviceState.served?.base),
-        tried: readyWorkers(serviceState, serviceState.served?.tried),
+        trial: readyWorkers(serviceState, serviceState.served?.tried),
       };
     },
   };
--- a/src/request/request_service.ts
+++ b/src/request/request_service.ts
@@ -101,7 +101,7 @@
   const submit: RequestService["submit"] = (submission, signal) => {
     const pickSlot = (random: Environment["random"]): number | undefined => table.pickSlot(random);
     const refusal = isAccepting
-      ? refuseWhenOverloaded(environment, { stance: entryMode, submission })
+      ? refuseWhenOverloaded(environment, { entryMode, submission })
       : DRAINING_REJECTION;
     const record = refusal ?? createRecord(environment, { submission, pickSlot });
     if (!("notRun" in record)) {
@@ -218,7 +218,7 @@
 /**
  * Adjusts a refusal by an instance that has not asked the owner. Another instance may have received
  * the same idempotency key and run the request. If this instance reported the key as not run, the
- * caller would submit the entry again elsewhere, and pay twice.
+ * caller would send the request again elsewhere, and it would run twice.
  */
 function withUnknownKeyHistory(rejection: Rejection, { account, key }: Submission): Rejection {
   if (key === undefined) return rejection;
@@ -235,7 +235,7 @@
 /** Refuses new requests in two steps while the instance is overloaded. */
 function refuseWhenOverloaded(
   { configuration }: Environment,
-  { stance: entryMode, submission }: { stance: EntryMode; submission: Submission },
+  { entryMode, submission }: { entryMode: EntryMode; submission: Submission },
 ): Rejection | undefined {
   if (entryMode === EntryMode.Open) return undefined;
   const service = configuration.revision()?.deployment.services[submission.service];
