--- a/src/decision/shared_quota.ts
+++ b/src/decision/shared_quota.ts
@@ -78,9 +78,9 @@
    */
   levelAtReport: number;
   takenSinceReport: number;
-  /** Recent admissions of this instance and of the others, with older ones weighted less. */
+  /** Recent admissions of this instance and of its peers, with older ones weighted less. */
   recentOwn: number;
-  recentOthers: number;
+  recentPeers: number;
 }
 
 /**
@@ -136,7 +136,7 @@
         levelAtReport: level,
         takenSinceReport: 0,
         recentOwn: 0,
-        recentOthers: 0,
+        recentPeers: 0,
       };
       buckets.set(account, created);
       return created;
@@ -152,8 +152,8 @@
     return existing;
   };
   /** The share of the remaining level that this instance may take until its next report. */
-  const ownShare = ({ recentOwn, recentOthers }: Bucket): number => {
-    const share = recentOwn + recentOthers === 0 ? 0 : recentOwn / (recentOwn + recentOthers);
+  const ownShare = ({ recentOwn, recentPeers }: Bucket): number => {
+    const share = recentOwn + recentPeers === 0 ? 0 : recentOwn / (recentOwn + recentPeers);
     return Math.min(1, Math.max(1 / totalMembers, share) * SHARE_HEADROOM);
   };
   /**
@@ -208,7 +208,7 @@
         // its amounts are deducted.
         if (isFirstReport && age > refillTime(bucket)) continue;
         bucket.level -= delta;
-        bucket.recentOthers = Math.max(0, bucket.recentOthers + delta);
+        bucket.recentPeers = Math.max(0, bucket.recentPeers + delta);
       }
     },
     setReachability: ({ reachable, members: memberCount }) => {
@@ -223,7 +223,7 @@
         bucket.levelAtReport = level;
         bucket.takenSinceReport = 0;
         bucket.recentOwn *= decay;
-        bucket.recentOthers *= decay;
+        bucket.recentPeers *= decay;
       }
       return ownAdmitted;
     },
--- a/src/decision/usage_ledger.ts
+++ b/src/decision/usage_ledger.ts
@@ -65,7 +65,7 @@
   /** Returns the totals of this instance and of the instances whose single counts are received. */
   groupTotals(): readonly WindowCounts[];
   /** Deletes the counts of other instances, before they are received again in different groups. */
-  forgetOthers(): void;
+  forgetPeers(): void;
   /** Returns the totals over all instances. */
   total(window: number): AccountCounts;
   /** Deletes all windows before this one and ignores them from now on. */
@@ -129,7 +129,7 @@
         window,
         counts: sumOf(window, (incarnation) => !groups.has(incarnation)),
       })),
-    forgetOthers: () => {
+    forgetPeers: () => {
       for (const instances of windows.values()) {
         for (const incarnation of instances.keys()) {
           if (incarnation !== OWN_KEY) instances.delete(incarnation);
--- a/src/decision/usage_ledger_test.ts
+++ b/src/decision/usage_ledger_test.ts
@@ -56,6 +56,6 @@
   ledger.mergeGroup("zone-b", [{ window: 7, counts: { a: 9 } }]);
   expect(ledger.total(7)).toEqual({ a: 13 });
   expect(ledger.groupTotals()).toEqual([{ window: 7, counts: { a: 3 } }]);
-  ledger.forgetOthers();
+  ledger.forgetPeers();
   expect(ledger.total(7)).toEqual({ a: 1 });
 });
--- a/src/process/feed_follower.ts
+++ b/src/process/feed_follower.ts
@@ -84,7 +84,7 @@
    */
   readonly isNeeded?: () => boolean;
   /** Whether other instances depend on this one for changes. Its watches are then short. */
-  readonly feedsOthers?: () => boolean;
+  readonly feedsPeers?: () => boolean;
   /** Called after objects have changed. */
   readonly onChange: (changes: readonly FeedChange[], arrival: ChangeArrival) => void;
   /** Called when the store starts or stops answering. */
@@ -133,7 +133,7 @@
 /** Creates a follower without any objects. */
 export function createFeedFollower(parts: FeedFollowerParts): FeedFollower {
   const { kind, clock, random, feed, isNeeded = () => true } = parts;
-  const { feedsOthers = () => false } = parts;
+  const { feedsPeers = () => false } = parts;
   let objects = new Map<string, FeedObject>();
   let version = 0;
   let changedAt = 0;
@@ -210,7 +210,7 @@
     isListNeeded = false;
   };
   const watch = async (): Promise<void> => {
-    const { min, max } = feedsOthers() ? FEEDER_WATCH_TIMEOUT : WATCH_TIMEOUT;
+    const { min, max } = feedsPeers() ? FEEDER_WATCH_TIMEOUT : WATCH_TIMEOUT;
     const wait = failures > 0 ? RETRY_WATCH_TIMEOUT : min + random.next() * (max - min);
     const outcome = await feed.watchKind(kind, version, wait);
     if (outcome.kind === "history-lost") {
--- a/src/process/fleet_sync.ts
+++ b/src/process/fleet_sync.ts
@@ -180,7 +180,7 @@
     deltasSince,
     onDigest,
     onUpdate,
-    onRoleChange: () => ledger.forgetOthers(),
+    onRoleChange: () => ledger.forgetPeers(),
     onChange: () => updateMembers(),
     onFault: (detail) => log.fault("digest", { detail }),
     open: parts.open,
--- a/src/process/lease_task_test.ts
+++ b/src/process/lease_task_test.ts
@@ -85,7 +85,8 @@
         const { service } = worker;
         const model = models[0] ?? "";
         orders.push({ by: node.self.id, service, fence, model, at: fleet.clock.now() });
-        if (service === "checking" && fence < (highest.get(service) ?? 0)) throw new Error("Old.");
+        if (service === "checking" && fence < (highest.get(service) ?? 0))
+          throw new Error("The order has an outdated fencing token.");
         highest.set(service, fence);
         loaded.set(service, model);
       },
--- a/src/process/membership_test.ts
+++ b/src/process/membership_test.ts
@@ -23,8 +23,8 @@
 }
 
 function statesOf(fleet: ControlFleet, id: string): Set<MemberState> {
-  const others = fleet.nodes.filter(({ self }) => self.id !== id);
-  return new Set(others.map(({ members }) => members.stateOf(id)));
+  const otherMembers = fleet.nodes.filter(({ self }) => self.id !== id);
+  return new Set(otherMembers.map(({ members }) => members.stateOf(id)));
 }
 
 test("instances that know two seeds find all others", async () => {
@@ -37,8 +37,8 @@
   const fleet = await startFleet(12);
   fleet.nodes[5]?.kill();
   await fleet.clock.advance(15_000);
-  const others = fleet.nodes.filter((_, index) => index !== 5);
-  expect(new Set(others.map(({ members }) => members.stateOf("e5#1")))).toEqual(
+  const otherMembers = fleet.nodes.filter((_, index) => index !== 5);
+  expect(new Set(otherMembers.map(({ members }) => members.stateOf("e5#1")))).toEqual(
     new Set([MemberState.Dead]),
   );
   fleet.close();
--- a/src/process/mix_task.ts
+++ b/src/process/mix_task.ts
@@ -132,8 +132,8 @@
   const isDue = (service: string, readyCount: ReadyCount, wanted: MixOrder): boolean => {
     const previous = sent.get(orderKey(service, wanted.zone, wanted.purchase));
     if (previous?.count !== wanted.count) return true;
-    const isThere = readyCount(wanted.zone, wanted.purchase) === wanted.count;
-    const isMet = previous.outcome === "accepted" && isThere;
+    const isReady = readyCount(wanted.zone, wanted.purchase) === wanted.count;
+    const isMet = previous.outcome === "accepted" && isReady;
     return !isMet && clock.now() - previous.at >= RESEND_INTERVAL;
   };
   /** Plans a service and sends its due orders. Returns whether any market has newly run out of capacity. */
--- a/src/process/rollout_view.ts
+++ b/src/process/rollout_view.ts
@@ -208,13 +208,13 @@
     startedAt,
     share,
     base: baseWorkers,
-    trialWorkers: tried,
+    trialWorkers,
   }: ServiceState): string[] => {
     if (entry === undefined || startedAt === undefined) return [];
     const { duration } = entry.order;
     const maxShare = planRollout(duration, limits).maxShares[RolloutPhase.Trial];
     const elapsed = time() - startedAt;
-    return activeTrialWorkers(tried, {
+    return activeTrialWorkers(trialWorkers, {
       elapsed,
       duration,
       maxShare,
--- a/src/process/routed_worker_table.ts
+++ b/src/process/routed_worker_table.ts
@@ -267,16 +267,16 @@
     }
     const maxConnections = maxConnectionsFor(service);
     const entriesNow = eligible(service, now);
-    const drawn = sampleWorkers(entriesNow, { unseen: unseenNow, parts, random });
-    const made = new Map(
-      drawn.workers.map((entry) => [entry, createCandidate(entry, maxConnections, now)]),
+    const sampled = sampleWorkers(entriesNow, { unseen: unseenNow, parts, random });
+    const candidateByEntry = new Map(
+      sampled.workers.map((entry) => [entry, createCandidate(entry, maxConnections, now)]),
     );
     const homes = new Map<CandidateWorker, number>();
-    for (const [entry, chance] of drawn.homes) {
-      const worker = made.get(entry);
+    for (const [entry, chance] of sampled.homes) {
+      const worker = candidateByEntry.get(entry);
       if (worker !== undefined) homes.set(worker, chance);
     }
-    return { workers: [...made.values()], homes };
+    return { workers: [...candidateByEntry.values()], homes };
   };
   /** Estimates how many runs other instances begin at a worker before this instance receives their load reports. */
   const unseen = (service: RoutedService, now: number): number => {
--- a/src/process/slot_task_test.ts
+++ b/src/process/slot_task_test.ts
@@ -109,17 +109,17 @@
   // instance considers all others dead. If it took their slots, the two sides would take them from
   // each other forever.
   const fleet = await startAssigned({ count: 5, zones: 5 });
-  const [alone, ...others] = fleet.nodes;
+  const [alone, ...otherNodes] = fleet.nodes;
   const takeovers = alone?.counts.get("slots.takeover");
-  for (const { self } of others) fleet.network.setCut("e0#1", self.id, true);
+  for (const { self } of otherNodes) fleet.network.setCut("e0#1", self.id, true);
   await fleet.clock.advance(30_000);
   expect(alone?.counts.get("slots.claim")).toBeGreaterThan(0);
   expect(alone?.counts.get("slots.takeover")).toBe(takeovers);
-  const map = mapAt(others[0]);
-  expect(ownersOf(map)).toEqual(new Set(others.map(({ self }) => self.id)));
-  for (const { self } of others) fleet.network.setCut("e0#1", self.id, false);
+  const map = mapAt(otherNodes[0]);
+  expect(ownersOf(map)).toEqual(new Set(otherNodes.map(({ self }) => self.id)));
+  for (const { self } of otherNodes) fleet.network.setCut("e0#1", self.id, false);
   await fleet.clock.advance(40_000);
-  expect(ownersOf(mapAt(others[0])).has("e0#1")).toBe(true);
+  expect(ownersOf(mapAt(otherNodes[0])).has("e0#1")).toBe(true);
   fleet.close();
 });
 
@@ -128,8 +128,8 @@
   // it writes a claim to the store. It stays unanswered, and callers find an owner again within
   // seconds.
   const fleet = await startAssigned({ count: 4, zones: 2 });
-  const [survivor, ...others] = fleet.nodes;
-  for (const node of others) node.kill();
+  const [survivor, ...otherNodes] = fleet.nodes;
+  for (const node of otherNodes) node.kill();
   await fleet.clock.advance(25_000);
   expect(ownersOf(mapAt(survivor))).toEqual(new Set(["e0#1", ""]));
   fleet.close();
@@ -140,8 +140,8 @@
   // other survivor answered although it is in contact and misses the same owners, neither would
   // ever take over, and callers of the failed instances' slots would never get a response.
   const fleet = await startAssigned({ count, zones: count });
-  const [first, second, ...others] = fleet.nodes;
-  for (const node of others) node.kill();
+  const [first, second, ...otherNodes] = fleet.nodes;
+  for (const node of otherNodes) node.kill();
   await fleet.clock.advance(30_000);
   expect(ownersOf(mapAt(first))).toEqual(new Set(["e0#1", "e1#1"]));
   expect(mapAt(second)).toEqual(mapAt(first));
--- a/src/process/store_view.ts
+++ b/src/process/store_view.ts
@@ -112,11 +112,11 @@
     options: {
       readonly apply: (changes: readonly FeedChange[], arrival: ChangeArrival) => void;
       readonly isNeeded?: () => boolean;
-      readonly feedsOthers?: () => boolean;
-      readonly onReach?: (reached: boolean) => void;
+      readonly feedsPeers?: () => boolean;
+      readonly onReachabilityChange?: (reached: boolean) => void;
     },
   ): FeedFollower => {
-    const { apply, feedsOthers = () => false, onReach = () => undefined } = options;
+    const { apply, feedsPeers = () => false, onReachabilityChange = () => undefined } = options;
     const isQueryNeeded = options.isNeeded ?? (() => !fleet().isFed());
     const follower: FeedFollower = createFeedFollower({
       kind,
@@ -124,13 +124,13 @@
       random,
       feed: parts.feed,
       isNeeded: () => isQueryNeeded() || catchUp.isBehind(kind),
-      feedsOthers,
+      feedsPeers,
       onChange: (changes, arrival) => {
         apply(changes, arrival);
         reportChanges(follower, changes, arrival);
       },
       onReachabilityChange: (reached, detail) => {
-        onReach(reached);
+        onReachabilityChange(reached);
         log.changed("store-reached", { kind: name, reached, detail });
       },
     });
@@ -143,12 +143,12 @@
   const workerFeed: FeedFollower = follow(
     { kind: kinds.workers, name: "workers" },
     {
-      feedsOthers: () => fleet().role !== FleetRole.Mesh,
+      feedsPeers: () => fleet().role !== FleetRole.Mesh,
       apply: (changes) => {
         roster.applyChanges(changes);
         applyWorkers();
       },
-      onReach: (reached) => {
+      onReachabilityChange: (reached) => {
         if (!reached) outage.start();
         else if (outage.end() && workerFeed.answeredAt !== undefined) roster.storeReturned();
       },
--- a/src/process/testing/sync_fleet.ts
+++ b/src/process/testing/sync_fleet.ts
@@ -225,7 +225,7 @@
     random,
     feed: store.of(name),
     isNeeded: () => !sync.isFed() || catchUp.isBehind(KIND),
-    feedsOthers: () => sync.role !== FleetRole.Mesh,
+    feedsPeers: () => sync.role !== FleetRole.Mesh,
     onChange: () => sync.reportStoreChange(),
     onReachabilityChange: () => undefined,
   });
--- a/src/request/event_splitter_test.ts
+++ b/src/request/event_splitter_test.ts
@@ -13,9 +13,9 @@
       let count = 0;
       for (let at = 0, step = 0; at < bytes.length; step++) {
         const size = sizes[step % sizes.length] ?? 1;
-        const whole = splitter.push(bytes.subarray(at, at + size));
-        out += whole.bytes.toString();
-        count += whole.count;
+        const completeEvents = splitter.push(bytes.subarray(at, at + size));
+        out += completeEvents.bytes.toString();
+        count += completeEvents.count;
         expect(out === "" || /\n\r?\n$/.test(out)).toBe(true);
         at += size;
       }
--- a/src/request/worker_reclaim.ts
+++ b/src/request/worker_reclaim.ts
@@ -47,7 +47,7 @@
     });
     timers.add(timer);
   };
-  const applyTriage = ({ choice, at }: TriageDecision, { live, worker }: EndangeredRun): void => {
+  const applyTriage = ({ choice, at }: TriageDecision, { live, worker }: AffectedRun): void => {
     const isStillThere = (): boolean => live.record.worker === worker.id;
     const move = (): void => {
       if (isStillThere()) live.interrupt(StopReason.Reclaimed);
@@ -77,8 +77,8 @@
     if (unmoved.length === 0) return;
     const liveById = new Map(unmoved.map((live) => [live.record.id, live]));
     for (const live of unmoved) movedFrom.set(live, worker.id);
-    const endangered = [...liveById.values()].map((live) => toEndangered(environment, live));
-    for (const choice of runTriage(environment, worker, endangered)) {
+    const requests = [...liveById.values()].map((live) => toTriageRequest(environment, live));
+    for (const choice of runTriage(environment, worker, requests)) {
       const live = liveById.get(choice.id);
       environment.counters.count(`triage.${choice.choice}`);
       if (live !== undefined) applyTriage(choice, { live, worker });
@@ -92,11 +92,11 @@
    */
   const poll = (): void => {
     nextPoll?.close();
-    const underNotice = workers
+    const workersWithNotice = workers
       .list()
       .filter(({ state, reclaimAt }) => state === WorkerState.Leaving && reclaimAt !== undefined);
-    for (const worker of underNotice) moveRequests(worker);
-    nextPoll = underNotice.length === 0 ? undefined : clock.after(POLL_INTERVAL, poll);
+    for (const worker of workersWithNotice) moveRequests(worker);
+    nextPoll = workersWithNotice.length === 0 ? undefined : clock.after(POLL_INTERVAL, poll);
   };
   const subscription = workers.onChange(poll);
   return {
@@ -109,7 +109,7 @@
 }
 
 /** A request in progress at a worker under notice. */
-interface EndangeredRun {
+interface AffectedRun {
   readonly live: LiveRequest;
   readonly worker: Worker;
 }
@@ -117,11 +117,11 @@
 function runTriage(
   { clock, configuration, workers }: Environment,
   worker: Worker,
-  endangered: readonly TriageRequest[],
+  requests: readonly TriageRequest[],
 ): readonly TriageDecision[] {
   const serviceWorkers = workers.list().filter(({ service }) => service === worker.service);
   const classes = configuration.revision()?.deployment.machineClasses ?? {};
-  return triage(endangered, {
+  return triage(requests, {
     now: clock.now(),
     reclaimAt: worker.reclaimAt ?? clock.now(),
     transferBytesPerSecond: TRANSFER_RATE,
@@ -132,7 +132,7 @@
   });
 }
 
-function toEndangered({ clock }: Environment, live: LiveRequest): TriageRequest {
+function toTriageRequest({ clock }: Environment, live: LiveRequest): TriageRequest {
   const { id, repeatable, body, deadlineAt } = live.record;
   const produced = live.tokens.length;
   const elapsed = clock.now() - live.dispatchedAt;
@@ -159,7 +159,7 @@
 /** Exports the request's KV cache. If this fails, the request resumes from its tokens. */
 async function exportCache(
   { counters, engine }: Environment,
-  { live, worker }: EndangeredRun,
+  { live, worker }: AffectedRun,
 ): Promise<void> {
   try {
     live.cacheExport = await engine.exportCache(worker, live.record.id);
