--- a/src/decision/rollout_judge_test.ts
+++ b/src/decision/rollout_judge_test.ts
@@ -55,7 +55,7 @@
   expect(judgeRollout([evidence], { isLast: true }).kind).toBe("open");
 });
 
-// Only one of the new workers received requests lately, and it has crashed.
+// Only one of the new workers received requests recently, and it has crashed.
 test("does not roll back a version of which only one worker was tried", () => {
   const evidence = createEvidence("a", {
     base: createCounts(900, 0),
--- a/src/decision/worker_choice.ts
+++ b/src/decision/worker_choice.ts
@@ -41,9 +41,9 @@
 export function chooseWorker(job: Job, view: WorkerChoiceView): WorkerChoice | undefined {
   const cached = view.prefixCache.match(job.prefix, view.now);
   const { open, workers } = view.service;
-  const drawn = sample(open, { count: sampleSize(open.length), random: view.random });
+  const randomWorkers = sample(open, { count: sampleSize(open.length), random: view.random });
   const holders = [...cached.keys()].map((id) => workers.get(id));
-  const sampled = [...drawn, ...holders].filter((entry) => entry !== undefined);
+  const sampled = [...randomWorkers, ...holders].filter((entry) => entry !== undefined);
   const best = cheapest(job, { candidates: sampled, cached, view });
   // Under saturation none of the sampled workers may be able to run this job while another one is.
   return best ?? cheapest(job, { candidates: open, cached, view });
--- a/src/process/change_propagation_test.ts
+++ b/src/process/change_propagation_test.ts
@@ -86,11 +86,11 @@
       throw new Error("A fleet of 67 instances in four zones must have eight relays.");
     dropDatagramsFrom(fleet, relay);
     relay.canAnswerFetches = false;
-    const others = fleet.members.filter((member) => member !== relay);
-    expect(await measurePropagation(fleet, ["one"], others)).toBeLessThanOrEqual(BOUND);
-    expect(await measurePropagation(fleet, numberedNames("many", 60), others)).toBeLessThanOrEqual(
-      BOUND,
-    );
+    const otherMembers = fleet.members.filter((member) => member !== relay);
+    expect(await measurePropagation(fleet, ["one"], otherMembers)).toBeLessThanOrEqual(BOUND);
+    expect(
+      await measurePropagation(fleet, numberedNames("many", 60), otherMembers),
+    ).toBeLessThanOrEqual(BOUND);
   },
 );
 
@@ -121,8 +121,8 @@
     dropDatagramsFrom(fleet, relay);
     relay.canAnswerFetches = false;
   }
-  const others = fleet.members.filter((member) => !zoneRelays.includes(member));
-  expect(await measurePropagation(fleet, ["one"], others)).toBeLessThanOrEqual(BOUND);
+  const otherMembers = fleet.members.filter((member) => !zoneRelays.includes(member));
+  expect(await measurePropagation(fleet, ["one"], otherMembers)).toBeLessThanOrEqual(BOUND);
 });
 
 // One instance doesn't see most of the others, so it wrongly takes the role of a relay and expects
--- a/src/request/moved_run_test.ts
+++ b/src/request/moved_run_test.ts
@@ -21,7 +21,7 @@
   return fleet;
 }
 
-/** Puts the first worker under notice, and removes it when the notice period ends. */
+/** Gives the first worker a reclaim notice, and removes it when the notice period ends. */
 async function reclaimFirst(fleet: RequestFleet): Promise<void> {
   const reclaimAt = fleet.clock.now() + NOTICE_PERIOD;
   const leaving = { ...createTestWorker("w1"), state: WorkerState.Leaving, reclaimAt };
--- a/src/request/request_run.ts
+++ b/src/request/request_run.ts
@@ -117,7 +117,7 @@
     }
     counters.retried(cause);
     if (cause === RetryCause.WorkerReclaimed) {
-      // The request continues elsewhere: the server under notice should spend no more time on it.
+      // The request continues elsewhere: the server with the notice should spend no more time on it.
       void engine.cancel(worker, live.record.id).catch(() => undefined);
       continue;
     }
--- a/src/request/worker_reclaim.ts
+++ b/src/request/worker_reclaim.ts
@@ -18,13 +18,13 @@
 const DEFAULT_TOKEN_TIME = 30;
 /** Characters of a prompt per token. */
 const CHARACTERS_PER_TOKEN = 4;
-/** Milliseconds between two checks of the servers under notice. */
+/** Milliseconds between two checks of the servers with a reclaim notice. */
 const POLL_INTERVAL = 250;
 /** Milliseconds before an instance is reclaimed at which its last requests are moved. */
 const FINAL_MOVE_MARGIN = 500;
 
 /**
- * Moves requests in progress away from workers under notice, as chosen by the triage.
+ * Moves requests in progress away from workers with a reclaim notice, as chosen by the triage.
  *
  * Otherwise a request would run until its server is gone, and be resumed after its whole KV cache
  * is computed again. The caller would see a gap, and operators the recomputed tokens.
@@ -86,9 +86,9 @@
   };
   let nextPoll: Timer | undefined;
   /**
-   * Checks the servers under notice. Requests also reach a server after its notice, with a slot
-   * whose owner is reclaimed in the same wave. With a single check they would stay on the server
-   * and be lost with it.
+   * Checks the servers with a reclaim notice. Requests also reach a server after its notice, with a
+   * slot whose owner is reclaimed in the same wave. With a single check they would stay on the
+   * server and be lost with it.
    */
   const poll = (): void => {
     nextPoll?.close();
@@ -108,7 +108,7 @@
   };
 }
 
-/** A request in progress at a worker under notice. */
+/** A request in progress at a worker with a reclaim notice. */
 interface AffectedRun {
   readonly live: LiveRequest;
   readonly worker: Worker;
@@ -149,8 +149,8 @@
 
 /**
  * Estimates the number of tokens still to come. An answer that has outgrown its estimate is a long
- * one. If it were assumed to be at its end, it would stay on a server under notice and be lost with
- * it.
+ * one. If it were assumed to be at its end, it would stay on a server with a reclaim notice
+ * and be lost with it.
  */
 function remainingTokens({ expectedTokens, tokens }: LiveRequest): number {
   return Math.max(1, expectedTokens - tokens.length, tokens.length / 2);
