--- a/src/request/request_inquiry.ts
+++ b/src/request/request_inquiry.ts
@@ -9,8 +9,8 @@
 import type { RunOutcome } from "./run_outcome.ts";
 
 /**
- * Cancels a request that may not be repeated at a server under notice, to continue it at another
- * one.
+ * Cancels a request that may not be repeated at a server with a reclaim notice, to continue it at
+ * another one.
  *
  * An accepted request must survive the reclaim and must not run twice. It is therefore moved rather
  * than restarted: the server first confirms that it has stopped, and the next one continues from
