--- a/bench/faults/main.ts
+++ b/bench/faults/main.ts
@@ -1,14 +1,19 @@
+/**
+ * Command line of the fault simulation: `npm run faults -- --help`.
+ *
+ * @module
+ */
 import { parseArgs } from "node:util";
-import { play } from "./play.ts";
-import { drawScenario } from "./scenario.ts";
+import { runScenario } from "./run_scenario.ts";
+import { generateScenario } from "./scenario.ts";
 import type { Scenario } from "./scenario.ts";
-import { shrink } from "./shrink.ts";
+import { shrinkScenario } from "./shrink.ts";
 
-const HELP = `Plays workloads with faults over entry instances in memory, and checks the promises.
+const HELP = `Runs workloads with faults on simulated entry instances in memory, and checks their guarantees.
 
   npm run faults -- [--seed N] [--count K] [--json]
 
-Exit code 1 where a promise was broken. Example: npm run faults -- --seed 1 --count 100`;
+The exit code is 1 if a guarantee is violated. Example: npm run faults -- --seed 1 --count 100`;
 
 const { values } = parseArgs({
   options: {
@@ -27,11 +32,19 @@
 }
 
 async function runSeed(seed: number): Promise<Failure | undefined> {
-  const scenario = drawScenario(seed);
-  const { broken } = await play(scenario);
-  if (broken.length === 0) return undefined;
-  const smallest = await shrink(scenario, async (left) => (await play(left)).broken.length > 0);
-  return { seed, broken, repeat: `npm run faults -- --seed ${seed} --count 1`, smallest };
+  const scenario = generateScenario(seed);
+  const { violations } = await runScenario(scenario);
+  if (violations.length === 0) return undefined;
+  const smallest = await shrinkScenario(
+    scenario,
+    async (reduced) => (await runScenario(reduced)).violations.length > 0,
+  );
+  return {
+    seed,
+    broken: violations,
+    repeat: `npm run faults -- --seed ${seed} --count 1`,
+    smallest,
+  };
 }
 
 if (values.help) {
@@ -41,7 +54,7 @@
   const count = Number(values.count);
   const started = performance.now();
   const failures: Failure[] = [];
-  // A signal that gathers listeners outlives what listens to it: whatever those hold is never given back.
+  // A long-lived signal that accumulates listeners retains everything that they reference: a memory leak.
   let warnings = 0;
   process.on("warning", ({ name }) => {
     if (name === "MaxListenersExceededWarning") warnings++;
--- a/bench/faults/scenario.ts
+++ b/bench/faults/scenario.ts
@@ -1,20 +1,35 @@
 import { createSeededRandom } from "../../src/interface/index.ts";
 import type { Random } from "../../src/interface/index.ts";
 
-/** A request of the workload. */
-export interface Demand {
+/** A request of the workload and the caller that submits it. */
+export interface CallerRequest {
   /** Milliseconds after the fleet has formed. */
   readonly at: number;
-  /** Index of the entry instance that the caller goes to. */
+  /** Index of the entry instance that the caller connects to first. */
   readonly instance: number;
+  /** Whether a second run is allowed. */
   readonly repeatable: boolean;
+  /** Whether the request continues without its caller's connection. */
   readonly detached: boolean;
-  /** Demands with the same key are the same request, brought again. */
+  /** Idempotency key: submissions with the same key are the same request. */
   readonly key?: string;
+  /** Length of the answer. */
   readonly tokens: number;
 }
 
-/** One fault; times in milliseconds after the fleet has formed. */
+/**
+ * A fault. `at` is its start in milliseconds after the fleet has formed, `span` its duration in milliseconds; `a` and
+ * `b` are the instances of a connection.
+ *
+ * - `kill`: an instance ends at once; `reclaim`, `zone-reclaim`: one or all instances of a zone end after a notice.
+ * - `freeze`: an instance is paused.
+ * - `cut`: calls between two instances get no answer; `silence`: their open connections go silent for good.
+ * - `lose-answers`: the next `count` calls are executed, but their answers are lost.
+ * - `store-down`: all store calls fail; `store-loses-answers`: the next `count` writes are applied, but their answers
+ *   are lost; `watches-silent`: open watches never report again.
+ * - `worker-kill`, `worker-silence`: a backend server ends, or its open connections go silent for good.
+ * - `operators`: two operators switch the preset at the same time.
+ */
 export type Fault =
   | { readonly kind: "kill" | "reclaim"; readonly at: number; readonly instance: number }
   | { readonly kind: "zone-reclaim"; readonly at: number; readonly zone: number }
@@ -49,80 +64,92 @@
     }
   | { readonly kind: "operators"; readonly at: number };
 
-/** What one seed plays. */
+/** Fleet, workload and faults of one seed. */
 export interface Scenario {
   readonly seed: number;
   readonly instances: number;
   readonly workers: number;
-  readonly demands: readonly Demand[];
+  /** Requests of the workload. */
+  readonly demands: readonly CallerRequest[];
   readonly faults: readonly Fault[];
 }
 
-/** Number of availability zones that the instances are spread over. */
+/** Number of availability zones over which the instances are spread. */
 export const ZONES = 3;
 
-const SPAN = 6_000;
-const LONGEST_FAULT = 9_000;
-const DEMANDS = 10;
-const MOST_TOKENS = 60;
+/** Time in which all requests and faults start, in milliseconds. */
+const START_WINDOW = 6_000;
+/** Milliseconds. */
+const MAX_FAULT_DURATION = 9_000;
+const REQUEST_COUNT = 10;
+const MAX_TOKENS = 60;
 
-/** Draws a scenario; a seed always draws the same. */
-export function drawScenario(seed: number): Scenario {
+/** Generates a scenario; the same seed always gives the same scenario. */
+export function generateScenario(seed: number): Scenario {
   const random = createSeededRandom(seed);
-  const instances = 3 + below(random, 3);
-  const workers = 2 + below(random, 2);
-  const demands = Array.from({ length: DEMANDS }, (_, index) =>
-    drawDemand(random, { instances, index }),
+  const instances = 3 + randomBelow(random, 3);
+  const workers = 2 + randomBelow(random, 2);
+  const demands = Array.from({ length: REQUEST_COUNT }, (_, index) =>
+    generateRequest(random, { instances, index }),
   );
-  const count = 1 + below(random, 4);
-  const faults = Array.from({ length: count }, () => drawFault(random, { instances, workers }));
+  const count = 1 + randomBelow(random, 4);
+  const faults = Array.from({ length: count }, () => generateFault(random, { instances, workers }));
   return {
     seed,
     instances,
     workers,
-    demands: [...demands, ...demands.flatMap((demand) => again(random, { demand, instances }))],
+    demands: [
+      ...demands,
+      ...demands.flatMap((request) => generateRepeat(random, { request, instances })),
+    ],
     faults: faults.sort((one, other) => one.at - other.at),
   };
 }
 
-function drawDemand(
+function generateRequest(
   random: Random,
   { instances, index }: { instances: number; index: number },
-): Demand {
-  const demand = {
-    at: below(random, SPAN),
-    instance: below(random, instances),
+): CallerRequest {
+  const request = {
+    at: randomBelow(random, START_WINDOW),
+    instance: randomBelow(random, instances),
     repeatable: random.next() < 0.5,
     detached: random.next() < 0.2,
-    tokens: 1 + below(random, MOST_TOKENS),
+    tokens: 1 + randomBelow(random, MAX_TOKENS),
   };
-  return random.next() < 0.6 ? { ...demand, key: `key-${index}` } : demand;
+  return random.next() < 0.6 ? { ...request, key: `key-${index}` } : request;
 }
 
-/** A caller that brings its key a second time, to any instance. */
-function again(
+/** Generates, for half of the requests with a key, a second submission to any instance. */
+function generateRepeat(
   random: Random,
-  { demand, instances }: { demand: Demand; instances: number },
-): Demand[] {
-  if (demand.key === undefined || random.next() < 0.5) return [];
-  return [{ ...demand, at: demand.at + below(random, 3_000), instance: below(random, instances) }];
+  { request, instances }: { request: CallerRequest; instances: number },
+): CallerRequest[] {
+  if (request.key === undefined || random.next() < 0.5) return [];
+  return [
+    {
+      ...request,
+      at: request.at + randomBelow(random, 3_000),
+      instance: randomBelow(random, instances),
+    },
+  ];
 }
 
-function drawFault(
+function generateFault(
   random: Random,
   { instances, workers }: { instances: number; workers: number },
 ): Fault {
-  const at = below(random, SPAN);
-  const instance = below(random, instances);
-  const span = 200 + below(random, LONGEST_FAULT);
+  const at = randomBelow(random, START_WINDOW);
+  const instance = randomBelow(random, instances);
+  const span = 200 + randomBelow(random, MAX_FAULT_DURATION);
   const a = instance;
-  const b = (instance + 1 + below(random, instances - 1)) % instances;
-  const count = 1 + below(random, 5);
-  const worker = below(random, workers - 1);
+  const b = (instance + 1 + randomBelow(random, instances - 1)) % instances;
+  const count = 1 + randomBelow(random, 5);
+  const worker = randomBelow(random, workers - 1);
   const kinds: readonly Fault[] = [
     { kind: "kill", at, instance },
     { kind: "reclaim", at, instance },
-    { kind: "zone-reclaim", at, zone: below(random, ZONES) },
+    { kind: "zone-reclaim", at, zone: randomBelow(random, ZONES) },
     { kind: "freeze", at, instance, span },
     { kind: "cut", at, a, b, span },
     { kind: "silence", at, a, b },
@@ -134,9 +161,9 @@
     { kind: "worker-silence", at, worker },
     { kind: "operators", at },
   ];
-  return kinds[below(random, kinds.length)] ?? { kind: "watches-silent", at };
+  return kinds[randomBelow(random, kinds.length)] ?? { kind: "watches-silent", at };
 }
 
-function below(random: Random, bound: number): number {
+function randomBelow(random: Random, bound: number): number {
   return Math.floor(random.next() * bound);
 }
--- a/bench/rollouts/main.ts
+++ b/bench/rollouts/main.ts
@@ -1,11 +1,21 @@
+/**
+ * Compares ways to decide on the rollout of a new version: `npm run rollouts -- [--seed N] [--runs N] [--way NAME]...
+ * [--json]`.
+ *
+ * Each way runs the same simulated rollouts. The report states how many good versions were rolled back, how many bad
+ * versions were completed and how many requests bad versions received. The exit code is 1 if the way that the product
+ * uses exceeds a bound.
+ *
+ * @module
+ */
 import { parseArgs } from "node:util";
-import { JUDGES } from "./other_ways.ts";
-import type { Ramp } from "./other_ways.ts";
-import { playOrder } from "./play.ts";
-import type { Outcome } from "./play.ts";
-import { exposurePlot, isBroken, summarize } from "./report.ts";
+import { JUDGES } from "./judges.ts";
+import type { Ramp } from "./judges.ts";
+import { simulateOrder } from "./simulate_order.ts";
+import type { RolloutResult } from "./simulate_order.ts";
+import { exposurePlot, isBoundExceeded, summarize } from "./report.ts";
 import type { Summary } from "./report.ts";
-import { drawScenario, Sort } from "./scenario.ts";
+import { generateScenario, VersionBehavior } from "./scenario.ts";
 
 const { values } = parseArgs({
   options: {
@@ -17,27 +27,27 @@
 });
 
 const RAMPS: readonly Ramp[] = ["few", "even"];
-/** The way that runs. */
-const RUNNING = "ratio, few";
+/** Name of the way that the product uses. */
+const PRODUCT_METHOD = "ratio, few";
 const ways = Object.entries(JUDGES).flatMap(([name, judge]) =>
   RAMPS.map((ramp) => ({ name: `${name}, ${ramp}`, judge, ramp })),
 );
-const chosen =
+const selected =
   values.way.length === 0 ? ways : ways.filter(({ name }) => values.way.includes(name));
 const first = Number(values.seed);
 const scenarios = Array.from({ length: Number(values.runs) }, (_, run) =>
-  drawScenario(first + run),
+  generateScenario(first + run),
 );
 
 const summaries: Summary[] = [];
 const plots = new Map<string, string>();
-for (const { name, judge, ramp } of chosen) {
-  const plays: { scenario: (typeof scenarios)[number]; outcome: Outcome }[] = [];
+for (const { name, judge, ramp } of selected) {
+  const results: { scenario: (typeof scenarios)[number]; outcome: RolloutResult }[] = [];
   for (const scenario of scenarios) {
-    plays.push({ scenario, outcome: await playOrder(scenario, { judge, ramp }) });
+    results.push({ scenario, outcome: await simulateOrder(scenario, { judge, ramp }) });
   }
-  summaries.push(summarize(name, plays));
-  const bad = plays.filter(({ scenario }) => scenario.sort !== Sort.Good);
+  summaries.push(summarize(name, results));
+  const bad = results.filter(({ scenario }) => scenario.behavior !== VersionBehavior.Good);
   plots.set(name, exposurePlot(bad.map(({ outcome }) => outcome)));
 }
 
@@ -52,10 +62,14 @@
     })),
   );
   for (const { way, seeds } of summaries) {
-    console.log(`\n${way}: the part of the bound that bad versions were given\n${plots.get(way)}`);
-    for (const [what, found] of Object.entries(seeds)) {
-      if (found.length > 0) console.log(`${what}: ${found.join(" ")}`);
+    console.log(
+      `\n${way}: share of the exposure bound that bad versions received\n${plots.get(way)}`,
+    );
+    for (const [problem, failedSeeds] of Object.entries(seeds)) {
+      if (failedSeeds.length > 0) console.log(`${problem}: ${failedSeeds.join(" ")}`);
     }
   }
 }
-process.exitCode = summaries.some((one) => one.way === RUNNING && isBroken(one)) ? 1 : 0;
+process.exitCode = summaries.some((one) => one.way === PRODUCT_METHOD && isBoundExceeded(one))
+  ? 1
+  : 0;
--- /dev/null
+++ b/bench/soak/guarantees.ts
@@ -0,0 +1,396 @@
+/**
+ * Checks of the guarantees of the product against the records of a soak test.
+ *
+ * Each check reports its number of opportunities to fail: a check without any proves nothing. Guarantees that depend on
+ * the connections between the processes are not checked for an instance while it, or the store, is disturbed or
+ * recovering. No disturbance excuses a wrong answer or a second run of a request that may run at most once.
+ *
+ * @module
+ */
+import { RequestKind, ALL_TARGETS, STORE } from "./observation.ts";
+import type { ObservedRequest, ObservedRun, Observations } from "./observation.ts";
+
+/** Limits that the checks use; times in milliseconds. */
+export const BOUNDS = {
+  /** Time after a disturbance of an instance or the store for which violations are excused. */
+  recovery: 3_000,
+  /** Time after which a draining backend server receives no requests. */
+  drain: 2_000,
+  /** Time until a new configuration is in force. */
+  configuration: 2_000,
+  /** Time until a refusal. */
+  refusal: 500,
+  /** Time in which a request that coincides with the close of its connection fails; it was not read. */
+  closing: 200,
+  /** Retry budget: retries per request and a fixed number in addition, per window. */
+  repeats: { ratio: 0.2, slack: 50, window: 10_000 },
+  /** Quota of an account, with the tolerated relative excess and a fixed number of requests in addition. */
+  quota: { perSecond: 20, burst: 20, excess: 0.1, slack: 40, window: 8_000 },
+  /** Crashes after which a request is known to crash backend servers, and tolerated later crashes. */
+  crashes: { minCrashes: 3, tolerated: 3 },
+  /** Announced limits: window, tolerated factor and fixed number of requests, and propagation time. */
+  limit: { window: 4_000, factor: 1.5, slack: 5, propagation: 500 },
+  /** Resident set size of an instance, in bytes. */
+  memory: 350_000_000,
+  /** Open file descriptors of an instance. */
+  descriptors: 4_000,
+  /** Log lines of an instance per second, and in addition per request. */
+  lines: { perSecond: 50, perRequest: 12 },
+  /** Minimum share of the requests at the end that are served. */
+  served: 0.95,
+  /** Last part of the load, in which the fleet has recovered. */
+  finalPeriod: 4_000,
+} as const;
+
+/** Result of a check. */
+export interface Finding {
+  /** Name of the guarantee. */
+  readonly promise: string;
+  /** Number of opportunities to fail. */
+  readonly chances: number;
+  /** One message for each violation. */
+  readonly broken: readonly string[];
+}
+
+type Check = (observations: Observations) => Omit<Finding, "promise">;
+
+const SUCCESS = 200;
+const REDIRECTION = 300;
+const NOT_FOUND = 404;
+/** Statuses that state that a request has not run and never will. */
+const NOT_RUN: ReadonlySet<number> = new Set([408, 421, 429, 503]);
+
+const CHECKS: Readonly<Record<string, Check>> = {
+  "an answer is whole and belongs to its request": checkAnswers,
+  "what may run once runs once": checkOnce,
+  "what is said not to have run hasn't": checkNotRun,
+  "a refusal comes at once": checkRefusals,
+  "a worker that leaves gets nothing more": checkDraining,
+  "a configuration is in force in time, and stays": checkConfigurations,
+  "repeats stay within their budget": checkRepeats,
+  "an account stays within its quota": checkQuota,
+  "one instance at a time makes the platform's calls": checkLeaseHolder,
+  "a window of usage is reported with one count": checkUsage,
+  "a request that crashes workers is kept from them": checkCrashes,
+  "a worker gets no more than it names": checkLimits,
+  "a planned stop breaks no answer": checkStops,
+  "an instance's memory, descriptors and log are bounded": checkProcesses,
+  "all is served again at the end": checkRecovery,
+  "ready and resolve tell the truth at the end": checkReady,
+};
+
+/** Checks all guarantees. */
+export function checkGuarantees(observations: Observations): Finding[] {
+  return Object.entries(CHECKS).map(([promise, check]) => ({ promise, ...check(observations) }));
+}
+
+/** Returns whether a fault disturbed the target, or all targets, in the period or within the recovery time before. */
+function isDisturbed(
+  { disturbances }: Observations,
+  target: string,
+  { from, to }: { from: number; to: number },
+): boolean {
+  return disturbances.some(
+    (one) =>
+      (one.target === target || one.target === ALL_TARGETS) &&
+      one.from <= to &&
+      one.to + BOUNDS.recovery >= from,
+  );
+}
+
+/** Returns whether neither the instance nor the store was disturbed shortly before the time. */
+function isUndisturbed(observations: Observations, instance: string, at: number): boolean {
+  const times = { from: at - BOUNDS.recovery, to: at };
+  return !isDisturbed(observations, instance, times) && !isDisturbed(observations, STORE, times);
+}
+
+function isServed({ status }: ObservedRequest): boolean {
+  return status >= SUCCESS && status < REDIRECTION;
+}
+
+function runsById(runs: readonly ObservedRun[]): Map<string, ObservedRun[]> {
+  const byId = new Map<string, ObservedRun[]>();
+  for (const run of runs) byId.set(run.id, [...(byId.get(run.id) ?? []), run]);
+  return byId;
+}
+
+function requestById({ requests }: Observations): Map<string, ObservedRequest> {
+  return new Map(requests.map((request) => [request.id, request]));
+}
+
+function checkAnswers({ requests }: Observations): ReturnType<Check> {
+  const served = requests.filter((one) => isServed(one) && one.isWhole);
+  const wrong = requests.filter((one) => isServed(one) && !one.isRight);
+  return {
+    chances: served.length,
+    broken: wrong.map(
+      ({ id, kind }) => `${kind} ${id} received the answer of another request or a corrupt one.`,
+    ),
+  };
+}
+
+function checkOnce({ requests, runs }: Observations): ReturnType<Check> {
+  const byId = runsById(runs);
+  const once = requests.filter(({ kind }) => kind === RequestKind.Once || kind === RequestKind.Hot);
+  const broken = once.flatMap(({ id }) => {
+    const count = byId.get(id)?.length ?? 0;
+    return count > 1 ? [`${id} ran ${count} times.`] : [];
+  });
+  return { chances: once.length, broken };
+}
+
+function checkNotRun({ requests, runs }: Observations): ReturnType<Check> {
+  const byId = runsById(runs);
+  const refused = requests.filter(({ status }) => NOT_RUN.has(status));
+  const broken = refused.flatMap(({ id, kind, status }) =>
+    byId.has(id) ? [`${kind} ${id} was answered ${status}, but it has run.`] : [],
+  );
+  return { chances: refused.length, broken };
+}
+
+function checkRefusals(observations: Observations): ReturnType<Check> {
+  const refused = observations.requests.filter(
+    ({ status, instance, sentAt, endedAt }) =>
+      NOT_RUN.has(status) && !isDisturbed(observations, instance, { from: sentAt, to: endedAt }),
+  );
+  const broken = refused.flatMap(({ id, status, sentAt, endedAt }) => {
+    const took = Math.round(endedAt - sentAt);
+    return took > BOUNDS.refusal ? [`${id} was refused with ${status} after ${took} ms.`] : [];
+  });
+  return { chances: refused.length, broken };
+}
+
+function checkDraining(observations: Observations): ReturnType<Check> {
+  const requests = requestById(observations);
+  const broken: string[] = [];
+  for (const { worker, from, to } of observations.leaving) {
+    const period = { from: from - BOUNDS.recovery, to };
+    if (isDisturbed(observations, STORE, period)) continue;
+    for (const run of observations.runs) {
+      const request = requests.get(run.id);
+      if (run.worker !== worker || request === undefined || run.at <= from + BOUNDS.drain) continue;
+      if (!isUndisturbed(observations, request.instance, run.at)) continue;
+      const delay = Math.round(run.at - from);
+      broken.push(`${worker} received ${run.id} ${delay} ms after it was marked as draining.`);
+    }
+  }
+  return { chances: observations.leaving.length, broken };
+}
+
+function checkConfigurations(observations: Observations): ReturnType<Check> {
+  const broken: string[] = [];
+  /** Time when the route of a version was first served, by process and version. */
+  const firstServed = new Map<string, number>();
+  for (const { instance, process, version, at, status } of observations.probes) {
+    if (status === 0) continue;
+    const key = `${instance} ${process} ${version}`;
+    const servedSince = firstServed.get(key);
+    if (status !== NOT_FOUND) {
+      firstServed.set(key, servedSince ?? at);
+      continue;
+    }
+    const acknowledged = observations.configurations.get(version) ?? Infinity;
+    if (servedSince !== undefined) {
+      broken.push(`${instance} returned to a configuration before ${version}.`);
+    } else if (
+      at > acknowledged + BOUNDS.configuration &&
+      isUndisturbed(observations, instance, at)
+    ) {
+      const delay = Math.round(at - acknowledged);
+      broken.push(`${instance} did not apply configuration ${version} within ${delay} ms.`);
+    }
+  }
+  const chances = firstServed.size;
+  return { chances, broken };
+}
+
+function checkRepeats({ requests, runs, startedAt, endedAt }: Observations): ReturnType<Check> {
+  const { ratio, slack, window } = BOUNDS.repeats;
+  const startedIds = new Set<string>();
+  const retries: number[] = [];
+  for (const { id, at } of runs) {
+    if (startedIds.has(id)) retries.push(at);
+    startedIds.add(id);
+  }
+  const broken: string[] = [];
+  for (let from = startedAt; from < endedAt; from += window / 4) {
+    const isWithin = (at: number): boolean => at >= from && at < from + window;
+    const count = retries.filter(isWithin).length;
+    const sent = requests.filter(({ sentAt }) => isWithin(sentAt)).length;
+    const max = sent * ratio + slack;
+    if (count > max) broken.push(`${count} retries of ${sent} requests in a window.`);
+  }
+  return { chances: retries.length, broken };
+}
+
+function checkQuota({ requests, runs, startedAt, endedAt }: Observations): ReturnType<Check> {
+  const { perSecond, burst, excess, slack, window } = BOUNDS.quota;
+  const hotIds = new Set(
+    requests.filter(({ kind }) => kind === RequestKind.Hot).map(({ id }) => id),
+  );
+  const startedRuns = runs.filter(({ id }) => hotIds.has(id));
+  const max = ((perSecond * window) / 1_000 + burst) * (1 + excess) + slack;
+  const broken: string[] = [];
+  for (let from = startedAt; from < endedAt; from += window / 8) {
+    const count = startedRuns.filter(({ at }) => at >= from && at < from + window).length;
+    if (count > max) broken.push(`${count} requests of the account ran in a window.`);
+  }
+  return { chances: hotIds.size, broken };
+}
+
+function checkLeaseHolder(observations: Observations): ReturnType<Check> {
+  const broken: string[] = [];
+  const holders = new Map<number, string>();
+  let highest = 0;
+  for (const { holder, fence, at } of observations.duties) {
+    const previous = holders.get(fence) ?? holder;
+    holders.set(fence, previous);
+    if (previous !== holder)
+      broken.push(`${previous} and ${holder} made calls with fence ${fence}.`);
+    // A call may have been in transit while its sender was paused.
+    const isExcused = isDisturbed(observations, holder, { from: at - BOUNDS.recovery, to: at });
+    if (fence < highest && !isExcused) {
+      broken.push(`${holder} made a call with fence ${fence} after ${highest}.`);
+    }
+    highest = Math.max(highest, fence);
+  }
+  return { chances: observations.duties.length, broken };
+}
+
+function checkUsage({ duties }: Observations): ReturnType<Check> {
+  const reported = new Map<number, string>();
+  const broken: string[] = [];
+  for (const { path, body } of duties) {
+    if (path !== "/usage") continue;
+    const { window, counts } = body as { window: number; counts: Record<string, number> };
+    const text = JSON.stringify(Object.entries(counts).sort());
+    const previous = reported.get(window) ?? text;
+    reported.set(window, previous);
+    if (previous !== text)
+      broken.push(`Window ${window} was reported with ${previous} and ${text}.`);
+  }
+  return { chances: reported.size, broken };
+}
+
+function checkCrashes(observations: Observations): ReturnType<Check> {
+  const requests = requestById(observations);
+  const { minCrashes, tolerated } = BOUNDS.crashes;
+  const crashes = observations.runs.filter(({ hasCrashed }) => hasCrashed);
+  const provenAt = crashes[minCrashes - 1]?.at ?? Infinity;
+  const laterCrashes = crashes.filter(({ id, at }) => {
+    const instance = requests.get(id)?.instance;
+    return (
+      at > provenAt + BOUNDS.recovery &&
+      instance !== undefined &&
+      isUndisturbed(observations, instance, at)
+    );
+  });
+  const broken =
+    laterCrashes.length > tolerated
+      ? [
+          `A crashing request reached ${laterCrashes.length} more backend servers after ${minCrashes} had crashed.`,
+        ]
+      : [];
+  return { chances: crashes.length, broken };
+}
+
+function checkLimits(observations: Observations): ReturnType<Check> {
+  const requests = requestById(observations);
+  const { window, factor, slack, propagation } = BOUNDS.limit;
+  const broken: string[] = [];
+  for (const { worker, from, to, perSecond } of observations.limited) {
+    const times = observations.runs
+      .filter(({ worker: at }) => at === worker)
+      .filter(({ id, at }) => {
+        const instance = requests.get(id)?.instance;
+        return instance !== undefined && isUndisturbed(observations, instance, at);
+      })
+      .map(({ at }) => at)
+      .filter((at) => at > from + BOUNDS.recovery + propagation && at < to);
+    const max = (factor * perSecond * window) / 1_000 + slack;
+    for (const start of times) {
+      const count = times.filter((at) => at >= start && at < start + window).length;
+      if (count <= max) continue;
+      broken.push(
+        `${worker} announced ${perSecond} requests per second and received ${count} in ${window} ms.`,
+      );
+      break;
+    }
+  }
+  return { chances: observations.limited.length, broken };
+}
+
+function checkStops(observations: Observations): ReturnType<Check> {
+  const ran = runsById(observations.runs);
+  const during = observations.stops.flatMap((stop) =>
+    observations.requests.filter(
+      (one) =>
+        one.instance === stop.target &&
+        one.kind !== RequestKind.Stream &&
+        one.sentAt < stop.to &&
+        one.endedAt >= stop.from &&
+        !isDisturbedOtherwise(observations, one),
+    ),
+  );
+  const broken = during.flatMap(({ id, status, isWhole, isGivenUp, sentAt, endedAt }) => {
+    const isInterrupted = !isGivenUp && (status === 0 || !isWhole);
+    // A connection may be closed while a request is in transit: the instance has not read it.
+    const isClosing = status === 0 && !ran.has(id) && endedAt - sentAt <= BOUNDS.closing;
+    return isInterrupted && !isClosing ? [`${id} was interrupted by a planned stop.`] : [];
+  });
+  return { chances: during.length, broken };
+}
+
+/** Returns whether a fault other than a planned stop disturbed the request's instance while the request waited. */
+function isDisturbedOtherwise(
+  { disturbances }: Observations,
+  { instance, sentAt, endedAt }: ObservedRequest,
+): boolean {
+  return disturbances.some(
+    ({ target, isPlanned, from, to }) =>
+      !isPlanned &&
+      (target === instance || target === ALL_TARGETS) &&
+      from <= endedAt &&
+      to >= sentAt,
+  );
+}
+
+function checkProcesses(observations: Observations): ReturnType<Check> {
+  const { memory, descriptors, lines } = BOUNDS;
+  const seconds = (observations.endedAt - observations.startedAt) / 1_000;
+  const maxLines = seconds * lines.perSecond + observations.requests.length * lines.perRequest;
+  const broken = observations.processes.flatMap((one) => [
+    ...(one.memory > memory ? [`${one.instance} used ${one.memory} bytes of memory.`] : []),
+    ...(one.descriptors > descriptors
+      ? [`${one.instance} had ${one.descriptors} open files.`]
+      : []),
+    ...(one.lines > maxLines ? [`${one.instance} logged ${one.lines} lines.`] : []),
+  ]);
+  return { chances: observations.processes.length, broken };
+}
+
+function checkRecovery({ requests, endedAt }: Observations): ReturnType<Check> {
+  const regular = requests.filter(
+    ({ kind, sentAt }) =>
+      kind !== RequestKind.Hot &&
+      kind !== RequestKind.Crashing &&
+      sentAt > endedAt - BOUNDS.finalPeriod,
+  );
+  const served = regular.filter((one) => isServed(one) && one.isWhole).length;
+  const isViolated = served < regular.length * BOUNDS.served || regular.length === 0;
+  return {
+    chances: regular.length,
+    broken: isViolated ? [`${served} of the last ${regular.length} requests were served.`] : [],
+  };
+}
+
+function checkReady({ ends }: Observations): ReturnType<Check> {
+  const all = ends.map(({ instance }) => instance).sort();
+  const broken = ends.flatMap(({ instance, isReady, resolved }) => [
+    ...(isReady ? [] : [`${instance} is not ready.`]),
+    ...([...resolved].sort().join() === all.join()
+      ? []
+      : [`${instance} resolves ${resolved.join(" ")} for callers.`]),
+  ]);
+  return { chances: ends.length, broken };
+}
--- a/bench/soak/record.ts
+++ b/bench/soak/record.ts
@@ -1,47 +1,57 @@
 import type { PlatformStandin } from "../../platform/testing/platform_standin.ts";
-import { EVERYTHING, wallNow } from "./observation.ts";
+import { ALL_TARGETS, wallNow } from "./observation.ts";
 import type {
   Disturbance,
   ObservedRequest,
-  ObservedEnd,
+  FinalState,
   ObservedProbe,
   ObservedProcess,
   ObservedRun,
   Observations,
-  WorkerStatement,
+  WorkerPeriod,
 } from "./observation.ts";
 
-/** Collects what is seen while a soak runs. */
+/** Collects the records of a running soak test. */
 export interface SoakRecord {
-  /** The name that an instance gives itself in its calls, and its address. */
-  named(name: string, instance: string): void;
-  begin(): void;
-  end(ends: readonly ObservedEnd[]): void;
-  answered(request: ObservedRequest): void;
-  ran(run: ObservedRun): void;
-  probed(probe: ObservedProbe): void;
-  /** The store has the configuration now. */
-  configured(version: number): void;
-  /** Something is disturbed from now on, until the returned function is called. */
-  disturbed(target: string, how?: { readonly isPlanned: boolean }): () => void;
-  /** An instance is told to stop, and its process has ended when the returned function is called. */
-  stopping(instance: string): () => void;
-  /** A worker has said that it leaves, or names a limit, until the returned function is called. */
-  leaving(worker: string): () => void;
-  limited(worker: string, perSecond: number): () => void;
-  /** A look at the instances that was to take so many milliseconds; one that took longer was a stall of the soak itself. */
-  looked(
+  /** Adds the name that an instance uses in its platform calls, with its address. */
+  addInstance(name: string, instance: string): void;
+  /** Sets the start time of the test. */
+  start(): void;
+  /** Sets the end time of the test and its final states. */
+  finish(ends: readonly FinalState[]): void;
+  /** Adds a request whose answer has ended. */
+  addRequest(request: ObservedRequest): void;
+  /** Adds a run. */
+  addRun(run: ObservedRun): void;
+  /** Adds a probe. */
+  addProbe(probe: ObservedProbe): void;
+  /** Records that the store has received a configuration. */
+  addConfiguration(version: number): void;
+  /** Starts a disturbance of a target; the returned function ends it. */
+  startDisturbance(target: string, how?: { readonly isPlanned: boolean }): () => void;
+  /** Starts a planned stop of an instance; the returned function ends it. */
+  startStop(instance: string): () => void;
+  /** Starts the draining of a backend server; the returned function ends it. */
+  startDraining(worker: string): () => void;
+  /** Starts the period of an announced limit, in requests per second; the returned function ends it. */
+  startLimit(worker: string, perSecond: number): () => void;
+  /**
+   * Adds samples of the instances' resource usage. The interval was to last `expected` milliseconds; if it lasted much
+   * longer, the test process itself was stalled, which counts as a disturbance of everything.
+   */
+  addSamples(
     processes: readonly ObservedProcess[],
-    look: { readonly from: number; readonly to: number; readonly expected: number },
+    interval: { readonly from: number; readonly to: number; readonly expected: number },
   ): void;
-  seen(): Observations;
+  /** Returns all records. */
+  observations(): Observations;
 }
 
-/** Milliseconds by which a look may be late before everything counts as disturbed. */
-const STALL = 150;
+/** Delay of a sample above which the test process counts as stalled, in milliseconds. */
+const STALL_THRESHOLD = 150;
 
-/** Makes an empty record. */
-export function createRecord(platform: Pick<PlatformStandin, "duties">): SoakRecord {
+/** Creates an empty record. */
+export function createSoakRecord(platform: Pick<PlatformStandin, "duties">): SoakRecord {
   const requests: ObservedRequest[] = [];
   const runs: ObservedRun[] = [];
   const probes: ObservedProbe[] = [];
@@ -50,47 +60,48 @@
   const processes: ObservedProcess[] = [];
   const disturbances: Disturbance[] = [];
   const stops: Disturbance[] = [];
-  const leaving: WorkerStatement[] = [];
-  const limited: (WorkerStatement & { perSecond: number })[] = [];
-  let ends: readonly ObservedEnd[] = [];
+  const draining: WorkerPeriod[] = [];
+  const limited: (WorkerPeriod & { perSecond: number })[] = [];
+  let ends: readonly FinalState[] = [];
   let startedAt = 0;
   let endedAt = 0;
 
-  /** Adds what lasts from now on to a list, and returns what ends it. */
-  const since = <T extends { readonly from: number; to: number }>(
+  /** Adds a period that starts now to a list; returns the function that ends it. */
+  const startPeriod = <T extends { readonly from: number; to: number }>(
     list: T[],
     make: (span: { from: number; to: number }) => T,
   ): (() => void) => {
-    const one = make({ from: wallNow(), to: Infinity });
-    list.push(one);
+    const period = make({ from: wallNow(), to: Infinity });
+    list.push(period);
     return () => {
-      one.to = wallNow();
+      period.to = wallNow();
     };
   };
   return {
-    named: (name, instance) => void addresses.set(name, instance),
-    begin: () => void (startedAt = wallNow()),
-    end: (found) => {
+    addInstance: (name, instance) => void addresses.set(name, instance),
+    start: () => void (startedAt = wallNow()),
+    finish: (finalStates) => {
       endedAt = wallNow();
-      ends = found;
+      ends = finalStates;
     },
-    answered: (request) => void requests.push(request),
-    ran: (run) => void runs.push(run),
-    probed: (probe) => void probes.push(probe),
-    configured: (version) => void configurations.set(version, wallNow()),
-    disturbed: (target, { isPlanned } = { isPlanned: false }) =>
-      since(disturbances, (span) => ({ target, isPlanned, ...span })),
-    stopping: (instance) =>
-      since(stops, (span) => ({ target: instance, isPlanned: true, ...span })),
-    leaving: (worker) => since(leaving, (span) => ({ worker, ...span })),
-    limited: (worker, perSecond) => since(limited, (span) => ({ worker, perSecond, ...span })),
-    looked: (found, { from, to, expected }) => {
-      processes.push(...found);
-      if (to - from > expected + STALL) {
-        disturbances.push({ target: EVERYTHING, isPlanned: false, from, to });
+    addRequest: (request) => void requests.push(request),
+    addRun: (run) => void runs.push(run),
+    addProbe: (probe) => void probes.push(probe),
+    addConfiguration: (version) => void configurations.set(version, wallNow()),
+    startDisturbance: (target, { isPlanned } = { isPlanned: false }) =>
+      startPeriod(disturbances, (span) => ({ target, isPlanned, ...span })),
+    startStop: (instance) =>
+      startPeriod(stops, (span) => ({ target: instance, isPlanned: true, ...span })),
+    startDraining: (worker) => startPeriod(draining, (span) => ({ worker, ...span })),
+    startLimit: (worker, perSecond) =>
+      startPeriod(limited, (span) => ({ worker, perSecond, ...span })),
+    addSamples: (samples, { from, to, expected }) => {
+      processes.push(...samples);
+      if (to - from > expected + STALL_THRESHOLD) {
+        disturbances.push({ target: ALL_TARGETS, isPlanned: false, from, to });
       }
     },
-    seen: () => ({
+    observations: () => ({
       startedAt,
       endedAt,
       requests,
@@ -102,7 +113,7 @@
         holder: addresses.get(duty.holder) ?? duty.holder,
       })),
       disturbances,
-      leaving,
+      leaving: draining,
       limited,
       stops,
       processes,
--- a/src/version/slot_map_codec.ts
+++ b/src/version/slot_map_codec.ts
@@ -2,38 +2,38 @@
 import { SLOT_COUNT } from "./slot_map.ts";
 import type { Assignment, SlotMap } from "./slot_map.ts";
 
-/** Stands for "no member" in the arrays. */
-const NOBODY = -1;
+/** The index that stands for "no member". */
+const NO_MEMBER = -1;
 
-const index = z.number().int().min(NOBODY);
+const memberIndexSchema = z.number().int().min(NO_MEMBER);
 
 const stored = z.strictObject({
-  /** Each member id once; the arrays name members by their place here. */
+  /** The distinct member ids; `primary` and `backup` contain indexes into this array. */
   members: z.array(z.string()),
-  primary: z.array(index).length(SLOT_COUNT),
-  backup: z.array(index).length(SLOT_COUNT),
+  primary: z.array(memberIndexSchema).length(SLOT_COUNT),
+  backup: z.array(memberIndexSchema).length(SLOT_COUNT),
   epoch: z.array(z.number().int().min(0)).length(SLOT_COUNT),
-  /** Slots whose history was lost, with the calendar time in milliseconds. */
+  /** Pairs of a slot whose history was lost and the time of the loss in Unix milliseconds. */
   lost: z.array(z.tuple([z.number().int(), z.number()])),
   claim: z.string().exactOptional(),
 });
 
 /**
- * The store's value of a slot map: about 14 kB at 380 members, far below the store's megabyte.
+ * Serializes a slot map for the store. With 380 members the value has about 14 kB, far below the store's limit of 1 MB.
  *
- * @param slots One assignment a slot.
- * @param claim Id of the member that asks whether anybody else is there, if one does.
+ * @param slots The assignments of all slots.
+ * @param claim Id of the member that claims the slots of unreachable owners, if there is one.
  */
 export function formatSlotMap(slots: readonly Assignment[], claim?: string): string {
   const members = [...new Set(slots.flatMap(({ primary, backup }) => [primary, backup]))]
     .filter((id) => id !== "")
     .sort();
-  const places = new Map(members.map((id, place) => [id, place]));
-  const placeOf = (id: string): number => places.get(id) ?? NOBODY;
+  const indexes = new Map(members.map((id, index) => [id, index]));
+  const memberIndex = (id: string): number => indexes.get(id) ?? NO_MEMBER;
   return JSON.stringify({
     members,
-    primary: slots.map(({ primary }) => placeOf(primary)),
-    backup: slots.map(({ backup }) => placeOf(backup)),
+    primary: slots.map(({ primary }) => memberIndex(primary)),
+    backup: slots.map(({ backup }) => memberIndex(backup)),
     epoch: slots.map(({ epoch }) => epoch),
     lost: slots.flatMap(({ historyLostAt }, slot) =>
       historyLostAt === 0 ? [] : [[slot, historyLostAt]],
@@ -43,17 +43,17 @@
 }
 
 /**
- * Reads a slot map from the store's value.
+ * Parses a slot map from its value in the store.
  *
  * @param version The store's version of the object.
- * @param value The store's value, JSON.
+ * @param value The value in the store, as JSON.
  * @returns The slot map.
  * @throws {Error} If the value is not a slot map.
  */
 export function parseSlotMap(version: number, value: string): SlotMap {
   const { members, primary, backup, epoch, lost, claim } = stored.parse(JSON.parse(value));
   const lostAt = new Map(lost);
-  const memberAt = (place: number | undefined): string => members[place ?? NOBODY] ?? "";
+  const memberAt = (index: number | undefined): string => members[index ?? NO_MEMBER] ?? "";
   const slots = epoch.map((assigned, slot) => ({
     epoch: assigned,
     primary: memberAt(primary[slot]),
