--- a/src/decision/crash_evidence.ts
+++ b/src/decision/crash_evidence.ts
@@ -39,7 +39,8 @@
 }
 
 /**
- * What one instance knows about requests and crashes. All times are in milliseconds of the clock.
+ * What one instance has counted about requests and crashes. All times are in milliseconds of the
+ * clock.
  */
 export interface CrashEvidence {
   /** Records that a worker crashed while running the request. */
@@ -123,11 +124,11 @@
 /**
  * Creates crash evidence without any counts.
  *
- * @param othersOf Returns the total that all other instances have counted under a key; undefined if
+ * @param peerCountsOf Returns the total that all other instances have counted under a key; undefined if
  * they have counted nothing.
  */
 export function createCrashEvidence(
-  othersOf: (key: number) => RunCounts | undefined,
+  peerCountsOf: (key: number) => RunCounts | undefined,
 ): CrashEvidence {
   /** The counts that this instance sends to the others, by request name. */
   const ownCounts = new Map<string, SuspectCounts>();
@@ -163,10 +164,10 @@
   };
   const countTotals = ({ name, key }: SuspectRequest): SuspectTotals => {
     const own = ownCounts.get(name) ?? { crashes: 0, answers: 0 };
-    const others = othersOf(key) ?? NO_COUNTS;
+    const peerCounts = peerCountsOf(key) ?? NO_COUNTS;
     return {
-      crashes: own.crashes + others.failures,
-      answers: own.answers + others.runs - others.failures,
+      crashes: own.crashes + peerCounts.failures,
+      answers: own.answers + peerCounts.runs - peerCounts.failures,
       isOwn: own.crashes > 0,
     };
   };
@@ -205,7 +206,7 @@
       const isSuspected =
         ownCounts.has(suspect.name) ||
         restored.has(suspect.name) ||
-        (othersOf(suspect.key)?.failures ?? 0) > 0;
+        (peerCountsOf(suspect.key)?.failures ?? 0) > 0;
       if (isSuspected) touchCounts(suspect, now).answers++;
       rememberAnswer(suspect, now);
     },
@@ -213,7 +214,7 @@
       // Other instances lost workers with a request that was answered here. Report the answers to
       // them before the request is considered the cause.
       const isNew = !ownCounts.has(suspect.name) && answersOf(suspect.name, now) > 0;
-      if (isNew && (othersOf(suspect.key)?.failures ?? 0) > 0) touchCounts(suspect, now);
+      if (isNew && (peerCountsOf(suspect.key)?.failures ?? 0) > 0) touchCounts(suspect, now);
       return isProven(suspect, now);
     },
     hasAnswer: (suspect) => countTotals(suspect).answers > 0,
--- a/src/decision/rollout_budget.ts
+++ b/src/decision/rollout_budget.ts
@@ -106,7 +106,7 @@
 /** Counts the requests of one service that one instance sends during a rollout. */
 export interface RolloutBudget {
   /** Records a request that was sent, to the version on trial or to the base version. */
-  recordSent(isTried: boolean): void;
+  recordSent(isTrial: boolean): void;
   /** Whether another request may be sent to the version on trial. */
   canSendToTrial(phase: RolloutPhase): boolean;
   /**
@@ -135,21 +135,21 @@
  * share is correct.
  */
 export function createRolloutBudget({
-  limits: bounds,
-  schedule: course,
-  memberCount: members,
+  limits,
+  schedule,
+  memberCount,
   random,
 }: RolloutBudgetOptions): RolloutBudget {
   const initialUsage = random.next();
   const counts = { all: 0, tried: 0 };
   return {
-    recordSent: (isTried) => {
+    recordSent: (isTrial) => {
       counts.all++;
-      if (isTried) counts.tried++;
+      if (isTrial) counts.tried++;
     },
     canSendToTrial: (phase) => {
-      const additional = (bounds.slack * PLANNED_SLACK_FRACTION) / Math.max(1, members());
-      return counts.tried + initialUsage < counts.all * course.maxShares[phase] + additional;
+      const additional = (limits.slack * PLANNED_SLACK_FRACTION) / Math.max(1, memberCount());
+      return counts.tried + initialUsage < counts.all * schedule.maxShares[phase] + additional;
     },
     startDelay: initialUsage,
     counts,
@@ -201,17 +201,20 @@
  */
 export function activeTrialWorkers(
   workers: readonly string[],
-  { elapsed: since, duration, maxShare: part, baseWorkers: base, startDelay: delay }: TrialContext,
+  { elapsed, duration, maxShare, baseWorkers, startDelay }: TrialContext,
 ): string[] {
-  const trialWorkers = workers.slice(0, Math.max(TRIAL_WORKERS, Math.ceil(base * part)));
-  const activeCount = Math.min(trialWorkers.length, Math.max(1, Math.round(base * part)));
-  const activeShare = activeCount / Math.max(1, base + activeCount);
+  const trialWorkers = workers.slice(0, Math.max(TRIAL_WORKERS, Math.ceil(baseWorkers * maxShare)));
+  const activeCount = Math.min(
+    trialWorkers.length,
+    Math.max(1, Math.round(baseWorkers * maxShare)),
+  );
+  const activeShare = activeCount / Math.max(1, baseWorkers + activeCount);
   const roundTime = clamp(duration / ROUNDS, ROUND_TIME);
-  const round = Math.max(0, since) / roundTime;
-  const activeFraction = part / Math.max(activeShare, Number.EPSILON);
+  const round = Math.max(0, elapsed) / roundTime;
+  const activeFraction = maxShare / Math.max(activeShare, Number.EPSILON);
   const isActive =
     activeFraction >= 1 ||
-    (round % 1 < activeFraction && round % 1 >= activeFraction * delay * START_SPREAD);
+    (round % 1 < activeFraction && round % 1 >= activeFraction * startDelay * START_SPREAD);
   if (!isActive) return [];
   const first = Math.floor(round) * activeCount;
   return Array.from(
--- a/src/decision/rollout_tally.ts
+++ b/src/decision/rollout_tally.ts
@@ -80,11 +80,11 @@
  */
 export function tallyKeys(of: {
   service: string;
-  tried: string;
+  trialVersion: string;
   route: string;
   worker: string | undefined;
 }): TallyKeys {
-  const name = `${of.service} ${of.tried} ${of.route} ${of.worker ?? ""}`;
+  const name = `${of.service} ${of.trialVersion} ${of.route} ${of.worker ?? ""}`;
   const cached = keyCache.get(name);
   if (cached !== undefined) return cached;
   const created = {
@@ -160,8 +160,8 @@
    * Baselines for a run: runs with a similar number of prompt tokens, then all runs of the route if
    * the former are too few.
    */
-  const baselineKeys = ({ service, route, prefillTokens: reads }: CountedRun): string[] => [
-    `${service} ${route} ${Math.round(Math.log2(Math.max(1, reads)))}`,
+  const baselineKeys = ({ service, route, prefillTokens }: CountedRun): string[] => [
+    `${service} ${route} ${Math.round(Math.log2(Math.max(1, prefillTokens)))}`,
     `${service} ${route}`,
   ];
   const slowThreshold = (run: CountedRun): number | undefined => {
@@ -174,9 +174,7 @@
   const sharedMean = ({ service, route }: CountedRun): number | undefined => {
     const trialVersion = trialVersions.get(service);
     if (trialVersion === undefined) return undefined;
-    const sums = sumOf(
-      tallyKeys({ service, tried: trialVersion, route, worker: undefined }).baseline,
-    );
+    const sums = sumOf(tallyKeys({ service, trialVersion, route, worker: undefined }).baseline);
     if (sums === undefined || sums.runs < MIN_SAMPLES) return undefined;
     return sums.failures / sums.runs / LOG_UNITS;
   };
@@ -187,7 +185,7 @@
   const shareBaseline = ({ service, route }: CountedRun, duration: number): void => {
     const trialVersion = trialVersions.get(service);
     if (trialVersion === undefined) return;
-    const { baseline: key } = tallyKeys({ service, tried: trialVersion, route, worker: undefined });
+    const { baseline: key } = tallyKeys({ service, trialVersion, route, worker: undefined });
     const count = countOf(service, key);
     count.runs++;
     count.failures += Math.round(Math.log(Math.max(1, duration)) * LOG_UNITS);
@@ -210,7 +208,7 @@
     const { service, route, trialWorker: worker } = run;
     const entry = {
       run,
-      keys: tallyKeys({ service, tried: trialVersion, route, worker }),
+      keys: tallyKeys({ service, trialVersion, route, worker }),
       isTimeCounted: run.isWarmingUp,
     };
     pending.add(entry);
--- a/src/process/change_propagation_test.ts
+++ b/src/process/change_propagation_test.ts
@@ -21,7 +21,7 @@
 }
 
 function relaysOf({ members }: SyncFleet): SyncMember[] {
-  return members.filter(({ sync: news }) => news.role === FleetRole.Relay);
+  return members.filter(({ sync }) => sync.role === FleetRole.Relay);
 }
 
 /** Drops all datagrams from one instance to the others. */
@@ -86,11 +86,11 @@
       throw new Error("A fleet of 67 instances in four zones must have eight relays.");
     dropDatagramsFrom(fleet, relay);
     relay.canAnswerFetches = false;
-    const others = fleet.members.filter((member) => member !== relay);
-    expect(await measurePropagation(fleet, ["one"], others)).toBeLessThanOrEqual(BOUND);
-    expect(await measurePropagation(fleet, numberedNames("many", 60), others)).toBeLessThanOrEqual(
-      BOUND,
-    );
+    const otherMembers = fleet.members.filter((member) => member !== relay);
+    expect(await measurePropagation(fleet, ["one"], otherMembers)).toBeLessThanOrEqual(BOUND);
+    expect(
+      await measurePropagation(fleet, numberedNames("many", 60), otherMembers),
+    ).toBeLessThanOrEqual(BOUND);
   },
 );
 
@@ -121,15 +121,15 @@
     dropDatagramsFrom(fleet, relay);
     relay.canAnswerFetches = false;
   }
-  const others = fleet.members.filter((member) => !zoneRelays.includes(member));
-  expect(await measurePropagation(fleet, ["one"], others)).toBeLessThanOrEqual(BOUND);
+  const otherMembers = fleet.members.filter((member) => !zoneRelays.includes(member));
+  expect(await measurePropagation(fleet, ["one"], otherMembers)).toBeLessThanOrEqual(BOUND);
 });
 
 // One instance doesn't see most of the others, so it wrongly takes the role of a relay and expects
 // the watchers to send it store changes.
 test("an instance that wrongly takes itself for a relay still receives changes", async () => {
   const fleet = await startFleet(67);
-  const isolated = fleet.members.filter(({ sync: news }) => news.role === FleetRole.Member).at(-1);
+  const isolated = fleet.members.filter(({ sync }) => sync.role === FleetRole.Member).at(-1);
   if (isolated === undefined) throw new Error("A fleet of 67 instances must have members.");
   // No digests pass between this instance and the rest of its zone.
   for (const other of fleet.members.filter(
--- a/src/process/fleet_topology.ts
+++ b/src/process/fleet_topology.ts
@@ -74,13 +74,13 @@
  * Computes the topology from the live instances.
  *
  * @param self This instance.
- * @param others All other live instances.
+ * @param otherInstances All other live instances.
  */
 export function planTopology(
   self: TopologyInstance,
-  others: readonly TopologyInstance[],
+  otherInstances: readonly TopologyInstance[],
 ): FleetTopology {
-  const all = [self, ...others];
+  const all = [self, ...otherInstances];
   if (all.length <= MAX_MESH_SIZE) {
     return { role: FleetRole.Mesh, relays: new Map(), watchers: new Set() };
   }
--- a/src/process/peer_occupancy.ts
+++ b/src/process/peer_occupancy.ts
@@ -6,8 +6,8 @@
 
 /** The occupancy of workers by other instances. Workers are identified by the hashes of their ids. */
 export interface PeerOccupancy {
-  /** Applies an instance's occupancy: a complete snapshot if `isWhole`, otherwise only the workers that changed. */
-  update(instance: string, news: Pick<InstanceUpdate, "workerCounts" | "isSnapshot">): void;
+  /** Applies an instance's occupancy: a complete snapshot if `isSnapshot`, otherwise only the workers that changed. */
+  update(instance: string, update: Pick<InstanceUpdate, "workerCounts" | "isSnapshot">): void;
   /** Removes all instances except these, because the requests of a stopped instance have ended. */
   retainInstances(instances: ReadonlySet<string>): void;
   /** Returns the total occupancy of a worker by all other instances. */
@@ -37,11 +37,11 @@
     byInstance.delete(instance);
   };
   return {
-    update: (instance, { workerCounts: use, isSnapshot: isWhole }) => {
-      if (isWhole) remove(instance);
+    update: (instance, { workerCounts, isSnapshot }) => {
+      if (isSnapshot) remove(instance);
       const occupancy = byInstance.get(instance) ?? new Map<number, Occupancy>();
       byInstance.set(instance, occupancy);
-      for (const [worker, { running, unreadTokens }] of use) {
+      for (const [worker, { running, unreadTokens }] of workerCounts) {
         const before = occupancy.get(worker) ?? NO_WORKER_COUNTS;
         add(worker, {
           running: running - before.running,
--- a/src/process/rollout_view.ts
+++ b/src/process/rollout_view.ts
@@ -63,7 +63,7 @@
   /**
    * Records that a run begins at a worker.
    *
-   * @param run `reads` is the number of prompt tokens that the worker has to process before it answers.
+   * @param run `reads` is the number of prompt tokens that the worker has to process before its first token.
    */
   begin(run: { worker: RoutedWorker; route: string; reads: number; isCold: boolean }): RunTally;
   /** Returns this instance's run counts, by hashes from `tallyKeys`. */
@@ -80,7 +80,7 @@
   /** Returns the served versions by service, as far as this instance knows them. */
   served(): ReadonlyMap<string, ServedVersions>;
   /** Returns the workers of the serving version and of the version on trial, without those that leave. */
-  stock(service: string): { base: RoutedWorker[]; tried: RoutedWorker[] };
+  stock(service: string): { base: RoutedWorker[]; trial: RoutedWorker[] };
 }
 
 /** Dependencies of {@linkcode createRolloutView}. */
@@ -109,9 +109,9 @@
   /** Limits the share of requests sent to the version on trial. */
   share: RolloutBudget;
   /** Ids of the workers of the version on trial, in the order in which they are used. */
-  tried: readonly string[];
+  trialWorkers: readonly string[];
   /** Ids of all workers on trial that have received a request from this instance. */
-  readonly everTried: Set<string>;
+  readonly usedTrialWorkers: Set<string>;
   /** Number of workers of the serving version. */
   base: number;
   workers: readonly RoutedWorker[];
@@ -130,13 +130,13 @@
  * instances.
  */
 export function createRolloutView(parts: RolloutViewParts): RolloutView {
-  const { clock, random, bounds, time, instanceCount: members, log } = parts;
+  const { clock, random, bounds: limits, time, instanceCount, log } = parts;
   const services = new Map<string, ServiceState>();
   const plans = createRolloutPlans();
   const tallies = createVersionTallies(parts.fleetCountsOf);
   const newShare = (entry: RolloutEntry | undefined): RolloutBudget => {
-    const course = planRollout(entry?.order.duration ?? Infinity, bounds);
-    return createRolloutBudget({ limits: bounds, schedule: course, memberCount: members, random });
+    const schedule = planRollout(entry?.order.duration ?? Infinity, limits);
+    return createRolloutBudget({ limits, schedule, memberCount: instanceCount, random });
   };
 
   const serviceStateOf = (service: string): ServiceState => {
@@ -146,8 +146,8 @@
       served: undefined,
       barred: new Set<string>(),
       share: newShare(undefined),
-      tried: [],
-      everTried: new Set<string>(),
+      trialWorkers: [],
+      usedTrialWorkers: new Set<string>(),
       base: 0,
       workers: [],
       isUniform: true,
@@ -169,13 +169,13 @@
     });
     if (served?.tried !== previous?.tried) {
       serviceState.share = newShare(entry);
-      serviceState.everTried.clear();
+      serviceState.usedTrialWorkers.clear();
       tallies.setTrialVersion(service, served?.tried);
       if (served?.tried === undefined) plans.forget(service);
     }
     serviceState.served = served;
     serviceState.base = readyWorkers(serviceState, served?.base).length;
-    serviceState.tried = rendezvousOrder(
+    serviceState.trialWorkers = rendezvousOrder(
       service,
       readyWorkers(serviceState, served?.tried).map(({ id }) => id),
     );
@@ -203,16 +203,22 @@
       : workers.filter((worker) => worker.version === version && !worker.isLeaving);
 
   /** Returns the ids of the workers on trial that this instance uses at the moment. */
-  const onTrial = ({ entry, startedAt, share, base, tried }: ServiceState): string[] => {
+  const onTrial = ({
+    entry,
+    startedAt,
+    share,
+    base: baseWorkers,
+    trialWorkers,
+  }: ServiceState): string[] => {
     if (entry === undefined || startedAt === undefined) return [];
     const { duration } = entry.order;
-    const part = planRollout(duration, bounds).maxShares[RolloutPhase.Trial];
-    const since = time() - startedAt;
-    return activeTrialWorkers(tried, {
-      elapsed: since,
+    const maxShare = planRollout(duration, limits).maxShares[RolloutPhase.Trial];
+    const elapsed = time() - startedAt;
+    return activeTrialWorkers(trialWorkers, {
+      elapsed,
       duration,
-      maxShare: part,
-      baseWorkers: base,
+      maxShare,
+      baseWorkers,
       startDelay: share.startDelay,
     });
   };
@@ -220,10 +226,10 @@
     const serviceState = services.get(service);
     if (serviceState?.served === undefined || serviceState.isUniform) return undefined;
     const { served, share } = serviceState;
-    const { base, tried: triedVersion } = served;
+    const { base, tried: trialVersion } = served;
     const phase = phaseOf(service, serviceState);
     if (phase === RolloutPhase.Switch && share.canSendToTrial(phase)) {
-      return { serves: ({ version }) => version === triedVersion, onTrial: NO_WORKERS };
+      return { serves: ({ version }) => version === trialVersion, onTrial: NO_WORKERS };
     }
     const canTry = phase !== undefined && share.canSendToTrial(RolloutPhase.Trial);
     const trialWorkers = canTry ? new Set(onTrial(serviceState)) : NO_WORKERS;
@@ -268,60 +274,67 @@
     },
     plans: () => plans.list(clock.now()),
     admitting,
-    begin: ({ worker, route, reads, isCold }) => {
+    begin: ({ worker, route, reads: prefillTokens, isCold: isWarmingUp }) => {
       const { service, version, id } = worker;
       parts.onBegin(service, version);
-      const now = clock.now();
+      const startedAt = clock.now();
       const serviceState = services.get(service);
-      const triedVersion = serviceState?.served?.tried;
-      if (serviceState === undefined || triedVersion === undefined) {
-        const tried = undefined;
+      const trialVersion = serviceState?.served?.tried;
+      if (serviceState === undefined || trialVersion === undefined) {
+        const trialWorker = undefined;
         return tallies.begin({
           service,
           route,
-          prefillTokens: reads,
-          trialWorker: tried,
-          isWarmingUp: isCold,
+          prefillTokens,
+          trialWorker,
+          isWarmingUp,
           isCompared: false,
-          startedAt: now,
+          startedAt,
         });
       }
-      const isTried = version === triedVersion;
-      serviceState.share.recordSent(isTried);
-      if (isTried) serviceState.everTried.add(id);
-      const tried = isTried ? id : undefined;
-      const isCompared = isTried || onTrial(serviceState).length > 0;
+      const isTrial = version === trialVersion;
+      serviceState.share.recordSent(isTrial);
+      if (isTrial) serviceState.usedTrialWorkers.add(id);
+      const trialWorker = isTrial ? id : undefined;
+      const isCompared = isTrial || onTrial(serviceState).length > 0;
       return tallies.begin({
         service,
         route,
-        prefillTokens: reads,
-        trialWorker: tried,
-        isWarmingUp: isCold,
+        prefillTokens,
+        trialWorker,
+        isWarmingUp,
         isCompared,
-        startedAt: now,
+        startedAt,
       });
     },
     counts: () => tallies.counts(clock.now()),
     evidence: (service, { routes, sums }) => {
       const serviceState = services.get(service);
-      const triedVersion = serviceState?.served?.tried;
-      if (serviceState === undefined || triedVersion === undefined) return [];
+      const trialVersion = serviceState?.served?.tried;
+      if (serviceState === undefined || trialVersion === undefined) return [];
       const countsFor = (key: number): RunCounts => sums.get(key) ?? NO_RUNS;
       return routes.map((route) => {
-        const base = tallyKeys({ service, tried: triedVersion, route, worker: undefined });
-        const tried = [...serviceState.everTried, ...serviceState.tried].map((worker) => ({
+        const base = tallyKeys({ service, trialVersion, route, worker: undefined });
+        const workersWithKeys = [
+          ...serviceState.usedTrialWorkers,
+          ...serviceState.trialWorkers,
+        ].map((worker) => ({
           worker,
-          keys: tallyKeys({ service, tried: triedVersion, route, worker }),
+          keys: tallyKeys({ service, trialVersion, route, worker }),
         }));
         return {
           route,
           answers: {
             base: countsFor(base.answers),
-            tried: new Map(tried.map(({ worker, keys }) => [worker, countsFor(keys.answers)])),
+            tried: new Map(
+              workersWithKeys.map(({ worker, keys }) => [worker, countsFor(keys.answers)]),
+            ),
           },
           times: {
             base: countsFor(base.times),
-            tried: new Map(tried.map(({ worker, keys }) => [worker, countsFor(keys.times)])),
+            tried: new Map(
+              workersWithKeys.map(({ worker, keys }) => [worker, countsFor(keys.times)]),
+            ),
           },
         };
       });
@@ -350,10 +363,10 @@
       ),
     stock: (service) => {
       const serviceState = services.get(service);
-      if (serviceState === undefined) return { base: [], tried: [] };
+      if (serviceState === undefined) return { base: [], trial: [] };
       return {
         base: readyWorkers(serviceState, serviceState.served?.base),
-        tried: readyWorkers(serviceState, serviceState.served?.tried),
+        trial: readyWorkers(serviceState, serviceState.served?.tried),
       };
     },
   };
--- a/src/process/testing/sync_fleet.ts
+++ b/src/process/testing/sync_fleet.ts
@@ -48,7 +48,7 @@
 export interface SyncMember {
   readonly zone: string;
   readonly sync: FleetSync;
-  readonly board: RoutedWorkerTable;
+  readonly workerTable: RoutedWorkerTable;
   readonly ledger: UsageLedger;
   readonly quota: SharedQuota;
   /** Known requests that crash workers. */
@@ -99,34 +99,34 @@
   for (let index = 0; index < size.instances; index++) {
     members.push(startMember(index, { clock, random, network, store, members }));
   }
-  for (const { board, quota, sync: news, feed } of members) {
-    board.setWorkers(workers);
+  for (const { workerTable, quota, sync, feed } of members) {
+    workerTable.setWorkers(workers);
     const accounts = size.accounts.map((name) => ({ name, quota: QUOTA }));
     quota.addAccounts(accounts, clock.now());
-    news.addAddresses([addressAt(0), addressAt(1)]);
-    await news.start();
+    sync.addAddresses([addressAt(0), addressAt(1)]);
+    await sync.start();
     feed.start();
   }
   // A run starts the same way whatever the load, so one list of candidates serves all instances.
-  const candidates: readonly CandidateWorker[] = members[0]?.board.candidates(SERVICE) ?? [];
+  const candidates: readonly CandidateWorker[] = members[0]?.workerTable.candidates(SERVICE) ?? [];
   return {
     clock,
     network,
     store,
     members,
     workers,
-    begin: ({ board, ledger, quota }, { worker, account }) => {
+    begin: ({ workerTable, ledger, quota }, { worker, account }) => {
       const found = candidates[worker];
       if (found === undefined) throw new Error(`There is no worker ${worker}.`);
       ledger.recordRun(account, FLEET_WINDOW);
       quota.take({ account, quota: QUOTA, size: 100, now: clock.now() });
-      return board.begin(found, { reads: 640, route: "desk" });
+      return workerTable.begin(found, { prefillTokens: 640, route: "desk" });
     },
     canAdmit: ({ quota }, account) =>
       quota.take({ account, quota: QUOTA, size: 0, now: clock.now() }) === 0,
     close: () => {
-      for (const { sync: news, feed } of members) {
-        news.close();
+      for (const { sync, feed } of members) {
+        sync.close();
         feed.close();
       }
     },
@@ -203,7 +203,7 @@
   const quota = createSharedQuota(clock.now());
   const ledger = createUsageLedger();
   const evidence = createCrashEvidence((key) => sync.sumOf(key));
-  const board = createRoutedWorkerTable({
+  const workerTable = createRoutedWorkerTable({
     clock,
     random,
     zone,
@@ -216,7 +216,7 @@
     limits: createWorkerLimits({
       time: () => clock.now(),
       self: hashText(address),
-      instances: createInstanceHashes({ clock, self: address, others: () => sync.live() }),
+      instances: createInstanceHashes({ clock, self: address, otherInstances: () => sync.live() }),
     }),
   });
   const feed: FeedFollower = createFeedFollower({
@@ -225,7 +225,7 @@
     random,
     feed: store.of(name),
     isNeeded: () => !sync.isFed() || catchUp.isBehind(KIND),
-    feedsOthers: () => sync.role !== FleetRole.Mesh,
+    feedsPeers: () => sync.role !== FleetRole.Mesh,
     onChange: () => sync.reportStoreChange(),
     onReachabilityChange: () => undefined,
   });
@@ -274,18 +274,18 @@
       leaseVersion: 0,
       hasStoreReturned: false,
       plans: [],
-      limits: board.limitStatements(),
+      limits: workerTable.recentLimitReports(),
     }),
     time: createFleetTime({ date: clock.now(), steady: clock.now() }),
     quota,
     repeats: createRepeatBudget(REPEATS),
     ledger,
     health,
-    board,
-    onDigest: (peer) => board.updateLimits(peer.limits),
+    workerTable,
+    onDigest: (peer) => workerTable.updateLimits(peer.limits),
     onDigestApplied: (peer) => catchUp.receive(peer),
     open: network.open,
   });
-  const parts = { zone, sync, feed, address, board, ledger, quota, evidence };
+  const parts = { zone, sync, feed, address, workerTable, ledger, quota, evidence };
   return { ...parts, isLive: true, canAnswerFetches: true };
 }
--- a/src/request/worker_reclaim.ts
+++ b/src/request/worker_reclaim.ts
@@ -18,13 +18,13 @@
 const DEFAULT_TOKEN_TIME = 30;
 /** Characters of a prompt per token. */
 const CHARACTERS_PER_TOKEN = 4;
-/** Milliseconds between two checks of the servers under notice. */
+/** Milliseconds between two checks of the servers with a reclaim notice. */
 const POLL_INTERVAL = 250;
 /** Milliseconds before an instance is reclaimed at which its last requests are moved. */
 const FINAL_MOVE_MARGIN = 500;
 
 /**
- * Moves requests in progress away from workers under notice, as chosen by the triage.
+ * Moves requests in progress away from workers with a reclaim notice, as chosen by the triage.
  *
  * Otherwise a request would run until its server is gone, and be resumed after its whole KV cache
  * is computed again. The caller would see a gap, and operators the recomputed tokens.
@@ -47,7 +47,7 @@
     });
     timers.add(timer);
   };
-  const applyTriage = ({ choice, at }: TriageDecision, { live, worker }: EndangeredRun): void => {
+  const applyTriage = ({ choice, at }: TriageDecision, { live, worker }: AffectedRun): void => {
     const isStillThere = (): boolean => live.record.worker === worker.id;
     const move = (): void => {
       if (isStillThere()) live.interrupt(StopReason.Reclaimed);
@@ -77,8 +77,8 @@
     if (unmoved.length === 0) return;
     const liveById = new Map(unmoved.map((live) => [live.record.id, live]));
     for (const live of unmoved) movedFrom.set(live, worker.id);
-    const endangered = [...liveById.values()].map((live) => toEndangered(environment, live));
-    for (const choice of runTriage(environment, worker, endangered)) {
+    const requests = [...liveById.values()].map((live) => toTriageRequest(environment, live));
+    for (const choice of runTriage(environment, worker, requests)) {
       const live = liveById.get(choice.id);
       environment.counters.count(`triage.${choice.choice}`);
       if (live !== undefined) applyTriage(choice, { live, worker });
@@ -86,17 +86,17 @@
   };
   let nextPoll: Timer | undefined;
   /**
-   * Checks the servers under notice. Requests also reach a server after its notice, with a slot
-   * whose owner is reclaimed in the same wave. With a single check they would stay on the server
-   * and be lost with it.
+   * Checks the servers with a reclaim notice. Requests also reach a server after its notice, with a
+   * slot whose owner is reclaimed in the same wave. With a single check they would stay on the
+   * server and be lost with it.
    */
   const poll = (): void => {
     nextPoll?.close();
-    const underNotice = workers
+    const workersWithNotice = workers
       .list()
       .filter(({ state, reclaimAt }) => state === WorkerState.Leaving && reclaimAt !== undefined);
-    for (const worker of underNotice) moveRequests(worker);
-    nextPoll = underNotice.length === 0 ? undefined : clock.after(POLL_INTERVAL, poll);
+    for (const worker of workersWithNotice) moveRequests(worker);
+    nextPoll = workersWithNotice.length === 0 ? undefined : clock.after(POLL_INTERVAL, poll);
   };
   const subscription = workers.onChange(poll);
   return {
@@ -108,8 +108,8 @@
   };
 }
 
-/** A request in progress at a worker under notice. */
-interface EndangeredRun {
+/** A request in progress at a worker with a reclaim notice. */
+interface AffectedRun {
   readonly live: LiveRequest;
   readonly worker: Worker;
 }
@@ -117,11 +117,11 @@
 function runTriage(
   { clock, configuration, workers }: Environment,
   worker: Worker,
-  endangered: readonly TriageRequest[],
+  requests: readonly TriageRequest[],
 ): readonly TriageDecision[] {
   const serviceWorkers = workers.list().filter(({ service }) => service === worker.service);
   const classes = configuration.revision()?.deployment.machineClasses ?? {};
-  return triage(endangered, {
+  return triage(requests, {
     now: clock.now(),
     reclaimAt: worker.reclaimAt ?? clock.now(),
     transferBytesPerSecond: TRANSFER_RATE,
@@ -132,7 +132,7 @@
   });
 }
 
-function toEndangered({ clock }: Environment, live: LiveRequest): TriageRequest {
+function toTriageRequest({ clock }: Environment, live: LiveRequest): TriageRequest {
   const { id, repeatable, body, deadlineAt } = live.record;
   const produced = live.tokens.length;
   const elapsed = clock.now() - live.dispatchedAt;
@@ -149,8 +149,8 @@
 
 /**
  * Estimates the number of tokens still to come. An answer that has outgrown its estimate is a long
- * one. If it were assumed to be at its end, it would stay on a server under notice and be lost with
- * it.
+ * one. If it were assumed to be at its end, it would stay on a server with a reclaim notice
+ * and be lost with it.
  */
 function remainingTokens({ expectedTokens, tokens }: LiveRequest): number {
   return Math.max(1, expectedTokens - tokens.length, tokens.length / 2);
@@ -159,7 +159,7 @@
 /** Exports the request's KV cache. If this fails, the request resumes from its tokens. */
 async function exportCache(
   { counters, engine }: Environment,
-  { live, worker }: EndangeredRun,
+  { live, worker }: AffectedRun,
 ): Promise<void> {
   try {
     live.cacheExport = await engine.exportCache(worker, live.record.id);
