--- a/bench/board_cost.ts
+++ b/bench/board_cost.ts
@@ -65,8 +65,8 @@
       random: systemRandom,
       zone: "a",
       health: createWorkerHealth(),
-      members: () => INSTANCE_COUNT,
-      newsAge: () => DIGEST_AGE,
+      instanceCount: () => INSTANCE_COUNT,
+      updateAge: () => DIGEST_AGE,
       onBegin: () => undefined,
     });
     const workers = Array.from({ length: count * SERVICE_STRIDE }, (_, index) => workerAt(index));
--- a/bench/rollouts/simulate_order.ts
+++ b/bench/rollouts/simulate_order.ts
@@ -123,7 +123,7 @@
     const view = createRolloutView({
       clock,
       random,
-      bounds: EXPOSURE_BOUND,
+      limits: EXPOSURE_BOUND,
       time: () => clock.now(),
       instanceCount: () => count,
       fleetCountsOf: (key) => history.at(-1)?.sums.get(key),
@@ -217,7 +217,7 @@
     const ownFence = fence;
     task = createRolloutTask({
       clock,
-      bounds: EXPOSURE_BOUND,
+      limits: EXPOSURE_BOUND,
       view,
       rollouts: { setStatus },
       store,
--- a/src/process/rollout_task.ts
+++ b/src/process/rollout_task.ts
@@ -25,7 +25,7 @@
 /** Dependencies of {@linkcode createRolloutTask}. */
 export interface RolloutTaskParts {
   readonly clock: Clock;
-  readonly bounds: RolloutLimits;
+  readonly limits: RolloutLimits;
   readonly view: RolloutView;
   readonly rollouts: RolloutStore;
   /** Stores the start time of each order, which would otherwise be lost if all instances restart. */
@@ -76,7 +76,7 @@
  * over which stored version.
  */
 export function createRolloutTask(parts: RolloutTaskParts): RolloutTask {
-  const { clock, bounds, view, time, log, judge: judgeEvidence = judgeRollout } = parts;
+  const { clock, limits: bounds, view, time, log, judge: judgeEvidence = judgeRollout } = parts;
   const verdicts = new Map<string, RolloutVerdict>();
   const histories = new Map<string, CountHistory>();
   /** By service, the version and start time of the order as confirmed in the store. */
--- a/src/process/rollout_view.ts
+++ b/src/process/rollout_view.ts
@@ -87,7 +87,7 @@
 export interface RolloutViewParts {
   readonly clock: Clock;
   readonly random: Random;
-  readonly bounds: RolloutLimits;
+  readonly limits: RolloutLimits;
   /** Returns the time synchronized across instances, in milliseconds since the Unix epoch. */
   readonly time: () => number;
   /** Returns the number of entry instances. */
@@ -130,7 +130,7 @@
  * instances.
  */
 export function createRolloutView(parts: RolloutViewParts): RolloutView {
-  const { clock, random, bounds: limits, time, instanceCount, log } = parts;
+  const { clock, random, limits: limits, time, instanceCount, log } = parts;
   const services = new Map<string, ServiceState>();
   const plans = createRolloutPlans();
   const tallies = createVersionTallies(parts.fleetCountsOf);
--- a/src/process/routed_entry.ts
+++ b/src/process/routed_entry.ts
@@ -81,7 +81,7 @@
       : createRolloutView({
           clock,
           random,
-          bounds: settings.rollouts,
+          limits: settings.rollouts,
           time: synchronizedNow,
           instanceCount: () => fleet.members,
           fleetCountsOf: (key) => fleet.sumOf(key),
@@ -108,8 +108,8 @@
     random,
     zone: settings.zone,
     health,
-    members: instanceCount,
-    newsAge: () => fleet.updateAge,
+    instanceCount: instanceCount,
+    updateAge: () => fleet.updateAge,
     onBegin: () => fleet.reportRunStart(),
     versions,
     extraCounts: () => quarantine.counts(),
@@ -238,7 +238,7 @@
       ? undefined
       : createRolloutTask({
           clock,
-          bounds: settings.rollouts,
+          limits: settings.rollouts,
           view: versions,
           rollouts: dependencies.rollouts,
           store: dependencies.store,
--- a/src/process/routed_worker_table.ts
+++ b/src/process/routed_worker_table.ts
@@ -73,9 +73,9 @@
   readonly zone: string;
   readonly health: WorkerHealth;
   /** Returns the number of instances that share the workers' connections. */
-  readonly members: () => number;
+  readonly instanceCount: () => number;
   /** Returns the average age of the load reports of other instances, in milliseconds. */
-  readonly newsAge: () => number;
+  readonly updateAge: () => number;
   /** Returns the time synchronized across instances, in milliseconds since the Unix epoch. */
   readonly time: () => number;
   /** Rate limits of workers. Must use the same `time`. */
@@ -140,7 +140,16 @@
  * other instances, so that together they don't overload a worker.
  */
 export function createRoutedWorkerTable(parts: RoutedWorkerTableParts): RoutedWorkerTable {
-  const { clock, random, zone, health, members, newsAge, onBegin, versions } = parts;
+  const {
+    clock,
+    random,
+    zone,
+    health,
+    instanceCount: members,
+    updateAge: newsAge,
+    onBegin,
+    versions,
+  } = parts;
   const { time, limits, onLimit = () => undefined } = parts;
   const { extraCounts = () => new Map<number, RunCounts>() } = parts;
   const entries = new Map<string, WorkerEntry>();
--- a/src/process/routed_worker_table_test.ts
+++ b/src/process/routed_worker_table_test.ts
@@ -23,8 +23,8 @@
     limits: createWorkerLimits({ time, self: 1, instances: () => INSTANCES }),
     zone: "a",
     health: createWorkerHealth(),
-    members: () => 3,
-    newsAge: () => 0,
+    instanceCount: () => 3,
+    updateAge: () => 0,
     random: createSeededRandom(1),
     onBegin: () => undefined,
   };
