--- a/src/process/rollout_task.ts
+++ b/src/process/rollout_task.ts
@@ -76,7 +76,7 @@
  * over which stored version.
  */
 export function createRolloutTask(parts: RolloutTaskParts): RolloutTask {
-  const { clock, limits: bounds, view, time, log, judge: judgeEvidence = judgeRollout } = parts;
+  const { clock, limits, view, time, log, judge: judgeEvidence = judgeRollout } = parts;
   const verdicts = new Map<string, RolloutVerdict>();
   const histories = new Map<string, CountHistory>();
   /** By service, the version and start time of the order as confirmed in the store. */
@@ -193,7 +193,7 @@
     const startedAt = await loadStartTime(service, order);
     const fence = parts.fence(PLATFORM_CALL_TIMEOUT);
     if (startedAt === undefined || fence === undefined) return;
-    const { switchAt, completeAt } = planRollout(duration, bounds);
+    const { switchAt, completeAt } = planRollout(duration, limits);
     const elapsed = time() - startedAt;
     const isLast = elapsed >= switchAt;
     const { verdict, runs } = evaluate(service, { elapsed, isLast });
--- a/src/process/routed_worker_table.ts
+++ b/src/process/routed_worker_table.ts
@@ -140,16 +140,7 @@
  * other instances, so that together they don't overload a worker.
  */
 export function createRoutedWorkerTable(parts: RoutedWorkerTableParts): RoutedWorkerTable {
-  const {
-    clock,
-    random,
-    zone,
-    health,
-    instanceCount: members,
-    updateAge: newsAge,
-    onBegin,
-    versions,
-  } = parts;
+  const { clock, random, zone, health, instanceCount, updateAge, onBegin, versions } = parts;
   const { time, limits, onLimit = () => undefined } = parts;
   const { extraCounts = () => new Map<number, RunCounts>() } = parts;
   const entries = new Map<string, WorkerEntry>();
@@ -234,7 +225,7 @@
     });
   };
   const maxConnectionsFor = ({ maxConnections }: RoutedService): number =>
-    Math.max(1, Math.floor((maxConnections * CONNECTION_SHARE) / members()));
+    Math.max(1, Math.floor((maxConnections * CONNECTION_SHARE) / instanceCount()));
   const createCandidate = (
     entry: WorkerEntry,
     maxConnections: number,
@@ -289,7 +280,7 @@
   };
   /** Estimates how many runs other instances begin at a worker before this instance receives their load reports. */
   const unseen = (service: RoutedService, now: number): number => {
-    const age = newsAge();
+    const age = updateAge();
     if (age === 0) return 0;
     const known = unseenCache.get(service.name);
     if (known !== undefined && now - known.at < UNSEEN_TTL) return known.unseen;
