--- a/.ci/smoke.mjs
+++ b/.ci/smoke.mjs
@@ -1,4 +1,5 @@
-// Smoke test of the built binary: the help of each command, a deployment, one answer and one preset switch.
+// Smoke test of the built binary: the help of the commands listed below, a deployment, one response and one preset
+// switch.
 import assert from "node:assert/strict";
 import { execFile, spawn } from "node:child_process";
 import { promisify } from "node:util";
--- a/build.mjs
+++ b/build.mjs
@@ -1,5 +1,5 @@
 // Builds dist/samphireshore: a self-contained binary, made as a Node.js single executable application.
-// With the argument "platform" it builds target/entry.cjs instead: the entry instance with the users' platform adapter.
+// With the argument "platform" it builds target/entry.cjs instead: the entry instance with the platform adapter.
 import { execFileSync } from "node:child_process";
 import { createRequire } from "node:module";
 import { resolve } from "node:path";
@@ -8,6 +8,7 @@
 import { inject } from "postject";
 
 const require = createRequire(import.meta.url);
+/** Marker in the Node.js binary. postject sets the digit after it, which makes Node.js run the embedded application. */
 const FUSE = "NODE_SEA_FUSE_fce680ab2cc467b6e072b8b5df1996b2";
 
 /** Options of both bundles. */
@@ -20,9 +21,10 @@
   platform: "node",
   target: "node20",
   format: "cjs",
-  // oclif imports these without needing them here; they would add 10 MB, and 70 MB of resident memory.
+  // hot-shots imports the first and oclif the second, only for features that are not used here. They would add 10 MB,
+  // and 70 MB of resident memory.
   external: ["unix-dgram", "typescript"],
-  // The main build of this package uses dynamic require calls that a bundler can't resolve.
+  // The package's main build uses dynamic require calls that a bundler can't resolve.
   alias: { "jsonc-parser": "./node_modules/jsonc-parser/lib/esm/main.js" },
   // The embedded require resolves only built-in modules and warns about the optional ones excluded above.
   banner: { js: 'require=require("node:module").createRequire(process.execPath);' },
@@ -31,9 +33,9 @@
 };
 
 /**
- * Bundles the entry instance with the users' platform adapter and writes its V8 code cache. After a power failure all
- * instances restart at once, each on a fraction of a core, and callers wait until they are ready. Compiling the bundle
- * is a large part of that time.
+ * Bundles the entry instance with the platform adapter and writes the V8 code cache of the bundle. After a power
+ * failure all instances restart at once, each on a fraction of a core, and callers wait until they are ready. Without
+ * the cache, compiling the bundle takes a large part of that time.
  */
 async function buildPlatform() {
   await build({
