--- a/src/decision/admission.ts
+++ b/src/decision/admission.ts
@@ -104,8 +104,8 @@
  */
 const MAX_WAITING_JOBS = 10_000;
 /**
- * The fraction of the first-token target that is used. Waits are learned in steps of 9 in 100
- * either way, so the rest is kept for that error.
+ * The fraction of the first-token target that is used. The learned waits are quantiles that are
+ * off by up to 9 in 100, so the rest is reserved for that error.
  */
 const TARGET_FRACTION = 0.91;
 /** The fraction of the first-token target that a request may spend waiting in any case. */
@@ -115,7 +115,7 @@
  * alone is too long.
  */
 const MIN_TIME_FRACTION = 0.1;
-/** Milliseconds. A caller's own round trips take longer than a shorter delay. */
+/** Milliseconds. A shorter delay has no effect, since a caller's own round trips take longer. */
 const MIN_RETRY_AFTER = 250;
 /** Milliseconds. Load predictions beyond a minute have little value. */
 const MAX_RETRY_AFTER = 60_000;
--- a/src/decision/admission_test.ts
+++ b/src/decision/admission_test.ts
@@ -73,8 +73,8 @@
   });
 
   test("uses an idle worker whatever latency was learned", () => {
-    // A slow period taught that first tokens take ten seconds. If every request were refused
-    // because of it, no sample would ever show that the period is over.
+    // After a slow period the learned time to first token is ten seconds. If every request were
+    // refused because of it, no sample would ever show that the period is over.
     expect(decideAdmission(someView({ hasFreeSlot: true, firstTokenLatency: 10_000 })).kind).toBe(
       "admit",
     );
--- a/src/decision/attempt_silence.ts
+++ b/src/decision/attempt_silence.ts
@@ -1,5 +1,6 @@
 /**
- * Decides when a silent worker is given up and a repeatable request is sent to another worker.
+ * Decides when an attempt at a silent worker is abandoned and its repeatable request is sent to
+ * another worker.
  *
  * Load: a worker that hangs or stops responding. Its connection stays open, its health check may
  * succeed, and no error occurs; without a limit the caller waits until its deadline. With a limit
@@ -11,9 +12,9 @@
  * - The first event of a stream is requested elsewhere after three times its target or three times
  *   its expected time, whichever is longer: a prompt of 60,000 tokens takes a second to process,
  *   and would be processed from the beginning elsewhere.
- * - A stream that has begun is given up only if its worker has sent nothing on any stream for 0.9
- *   s: engines generate tokens for all their requests in turn, so a stream is not silent for long
- *   by itself. Callers give a stream up after two seconds or more.
+ * - A stream that has begun is abandoned only if its worker has sent nothing on any stream for
+ *   0.9 s: engines generate tokens for all their requests in turn, so one stream alone is not
+ *   silent for long. Callers give up on a stream after two seconds or more.
  *
  * @module
  */
--- a/src/decision/attempt_silence_test.ts
+++ b/src/decision/attempt_silence_test.ts
@@ -18,8 +18,8 @@
 });
 
 // A prompt of 65,000 tokens takes more than a second to process. Meanwhile its worker sends nothing
-// to an instance that has no other request there. If it were given up, the prompt would be
-// processed twice.
+// to an instance that has no other request there. If the attempt were abandoned, the prompt would
+// be processed twice.
 test("waits at least for the expected time of a long prompt", () => {
   const long = { ...STREAM, expectedFirstToken: 1_124, silentFor: 2_600, workerSilentFor: 2_600 };
   expect(isWorkerSilent(long)).toBe(false);
--- a/src/decision/candidate_workers.ts
+++ b/src/decision/candidate_workers.ts
@@ -1,10 +1,9 @@
 /**
- * Selects the workers that a request is compared across when many instances share the same load
- * data.
+ * Selects the workers that are compared for a request when many instances share the same load data.
  *
  * Load: hundreds of entry instances that each start a few requests per second. Their load data is a
  * few tenths of a second old and the same everywhere. Each instance would pick the worker that was
- * least loaded at that time, and no instance learns of the combined load before the next digest.
+ * least loaded at that time, and no instance receives the combined load before the next digest.
  * Symptom: workers that reject requests as full next to idle ones, and a busiest worker that
  * changes every few hundred milliseconds.
  *
--- a/src/decision/concurrency_limit.ts
+++ b/src/decision/concurrency_limit.ts
@@ -43,7 +43,7 @@
    * Returns the number of jobs beyond which the server was observed to queue; infinite before that.
    */
   serverCeiling(): number;
-  /** The first value of the limit, which depends on the machine class and the target only. */
+  /** The initial value of the limit, which depends on the machine class and the target only. */
   readonly initial: number;
   /** Records a gap between two tokens, in milliseconds. */
   recordGap(milliseconds: number): void;
@@ -59,8 +59,8 @@
 
 /**
  * Lookups may exceed the limit by this factor. They end before a batch that is a fourth too large
- * has lengthened the gaps of scripts beyond 5 in 100, and entry instances that learn of each
- * other's jobs late need some margin.
+ * has lengthened the gaps of scripts beyond 5 in 100, and entry instances need some margin because
+ * they receive the number of each other's jobs late.
  */
 export const LOOKUP_OVERCOMMIT_FACTOR = 1.25;
 
@@ -73,7 +73,7 @@
 const NO_EVIDENCE_TIMEOUT = 4_000;
 /** Counts are multiplied by this factor at the end of each interval. */
 const COUNT_DECAY = 0.8;
-/** Samples from which a fraction is meaningful. */
+/** Minimum numbers of samples before their fraction is meaningful. */
 const MIN_GAPS = 20;
 const MIN_FIRST_TOKENS = 5;
 /** The fraction of samples that may exceed the threshold. */
@@ -161,8 +161,9 @@
   const decrease = (slowdown: number): void => {
     const factor = Math.min(MAX_DECREASE_FACTOR, Math.max(MIN_DECREASE_FACTOR, 1 / slowdown));
     sustained = Math.max(1, sustained * SUSTAINED_DECAY);
-    // While long jobs keep the load above a limit that was already reduced, their gaps say nothing
-    // about that limit. Reducing it further would bring it to nothing, and it would recover slowly.
+    // While long jobs keep the load above a limit that was already reduced, their gaps don't
+    // show the effect of that limit. Reducing it further would bring it close to 0, and it would
+    // recover slowly.
     if (load <= limit * LOOKUP_OVERCOMMIT_FACTOR + 1)
       limit = Math.max(1, Math.min(limit, peak) * factor);
     Object.assign(gaps, emptyCounts());
--- a/src/decision/crash_evidence.ts
+++ b/src/decision/crash_evidence.ts
@@ -7,10 +7,10 @@
  * load, and failing requests of all kinds.
  *
  * Mechanism: a request that was running at a crashed worker is either the cause or was there by
- * chance, and one crash does not tell which. So the number of workers lost while running a request
- * is counted over all instances and compared with its recent answers. The cause is never answered;
- * a request that was there by chance is answered at the next worker. A frequent request may lose
- * several workers at once, but its answers from just before count in its favor.
+ * chance, and a single crash doesn't show which. So the number of workers lost while running a
+ * request is counted over all instances and compared with its recent answers. The cause is never
+ * answered; a request that was there by chance is answered at the next worker. A frequent request
+ * may lose several workers at once, but its answers from just before count in its favor.
  *
  * Counts are lost when the instances that hold them end. A suspected request can therefore be
  * restored from the store; crashes counted later are added to the restored number.
@@ -39,8 +39,7 @@
 }
 
 /**
- * What one instance has counted about requests and crashes. All times are in milliseconds of the
- * clock.
+ * One instance's counts of requests and crashes. All times are in milliseconds of the clock.
  */
 export interface CrashEvidence {
   /** Records that a worker crashed while running the request. */
@@ -73,8 +72,8 @@
 }
 
 /**
- * Crashes that prove a request without answers; each answer raises the threshold by the same
- * number.
+ * Number of crashes that prove that a request without answers is the cause; each answer raises the
+ * threshold by the same number.
  */
 export const MIN_PROVING_CRASHES = 3;
 /** Milliseconds for which an answer counts in favor of a request that loses workers later. */
@@ -82,8 +81,8 @@
 /** Milliseconds for which crashes are kept after the latest one. */
 export const CRASH_TTL = 600_000;
 /**
- * Milliseconds for which a request stays proven after the instances that counted its crashes have
- * ended.
+ * Milliseconds after its proof for which a request stays proven even if the instances that counted
+ * its crashes have ended.
  */
 const PROOF_TTL = 60_000;
 /**
--- a/src/decision/crash_evidence_test.ts
+++ b/src/decision/crash_evidence_test.ts
@@ -5,7 +5,7 @@
 const CAUSE: SuspectRequest = { name: "reason", key: 1 };
 const BYSTANDER: SuspectRequest = { name: "chance", key: 2 };
 
-/** Creates instances that see each other's counts immediately. */
+/** Creates instances that receive each other's counts immediately. */
 function createFleet(size: number): CrashEvidence[] {
   const now = { value: 0 };
   const members: CrashEvidence[] = [];
--- a/src/decision/estimate.ts
+++ b/src/decision/estimate.ts
@@ -24,7 +24,7 @@
 import type { QuantileSketch } from "./quantile.ts";
 import { machineAverage, targetOf } from "./policy.ts";
 
-/** Learns what requests cost. */
+/** Estimates the cost of requests and learns from completed ones. */
 export interface Estimator {
   /** Replaces the policy; learned statistics are kept. */
   configure(policy: Policy): void;
@@ -44,18 +44,18 @@
 /** The 70th percentile lies at the mean of a log-normal distribution with a spread of 1. */
 const ANSWER_PERCENTILE = 0.7;
 /**
- * Answers of an account from which its own quantile is used; below this number the service's
- * quantile is used.
+ * Minimum number of an account's answers before its own quantile is used; until then, the quantile
+ * of the service is used.
  */
 const MIN_ANSWERS = 8;
-/** Answers. A change in an account's answer lengths has an effect after about this many. */
+/** A change in an account's answer lengths has an effect after about this many answers. */
 const ANSWER_HALF_LIFE = 200;
 /**
- * Used before anything is known: the length at which an error in either direction costs about the
+ * Used before the first answer: the length at which an error in either direction costs about the
  * same.
  */
 const DEFAULT_ANSWER_TOKENS = 256;
-/** Gaps between tokens. */
+/** Number of gaps between tokens after which the weight of a gap has halved. */
 const GAP_HALF_LIFE = 2_000;
 /** Ratios are stored in hundredths, because the sketch counts values below 1 as 1. */
 const RATIO_SCALE = 100;
--- a/src/decision/estimate_test.ts
+++ b/src/decision/estimate_test.ts
@@ -27,7 +27,7 @@
 });
 
 test("a caller's own limit counts only as far as its answers have kept to it", () => {
-  // A caller states 16 tokens each time and receives 400. If the statement were used, the caller's
+  // A caller states 16 tokens each time and receives 400. If that limit were used, the caller's
   // requests would be accepted and scheduled as a twentieth of their real work.
   const estimator = createEstimator(TEST_POLICY);
   learn(estimator, { account: "honest", maxTokens: 400 }, Array<number>(50).fill(300));
--- a/src/decision/fair_queue.ts
+++ b/src/decision/fair_queue.ts
@@ -15,10 +15,10 @@
  * answers over their estimates is charged to the account later, so understating gains nothing
  * either. No account starves: its tag only grows by its own work, and a deadline only comes nearer.
  *
- * Lookups have four times the weight of scripts. It matters only above their share: an account that
- * asks for less than four fifths of the tokens never waits for a waiting script, and scripts keep
- * at least one token in five under any load of lookups, so a night's scripts finish by the morning
- * even if lookups run all night.
+ * Lookups have four times the weight of scripts. The weight matters only if lookups exceed their
+ * share: while they need less than four fifths of the tokens, they don't wait for waiting scripts.
+ * Scripts keep at least one token in five under any load of lookups, so a night's scripts finish by
+ * the morning even if lookups run all night.
  *
  * Cost: each operation takes O(log n) of the waiting jobs and accounts. Removal by id only marks
  * the item; it leaves its heap when it reaches the top.
--- a/src/decision/fleet.ts
+++ b/src/decision/fleet.ts
@@ -5,7 +5,7 @@
  * Load: work that doubles within minutes and is gone an hour later, and a cloud that reclaims a
  * whole availability zone of reclaimable instances in seconds and then refuses new ones there. With
  * too few workers every first token is late until the next ones have started and loaded their
- * model; with too many the cost exceeds the contract.
+ * model; with too many, the cost exceeds what the contract allows.
  *
  * Mechanism: each plan compares the required capacity with the running and launching workers and
  * returns what to launch and what to retire. Only the smoothed demand and the start of the current
--- a/src/decision/fleet_need.ts
+++ b/src/decision/fleet_need.ts
@@ -14,9 +14,9 @@
  *   now is available then. The extrapolation adds at most half, because a burst of a few seconds
  *   looks like any rise.
  * - A backlog is to be completed within a start-up time. Launches can't complete it sooner.
- * - Workers are planned at a utilization of 85 in 100. The rest is what independent arrivals need
- *   in order not to wait for each other: with eight or more slots per worker, waiting begins there,
- *   and each further step costs as much as it saves.
+ * - Workers are planned at a utilization of 85 in 100. The rest absorbs the randomness of
+ *   independent arrivals: with eight or more slots per worker, requests begin to wait for each
+ *   other at about this utilization, and raising it further costs as much as it saves.
  * - If the zone with the most capacity is lost at once, the others must still do nine tenths of the
  *   work at full utilization. The remainder, during the following start-up time, is less than the
  *   detached work that waits at any time.
@@ -41,7 +41,7 @@
 const DEMAND_HALF_LIFE = 120_000;
 /** A demand above the mean by more than this many deviations is a rise. */
 const RISE_DEVIATIONS = 2;
-/** The deviation of an unknown demand, as a fraction of the demand. */
+/** The deviation assumed for the first measurement, as a fraction of the demand. */
 const INITIAL_DEVIATION = 0.2;
 /** Maximum factor by which an extrapolated rise exceeds the smoothed demand. */
 const MAX_EXTRAPOLATION = 1.5;
--- a/src/decision/fleet_pools.ts
+++ b/src/decision/fleet_pools.ts
@@ -3,7 +3,7 @@
  *
  * Load: prices that differ by zone and machine class, zones that are reclaimed, and launches that
  * are refused for minutes in one pool while another has capacity. If only the cheapest pool were
- * used, a whole service could be lost in one wave of reclaims; if a refusing pool were asked again
+ * used, a whole service could be lost in one wave of reclaims; if a refusing pool were tried again
  * and again, the fleet would stay too small while other pools have capacity.
  *
  * Workers are added one at a time, each in the pool that covers the most missing capacity for its
@@ -45,8 +45,8 @@
 }
 
 /**
- * A fraction of the required capacity. A demand close to what the workers can do must not cause
- * launches and retirements by turns.
+ * The missing capacity up to which no worker is launched, as a fraction of the required capacity.
+ * Otherwise a demand close to the capacity would cause launches and retirements by turns.
  */
 const SHORTFALL_TOLERANCE = 0.03;
 /** Milliseconds. */
--- a/src/decision/fleet_surplus.ts
+++ b/src/decision/fleet_surplus.ts
@@ -7,11 +7,12 @@
  * longer gaps between tokens whenever the fleet shrinks.
  *
  * Mechanism: a worker is surplus if the rest still covers the required capacity with a tenth to
- * spare, so that the same figures never launch what they have just retired. A preset's maximum
- * number is reached gradually in the same way. Each plan retires at most a tenth of the workers,
- * those with the highest price for their speed first, and among equals the one with the least work
- * in progress. A retired worker finishes its work in progress, and none is retired while the others
- * couldn't do all work in progress within a minute.
+ * spare, so that a plan with the same demand doesn't launch again what was just retired. A preset's
+ * maximum number is reached gradually in the same way. Each plan retires at most a tenth of the
+ * workers, or one if they are fewer than ten: those with the highest price for their speed first,
+ * and among equals the one with the least work in progress. A retired worker finishes its work in
+ * progress, and none is retired while the others couldn't do all waiting work and all work in
+ * progress within a minute.
  *
  * @module
  */
@@ -93,8 +94,8 @@
 }
 
 /**
- * Returns whether the reclaimable workers stay within the preset's share; retiring the last
- * on-demand workers must not exceed it.
+ * Returns whether the reclaimable workers stay within the preset's share. Retiring on-demand
+ * workers must not raise them above it.
  */
 function keepsReclaimableShare(rest: readonly PlannedWorker[], demand: ServiceDemand): boolean {
   const reclaimable = rest.filter(({ purchase }) => purchase === Purchase.Reclaimable).length;
--- a/src/decision/fleet_test.ts
+++ b/src/decision/fleet_test.ts
@@ -87,7 +87,7 @@
   });
 
   test("skips a pool that refuses launches and uses others", () => {
-    // The cheapest zone refuses launches for minutes. If it were asked again and again, the fleet
+    // The cheapest zone refuses launches for minutes. If it were tried again and again, the fleet
     // would stay too small although other zones have capacity.
     const refusing = somePools((zone) => (zone === "a" ? { refusals: 3, refusedAt: 0 } : {}));
     const demand = someDemand(900);
--- a/src/decision/fleet_time.ts
+++ b/src/decision/fleet_time.ts
@@ -54,8 +54,8 @@
 }
 
 /**
- * Returns the lower median. If there are two different values, the instance's own is as good as the
- * other.
+ * Returns the lower median. With only two values there is no majority, so neither is more reliable
+ * than the other.
  */
 function median(values: readonly number[]): number {
   const sorted = [...values].sort((a, b) => a - b);
--- a/src/decision/job.ts
+++ b/src/decision/job.ts
@@ -1,5 +1,5 @@
 /**
- * The types of requests as the scheduling decisions use them.
+ * Defines the types of requests and their placement that the scheduling decisions use.
  *
  * @module
  */
--- a/src/decision/placement.ts
+++ b/src/decision/placement.ts
@@ -49,7 +49,7 @@
 
 /** The load term is this fraction of the first-token target, scaled by utilization. */
 const LOAD_COST_FRACTION = 0.1;
-/** Keeps the cost of a full worker finite: twenty times that of a half full one. */
+/** Keeps the cost of a full worker finite: about twenty times that of a half full one. */
 const LOAD_ASYMPTOTE = 1.05;
 /** Factor on the reclaim cost of jobs that may not be repeated. */
 const NOT_REPEATABLE_FACTOR = 10;
--- a/src/decision/prefill_rate.ts
+++ b/src/decision/prefill_rate.ts
@@ -9,8 +9,8 @@
  * Mechanism: the rate is estimated from first tokens, as the number of pending prompt tokens
  * divided by the time until the first token. Parts found in the engine's cache make a sample too
  * high; requests of other instances processed in the meantime make it too low. The median of many
- * samples is accurate enough to tell a wait of half a second from one of two seconds. The estimate
- * moves by a twentieth per sample, on a logarithmic scale, since its error is a factor.
+ * samples is accurate enough to distinguish a wait of half a second from one of two seconds. The
+ * estimate moves by a twentieth per sample, on a logarithmic scale, since its error is a factor.
  *
  * @module
  */
--- a/src/decision/prefix_cache_index.ts
+++ b/src/decision/prefix_cache_index.ts
@@ -2,7 +2,7 @@
  * Estimates which workers have which prompt prefixes in their cache.
  *
  * Load: many prompts with the same beginning, such as the same instructions or the same list of
- * names. Computing a prefix of 2,000 tokens again takes a quarter of a second of a worker; a worker
+ * names. Computing a prefix of 2,000 tokens again takes a worker a quarter of a second; a worker
  * that has it cached answers at once. Cache events report what each worker has, but they arrive
  * late, some never arrive, and the cache is small, so old entries become wrong. Symptom without
  * aging: work follows caches that were emptied long ago, to busy workers and without benefit.
--- a/src/decision/resolve_addresses.ts
+++ b/src/decision/resolve_addresses.ts
@@ -3,7 +3,7 @@
  *
  * Load: callers connect to the addresses they received and keep using them after an instance has
  * left, and a few callers send most of the load. Addresses cached for long lead to an instance that
- * is gone. If every answer had the same order, one instance would carry a large club alone while
+ * is gone. If every answer had the same order, one instance would serve a large account alone while
  * eight are idle. Symptom: refused connections in the minute after a reclaim, and one overloaded
  * instance next to idle ones.
  *
@@ -13,16 +13,16 @@
  * worth more. The owner of a key is returned separately, since going there directly saves a hop.
  *
  * Answers are cached for ten seconds. An instance that is about to be reclaimed is left out of new
- * answers, and most callers with an older answer ask again within the notice of some seconds. A
- * caller whose load is several times an even share caches answers for that much less, down to two
- * seconds, so that its load moves in small steps. Asking again costs less than a hundredth of what
- * it sends in that time.
+ * answers, and most callers with an older answer ask again within the few seconds of notice. A
+ * caller whose load is several times an even share caches answers for a correspondingly shorter
+ * time, down to two seconds, so that its load moves in small steps. Asking again costs less than a
+ * hundredth of what it sends in that time.
  *
  * @module
  */
 import type { Member, Random } from "../interface/index.ts";
 
-/** What is known when a caller asks for addresses. */
+/** The data from which the addresses for a caller are selected. */
 export interface ResolveContext {
   /** Entry instances that are alive and not leaving. */
   readonly alive: readonly Member[];
--- a/src/decision/resolve_addresses_test.ts
+++ b/src/decision/resolve_addresses_test.ts
@@ -42,7 +42,7 @@
 });
 
 test("lets a caller with most of the load cache answers briefly, and others longer", () => {
-  // One club sends four fifths of all requests. With a long cache time all of them would stay on
+  // One account sends four fifths of all requests. With a long cache time all of them would stay on
   // one instance, however loaded it is.
   const view = { alive: MEMBERS, owner: MEMBERS[3], load: new Map(), account: "club" };
   const heavy = resolveAddresses({ ...view, accountShare: 0.8 }, createSeededRandom(1));
--- a/src/decision/retry_budget_test.ts
+++ b/src/decision/retry_budget_test.ts
@@ -41,7 +41,7 @@
   });
 
   test("never repeats a job that may have run and must not run twice", () => {
-    // The server disconnected after the request was sent. A second run would bill a brand twice.
+    // The server disconnected after the request was sent. A second run would be billed twice.
     const once = createJob({ repeatable: false });
     expect(decide(once, { cause: RetryCause.WorkerLost }).kind).toBe("stop");
     expect(decide(once, { cause: RetryCause.SilentConnection }).kind).toBe("stop");
--- a/src/decision/rollout_budget.ts
+++ b/src/decision/rollout_budget.ts
@@ -6,7 +6,7 @@
  * share of the requests and far exceeds the accepted risk, for example because many instances, or
  * successive rollout coordinators, each start counting from zero.
  *
- * Mechanism: each instance counts on its own, from the moment it learns of the rollout order, and
+ * Mechanism: each instance counts on its own, from the moment it receives the rollout order, and
  * keeps the new version's share of its requests below the limit. All instances together then stay
  * below it without communication, at any time until the deadline, even if some are partitioned or
  * restart: requests sent to the old version later only reduce the share. A few additional requests
@@ -64,7 +64,7 @@
 
 /**
  * Fraction of the maximum share that a version receives on trial even in a very short rollout;
- * otherwise nothing would be known about it.
+ * otherwise it would not be tried at all.
  */
 const MIN_TRIAL_FRACTION = 0.15;
 
@@ -80,8 +80,8 @@
 
 /**
  * Plans a rollout that lasts `duration` milliseconds. It ends as late as the deadline allows, since
- * a version may turn bad at any moment, and what the new version receives after the end has to stay
- * within the limit too.
+ * a version may start to fail at any moment, and the requests that the new version receives after
+ * the end have to stay within the limit too.
  */
 export function planRollout(duration: number, { share }: RolloutLimits): RolloutSchedule {
   const margin = clamp(duration * END_MARGIN.fraction, END_MARGIN);
@@ -157,8 +157,8 @@
 }
 
 /**
- * Workers on trial in a rollout. There are several, so that one that fails by itself does not
- * decide about its version.
+ * Minimum number of workers on trial in a rollout. There are several, so that one that fails by
+ * itself does not decide about its version.
  */
 const TRIAL_WORKERS = 4;
 /**
--- a/src/decision/rollout_budget_test.ts
+++ b/src/decision/rollout_budget_test.ts
@@ -17,7 +17,7 @@
   instances: number;
   rate: number;
   duration: number;
-  /** How often every instance restarts its count. */
+  /** Number of times that all instances restart their counts. */
   restarts?: number;
 }): { tried: number; all: number } {
   const { instances, rate, duration, restarts = 0 } = options;
@@ -50,8 +50,8 @@
   return { tried, all };
 }
 
-// A version turns bad just before its rollout is completed, and all requests it ever received are
-// lost.
+// A version starts to fail just before its rollout is completed, and all requests that it ever
+// received are lost.
 test.each([
   [6, 20, 8_000],
   [6, 600, 8_000],
--- a/src/decision/rollout_judge.ts
+++ b/src/decision/rollout_judge.ts
@@ -57,7 +57,7 @@
     };
 
 /**
- * Log-likelihood ratio from which a version is bad, at any time and in the final comparison. Slow
+ * Log-likelihood ratio at which a version is bad, at any time and in the final comparison. Slow
  * answers come in groups when an instance gets no processor time for a moment, so a few of them are
  * weaker evidence than as many failures.
  */
--- a/src/decision/rollout_tally.ts
+++ b/src/decision/rollout_tally.ts
@@ -27,8 +27,8 @@
   /** The ID of the worker if it is on trial; undefined if it runs the base version. */
   readonly trialWorker: string | undefined;
   /**
-   * Whether the run is part of the comparison. A run of the base version is if the new version is
-   * being tried at the same time.
+   * Whether the run is part of the comparison. A run of the base version takes part only if the new
+   * version is being tried at the same time.
    */
   readonly isCompared: boolean;
   /** Whether the worker was still warming up. The duration of such a run is not compared. */
@@ -97,7 +97,7 @@
   return created;
 }
 
-/** Every run looks up its hashes, so a few thousand of them are cached. */
+/** Computing the hashes for every run would be slow, so a few thousand of them are cached. */
 const MAX_CACHED_KEYS = 8_192;
 const keyCache = new Map<string, TallyKeys>();
 
@@ -131,8 +131,8 @@
  * Creates empty counts.
  *
  * @param sumOf Returns the total that all instances have counted under a hash, as far as this
- * instance knows. An instance that has just started, or that receives few requests, uses it as its
- * baseline.
+ * instance has received it. An instance that has just started, or that receives few requests, uses
+ * it as its baseline.
  */
 export function createVersionTallies(
   sumOf: (key: number) => RunCounts | undefined = () => undefined,
--- a/src/decision/scheduler.ts
+++ b/src/decision/scheduler.ts
@@ -65,7 +65,7 @@
 /** Whether a job with a late first token is also sent to a second worker. */
 export type Hedge =
   | { readonly kind: "hedge"; readonly worker: string }
-  /** Ask again after `delay` milliseconds if the first token hasn't arrived by then. */
+  /** Call again after `delay` milliseconds if the first token hasn't arrived by then. */
   | { readonly kind: "later"; readonly delay: number }
   /** The job may not be repeated, the budget is used up, or no other worker has a free slot. */
   | { readonly kind: "none" };
@@ -86,7 +86,7 @@
    * meant.
    */
   readonly worker?: string;
-  /** Why a run failed. A silent connection, for example, is not held against the worker. */
+  /** Why a run failed. A silent connection, for example, doesn't count as the worker's failure. */
   readonly cause?: RetryCause;
 }
 
@@ -135,7 +135,7 @@
   queueOptions(service: string): FairQueueOptions;
   /**
    * Chooses the worker of a waiting job and counts the job as running there. On `wait` the job
-   * keeps its place in the queue: ask again after a run has ended or a report has been received.
+   * still counts as waiting: call again after a run has ended or a report has been received.
    */
   place(job: Job, options: PlaceOptions): Placement;
   /**
--- a/src/decision/service_state.ts
+++ b/src/decision/service_state.ts
@@ -84,15 +84,15 @@
   snapshot(service: string, now: number): ServiceSnapshot;
 }
 
-/** Samples. */
+/** Number of samples after which the weight of a sample has halved. */
 const SAMPLE_HALF_LIFE = 200;
 /** Ratios of waits are stored in percent. */
 const PERCENT = 100;
-/** Waits from which a correction is computed. */
+/** Minimum number of waits before a correction is computed. */
 const MIN_WAITS = 10;
 /**
- * Milliseconds. Shorter waits depend on single runs rather than on the speed, which is what a
- * correction is about.
+ * Minimum predicted wait, in milliseconds, that a correction is learned from. Shorter waits depend
+ * on single runs rather than on the speed, which the correction is for.
  */
 const MIN_PREDICTION = { [WaitKind.QueuedWork]: 50, [WaitKind.FreeSlot]: 1 };
 /**
--- a/src/decision/shared_quota.ts
+++ b/src/decision/shared_quota.ts
@@ -11,9 +11,9 @@
  * admits itself and what the others report. Reports are cumulative counts, so that the next one
  * makes up for a lost one. The only error is what instances admit between two reports: with a
  * report every quarter of a second it stays below the quota's rate over that time. An instance that
- * receives no reports from some of the others does not know what they admit. For each missing
- * instance it gives up an equal part of the rate, so that a partitioned fleet admits the quota
- * about once at most.
+ * receives no reports from some of the others can't deduct what they admit. It reduces its rate by
+ * an equal part for each missing instance, so that a partitioned fleet admits the quota about once
+ * at most.
  *
  * Between two reports an instance takes no more than its share of the remaining level, based on its
  * share of recent admissions plus a half. Without this limit an account that sends six times its
@@ -34,7 +34,7 @@
 export type AdmittedCounts = ReadonlyMap<string, number>;
 
 /**
- * The quotas of all accounts, as one instance sees them. Times are in milliseconds of the clock.
+ * The quotas of all accounts, as enforced by one instance. Times are in milliseconds of the clock.
  */
 export interface SharedQuota {
   /**
@@ -84,9 +84,9 @@
 }
 
 /**
- * Fraction of the burst that an instance starts with, since it does not know what the others
- * admitted before. Instances that start together soon share the initial level of one, so a smaller
- * fraction refuses requests within the quota.
+ * Fraction of the burst that an instance starts with, since it has not received what the others
+ * admitted before. Instances that start together soon deduct each other's admissions, so they share
+ * the initial level of one, and a smaller fraction would refuse requests within the quota.
  */
 const INITIAL_FRACTION = 0.6;
 /**
@@ -173,8 +173,8 @@
   return {
     take: ({ account, quota, size, now }) => {
       const bucket = bucketOf(account, quota, now);
-      // The first request is always admitted, so that the last of the level is available to
-      // someone.
+      // The first request after a report may exceed the share; otherwise no instance could use the
+      // rest of a level that is small.
       const isOverShare =
         bucket.takenSinceReport > Math.max(0, bucket.levelAtReport * ownShare(bucket));
       if (bucket.level <= 0 || isOverShare) return retryAfter(bucket);
--- a/src/decision/shared_quota_test.ts
+++ b/src/decision/shared_quota_test.ts
@@ -95,9 +95,9 @@
   expect(admitted / requested).toBeGreaterThan(0.98);
 });
 
-// All instances restart at once while an account sends many times its quota. None knows what the
-// others admit until it receives their reports, and what was admitted until then must still be
-// deducted.
+// All instances restart at once while an account sends many times its quota. None has data about
+// what the others admit until it receives their reports, and what was admitted until then must
+// still be deducted.
 test("admits little more than one quota at instances that start together", () => {
   const instances = 6;
   const quotas = Array.from({ length: instances }, () => createSharedQuota(0));
--- a/src/decision/testing/load_simulation.ts
+++ b/src/decision/testing/load_simulation.ts
@@ -289,8 +289,8 @@
 };
 
 /**
- * Creates arrivals at even intervals with some jitter, `perSecond` of them from `from` until
- * `until`.
+ * Creates `perSecond` arrivals per second, at even intervals with some jitter, from the time `from`
+ * until the time `until`.
  */
 export function generateArrivals(
   perSecond: number,
--- a/src/decision/triage.ts
+++ b/src/decision/triage.ts
@@ -3,7 +3,7 @@
  *
  * Load: a wave of reclaims with seconds of notice, with each worker full of long scripts. If the
  * requests stay until the end, every answer is cut off and computed again from its prompt. If they
- * are moved at random, work lands on the next worker to be reclaimed, or all KV caches leave at
+ * are moved at random, work lands on the next worker to be reclaimed, or all KV caches are sent at
  * once and none arrives in time. Symptom: several times the work in progress in recomputed tokens,
  * and requests that may or may not have run.
  *
@@ -113,7 +113,7 @@
 const OVERRUN_FRACTION = 0.05;
 /** The exports get their total time multiplied by this factor. */
 const EXPORT_TIME_FACTOR = 4;
-/** Milliseconds before the reclaim at which late resumes leave the instance. */
+/** Milliseconds before the reclaim at which late resumes start on another worker. */
 const LATE_RESUME_MARGIN = 500;
 
 /**
--- a/src/decision/worker_demand.ts
+++ b/src/decision/worker_demand.ts
@@ -13,8 +13,8 @@
  * enter the usual number, because the price of idle workers would exceed the benefit.
  *
  * When workers are lost, requests queue at the others, and all of them are in prefill without a
- * pause. The demand after the loss is what it was just before; a queue alone counts for little, and
- * for more only as it persists.
+ * pause. The demand after the loss is what it was just before; a queue alone raises the estimate
+ * only a little at first, and more the longer it lasts.
  *
  * A rise counts immediately, since a worker takes seconds to start and late first tokens cost money
  * at once. A fall counts slowly, with a half-life of 10 s: a worker that is returned and ordered
@@ -50,8 +50,8 @@
   /** The same, with falls counted slowly. */
   readonly smoothed: number;
   /**
-   * Number of workers that process prompts just in time, with falls counted slowly; other runs may
-   * become slower.
+   * Number of workers needed to process all prompts just in time, with falls counted slowly. With
+   * only these workers, other runs may become slower.
    */
   readonly smoothedPrefill: number;
   /** Whether there has been any load. */
--- a/src/decision/worker_limits.ts
+++ b/src/decision/worker_limits.ts
@@ -5,7 +5,7 @@
  * instance that sends to it. If each instance used the whole limit, the worker would get it once
  * per instance. If each used an equal part on its own, hundreds of them could start one request
  * each at the same moment, a hundred times what a worker with a limit of one per second accepts.
- * Symptom: a worker that stays slow, or fails, after it has asked for less.
+ * Symptom: a worker that stays slow, or fails, although it has returned a limit.
  *
  * Mechanism: the time of day is divided into slots, in each of which the worker accepts a request.
  * Each slot belongs to one instance, chosen by rendezvous hashing over the instances that are
@@ -29,7 +29,7 @@
   readonly at: number;
 }
 
-/** The limits of all workers, as one instance knows them. */
+/** The limits of all workers, as far as one instance has received them. */
 export interface WorkerLimits {
   /**
    * Records a worker's answer to a request.
--- a/src/decision/worker_limits_test.ts
+++ b/src/decision/worker_limits_test.ts
@@ -17,7 +17,7 @@
   visibleInstances: number[];
 }
 
-/** Creates instances that all know the limit and always have requests for the worker. */
+/** Creates instances that have all received the limit and always have requests for the worker. */
 function createMembers(size: number, limit: number) {
   const clock = { now: 1_700_000_000_000 };
   const random = createSeededRandom(3);
--- a/src/decision/worker_load.ts
+++ b/src/decision/worker_load.ts
@@ -77,7 +77,7 @@
  */
 const MAX_ENDED_RUNS = 1_000;
 
-/** Creates the load of an unknown worker. */
+/** Creates the load estimate of a worker without runs or reports. */
 export function createWorkerLoad(): WorkerLoad {
   const runs = new Map<string, OwnRun>();
   let ended: EndedRun[] = [];
--- a/src/decision/worker_pool.ts
+++ b/src/decision/worker_pool.ts
@@ -20,7 +20,7 @@
 import { createWorkerLoad } from "./worker_load.ts";
 import type { WorkerLoad } from "./worker_load.ts";
 
-/** One worker with everything learned about it. */
+/** One worker with its learned limit, its load and its statistics. */
 export interface PoolWorker {
   worker: Worker;
   readonly machine: MachinePolicy;
@@ -114,7 +114,7 @@
   setReservedSlots(service: string, slots: number): void;
   /** Records the run time of a job. */
   recordRunTime(job: Job, milliseconds: number): void;
-  /** Records the end of a run; `failed` if the failure is held against the worker. */
+  /** Records the end of a run; `failed` if it counts as the worker's failure. */
   recordRunEnd(worker: PoolWorker, details: { failed: boolean; now: number }): void;
   /** Excludes the worker for a time that doubles with each consecutive failure. */
   recordConnectFailure(worker: PoolWorker, now: number): void;
@@ -129,11 +129,11 @@
 
 /** Scripts may use this fraction of each worker, however many lookups arrive. */
 const MIN_SCRIPT_FRACTION = 0.5;
-/** Gaps between tokens from which their median is used. */
+/** Minimum number of gaps between tokens before their median is used. */
 const MIN_GAPS = 20;
-/** Gaps. */
+/** Number of gaps after which the weight of a gap has halved. */
 const GAP_HALF_LIFE = 200;
-/** First tokens. */
+/** Number of first tokens after which the weight of a first token has halved. */
 const PREFILL_HALF_LIFE = 200;
 /** Ratios are stored in hundredths. */
 const RATIO_SCALE = 100;
@@ -151,10 +151,11 @@
 const USABLE_CACHE_FRACTION = 0.95;
 /** Any divisor works that keeps the salts of thousands of workers distinct. */
 const SALT_STEP = 7_919;
-/** Milliseconds after which a report no longer says anything about the present. */
+/** Milliseconds after which a report is too old to indicate the present load. */
 const REPORT_TTL = 30_000;
 /**
- * Milliseconds of computation below which a first token says nothing about the speed of prompts.
+ * Milliseconds. The first token of a prompt with a shorter computation is no sample of the prefill
+ * speed.
  */
 const MIN_PREFILL_TIME = 50;
 /** Milliseconds. */
--- a/src/interface/peer.ts
+++ b/src/interface/peer.ts
@@ -40,7 +40,10 @@
 /** How the receiver of a message about a slot has handled it. */
 export enum SlotOutcome {
   Acknowledged = "acknowledged",
-  /** The receiver knows a later epoch. The sender must stop acting at its own epoch, refresh the slot map and retry. */
+  /**
+   * The slot has a later epoch at the receiver. The sender must stop acting at its own epoch, refresh the slot map and
+   * retry.
+   */
   StaleEpoch = "stale-epoch",
   /** The receiver is not an owner of the slot at the message's epoch. */
   NotNamed = "not-named",
@@ -65,7 +68,7 @@
   readonly epoch: number;
   /** True if the receiver is not the slot's backup and only keeps the records until the slot has a new owner. */
   readonly custody: boolean;
-  /** True if these are all records that the slot has ever had, as its owner knows them. */
+  /** True if these are all records that the slot has ever had, according to its owner. */
   readonly complete?: boolean;
   readonly records: readonly RequestRecord[];
 }
@@ -73,7 +76,7 @@
 /** The reply to a message about a slot. */
 export interface SlotReply {
   readonly outcome: SlotOutcome;
-  /** The epoch that the receiver knows. */
+  /** The slot's epoch at the receiver. */
   readonly epoch: number;
 }
 
@@ -129,7 +132,7 @@
 /** The reply to a query about a request. */
 export interface AskReply {
   readonly outcome: SlotOutcome;
-  /** The epoch that the receiver knows. */
+  /** The slot's epoch at the receiver. */
   readonly epoch: number;
   /** Absent if the owner has no such request of this account. */
   readonly record?: RequestRecord;
--- a/src/interface/record.ts
+++ b/src/interface/record.ts
@@ -2,7 +2,7 @@
 export enum RequestState {
   /** The owner and its backup have the request. */
   Accepted = "accepted",
-  /** The backup knows that the request may be sent from now on. Required before an at-most-once request is sent. */
+  /** The backup has recorded that the request may be sent. Required before an at-most-once request is sent. */
   DispatchIntent = "dispatch-intent",
   Dispatched = "dispatched",
   Streaming = "streaming",
--- a/src/version/rendezvous.ts
+++ b/src/version/rendezvous.ts
@@ -1,7 +1,7 @@
 import { createHash } from "node:crypto";
 
 /**
- * Ranks candidates for a key by rendezvous hashing. All instances that know the same candidates compute the same order,
+ * Ranks candidates for a key by rendezvous hashing. All instances compute the same order for the same candidates,
  * and the removal of a candidate doesn't change the relative order of the others.
  *
  * @param key The key to place.
--- a/src/version/rollout_rules.ts
+++ b/src/version/rollout_rules.ts
@@ -85,7 +85,7 @@
 /**
  * Determines the versions that may get requests.
  *
- * An instance that starts during an order doesn't know the previous base version. It then takes a version that the order
+ * An instance that starts during an order has no previous base version. It then takes a version that the order
  * doesn't name. If there are several, it takes the one with the most workers, since single entries in the store may be
  * forged.
  *
--- a/src/version/slot_map.ts
+++ b/src/version/slot_map.ts
@@ -13,7 +13,7 @@
   readonly backup: string;
   /**
    * When both owners were lost without a handover, in Unix milliseconds; 0 if that never happened. A request that the
-   * new owner doesn't know may have run before that time.
+   * new owner has no record of may have run before that time.
    */
   readonly historyLostAt: number;
 }
--- a/src/version/slot_plan.ts
+++ b/src/version/slot_plan.ts
@@ -57,8 +57,8 @@
 }
 
 /**
- * Returns whether the only eligible member still has a dead backup. The backup is then removed from the map, so that
- * the owner doesn't wait for its acknowledgments.
+ * Returns whether only one member is eligible and the slot's backup is dead. The backup is then removed from the map,
+ * so that the owner doesn't wait for its acknowledgments.
  */
 function isLoneOwner({ backup }: SlotAssignment, { eligible: able, present }: SlotFleet): boolean {
   return able.length === 1 && backup !== "" && !present.has(backup);
--- a/src/version/slot_plan_test.ts
+++ b/src/version/slot_plan_test.ts
@@ -89,7 +89,7 @@
 
 test("a slot that loses both owners records when its history was lost", () => {
   // Primary and backup die at the same time without a handover. A caller that sends an idempotency key again must not
-  // run its request a second time, so the new owner must know that earlier requests are missing.
+  // run its request a second time, so the slot map must show that earlier records are missing.
   const all = members(8);
   const before = assignSlots(all);
   const { primary, backup } = before.slots[0] ?? { primary: "", backup: "" };
--- a/src/version/usage_report.ts
+++ b/src/version/usage_report.ts
@@ -75,7 +75,7 @@
 }
 
 /**
- * Returns what this instance knows about the stored record after it has tried to write it.
+ * Returns the stored record after this instance has tried to write it, if its state is certain.
  *
  * @param record The record that was to be written.
  * @param version The new version if the store has confirmed the write; undefined after any other outcome.
