--- a/src/decision/admission.ts
+++ b/src/decision/admission.ts
@@ -153,20 +153,23 @@
   if (view.rate <= 0) {
     return { wait: view.detached ? 0 : Number.POSITIVE_INFINITY, kind: WaitKind.QueuedWork };
   }
-  const fair = (view.accountWaitingWork * view.activeWeight) / view.weight;
-  const work = Math.min(view.waitingWork, fair);
-  const ahead = ((work * 1_000) / view.rate) * view.queueCorrection;
+  const fairShareWork = (view.accountWaitingWork * view.activeWeight) / view.weight;
+  const work = Math.min(view.waitingWork, fairShareWork);
+  const queueWait = ((work * 1_000) / view.rate) * view.queueCorrection;
   const slotWait = view.hasFreeSlot ? 0 : view.freeSlotInterval * view.freeSlotCorrection;
   return {
-    wait: ahead + slotWait,
-    kind: slotWait > ahead ? WaitKind.FreeSlot : WaitKind.QueuedWork,
+    wait: queueWait + slotWait,
+    kind: slotWait > queueWait ? WaitKind.FreeSlot : WaitKind.QueuedWork,
   };
 }
 
 /** Returns how many milliseconds the request may wait and still meet its targets. */
 function maxWait(view: AdmissionView): number {
-  const left = view.deadlineAt - view.now;
-  const untilDeadline = Math.max(left - view.estimate.serviceTime, left * MIN_TIME_FRACTION);
+  const timeLeft = view.deadlineAt - view.now;
+  const untilDeadline = Math.max(
+    timeLeft - view.estimate.serviceTime,
+    timeLeft * MIN_TIME_FRACTION,
+  );
   if (view.detached) return untilDeadline;
   const firstToken = view.target.firstToken * TARGET_FRACTION;
   const untilFirstToken = Math.max(
--- a/src/decision/admission_test.ts
+++ b/src/decision/admission_test.ts
@@ -30,22 +30,22 @@
   };
 }
 
-function reasonOf(verdict: AdmissionDecision): Refusal {
-  return verdict.kind === "refuse" ? verdict.reason : Refusal.None;
+function reasonOf(decision: AdmissionDecision): Refusal {
+  return decision.kind === "refuse" ? decision.reason : Refusal.None;
 }
 
-function retryAfter(verdict: AdmissionDecision): number {
-  return verdict.kind === "refuse" ? verdict.retryAfter : 0;
+function retryAfter(decision: AdmissionDecision): number {
+  return decision.kind === "refuse" ? decision.retryAfter : 0;
 }
 
 describe("admission", () => {
   test("refuses a request that can't be in time, with a retry delay that fits the load", () => {
     // Two seconds of the account's own work wait and 400 ms are allowed. An accepted request would
     // be late; with a fixed retry delay of one second it would be refused again.
-    const verdict = decideAdmission(someView({ waitingWork: 2_000, accountWaitingWork: 2_000 }));
-    expect(reasonOf(verdict)).toBe(Refusal.TooLate);
-    expect(retryAfter(verdict)).toBeGreaterThan(1_600);
-    expect(retryAfter(verdict)).toBeLessThan(2_500);
+    const decision = decideAdmission(someView({ waitingWork: 2_000, accountWaitingWork: 2_000 }));
+    expect(reasonOf(decision)).toBe(Refusal.TooLate);
+    expect(retryAfter(decision)).toBeGreaterThan(1_600);
+    expect(retryAfter(decision)).toBeLessThan(2_500);
   });
 
   test("spaces the retry delays of requests refused at the same time", () => {
@@ -64,11 +64,13 @@
   });
 
   test("accepts detached work up to its deadline, also without workers", () => {
-    const night = { detached: true, deadlineAt: 8 * 3_600_000 };
-    const deep = { waitingWork: 1_000_000, accountWaitingWork: 1_000_000 };
-    expect(decideAdmission(someView({ ...night, ...deep })).kind).toBe("admit");
-    expect(decideAdmission(someView({ ...night, liveWorkers: 0, rate: 0 })).kind).toBe("admit");
-    expect(reasonOf(decideAdmission(someView({ ...deep, detached: true })))).toBe(Refusal.TooLate);
+    const overnight = { detached: true, deadlineAt: 8 * 3_600_000 };
+    const backlog = { waitingWork: 1_000_000, accountWaitingWork: 1_000_000 };
+    expect(decideAdmission(someView({ ...overnight, ...backlog })).kind).toBe("admit");
+    expect(decideAdmission(someView({ ...overnight, liveWorkers: 0, rate: 0 })).kind).toBe("admit");
+    expect(reasonOf(decideAdmission(someView({ ...backlog, detached: true })))).toBe(
+      Refusal.TooLate,
+    );
     expect(reasonOf(decideAdmission(someView({ liveWorkers: 0 })))).toBe(Refusal.NoBackendServer);
   });
 
--- a/src/decision/concurrency_limit.ts
+++ b/src/decision/concurrency_limit.ts
@@ -222,12 +222,12 @@
   return { total: 0, near: 0, above: 0, aboveSum: 0 };
 }
 
-function countSample(into: SampleCounts, value: number, threshold: number): void {
-  into.total++;
-  if (value > threshold * INCREASE_THRESHOLD) into.near++;
+function countSample(counts: SampleCounts, value: number, threshold: number): void {
+  counts.total++;
+  if (value > threshold * INCREASE_THRESHOLD) counts.near++;
   if (value <= threshold) return;
-  into.above++;
-  into.aboveSum += value;
+  counts.above++;
+  counts.aboveSum += value;
 }
 
 function decay(counts: SampleCounts): void {
--- a/src/decision/entry_overload_test.ts
+++ b/src/decision/entry_overload_test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from "vitest";
 import { chooseEntryMode, EntryMode } from "./entry_overload.ts";
 
-function stances(readings: readonly { loopDelay: number; memory?: number }[]): EntryMode[] {
+function modesAfter(readings: readonly { loopDelay: number; memory?: number }[]): EntryMode[] {
   let mode = EntryMode.Open;
   return readings.map(({ loopDelay, memory = 100 }) => {
     mode = chooseEntryMode({ loopDelay, memory, memoryLimit: 1_000, inProgress: 1 }, mode);
@@ -14,7 +14,7 @@
   // requests were accepted, heartbeats would be late and the instance's slots would move while it
   // is alive.
   const delays = [10, 60, 250, 150, 90, 90, 40, 20].map((loopDelay) => ({ loopDelay }));
-  expect(stances(delays)).toEqual([
+  expect(modesAfter(delays)).toEqual([
     EntryMode.Open,
     EntryMode.LookupsOnly,
     EntryMode.ControlOnly,
@@ -30,7 +30,7 @@
   // Large bodies fill the memory while the event loop is fast. Without this the process is killed
   // with all requests that it has accepted.
   const readings = [850, 950, 820, 750, 650].map((memory) => ({ loopDelay: 1, memory }));
-  expect(stances(readings)).toEqual([
+  expect(modesAfter(readings)).toEqual([
     EntryMode.LookupsOnly,
     EntryMode.ControlOnly,
     EntryMode.ControlOnly,
--- a/src/decision/estimate.ts
+++ b/src/decision/estimate.ts
@@ -78,8 +78,8 @@
     (promptTokens * averageMachine.tokensPerSecond) / averageMachine.prefillPerSecond;
   const estimateAnswerTokens = (arrival: Arrival): number => {
     const own = statistics.get(accountKey(arrival));
-    const enough = own !== undefined && own.answerTokens.count >= MIN_ANSWERS;
-    const source = enough ? own : statistics.get(serviceKey(arrival));
+    const hasEnoughAnswers = own !== undefined && own.answerTokens.count >= MIN_ANSWERS;
+    const source = hasEnoughAnswers ? own : statistics.get(serviceKey(arrival));
     const expected = source?.answerTokens.quantile(ANSWER_PERCENTILE) ?? DEFAULT_ANSWER_TOKENS;
     if (arrival.maxTokens === undefined) return expected;
     const excess = (own?.limitRatio.quantile(ANSWER_PERCENTILE) ?? 0) / RATIO_SCALE;
--- a/src/decision/fair_queue.ts
+++ b/src/decision/fair_queue.ts
@@ -157,15 +157,15 @@
 
   enqueue(run: Element, options: Partial<FairQueueEntry> = {}): void {
     const { id, job } = options;
-    const waiting = { run, id, job, sequence: this.#sequence++, isRemoved: false };
-    if (id !== undefined) this.#byId.set(id, waiting);
-    if (job === undefined) this.#system.push(waiting);
-    else this.#enqueueJob(waiting, job);
+    const item = { run, id, job, sequence: this.#sequence++, isRemoved: false };
+    if (id !== undefined) this.#byId.set(id, item);
+    if (job === undefined) this.#system.push(item);
+    else this.#enqueueJob(item, job);
   }
 
   dequeue(): Element | undefined {
-    const own = this.#system.shift();
-    const next = own ?? this.#dequeueJob();
+    const systemItem = this.#system.shift();
+    const next = systemItem ?? this.#dequeueJob();
     if (next?.id !== undefined) this.#byId.delete(next.id);
     return next?.run;
   }
@@ -187,12 +187,12 @@
     else this.#removeJob(found, found.job);
   }
 
-  #enqueueJob(waiting: QueuedItem<Element>, job: Job): void {
+  #enqueueJob(item: QueuedItem<Element>, job: Job): void {
     const lane = this.#queueOf(job.lane);
     if (lane.waitingCount === 0) lane.startTag = Math.max(lane.startTag, this.#virtualTime);
     const account = accountQueueOf(lane, job.account);
     if (account.waitingCount === 0) account.startTag = Math.max(account.startTag, lane.virtualTime);
-    account.jobs.push(waiting);
+    account.jobs.push(item);
     account.waitingCount++;
     lane.waitingCount++;
     pushAccount(lane, account);
@@ -202,13 +202,13 @@
     const lane = this.#nextLane();
     if (lane === undefined) return undefined;
     const account = popAccount(lane);
-    const waiting = account === undefined ? undefined : popJob(account);
-    if (account === undefined || waiting?.job === undefined) return undefined;
+    const item = account === undefined ? undefined : popJob(account);
+    if (account === undefined || item?.job === undefined) return undefined;
     account.waitingCount--;
     lane.waitingCount--;
-    this.#charge(lane, account, waiting.job);
+    this.#charge(lane, account, item.job);
     if (account.waitingCount > 0) pushAccount(lane, account);
-    return waiting;
+    return item;
   }
 
   #charge(lane: LaneQueue<Element>, account: AccountQueue<Element>, job: Job): void {
@@ -244,9 +244,9 @@
     return found;
   }
 
-  #removeJob(waiting: QueuedItem<Element>, job: Job): void {
+  #removeJob(item: QueuedItem<Element>, job: Job): void {
     const lane = this.#queueOf(job.lane);
-    waiting.isRemoved = true;
+    item.isRemoved = true;
     lane.waitingCount--;
     accountQueueOf(lane, job.account).waitingCount--;
   }
@@ -258,7 +258,7 @@
 
   #find(run: Element): QueuedItem<Element> | undefined {
     const all = [...this.#system, ...this.#allJobs()];
-    return all.find((waiting) => !waiting.isRemoved && waiting.run === run);
+    return all.find((item) => !item.isRemoved && item.run === run);
   }
 }
 
@@ -304,7 +304,7 @@
 }
 
 function popJob<Element>(account: AccountQueue<Element>): QueuedItem<Element> | undefined {
-  let waiting = account.jobs.pop();
-  while (waiting?.isRemoved === true) waiting = account.jobs.pop();
-  return waiting;
+  let item = account.jobs.pop();
+  while (item?.isRemoved === true) item = account.jobs.pop();
+  return item;
 }
--- a/src/decision/fleet_pools.ts
+++ b/src/decision/fleet_pools.ts
@@ -61,7 +61,7 @@
       reclaimAt === undefined && (state === WorkerState.Live || state === WorkerState.Starting),
   );
   const running = staying.map((worker): PlannedWorker => {
-    const pool = view.pools.find((one) => isPoolOf(one, worker));
+    const pool = view.pools.find((candidate) => isPoolOf(candidate, worker));
     const { id, zone, purchase } = worker;
     const { tokensPerSecond = 0, price = 0 } = pool ?? {};
     return { id, zone, purchase, tokensPerSecond, price };
@@ -141,18 +141,18 @@
   }: { demand: ServiceDemand; view: FleetView; required: RequiredCapacity },
 ): Pool | undefined {
   const before = missingSpeed(workers, required);
-  const open = view.pools.filter(
+  const openPools = view.pools.filter(
     (pool) => isOpen(pool, view) && isWithinReclaimableShare(pool, { workers, demand }),
   );
-  const worth = (pool: Pool): number => {
+  const valueForPrice = (pool: Pool): number => {
     const covered = before - missingSpeed([...workers, toPlannedWorker(pool)], required);
     // If only the number of workers is too small, the cheapest pool in the zone with the fewest
     // workers is used.
     const spread = 1 / (1 + workers.filter(({ zone }) => zone === pool.zone).length);
     return (covered + spread) / Math.max(pool.price, Number.MIN_VALUE);
   };
-  return open.reduce<Pool | undefined>(
-    (best, pool) => (best === undefined || worth(pool) > worth(best) ? pool : best),
+  return openPools.reduce<Pool | undefined>(
+    (best, pool) => (best === undefined || valueForPrice(pool) > valueForPrice(best) ? pool : best),
     undefined,
   );
 }
--- a/src/decision/fleet_surplus.ts
+++ b/src/decision/fleet_surplus.ts
@@ -54,13 +54,13 @@
   const order = [...capacity.workers].sort(
     (a, b) => retirementRank(a, demand) - retirementRank(b, demand),
   );
-  let left = [...capacity.workers];
+  let remaining = [...capacity.workers];
   const chosen: string[] = [];
   for (const worker of order) {
     if (chosen.length === maxRetirements) break;
-    const rest = left.filter((other) => other !== worker);
+    const rest = remaining.filter((other) => other !== worker);
     if (worker.id === undefined || !isSufficient(rest, { demand, required })) continue;
-    left = rest;
+    remaining = rest;
     chosen.push(worker.id);
   }
   return chosen;
--- a/src/decision/fleet_test.ts
+++ b/src/decision/fleet_test.ts
@@ -99,10 +99,10 @@
   });
 
   test("launches no reclaimable worker in a zone that is being reclaimed", () => {
-    const gone = { state: WorkerState.Leaving, reclaimAt: 10_000 };
+    const reclaimNotice = { state: WorkerState.Leaving, reclaimAt: 10_000 };
     const [first] = launched(planFleet(someView(someDemand(100))));
     if (first === undefined) throw new Error("Nothing was launched.");
-    const leaving = { ...first, zone: "a", ...gone };
+    const leaving = { ...first, zone: "a", ...reclaimNotice };
     const plan = planFleet(someView(someDemand(900, { workers: [leaving] })));
     expect(countOf(launched(plan), "a")).toBe(0);
   });
@@ -127,11 +127,11 @@
     const workers = launched(planFleet(someView(someDemand(1_500))));
     const [cheapest] = workers;
     if (cheapest === undefined) throw new Error("Nothing was launched.");
-    const dear = { ...cheapest, id: "dear", purchase: Purchase.OnDemand };
-    const demand = someDemand(300, { workers: [...workers, dear] });
+    const expensive = { ...cheapest, id: "expensive", purchase: Purchase.OnDemand };
+    const demand = someDemand(300, { workers: [...workers, expensive] });
     const found = firstRetirement(demand, 3_600_000);
     expect(found?.at).toBeGreaterThanOrEqual(60_000);
-    expect(found?.plan.retire).toEqual(["dear"]);
+    expect(found?.plan.retire).toEqual(["expensive"]);
   });
 
   test("a smaller preset is reached gradually, with enough workers for the work in progress", () => {
@@ -142,10 +142,10 @@
     const smaller = { workers, minWorkers: 0, maxWorkers: 4, workInProgress };
     const found = firstRetirement(someDemand(0, smaller), 600_000);
     expect(found?.plan.retire).toHaveLength(1);
-    const crowded = workers.slice(0, 4);
+    const fewerWorkers = workers.slice(0, 4);
     expect(
       firstRetirement(
-        someDemand(0, { ...smaller, workers: crowded, waitingWork: 60_000 }),
+        someDemand(0, { ...smaller, workers: fewerWorkers, waitingWork: 60_000 }),
         600_000,
       ),
     ).toBe(undefined);
--- a/src/decision/model_loads.ts
+++ b/src/decision/model_loads.ts
@@ -102,8 +102,8 @@
   { total, workers }: { total: number; workers: number },
 ): number {
   if (demandWeight(model) === 0) return 0;
-  const part = Math.ceil((demandWeight(model) / total) * workers);
-  return Math.min(workers, Math.max(MIN_HOLDERS, part));
+  const proportionalHolders = Math.ceil((demandWeight(model) / total) * workers);
+  return Math.min(workers, Math.max(MIN_HOLDERS, proportionalHolders));
 }
 
 /** Returns the model lists of the workers without the model, those with free places first. */
--- a/src/decision/prefill_rate_test.ts
+++ b/src/decision/prefill_rate_test.ts
@@ -7,8 +7,8 @@
   const rate = createPrefillRate();
   for (let count = 0; count < 300; count++) {
     const tokens = 3_000 + random.next() * 20_000;
-    const read = random.next() < 0.2 ? tokens / 3 : tokens;
-    rate.observe({ tokens, duration: 35 + read / 110 });
+    const processedTokens = random.next() < 0.2 ? tokens / 3 : tokens;
+    rate.observe({ tokens, duration: 35 + processedTokens / 110 });
   }
   expect(rate.value).toBeGreaterThan(90);
   expect(rate.value).toBeLessThan(140);
--- a/src/decision/quantile.ts
+++ b/src/decision/quantile.ts
@@ -68,10 +68,10 @@
     quantile: (fraction) => {
       if (total === 0) return undefined;
       const rank = fraction * total;
-      let passed = 0;
+      let cumulativeCount = 0;
       for (let index = 0; index < BUCKET_COUNT; index++) {
-        passed += counts[index] ?? 0;
-        if (passed >= rank && passed > 0) return valueOf(index);
+        cumulativeCount += counts[index] ?? 0;
+        if (cumulativeCount >= rank && cumulativeCount > 0) return valueOf(index);
       }
       return valueOf(BUCKET_COUNT - 1);
     },
--- a/src/decision/rate_meter.ts
+++ b/src/decision/rate_meter.ts
@@ -34,13 +34,14 @@
     rate: (now, { span, ago = 0 }) => {
       advance(now);
       const newest = Math.floor((now - ago) / BUCKET_LENGTH);
-      const wanted = Math.round(span / BUCKET_LENGTH);
+      const spanBuckets = Math.round(span / BUCKET_LENGTH);
       // A new meter has measured less than the span. Dividing by the span would give a rate close
       // to 0.
-      const seen = Math.min(wanted, Math.max(0, newest - (first ?? newest) + 1));
+      const measuredBuckets = Math.min(spanBuckets, Math.max(0, newest - (first ?? newest) + 1));
       let sum = 0;
-      for (let step = 0; step < seen; step++) sum += amounts[bucketIndex(newest - step)] ?? 0;
-      return seen === 0 ? 0 : sum / ((seen * BUCKET_LENGTH) / 1_000);
+      for (let step = 0; step < measuredBuckets; step++)
+        sum += amounts[bucketIndex(newest - step)] ?? 0;
+      return measuredBuckets === 0 ? 0 : sum / ((measuredBuckets * BUCKET_LENGTH) / 1_000);
     },
   };
 }
--- a/src/decision/reclaim_risk.ts
+++ b/src/decision/reclaim_risk.ts
@@ -49,11 +49,13 @@
   };
   return {
     observe: (workers, now) => {
-      const fresh = workers.filter((worker) => hasReclaimNotice(worker) && !seen.has(worker.id));
-      for (const worker of fresh) {
+      const withNewNotice = workers.filter(
+        (worker) => hasReclaimNotice(worker) && !seen.has(worker.id),
+      );
+      for (const worker of withNewNotice) {
         seen.add(worker.id);
-        const part = 1 / Math.max(1, reclaimableIn(workers, worker.zone));
-        zones.set(worker.zone, { risk: Math.min(1, riskOf(worker.zone, now) + part), at: now });
+        const fraction = 1 / Math.max(1, reclaimableIn(workers, worker.zone));
+        zones.set(worker.zone, { risk: Math.min(1, riskOf(worker.zone, now) + fraction), at: now });
       }
       const known = new Set(workers.map(({ id }) => id));
       for (const id of seen) if (!known.has(id)) seen.delete(id);
--- a/src/decision/resolve_addresses.ts
+++ b/src/decision/resolve_addresses.ts
@@ -89,6 +89,6 @@
 }
 
 function shuffled(members: readonly Member[], random: Random): Member[] {
-  const keyed = members.map((member) => ({ member, at: random.next() }));
-  return keyed.sort((a, b) => a.at - b.at).map(({ member }) => member);
+  const keyed = members.map((member) => ({ member, key: random.next() }));
+  return keyed.sort((a, b) => a.key - b.key).map(({ member }) => member);
 }
--- a/src/decision/rollout_budget.ts
+++ b/src/decision/rollout_budget.ts
@@ -160,7 +160,7 @@
  * Minimum number of workers on trial in a rollout. There are several, so that one that fails by
  * itself does not decide about its version.
  */
-const TRIAL_WORKERS = 4;
+const MIN_TRIAL_WORKERS = 4;
 /**
  * Number of trial rounds in a rollout, and the minimum and maximum length of a round in
  * milliseconds.
@@ -203,7 +203,10 @@
   workers: readonly string[],
   { elapsed, duration, maxShare, baseWorkers, startDelay }: TrialContext,
 ): string[] {
-  const trialWorkers = workers.slice(0, Math.max(TRIAL_WORKERS, Math.ceil(baseWorkers * maxShare)));
+  const trialWorkers = workers.slice(
+    0,
+    Math.max(MIN_TRIAL_WORKERS, Math.ceil(baseWorkers * maxShare)),
+  );
   const activeCount = Math.min(
     trialWorkers.length,
     Math.max(1, Math.round(baseWorkers * maxShare)),
--- a/src/decision/rollout_tally.ts
+++ b/src/decision/rollout_tally.ts
@@ -78,13 +78,18 @@
  *
  * These keys are all that instances need to agree on.
  */
-export function tallyKeys(of: {
+export function tallyKeys({
+  service,
+  trialVersion,
+  route,
+  worker,
+}: {
   service: string;
   trialVersion: string;
   route: string;
   worker: string | undefined;
 }): TallyKeys {
-  const name = `${of.service} ${of.trialVersion} ${of.route} ${of.worker ?? ""}`;
+  const name = `${service} ${trialVersion} ${route} ${worker ?? ""}`;
   const cached = keyCache.get(name);
   if (cached !== undefined) return cached;
   const created = {
@@ -166,7 +171,7 @@
   ];
   const slowThreshold = (run: CountedRun): number | undefined => {
     const known = baselineKeys(run)
-      .map((kind) => baselines.get(kind))
+      .map((key) => baselines.get(key))
       .find((baseline) => baseline !== undefined && baseline.samples >= MIN_SAMPLES);
     const mean = known?.meanLog ?? sharedMean(run);
     return mean === undefined ? undefined : Math.exp(mean) * SLOW_FACTOR + SLOW_MARGIN;
@@ -192,11 +197,11 @@
   };
   const updateBaseline = (run: CountedRun, duration: number): void => {
     const logTime = Math.log(Math.max(1, duration));
-    for (const kind of baselineKeys(run)) {
-      const known = baselines.get(kind) ?? { meanLog: logTime, samples: 0 };
+    for (const key of baselineKeys(run)) {
+      const known = baselines.get(key) ?? { meanLog: logTime, samples: 0 };
       known.samples++;
       known.meanLog += (logTime - known.meanLog) * Math.max(NEWEST_WEIGHT, 1 / known.samples);
-      baselines.set(kind, known);
+      baselines.set(key, known);
     }
   };
   const recordTime = (entry: PendingRun, isSlow: boolean): void => {
--- a/src/decision/run_table.ts
+++ b/src/decision/run_table.ts
@@ -34,7 +34,7 @@
    * Returns the workers that must not get the job: those on which it failed, those on which it
    * runs, and the given ones.
    */
-  excludedWorkers(id: string, besides: ReadonlySet<string>): ReadonlySet<string>;
+  excludedWorkers(id: string, alsoExcluded: ReadonlySet<string>): ReadonlySet<string>;
   /** Removes the job and its history. */
   remove(id: string): void;
 }
@@ -76,11 +76,11 @@
       entry.failedOn.add(run.worker.worker.id);
     },
     failures: (id) => entries.get(id)?.failures ?? 0,
-    excludedWorkers: (id, besides) => {
+    excludedWorkers: (id, alsoExcluded) => {
       const entry = entries.get(id);
-      if (entry === undefined) return besides;
+      if (entry === undefined) return alsoExcluded;
       const running = entry.runs.map((run) => run.worker.worker.id);
-      return new Set([...besides, ...entry.failedOn, ...running]);
+      return new Set([...alsoExcluded, ...entry.failedOn, ...running]);
     },
     remove: (id) => entries.delete(id),
   };
--- a/src/decision/sample_addresses_test.ts
+++ b/src/decision/sample_addresses_test.ts
@@ -13,14 +13,14 @@
 // thirds of the fleet would be idle.
 test("lists all instances of a large fleet over time, the larger ones more often", () => {
   const random = createSeededRandom(1);
-  const named = new Map<string, number>();
+  const counts = new Map<string, number>();
   for (let answer = 0; answer < 2_000; answer++) {
     const addresses = sampleAddresses(FLEET, { most: 64, random });
     expect(new Set(addresses).size).toBe(64);
-    for (const address of addresses) named.set(address, (named.get(address) ?? 0) + 1);
+    for (const address of addresses) counts.set(address, (counts.get(address) ?? 0) + 1);
   }
   const timesOf = (capacity: number): number[] =>
-    FLEET.filter((one) => one.capacity === capacity).map(({ callers }) => named.get(callers) ?? 0);
+    FLEET.filter((one) => one.capacity === capacity).map(({ callers }) => counts.get(callers) ?? 0);
   const mean = (times: number[]): number =>
     times.reduce((sum, count) => sum + count, 0) / times.length;
   expect(Math.min(...timesOf(SMALL))).toBeGreaterThan(0.8 * mean(timesOf(SMALL)));
--- a/src/decision/scheduler.ts
+++ b/src/decision/scheduler.ts
@@ -250,9 +250,9 @@
   const meanTimeToFreeSlot = ({ service, estimate }: Job): number => {
     const { lanes } = stateOf(service);
     const { meanRun } = pool.service(service);
-    const endsAt = (lane: Lane): number =>
+    const endRate = (lane: Lane): number =>
       lanes[lane].running / (meanRun[lane] || estimate.serviceTime);
-    const rate = LANES.reduce((sum, lane) => sum + endsAt(lane), 0);
+    const rate = LANES.reduce((sum, lane) => sum + endRate(lane), 0);
     return rate === 0 ? estimate.serviceTime : 1 / rate;
   };
   const admissionView = (job: Job, now: number): AdmissionView => {
@@ -262,7 +262,7 @@
     const workers = pool.service(service);
     const waiting = laneState.byAccount.get(account);
     const weight = weightOf(account);
-    const enough = laneState.firstTokens.count >= MIN_FIRST_TOKENS;
+    const hasEnoughSamples = laneState.firstTokens.count >= MIN_FIRST_TOKENS;
     const accountLimits = currentPolicy.accounts[account];
     return {
       now,
@@ -281,7 +281,9 @@
       activeWeight: laneState.activeWeight + (waiting === undefined ? weight : 0),
       queueCorrection: state.correction(WaitKind.QueuedWork),
       freeSlotCorrection: state.correction(WaitKind.FreeSlot),
-      firstTokenLatency: enough ? laneState.firstTokens.quantile(ADMISSION_PERCENTILE) : undefined,
+      firstTokenLatency: hasEnoughSamples
+        ? laneState.firstTokens.quantile(ADMISSION_PERCENTILE)
+        : undefined,
       accountJobs: accountUsage.jobs(account),
       accountWork: accountUsage.work(account),
       limits: accountLimits === undefined ? undefined : instanceLimits(accountLimits, instances),
@@ -415,10 +417,11 @@
       state.lanes[job.lane].firstTokens.add(waited);
       state.completedWork.add(estimator.workOf(job.promptTokens, 1), now);
       const prefill = (run.uncachedTokens * 1_000) / run.worker.machine.prefillPerSecond;
-      const usual = prefill * prefillFactor(pool.service(job.service));
+      const expectedPrefill = prefill * prefillFactor(pool.service(job.service));
       const { firstToken } = targetOf(currentPolicy, job.service);
       // The first token of a long prompt is late by itself, whatever the batch.
-      if (usual <= firstToken * SHORT_PROMPT_FRACTION) run.worker.limit.recordFirstToken(waited);
+      if (expectedPrefill <= firstToken * SHORT_PROMPT_FRACTION)
+        run.worker.limit.recordFirstToken(waited);
       recordPrefill(pool.service(job.service), waited, prefill);
     },
     recordToken: (id, now, worker) => {
@@ -494,8 +497,11 @@
   { maxRequests, maxTokens }: { maxRequests: number; maxTokens: number },
   instances: number,
 ): { maxRequests: number; maxTokens: number } {
-  const part = Math.min(1, LIMIT_FACTOR / instances);
-  return { maxRequests: Math.ceil(maxRequests * part), maxTokens: Math.ceil(maxTokens * part) };
+  const fraction = Math.min(1, LIMIT_FACTOR / instances);
+  return {
+    maxRequests: Math.ceil(maxRequests * fraction),
+    maxTokens: Math.ceil(maxTokens * fraction),
+  };
 }
 
 function snapshotOf(entry: PoolWorker, now: number): WorkerSnapshot {
--- a/src/decision/scheduler_test.ts
+++ b/src/decision/scheduler_test.ts
@@ -68,23 +68,23 @@
     const alone = simulate(lookups(20), { instances });
     const mixed = simulate([...scripts, ...lookups(20)], { instances });
     expect(named(mixed, "lookup").every(({ refused }) => refused === Refusal.None)).toBe(true);
-    const before = percentile(firstTokenTimes(alone, "lookup"), 0.99);
-    const among = percentile(firstTokenTimes(mixed, "lookup"), 0.99);
-    expect(among).toBeLessThan(before * 1.4);
+    const p99Alone = percentile(firstTokenTimes(alone, "lookup"), 0.99);
+    const p99Mixed = percentile(firstTokenTimes(mixed, "lookup"), 0.99);
+    expect(p99Mixed).toBeLessThan(p99Alone * 1.4);
     expect(firstTokenTimes(mixed, "script").length).toBeGreaterThan(60);
   });
 
   test("at twice the capacity the workers still answer as many requests in time", () => {
     // Lookups arrive at twice the capacity of the workers. If all were accepted, all would be late.
     // Half of them must be refused at once with a retry delay, and the other half answered in time.
-    const most = inTime(simulate(lookups(150), { instances }));
+    const atCapacity = inTime(simulate(lookups(150), { instances }));
     const flooded = simulate(lookups(320), { instances });
     const refused = flooded.filter((one) => one.refused !== Refusal.None);
-    expect(inTime(flooded)).toBeGreaterThan(0.93 * most);
+    expect(inTime(flooded)).toBeGreaterThan(0.93 * atCapacity);
     expect(refused.length).toBeGreaterThan(0.4 * flooded.length);
     expect(refused.every(({ retryAfter }) => retryAfter >= 250)).toBe(true);
-    const letIn = flooded.filter((one) => one.refused === Refusal.None);
-    const early = letIn.filter(({ arrival }) => arrival.arrivedAt < MINUTE - 2_000);
+    const accepted = flooded.filter((one) => one.refused === Refusal.None);
+    const early = accepted.filter(({ arrival }) => arrival.arrivedAt < MINUTE - 2_000);
     expect(early.every(({ endedAt }) => endedAt !== undefined)).toBe(true);
   });
 
@@ -121,8 +121,8 @@
       worker === "w0" && now > 10_000 && now < 30_000 ? 5 : 1;
     const limits: number[] = [];
     const observe = (now: number, [first]: readonly Scheduler[]): void => {
-      const seen = first?.snapshot(now).workers.find(({ worker }) => worker === "w0");
-      limits.push(seen?.limit ?? 0);
+      const snapshot = first?.snapshot(now).workers.find(({ worker }) => worker === "w0");
+      limits.push(snapshot?.limit ?? 0);
     };
     const simulated = simulate(lookups(60), { instances, slowness, observe });
     expect(percentile(firstTokenTimes(simulated, "lookup"), 0.95)).toBeLessThan(TARGET);
--- a/src/decision/service_state.ts
+++ b/src/decision/service_state.ts
@@ -266,11 +266,12 @@
 
 /** Updates the mean number of running jobs to the present. */
 function updateMeanRunning(lane: LaneState, now: number): void {
-  const passed = Math.max(0, now - lane.meanAt) / 1_000;
-  const retention = 2 ** ((-passed * 1_000) / MEAN_HALF_LIFE);
-  const before = lane.meanWeight * retention;
-  const weight = before + passed;
-  if (weight > 0) lane.meanRunning = (lane.meanRunning * before + lane.running * passed) / weight;
+  const elapsedSeconds = Math.max(0, now - lane.meanAt) / 1_000;
+  const retention = 2 ** ((-elapsedSeconds * 1_000) / MEAN_HALF_LIFE);
+  const previousWeight = lane.meanWeight * retention;
+  const weight = previousWeight + elapsedSeconds;
+  if (weight > 0)
+    lane.meanRunning = (lane.meanRunning * previousWeight + lane.running * elapsedSeconds) / weight;
   lane.meanWeight = Math.min(weight, MAX_MEAN_WINDOW);
   lane.meanAt = Math.max(now, lane.meanAt);
 }
--- a/src/decision/testing/load_simulation.ts
+++ b/src/decision/testing/load_simulation.ts
@@ -312,17 +312,17 @@
 }
 
 /** Returns the value that the given fraction of the numbers doesn't exceed. */
-export function percentile(values: readonly number[], part: number): number {
+export function percentile(values: readonly number[], fraction: number): number {
   const sorted = [...values].sort((a, b) => a - b);
-  return sorted[Math.min(sorted.length - 1, Math.floor(part * sorted.length))] ?? Number.NaN;
+  return sorted[Math.min(sorted.length - 1, Math.floor(fraction * sorted.length))] ?? Number.NaN;
 }
 
 /**
  * Returns the milliseconds to the first token of the requests that got one and have an id with this
  * prefix.
  */
-export function firstTokenTimes(requests: readonly SimulatedRequest[], name: string): number[] {
-  const named = requests.filter(({ arrival }) => arrival.id.startsWith(name));
+export function firstTokenTimes(requests: readonly SimulatedRequest[], idPrefix: string): number[] {
+  const named = requests.filter(({ arrival }) => arrival.id.startsWith(idPrefix));
   return named
     .filter(({ firstTokenAt }) => firstTokenAt !== undefined)
     .map(({ arrival, firstTokenAt }) => (firstTokenAt ?? 0) - arrival.arrivedAt);
--- a/src/decision/triage.ts
+++ b/src/decision/triage.ts
@@ -130,8 +130,8 @@
 }
 
 function canFinish(request: TriageRequest, view: TriageView): boolean {
-  const left = view.reclaimAt - view.now - END_MARGIN;
-  return expectedRemaining(request) * request.tokenTime < left * FINISH_TIME_FRACTION;
+  const timeLeft = view.reclaimAt - view.now - END_MARGIN;
+  return expectedRemaining(request) * request.tokenTime < timeLeft * FINISH_TIME_FRACTION;
 }
 
 function expectedRemaining({ remainingTokens, producedTokens }: TriageRequest): number {
@@ -201,8 +201,8 @@
  */
 function exportTime(request: TriageRequest, view: TriageView): number {
   const rate = view.transferBytesPerSecond / (1 + (view.concurrentExports ?? 0));
-  const longest = (view.reclaimAt - view.now) / Math.max(1, request.tokenTime);
-  const tokens = cachedTokens(request) + Math.min(expectedRemaining(request), longest);
+  const maxNewTokens = (view.reclaimAt - view.now) / Math.max(1, request.tokenTime);
+  const tokens = cachedTokens(request) + Math.min(expectedRemaining(request), maxNewTokens);
   return EXPORT_OVERHEAD + (tokens * view.bytesPerToken * 1_000) / rate;
 }
 
@@ -252,17 +252,14 @@
   };
 }
 
-function safeTargets({
-  targets,
-  workersWithNotice: withNotice = [],
-}: TriageView): readonly Worker[] {
+function safeTargets({ targets, workersWithNotice = [] }: TriageView): readonly Worker[] {
   const available = targets.filter(
     ({ state, reclaimAt }) => state === WorkerState.Live && reclaimAt === undefined,
   );
-  const workersWithNotice = withNotice.filter(({ reclaimAt }) => reclaimAt !== undefined);
-  const zones = new Set(workersWithNotice.map(({ zone }) => zone));
+  const withReclaimNotice = workersWithNotice.filter(({ reclaimAt }) => reclaimAt !== undefined);
+  const zonesWithNotice = new Set(withReclaimNotice.map(({ zone }) => zone));
   const safe = available.filter(
-    ({ zone, purchase }) => purchase === Purchase.OnDemand || !zones.has(zone),
+    ({ zone, purchase }) => purchase === Purchase.OnDemand || !zonesWithNotice.has(zone),
   );
   return safe.length > 0 ? safe : available;
 }
--- a/src/decision/worker_limits_test.ts
+++ b/src/decision/worker_limits_test.ts
@@ -43,10 +43,10 @@
    * Advances the time. In each step, each instance has a request for the worker with this
    * probability.
    */
-  const advance = (milliseconds: number, chance = 1): void => {
+  const advance = (milliseconds: number, probability = 1): void => {
     for (let end = clock.now + milliseconds; clock.now < end; clock.now += 20) {
       for (const { limits } of members) {
-        if (random.next() >= chance || !limits.canSend(WORKER)) continue;
+        if (random.next() >= probability || !limits.canSend(WORKER)) continue;
         limits.recordSent(WORKER);
         sent.push(clock.now);
       }
@@ -160,8 +160,8 @@
 
 test("returns the time until a worker accepts the next request from any instance", () => {
   const { clock, members } = createMembers(6, 0.5);
-  const opensIn = members[0]?.limits.timeToNextSlot([WORKER, 1]);
-  expect(opensIn).toBeCloseTo(2_000 - (clock.now % 2_000));
+  const timeToNextSlot = members[0]?.limits.timeToNextSlot([WORKER, 1]);
+  expect(timeToNextSlot).toBeCloseTo(2_000 - (clock.now % 2_000));
   expect(members[0]?.limits.timeToNextSlot([1])).toBeUndefined();
 });
 
--- a/src/decision/worker_load.ts
+++ b/src/decision/worker_load.ts
@@ -89,8 +89,8 @@
   const reported = (): number => (latest?.running ?? 0) + (latest?.waiting ?? 0);
   const load = (): number => runs.size + estimatedOtherJobs;
   const countOwnAt = (time: number): number => {
-    const still = [...runs.values()].filter(({ dispatchedAt }) => dispatchedAt <= time).length;
-    return still + ended.filter((run) => run.dispatchedAt <= time && run.endedAt > time).length;
+    const running = [...runs.values()].filter(({ dispatchedAt }) => dispatchedAt <= time).length;
+    return running + ended.filter((run) => run.dispatchedAt <= time && run.endedAt > time).length;
   };
   return {
     load,
--- a/src/decision/worker_pool.ts
+++ b/src/decision/worker_pool.ts
@@ -216,7 +216,7 @@
     const pool = serviceOf(service);
     if (now - pool.evaluatedAt < EVALUATION_INTERVAL) return;
     pool.evaluatedAt = now;
-    const peers = [...pool.workers.values()].filter(isLive).map((entry) => peerReading(entry, now));
+    const peers = [...pool.workers.values()].filter(isLive).map((entry) => peerStatsOf(entry, now));
     const { betweenTokens } = targetOf(currentPolicy, service);
     for (const id of chooseEjections(peers, { gapTarget: betweenTokens })) {
       const entry = byId.get(id);
@@ -379,8 +379,8 @@
  */
 export function effectiveLimit(entry: PoolWorker, now: number): number {
   if (!isLive(entry) || now < entry.unreachableUntil) return 0;
-  const part = activeFraction(entry.ejection, now);
-  return part === 0 ? 0 : Math.max(1, Math.floor(entry.limit.value() * part));
+  const fraction = activeFraction(entry.ejection, now);
+  return fraction === 0 ? 0 : Math.max(1, Math.floor(entry.limit.value() * fraction));
 }
 
 /**
@@ -396,9 +396,10 @@
  * Records a time to first token, and the time that computing the prompt alone would have taken, in
  * milliseconds.
  */
-export function recordPrefill(pool: ServicePool, waited: number, alone: number): void {
+export function recordPrefill(pool: ServicePool, waited: number, unloadedTime: number): void {
   // The time of a short prompt is mostly that of the current step.
-  if (alone >= MIN_PREFILL_TIME) pool.prefillRatios.add((RATIO_SCALE * waited) / alone);
+  if (unloadedTime >= MIN_PREFILL_TIME)
+    pool.prefillRatios.add((RATIO_SCALE * waited) / unloadedTime);
 }
 
 /** Returns how many more jobs of average size fit into the worker's KV cache. */
@@ -477,7 +478,7 @@
   entry.openIndex = -1;
 }
 
-function peerReading(entry: PoolWorker, now: number): PeerStats {
+function peerStatsOf(entry: PoolWorker, now: number): PeerStats {
   return {
     worker: entry.worker.id,
     tokenGap: entry.gaps.count < MIN_GAPS ? undefined : entry.gaps.quantile(0.5),
--- a/src/decision/worker_ranking.ts
+++ b/src/decision/worker_ranking.ts
@@ -131,7 +131,7 @@
   const rankings: RankedChoice<W>[] = [];
   for (const worker of workers) {
     const prefillTokens = totalTokens - sharedTokens * (homes.get(worker) ?? 0);
-    const wait = expectedWait(worker, { unread: prefillTokens, speed });
+    const wait = expectedWait(worker, { prefillTokens, speed });
     const cost =
       wait +
       worker.running * CONCURRENT_RUN_COST +
@@ -182,10 +182,10 @@
 
 function expectedWait(
   { running, slots, unreadTokens }: RankedWorker,
-  { unread, speed }: { unread: number; speed: ServiceTiming },
+  { prefillTokens, speed }: { prefillTokens: number; speed: ServiceTiming },
 ): number {
   const prefillWait =
-    speed.prefillRate === undefined ? 0 : (unreadTokens + unread) / speed.prefillRate;
+    speed.prefillRate === undefined ? 0 : (unreadTokens + prefillTokens) / speed.prefillRate;
   const excessRuns = running + 1 - slots;
   const slotWait = excessRuns > 0 ? (excessRuns * speed.runTime) / slots : 0;
   return prefillWait + slotWait;
--- a/src/decision/worker_ranking_test.ts
+++ b/src/decision/worker_ranking_test.ts
@@ -55,15 +55,15 @@
 // others are idle.
 test("spreads a popular prefix over several workers", () => {
   const running = new Map<string, number>();
-  const unread = new Map<string, number>();
+  const pendingTokens = new Map<string, number>();
   for (let step = 0; step < 60; step++) {
     const now = WORKERS.map(({ id }, index) =>
-      worker(index, { running: running.get(id) ?? 0, unreadTokens: unread.get(id) ?? 0 }),
+      worker(index, { running: running.get(id) ?? 0, unreadTokens: pendingTokens.get(id) ?? 0 }),
     );
     const [best] = rankWorkers(now, { request: ROSTER, speed: TIMING, random: RANDOM });
     const id = best?.worker.id ?? "";
     running.set(id, (running.get(id) ?? 0) + 1);
-    unread.set(id, (unread.get(id) ?? 0) + 6_600);
+    pendingTokens.set(id, (pendingTokens.get(id) ?? 0) + 6_600);
   }
   expect(running.size).toBeGreaterThan(4);
   expect(Math.max(...running.values())).toBeLessThan(20);
--- a/src/decision/zone_losses.ts
+++ b/src/decision/zone_losses.ts
@@ -18,20 +18,20 @@
   /**
    * Records the number of reclaimable workers that accept requests in each zone.
    *
-   * @param seen `now` is the time in milliseconds.
+   * @param observation `now` is the time in milliseconds.
    * @returns Milliseconds between the last two losses of all workers of a zone; infinite before the
    * second loss.
    */
   observe(
     service: string,
-    seen: { stock: readonly { zone: string; reclaimable: number }[]; now: number },
+    observation: { stock: readonly { zone: string; reclaimable: number }[]; now: number },
   ): number;
 }
 
 interface ServiceLosses {
   workersByZone: ReadonlyMap<string, number>;
   lastAt: number;
-  gap: number;
+  interval: number;
 }
 
 /** Creates an empty record of losses. */
@@ -40,15 +40,19 @@
   return {
     observe: (service, { stock, now }) => {
       const existing = services.get(service);
-      const losses = existing ?? { workersByZone: new Map(), lastAt: -Infinity, gap: Infinity };
+      const losses = existing ?? {
+        workersByZone: new Map(),
+        lastAt: -Infinity,
+        interval: Infinity,
+      };
       services.set(service, losses);
       for (const { zone, reclaimable } of stock) {
         if (reclaimable > 0 || (losses.workersByZone.get(zone) ?? 0) === 0) continue;
-        losses.gap = now - losses.lastAt;
+        losses.interval = now - losses.lastAt;
         losses.lastAt = now;
       }
       losses.workersByZone = new Map(stock.map(({ zone, reclaimable }) => [zone, reclaimable]));
-      return losses.gap;
+      return losses.interval;
     },
   };
 }
--- a/src/version/change.ts
+++ b/src/version/change.ts
@@ -40,15 +40,15 @@
  * Computes the revision to write for a change.
  *
  * @param change The requested change.
- * @param sides The revision that the change is based on, and the revision that is now in the store.
+ * @param revisions The revision that the change is based on, and the revision that is now in the store.
  * @returns The new value for the store, or an outcome if there is nothing to write: the change is already active, it
  * is invalid, or it conflicts with a change made since the base revision.
  */
 export function planChange(
   change: Change,
-  sides: { readonly base: Revision; readonly current: Revision },
+  revisions: { readonly base: Revision; readonly current: Revision },
 ): PlannedChange {
-  const { base, current } = sides;
+  const { base, current } = revisions;
   const accepted: ChangeOutcome = {
     kind: "accepted",
     change: change.id,
--- a/src/version/cross_field_errors.ts
+++ b/src/version/cross_field_errors.ts
@@ -42,7 +42,7 @@
   const parsed = nameOutline.safeParse(source);
   if (!parsed.success) return [];
   const { zones, services, machineClasses, accounts, offers, presets } = parsed.data;
-  const faults: CrossFieldError[] = [];
+  const errors: CrossFieldError[] = [];
   const requireDefined = (
     found: string | undefined,
     {
@@ -53,7 +53,7 @@
   ): void => {
     if (found === undefined || known === undefined || found in known) return;
     const message = `Found the ${kind} "${found}", which the document doesn't define.`;
-    faults.push({ path, message });
+    errors.push({ path, message });
   };
   const zonesByName =
     zones === undefined ? undefined : Object.fromEntries(zones.map((zone) => [zone, 1]));
@@ -82,7 +82,7 @@
       const path = ["presets", name, "services", service];
       requireDefined(service, { known: services, kind: "service", path });
       if (found !== undefined && found.least > found.most) {
-        faults.push({ path, message: `Found least ${found.least} above most ${found.most}.` });
+        errors.push({ path, message: `Found least ${found.least} above most ${found.most}.` });
       }
     }
     preset.paused.forEach((found, index) => {
@@ -93,5 +93,5 @@
       });
     });
   }
-  return faults;
+  return errors;
 }
--- a/src/version/rollout_rules.ts
+++ b/src/version/rollout_rules.ts
@@ -91,36 +91,38 @@
  *
  * @returns The versions, or undefined if there are no workers to determine them from.
  */
-export function servedVersions(known: ServedVersionsInput): ServedVersions | undefined {
-  const { entry, rolledBack: barred } = known;
+export function servedVersions(input: ServedVersionsInput): ServedVersions | undefined {
+  const { entry, rolledBack } = input;
   const state = entry === undefined ? undefined : stateOfOrder(entry);
   if (entry !== undefined && state === RolloutState.Completed) {
     return { base: entry.order.to, tried: undefined };
   }
-  const base = baseVersion(known);
+  const base = baseVersion(input);
   if (base === undefined) return undefined;
   const ordered = entry?.order.to;
   const isTried =
     ordered !== undefined &&
     ordered !== base &&
     state !== RolloutState.RolledBack &&
-    !barred.has(ordered);
+    !rolledBack.has(ordered);
   return { base, tried: isTried ? ordered : undefined };
 }
 
 function baseVersion({
-  workersByVersion: stock,
+  workersByVersion,
   entry,
-  previousBase: before,
-  rolledBack: barred,
+  previousBase,
+  rolledBack,
 }: ServedVersionsInput): string | undefined {
   const status = entry?.status;
   if (entry !== undefined && status?.state === RolloutState.Completed) return status.to;
-  const canKeepBase = before !== undefined && (stock.has(before) || entry !== undefined);
-  if (canKeepBase) return before;
-  const old = [...stock].filter(([version]) => version !== entry?.order.to && !barred.has(version));
+  const canKeepBase =
+    previousBase !== undefined && (workersByVersion.has(previousBase) || entry !== undefined);
+  if (canKeepBase) return previousBase;
+  const allowed = [...workersByVersion].filter(([version]) => !rolledBack.has(version));
+  const old = allowed.filter(([version]) => version !== entry?.order.to);
   // The order names the only available version, because it was served before or because all other workers are gone.
-  const candidates = old.length > 0 ? old : [...stock].filter(([version]) => !barred.has(version));
+  const candidates = old.length > 0 ? old : allowed;
   candidates.sort(([, a], [, b]) => b.workers - a.workers || a.oldest - b.oldest);
-  return candidates[0]?.[0] ?? before;
+  return candidates[0]?.[0] ?? previousBase;
 }
--- a/src/version/slot_plan.ts
+++ b/src/version/slot_plan.ts
@@ -52,7 +52,7 @@
   { fleet, eligibleIds }: { fleet: SlotFleet; eligibleIds: ReadonlySet<string> },
 ): boolean {
   const { primary, backup } = assignment;
-  if (!fleet.present.has(primary) || isLoneOwner(assignment, fleet)) return true;
+  if (!fleet.present.has(primary) || mustRemoveBackup(assignment, fleet)) return true;
   return !eligibleIds.has(primary) && eligibleIds.has(backup);
 }
 
@@ -60,8 +60,8 @@
  * Returns whether only one member is eligible and the slot's backup is dead. The backup is then removed from the map,
  * so that the owner doesn't wait for its acknowledgments.
  */
-function isLoneOwner({ backup }: SlotAssignment, { eligible: able, present }: SlotFleet): boolean {
-  return able.length === 1 && backup !== "" && !present.has(backup);
+function mustRemoveBackup({ backup }: SlotAssignment, { eligible, present }: SlotFleet): boolean {
+  return eligible.length === 1 && backup !== "" && !present.has(backup);
 }
 
 function takeoverAssignment(
@@ -76,7 +76,7 @@
   const { fleet, eligibleIds, target, date } = view;
   const { primary, backup, epoch } = before;
   if (eligibleIds.has(primary))
-    return isLoneOwner(before, fleet) ? withBackup(before, "") : undefined;
+    return mustRemoveBackup(before, fleet) ? withBackup(before, "") : undefined;
   if (fleet.present.has(primary)) return promoteBackup(before, eligibleIds);
   if (fleet.present.has(backup)) return promoteBackup(before, fleet.present);
   if (target === undefined || target.primary === "") return undefined;
--- a/src/version/slot_plan_test.ts
+++ b/src/version/slot_plan_test.ts
@@ -9,7 +9,7 @@
 const NOW = 1_000;
 
 function fleetOf(eligible: readonly SlotMember[], leaving: readonly SlotMember[] = []): SlotFleet {
-  return { eligible: eligible, present: new Set([...eligible, ...leaving].map(({ id }) => id)) };
+  return { eligible, present: new Set([...eligible, ...leaving].map(({ id }) => id)) };
 }
 
 function members(count: number, zones = 4): SlotMember[] {
@@ -58,14 +58,14 @@
     const all = members(count, 2);
     const map = assignSlots(all);
     const zoneOf = new Map(all.map(({ id, zone }) => [id, zone]));
-    const parts = new Map<string, number>();
+    const slotsByMember = new Map<string, number>();
     for (const { epoch, primary, backup, historyLostAt } of map.slots) {
       expect([epoch, historyLostAt]).toEqual([1, 0]);
       expect(zoneOf.get(primary)).not.toBe(zoneOf.get(backup));
-      parts.set(primary, (parts.get(primary) ?? 0) + 1);
+      slotsByMember.set(primary, (slotsByMember.get(primary) ?? 0) + 1);
     }
     const mean = SLOT_COUNT / count;
-    expect(Math.max(...parts.values())).toBeLessThanOrEqual(Math.ceil(1.15 * mean));
+    expect(Math.max(...slotsByMember.values())).toBeLessThanOrEqual(Math.ceil(1.15 * mean));
   },
 );
 
@@ -117,8 +117,8 @@
   const all = members(9);
   const before = assignSlots(all.slice(0, 8));
   const after = settle(before, fleetOf(all));
-  const part = after.slots.filter(({ primary }) => primary === "e8#1").length;
-  expect(part).toBeGreaterThan(SLOT_COUNT / 9 / 1.5);
+  const ownSlots = after.slots.filter(({ primary }) => primary === "e8#1").length;
+  expect(ownSlots).toBeGreaterThan(SLOT_COUNT / 9 / 1.5);
   const moved = after.slots.filter((now, slot) => now.primary !== before.slots[slot]?.primary);
   expect(moved.length).toBeLessThan((2 * SLOT_COUNT) / 9);
 });
