--- a/src/decision/ejection.ts
+++ b/src/decision/ejection.ts
@@ -72,7 +72,7 @@
     worker: peer.worker,
     severity: severityOf(peer, candidates),
   }));
-  const outliers = scored.filter(({ severity }) => severity(gapTarget) > 1);
+  const outliers = scored.filter((fault) => fault.severity(gapTarget) > 1);
   outliers.sort((a, b) => b.severity(gapTarget) - a.severity(gapTarget));
   return outliers.slice(0, maxEjections).map(({ worker }) => worker);
 }
--- a/src/decision/rollout_tally.ts
+++ b/src/decision/rollout_tally.ts
@@ -78,18 +78,13 @@
  *
  * These keys are all that instances need to agree on.
  */
-export function tallyKeys({
-  service,
-  trialVersion,
-  route,
-  worker,
-}: {
+export function tallyKeys(of: {
   service: string;
   trialVersion: string;
   route: string;
   worker: string | undefined;
 }): TallyKeys {
-  const name = `${service} ${trialVersion} ${route} ${worker ?? ""}`;
+  const name = `${of.service} ${of.trialVersion} ${of.route} ${of.worker ?? ""}`;
   const cached = keyCache.get(name);
   if (cached !== undefined) return cached;
   const created = {
--- a/src/version/rollout_rules.ts
+++ b/src/version/rollout_rules.ts
@@ -119,10 +119,12 @@
   const canKeepBase =
     previousBase !== undefined && (workersByVersion.has(previousBase) || entry !== undefined);
   if (canKeepBase) return previousBase;
-  const allowed = [...workersByVersion].filter(([version]) => !rolledBack.has(version));
-  const old = allowed.filter(([version]) => version !== entry?.order.to);
+  const old = [...workersByVersion].filter(
+    ([version]) => version !== entry?.order.to && !rolledBack.has(version),
+  );
   // The order names the only available version, because it was served before or because all other workers are gone.
-  const candidates = old.length > 0 ? old : allowed;
+  const candidates =
+    old.length > 0 ? old : [...workersByVersion].filter(([version]) => !rolledBack.has(version));
   candidates.sort(([, a], [, b]) => b.workers - a.workers || a.oldest - b.oldest);
   return candidates[0]?.[0] ?? previousBase;
 }
