--- a/src/decision/service_state.ts
+++ b/src/decision/service_state.ts
@@ -84,15 +84,15 @@
   snapshot(service: string, now: number): ServiceSnapshot;
 }
 
-/** Samples. */
+/** Number of samples after which the weight of a sample has halved. */
 const SAMPLE_HALF_LIFE = 200;
 /** Ratios of waits are stored in percent. */
 const PERCENT = 100;
-/** Waits from which a correction is computed. */
+/** Minimum number of waits before a correction is computed. */
 const MIN_WAITS = 10;
 /**
- * Milliseconds. Shorter waits depend on single runs rather than on the speed, which is what a
- * correction is about.
+ * Minimum predicted wait, in milliseconds, that a correction is learned from. Shorter waits depend
+ * on single runs rather than on the speed, which the correction is for.
  */
 const MIN_PREDICTION = { [WaitKind.QueuedWork]: 50, [WaitKind.FreeSlot]: 1 };
 /**
@@ -266,11 +266,12 @@
 
 /** Updates the mean number of running jobs to the present. */
 function updateMeanRunning(lane: LaneState, now: number): void {
-  const passed = Math.max(0, now - lane.meanAt) / 1_000;
-  const retention = 2 ** ((-passed * 1_000) / MEAN_HALF_LIFE);
-  const before = lane.meanWeight * retention;
-  const weight = before + passed;
-  if (weight > 0) lane.meanRunning = (lane.meanRunning * before + lane.running * passed) / weight;
+  const elapsedSeconds = Math.max(0, now - lane.meanAt) / 1_000;
+  const retention = 2 ** ((-elapsedSeconds * 1_000) / MEAN_HALF_LIFE);
+  const previousWeight = lane.meanWeight * retention;
+  const weight = previousWeight + elapsedSeconds;
+  if (weight > 0)
+    lane.meanRunning = (lane.meanRunning * previousWeight + lane.running * elapsedSeconds) / weight;
   lane.meanWeight = Math.min(weight, MAX_MEAN_WINDOW);
   lane.meanAt = Math.max(now, lane.meanAt);
 }
--- a/src/decision/worker_load.ts
+++ b/src/decision/worker_load.ts
@@ -77,7 +77,7 @@
  */
 const MAX_ENDED_RUNS = 1_000;
 
-/** Creates the load of an unknown worker. */
+/** Creates the load estimate of a worker without runs or reports. */
 export function createWorkerLoad(): WorkerLoad {
   const runs = new Map<string, OwnRun>();
   let ended: EndedRun[] = [];
@@ -89,8 +89,8 @@
   const reported = (): number => (latest?.running ?? 0) + (latest?.waiting ?? 0);
   const load = (): number => runs.size + estimatedOtherJobs;
   const countOwnAt = (time: number): number => {
-    const still = [...runs.values()].filter(({ dispatchedAt }) => dispatchedAt <= time).length;
-    return still + ended.filter((run) => run.dispatchedAt <= time && run.endedAt > time).length;
+    const running = [...runs.values()].filter(({ dispatchedAt }) => dispatchedAt <= time).length;
+    return running + ended.filter((run) => run.dispatchedAt <= time && run.endedAt > time).length;
   };
   return {
     load,
