--- a/.ci/known_red.mjs
+++ b/.ci/known_red.mjs
@@ -12,7 +12,9 @@
   entries.some((entry) => entry.split(/\s/).includes(file) && entry.includes(`"${title}"`));
 const unlisted = tests.filter((test) => !isListed(test));
 for (const test of tests) {
-  console.log(`${isListed(test) ? "failed, listed in" : "failed, not in"} KNOWN-RED.txt: ${test.file} "${test.title}"`);
+  console.log(
+    `${isListed(test) ? "failed, listed in" : "failed, not in"} KNOWN-RED.txt: ${test.file} "${test.title}"`,
+  );
 }
 for (const message of otherErrors) console.log(`error outside a test: ${message}`);
 // Without failed tests, the run ended with an error for another reason.
