--- a/bench/board_cost.ts
+++ b/bench/board_cost.ts
@@ -1,8 +1,8 @@
 /**
  * Measures the processor time that choosing a backend server takes per request.
  *
- * The routing board of one entry instance holds the state of every backend server and the digests of 62 other
- * instances. A board that scans too much of this state per request limits the instance's request rate. The
+ * The worker table of one entry instance holds the state of every backend server and its load from 62 other
+ * instances. A table that scans too much of this state per request limits the instance's request rate. The
  * benchmark times the choice at several numbers of backend servers and prints one JSON line for each.
  *
  * @module
--- a/bench/faults/faults_test.ts
+++ b/bench/faults/faults_test.ts
@@ -1,5 +1,5 @@
 /**
- * Replays fault scenarios that once violated a guarantee, and checks that the checks detect each violation.
+ * Replays fault scenarios that once violated a guarantee, and tests that each kind of violation is detected.
  *
  * @module
  */
--- a/bench/faults/fleet.ts
+++ b/bench/faults/fleet.ts
@@ -44,7 +44,7 @@
   readonly engines: MemoryEngines;
   readonly network: MemoryNetwork;
   readonly instances: readonly Instance[];
-  /** Kills an instance; does nothing if it is already gone. */
+  /** Kills an instance; does nothing if it was already killed. */
   kill(index: number): void;
   /** Closes all instances. */
   close(): void;
--- a/bench/faults/guarantees.ts
+++ b/bench/faults/guarantees.ts
@@ -1,7 +1,7 @@
 /**
  * Checks the guarantees of the product against the records of a fault scenario: a request that is not repeatable runs
  * only once, answers are correct and complete, "not run" is true, accepted requests get a final state, and the revision
- * in force never goes back.
+ * in force is never replaced by an earlier one.
  *
  * @module
  */
@@ -78,7 +78,10 @@
   return [...repeated, ...overlaps];
 }
 
-/** Checks that callers with the same key have the same request, on whichever instance they submit it. */
+/**
+ * Checks that a key has the same request id on every instance, and that a key reported as not run had not run when its
+ * caller's last connection ended.
+ */
 function checkKeys({ callerLogs, runs }: Evidence): string[] {
   const keyed = callerLogs.filter(({ request }) => request.key !== undefined);
   return keyed.flatMap(({ request, finalStates, endedAt, id }) => {
@@ -95,6 +98,7 @@
   });
 }
 
+/** Counts the faults that excuse an accepted request without a final state. */
 function countDisruptions({ faults }: Scenario): number {
   return faults.filter(({ kind }) => kind === "kill" || kind === "freeze" || kind === "cut").length;
 }
--- a/bench/faults/main.ts
+++ b/bench/faults/main.ts
@@ -24,6 +24,7 @@
   },
 });
 
+/** A seed that violates a guarantee, as printed in the report. */
 interface Failure {
   readonly seed: number;
   readonly broken: readonly string[];
@@ -66,6 +67,7 @@
     if (!values.json) console.log(failure.repeat, JSON.stringify(failure, undefined, 1));
   }
   const time = Math.round(performance.now() - started);
+  // Node.js emits warnings asynchronously.
   await new Promise((resolve) => setImmediate(resolve));
   const report = { seed: first, count, failed: failures.length, warnings, time };
   console.log(JSON.stringify(values.json ? { ...report, failures } : report));
--- a/bench/faults/run_scenario.ts
+++ b/bench/faults/run_scenario.ts
@@ -177,7 +177,7 @@
 function reclaimInstance(fleet: Fleet, index: number): void {
   const instance = fleet.instances[index];
   if (instance === undefined || instance.termination.signal.aborted) return;
-  // At least one instance of the fleet always remains.
+  // The last running instance is not reclaimed. Instances with a pending reclaim still count as running.
   const remaining = fleet.instances.filter(({ termination }) => !termination.signal.aborted).length;
   if (remaining <= 1) return;
   void instance.freezer.whenRunning().then(() => instance.core.reclaim(RECLAIM_NOTICE));
--- a/bench/faults/scenario.ts
+++ b/bench/faults/scenario.ts
@@ -23,11 +23,11 @@
  *
  * - `kill`: an instance ends at once; `reclaim`, `zone-reclaim`: one or all instances of a zone end after a notice.
  * - `freeze`: an instance is paused.
- * - `cut`: calls between two instances get no answer; `silence`: their open connections go silent for good.
+ * - `cut`: calls between two instances get no answer; `silence`: their open connections hang permanently.
  * - `lose-answers`: the next `count` calls are executed, but their answers are lost.
  * - `store-down`: all store calls fail; `store-loses-answers`: the next `count` writes are applied, but their answers
- *   are lost; `watches-silent`: open watches never report again.
- * - `worker-kill`, `worker-silence`: a backend server ends, or its open connections go silent for good.
+ *   are lost; `watches-silent`: open watches receive no more events.
+ * - `worker-kill`, `worker-silence`: a backend server ends, or its open connections hang permanently.
  * - `operators`: two operators switch the preset at the same time.
  */
 export type Fault =
@@ -77,9 +77,12 @@
 /** Number of availability zones over which the instances are spread. */
 export const ZONES = 3;
 
-/** Time in which all requests and faults start, in milliseconds. */
+/**
+ * Time in which all faults start and all requests are first submitted, in milliseconds. A repeat follows up to 3 s
+ * later.
+ */
 const START_WINDOW = 6_000;
-/** Milliseconds. */
+/** Maximum duration of a fault beyond its minimum of 200 ms, in milliseconds. */
 const MAX_FAULT_DURATION = 9_000;
 const REQUEST_COUNT = 10;
 const MAX_TOKENS = 60;
@@ -145,6 +148,7 @@
   const a = instance;
   const b = (instance + 1 + randomBelow(random, instances - 1)) % instances;
   const count = 1 + randomBelow(random, 5);
+  // The last backend server is never affected.
   const worker = randomBelow(random, workers - 1);
   const kinds: readonly Fault[] = [
     { kind: "kill", at, instance },
--- a/bench/rollouts/simulate_order.ts
+++ b/bench/rollouts/simulate_order.ts
@@ -55,7 +55,10 @@
 export const ROLLBACK_TIME_LIMIT = 5_000;
 
 const SERVICE = "model";
-/** Routes with their share of the requests, and usual milliseconds to the first byte and to the end. */
+/**
+ * Routes with their share of the requests, usual milliseconds to the first byte and to the end, and number of prompt
+ * tokens to process before the first byte.
+ */
 const ROUTES = [
   { name: "draft", part: 0.25, first: 120, whole: 1_500, reads: 6_000 },
   { name: "query", part: 0.35, first: 40, whole: 1_200, reads: 700 },
@@ -67,7 +70,7 @@
 const MEAN_UTILIZATION = 0.5;
 /** Milliseconds by which the simulation advances at a time. */
 const CLOCK_STEP = 10;
-/** Load before the order, from which the instances learn the usual latencies, in milliseconds. */
+/** Duration of the load before the order, in which the instances measure the usual latencies, in milliseconds. */
 const WARM_UP = 12_000;
 /** Simulated time after the deadline, in milliseconds. */
 const TIME_AFTER_DEADLINE = 3_000;
--- a/bench/soak/callers.ts
+++ b/bench/soak/callers.ts
@@ -91,8 +91,9 @@
 /**
  * Sends one request after the other while `isActive` returns true.
  *
- * The caller caches resolved addresses for their time to live. It keeps its connection until the instance's process
- * has ended, even if the instance is no longer resolved. A refused request is retried once under another id.
+ * The caller caches resolved addresses for their time to live. It keeps its connection, even if the instance is no
+ * longer resolved, until a request receives no status or the caller opens a new connection at random. A refused request
+ * is retried once under another id.
  */
 export async function runCaller(name: string, options: CallerOptions): Promise<void> {
   const { random, isActive } = options;
--- a/bench/soak/link_proxy.ts
+++ b/bench/soak/link_proxy.ts
@@ -26,7 +26,7 @@
 export interface LinkProxy {
   /** `IP:PORT` at which the proxy listens. */
   readonly address: string;
-  /** Sets the condition for new bytes. A connection that has dropped bytes never forwards any again. */
+  /** Sets the condition for new bytes. A connection that has dropped bytes forwards no more in that direction. */
   setCondition(condition: LinkCondition): void;
   /** Closes the listener and all connections. */
   close(): Promise<void>;
@@ -54,7 +54,7 @@
       else to.write(chunk);
     });
   };
-  /** Dropped bytes leave a gap in the stream, so nothing is forwarded on that connection afterwards. */
+  /** Dropped bytes leave a gap in the stream, so nothing more is forwarded in that direction of the connection. */
   const isLost = (from: Socket, to: Socket, isAnswer: boolean): boolean => {
     const isDropped =
       condition === LinkCondition.Silent || (condition === LinkCondition.AnswersLost && isAnswer);
--- a/model/lease_specification.ts
+++ b/model/lease_specification.ts
@@ -1,8 +1,9 @@
 /**
- * Specification of the lease that permits orders to the platform. The receiver of an order doesn't
- * check its fence, so the lease alone must prevent an order of an earlier holder from arriving
- * late. Two instances acquire, renew and lose the lease, are suspended and resumed, and send orders
- * that take some time to arrive. The actions call the same functions as the entry instance.
+ * Specification of the lease that permits orders to the platform. Each acquisition of the lease has
+ * a higher fence (fencing token) than the one before. The receiver of an order doesn't check its
+ * fence, so the lease alone must prevent an order of an earlier holder from arriving late. Two
+ * instances acquire, renew and lose the lease, are suspended and resumed, and send orders that take
+ * some time to arrive. The actions call the same functions as the entry instance.
  *
  * Time advances in units of {@linkcode TIME_UNIT} milliseconds. While an instance is suspended, its
  * monotonic clock stops but its time of day continues.
@@ -82,7 +83,6 @@
   { suspensions: 1, givesBack: false, term: 3 },
   // Each order takes up to one time unit. In a shorter term, the lease can't change hands and
   // return.
-
   { suspensions: 0, givesBack: true, term: 4 },
 ];
 
--- a/model/revision_specification.ts
+++ b/model/revision_specification.ts
@@ -15,7 +15,7 @@
  * necessary.
  */
 export interface RevisionRules {
-  /** An instance keeps the latest revision it has received, whatever the source of another one. */
+  /** An instance replaces its revision only by a later one, whatever source delivers it. */
   readonly laterOnly: boolean;
   /** An operator's write succeeds only if the stored version is the one that the operator read. */
   readonly conditionalWrite: boolean;
@@ -162,7 +162,8 @@
 }
 
 /**
- * Stores a change as the next version. Goes through the stored text, as the entry instance does.
+ * Stores a change as the next version. Formats the revision as text and parses it again, as the
+ * entry instance does.
  */
 function storeChange(
   state: RevisionState,
--- a/model/slot_actions.ts
+++ b/model/slot_actions.ts
@@ -414,8 +414,9 @@
   const isNew = stored.epoch > 0 && primary !== stored.primary && primary !== stored.backup;
   // If one of the two owners remains, it has the records and becomes the primary.
   if (isNew && (backup === stored.primary || backup === stored.backup)) return [];
-  // Only the writer can know that it received all records in custody. For other instances the
-  // history is lost.
+  // A primary that is new to the slot has the slot's whole history only if it received all records
+  // in custody. The writer can check this for itself alone, so for any other new primary the history
+  // counts as lost.
   const hasFullHistory =
     primary === memberIdOf(instance) && instance.replica.completeThroughEpoch >= stored.epoch;
   const historyLostAt = isNew && !hasFullHistory ? stored.epoch + 1 : stored.historyLostAt;
@@ -426,8 +427,8 @@
 }
 
 /**
- * Counts the running instances that lose their role without having left. Each was wrongly
- * considered dead.
+ * Counts the running instances that lose their role although they are neither leaving nor have
+ * handed over the slot. Each was wrongly considered dead.
  */
 function countSuspected(
   state: SlotState,
@@ -492,8 +493,9 @@
 }
 
 /**
- * An instance hands over records that it leaves behind or keeps for others, or reports them as
- * complete.
+ * Handovers of records to other instances, and the notice to the backup that its records are
+ * complete. A leaving instance hands over its records to the backup, or to all others if the backup
+ * isn't available. Another instance forwards records that the primary may not have to the primary.
  */
 function handoverSteps(
   state: SlotState,
@@ -515,7 +517,7 @@
   const canHandOver = ownsSlot(replica) || isKeeping;
   if (instance.isLeaving && canHandOver) targets.forEach((other) => handOverTo(memberIdOf(other)));
   else if (isKeeping && canHandOver && primary !== replica.self) handOverTo(primary);
-  // At epoch 1 the backup already knows that there is no history.
+  // At epoch 1 there is no history yet, so the backup needs no notice.
   const message = replica.assignment.epoch > 1 ? createCompletionMessage(replica) : undefined;
   if (message !== undefined) {
     const next = withMessage(state, { kind: "handover", to: backup, message });
--- a/model/slot_state.ts
+++ b/model/slot_state.ts
@@ -21,7 +21,7 @@
   readonly detached: boolean;
 }
 
-/** How many faults of each kind may occur. */
+/** Number of faults of each kind that may occur. */
 export interface FaultBudget {
   /** Instance crashes without a reclaim notice. */
   readonly crash: number;
--- a/model/usage_specification.ts
+++ b/model/usage_specification.ts
@@ -1,9 +1,9 @@
 /**
- * Specification of the usage report. Two instances both act as the one that reports a window, and
- * receive the window's runs late. The store loses responses or applies a write late. A window must
- * still be reported with a single count, because two counts would be two bills. The actions call
- * the same functions as the entry instance, so the model checker explores the code that runs in
- * production.
+ * Specification of the usage report, which sends each account's number of runs in a time window to
+ * the platform. Two instances both act as the one that reports a window, and receive the window's
+ * runs late. The store loses responses or applies a write late. A window must still be reported
+ * with a single count, because two counts would be two bills. The actions call the same functions
+ * as the entry instance, so the model checker explores the code that runs in production.
  *
  * @module
  */
--- a/traces/catalogue.ts
+++ b/traces/catalogue.ts
@@ -101,6 +101,7 @@
 }): TracePlan[] {
   const { name, deployment, calm, peak, presets, service, zones } = user;
   const base = { deployment, minAnswered: MIN_ANSWERED, maxRecomputed: MAX_RECOMPUTED_CALM };
+  // The user's other service receives only lookups.
   const isLookup = (arrival: TraceArrival): boolean =>
     arrival.l === Lane.Lookup || arrival.s !== service;
   const atPeak = { ...base, preset: presets.peak, workload: peak, faults: [] };
@@ -129,8 +130,8 @@
 }
 
 /**
- * Twice the capacity of all workers of the service, for a short time. Only 3 workers, to keep the
- * trace small.
+ * Creates a plan whose arrivals need twice the capacity of all workers of the service. The trace is
+ * short and the service has only 3 workers, to keep the trace small.
  */
 function createSaturationPlan(user: {
   name: string;
@@ -152,6 +153,7 @@
     },
   };
   const profiles = calm.profiles.filter((profile) => profile.service === service);
+  // Lengths are drawn with the square of a uniform random number, whose mean is a third.
   const mean = ([min, max]: readonly [number, number]): number => min + (max - min) / 3;
   const tokensPerSecond = profiles.reduce(
     (sum, profile) => sum + profile.arrivalsPerSecond * mean(profile.answerTokens),
@@ -215,6 +217,7 @@
   const lines = [...arrivals, ...faults].map((line) => JSON.stringify(line));
   const write = (outcomes: object): string =>
     [JSON.stringify({ ...header, outcomes }), ...lines, ""].join("\n");
+  // The required outcomes depend on the parsed trace, so it is parsed with placeholders first.
   const read = parseTrace(write({ lost: 0, services: {} }), name);
   if (read.kind === "unreadable") throw new Error(`${name}:${read.line}: ${read.message}`);
   return write(requiredOutcomes(plan, read.trace));
--- a/traces/common.ts
+++ b/traces/common.ts
@@ -17,7 +17,10 @@
   startUp: "40 s",
 } as const;
 
-/** Creates a model service with 44 ms between tokens, for callers that wait for the answer. */
+/**
+ * Creates a model service with a latency target of 44 ms between tokens, which suits callers that
+ * wait for the answer.
+ */
 export function createModelService(
   model: { name: string; weights: number },
   fields: { checksFence: boolean; lane: "lookup" | "script"; firstToken: string; deadline: string },
@@ -39,7 +42,8 @@
 }
 
 /**
- * Raised cosine with its maximum of 1 at `center`. It is 0 from a distance of 0.3 of the duration.
+ * Raised cosine with its maximum of 1 at `center`. It is 0 at a distance of 0.3 of the duration or
+ * more.
  */
 export function raisedCosine(progress: number, center: number): number {
   const distance = Math.abs(progress - center) / 0.3;
