--- a/bench/board_cost.ts
+++ b/bench/board_cost.ts
@@ -58,7 +58,7 @@
 /** Prints the microseconds that one choice takes, for each number of backend servers. */
 function main(): void {
   for (const count of WORKER_COUNTS) {
-    const board = createRoutedWorkerTable({
+    const table = createRoutedWorkerTable({
       time: () => systemClock.now(),
       limits: createWorkerLimits({ time: () => systemClock.now(), self: 1, instances: () => [1] }),
       clock: systemClock,
@@ -70,20 +70,20 @@
       onBegin: () => undefined,
     });
     const workers = Array.from({ length: count * SERVICE_STRIDE }, (_, index) => workerAt(index));
-    board.setWorkers(workers);
-    const use = new Map(
+    table.setWorkers(workers);
+    const occupancy = new Map(
       workers.map(({ id }) => [
         hashText(id),
         { running: 1, unreadTokens: 64, runs: 3, failures: 0 },
       ]),
     );
     for (let other = 1; other < INSTANCE_COUNT; other++)
-      board.updateOccupancy(`e${other}`, { workerCounts: use, isSnapshot: true });
+      table.updateOccupancy(`e${other}`, { workerCounts: occupancy, isSnapshot: true });
     const chooseWorker = (): void => {
-      const { workers: candidates, homes } = board.sample(SERVICE, PROMPT_PARTS);
+      const { workers: candidates, homes } = table.sample(SERVICE, PROMPT_PARTS);
       rankWorkers(candidates, {
         request: { parts: PROMPT_PARTS },
-        speed: board.speed(SERVICE),
+        speed: table.speed(SERVICE),
         random: systemRandom,
         homes,
       });
--- a/bench/digest_cost.ts
+++ b/bench/digest_cost.ts
@@ -69,17 +69,17 @@
     }
   };
   await runLoad(SETTLE_SECONDS);
-  const before = fleet.members.map(({ sync: news }) => news.bytesSent);
+  const before = fleet.members.map(({ sync }) => sync.bytesSent);
   const startedAt = process.cpuUsage();
   await runLoad(MEASURED_SECONDS);
   const { user, system } = process.cpuUsage(startedAt);
-  const rates = fleet.members.map(({ sync: news }, index) => ({
-    role: news.role,
-    bytes: (news.bytesSent - (before[index] ?? 0)) / MEASURED_SECONDS,
+  const rates = fleet.members.map(({ sync }, index) => ({
+    role: sync.role,
+    bytes: (sync.bytesSent - (before[index] ?? 0)) / MEASURED_SECONDS,
   }));
   fleet.close();
-  const mean = (found: readonly { bytes: number }[]): number =>
-    Math.round(sum(found.map(({ bytes }) => bytes)) / Math.max(1, found.length));
+  const mean = (instanceRates: readonly { bytes: number }[]): number =>
+    Math.round(sum(instanceRates.map(({ bytes }) => bytes)) / Math.max(1, instanceRates.length));
   return {
     bytesPerSecond: mean(rates),
     ofRelay: mean(rates.filter(({ role }) => role === FleetRole.Relay)),
--- a/bench/rollouts/simulate_order.ts
+++ b/bench/rollouts/simulate_order.ts
@@ -60,9 +60,9 @@
  * tokens to process before the first byte.
  */
 const ROUTES = [
-  { name: "draft", part: 0.25, first: 120, whole: 1_500, reads: 6_000 },
-  { name: "query", part: 0.35, first: 40, whole: 1_200, reads: 700 },
-  { name: "check", part: 0.4, first: 50, whole: 120, reads: 2_000 },
+  { name: "draft", share: 0.25, first: 120, whole: 1_500, reads: 6_000 },
+  { name: "query", share: 0.35, first: 40, whole: 1_200, reads: 700 },
+  { name: "check", share: 0.4, first: 50, whole: 120, reads: 2_000 },
 ] as const;
 /** Request slots of a backend server. */
 const SLOTS = 16;
@@ -94,7 +94,7 @@
   /** Share of its runs that fail, and the time until which they do. */
   failing: { until: number; share: number };
   /** Factor by which its answers are slower, and the time until which they are. */
-  slow: { until: number; times: number };
+  slow: { until: number; factor: number };
 }
 
 /** Simulated entry instance. */
@@ -112,7 +112,7 @@
   const clock = createVirtualClock();
   const store = createMemoryStore(clock).connect();
   const { rate, duration, instances: count, disturbances } = scenario;
-  const meanDuration = ROUTES.reduce((sum, { part, whole }) => sum + part * whole, 0);
+  const meanDuration = ROUTES.reduce((sum, { share, whole }) => sum + share * whole, 0);
   const workersPerVersion = Math.max(
     4,
     Math.ceil((rate * meanDuration) / 1_000 / (SLOTS * MEAN_UTILIZATION)),
@@ -176,7 +176,7 @@
   };
 
   // Counts and plans are sent with the digests.
-  const lostCounts = new Map<number, RunCounts>();
+  const countsBeforeRestart = new Map<number, RunCounts>();
   const lastCounts = new Map<Instance, ReadonlyMap<number, RunCounts>>();
   const sendDigests = (): void => {
     const sums = new Map<number, RunCounts>();
@@ -189,7 +189,7 @@
         );
       }
     };
-    add(lostCounts);
+    add(countsBeforeRestart);
     for (const instance of fleet) {
       if (!isCut(instance)) {
         lastCounts.set(
@@ -253,12 +253,12 @@
   let lastNewRequestAt = 0;
   const callbacks = new Map<number, (() => void)[]>();
   const runAt = (time: number, run: () => void): void => {
-    const step = Math.max(now() + 1, Math.ceil(time / CLOCK_STEP));
+    const step = Math.max(currentStep() + 1, Math.ceil(time / CLOCK_STEP));
     const stepCallbacks = callbacks.get(step) ?? [];
     callbacks.set(step, stepCallbacks);
     stepCallbacks.push(run);
   };
-  const now = (): number => Math.floor(clock.now() / CLOCK_STEP);
+  const currentStep = (): number => Math.floor(clock.now() / CLOCK_STEP);
   const isBadNow = (worker: Worker, route: string): boolean => {
     if (!worker.isNew || scenario.behavior === VersionBehavior.Good) return false;
     const since = clock.now() - WARM_UP;
@@ -278,7 +278,7 @@
     const usualTime =
       route.first * Math.exp(gaussian(random) * 0.35) * (1 + worker.running / SLOTS);
     const slowdown =
-      (isSlowWorker ? worker.slow.times : 1) *
+      (isSlowWorker ? worker.slow.factor : 1) *
       (isBad && scenario.behavior === VersionBehavior.Slow ? scenario.strength : 1);
     const first = usualTime * slowdown;
     const failureRate =
@@ -326,8 +326,8 @@
   /** For the "even" ramp: returns all new backend servers for a random share of the requests. */
   const selectAllNew = (view: RolloutView): Worker[] | undefined => {
     if (view.find(SERVICE)?.phase !== RolloutPhase.Trial) return undefined;
-    const { maxShares: parts } = planRollout(duration, EXPOSURE_BOUND);
-    const isSelected = random.next() < parts[RolloutPhase.Trial];
+    const { maxShares } = planRollout(duration, EXPOSURE_BOUND);
+    const isSelected = random.next() < maxShares[RolloutPhase.Trial];
     return isSelected ? workers.filter(({ isNew }) => isNew) : undefined;
   };
 
@@ -338,12 +338,12 @@
     } else if (kind === DisturbanceKind.CrashedWorkers) {
       for (const worker of affected) worker.failing = { until, share: 1 };
     } else if (kind === DisturbanceKind.SlowWorkers) {
-      for (const worker of affected) worker.slow = { until, times: 4 };
+      for (const worker of affected) worker.slow = { until, factor: 4 };
     } else if (kind === DisturbanceKind.HolderDies) {
       moveLease();
     } else if (kind === DisturbanceKind.AllRestart) {
       const lastSums = history.at(-1)?.sums;
-      for (const [key, counts] of lastSums ?? []) lostCounts.set(key, counts);
+      for (const [key, counts] of lastSums ?? []) countsBeforeRestart.set(key, counts);
       lastCounts.clear();
       for (const instance of fleet) {
         instance.view = createView();
@@ -370,8 +370,8 @@
       pending.splice(pending.indexOf(disturbance), 1);
       startDisturbance(disturbance.kind, WARM_UP + disturbance.until);
     }
-    for (const callback of callbacks.get(now()) ?? []) callback();
-    callbacks.delete(now());
+    for (const callback of callbacks.get(currentStep()) ?? []) callback();
+    callbacks.delete(currentStep());
     const arrivals = poisson(
       (rate * (isActive(DisturbanceKind.Burst) ? 2 : 1) * CLOCK_STEP) / 1_000,
       random,
@@ -423,14 +423,14 @@
     zone,
     running: 0,
     failing: { until: 0, share: 0 },
-    slow: { until: 0, times: 1 },
+    slow: { until: 0, factor: 1 },
   };
 }
 
 function pickRoute(random: Random): (typeof ROUTES)[number] {
   let left = random.next();
   for (const route of ROUTES) {
-    left -= route.part;
+    left -= route.share;
     if (left < 0) return route;
   }
   return ROUTES[0];
--- a/bench/routed_cost.ts
+++ b/bench/routed_cost.ts
@@ -36,7 +36,7 @@
 }
 
 /** Returns the resident set size of a process, in mebibytes. */
-function residentMegabytes(pid: number): number {
+function residentMebibytes(pid: number): number {
   const line = /VmRSS:\s+(\d+)/.exec(readFileSync(`/proc/${pid}/status`, "utf8"));
   return Math.round(Number(line?.[1] ?? 0) / 1_024);
 }
@@ -78,7 +78,7 @@
   const start = {
     firstServed,
     processor: processorSeconds(pid),
-    megabytes: residentMegabytes(pid),
+    megabytes: residentMebibytes(pid),
   };
   await sendLoad(agent, { path: "/safe/x", count: WARM_UP_REQUESTS });
   const plain = await measureCost(pid, () =>
@@ -93,7 +93,7 @@
     plainMicroseconds: plain,
     streamMicroseconds: stream,
     eventMicroseconds: Math.round((stream - plain) / EVENTS_PER_STREAM),
-    megabytes: residentMegabytes(pid),
+    megabytes: residentMebibytes(pid),
   };
   console.log(JSON.stringify(report));
   child.kill("SIGKILL");
--- a/bench/soak/guarantees.ts
+++ b/bench/soak/guarantees.ts
@@ -300,7 +300,7 @@
   const broken: string[] = [];
   for (const { worker, from, to, perSecond } of observations.limited) {
     const times = observations.runs
-      .filter(({ worker: at }) => at === worker)
+      .filter(({ worker: ranOn }) => ranOn === worker)
       .filter(({ id, at }) => {
         const instance = requests.get(id)?.instance;
         return instance !== undefined && isUndisturbed(observations, instance, at);
--- a/bench/soak/link_proxy.ts
+++ b/bench/soak/link_proxy.ts
@@ -61,35 +61,35 @@
     if (isDropped) broken.add(from);
     return broken.has(from) || to.destroyed;
   };
-  const server = createServer({ allowHalfOpen: true }, (near) => {
-    track(near);
+  const server = createServer({ allowHalfOpen: true }, (clientSocket) => {
+    track(clientSocket);
     if (condition === LinkCondition.Resetting) {
-      near.resetAndDestroy();
+      clientSocket.resetAndDestroy();
       return;
     }
     const [host, port] = splitAddress(target);
-    const far = connect({ host, port, allowHalfOpen: true });
-    track(far);
-    far.on("end", () => void followEnd(near, far));
-    far.on("close", () => void followEnd(near, far));
-    near.on("end", () => {
-      if (!broken.has(near)) afterWrites(() => far.end());
+    const targetSocket = connect({ host, port, allowHalfOpen: true });
+    track(targetSocket);
+    targetSocket.on("end", () => void followEnd(clientSocket, targetSocket));
+    targetSocket.on("close", () => void followEnd(clientSocket, targetSocket));
+    clientSocket.on("end", () => {
+      if (!broken.has(clientSocket)) afterWrites(() => targetSocket.end());
     });
-    near.on("close", () => {
-      if (!broken.has(near)) far.destroySoon();
+    clientSocket.on("close", () => {
+      if (!broken.has(clientSocket)) targetSocket.destroySoon();
     });
-    forward(near, far, false);
-    forward(far, near, true);
+    forward(clientSocket, targetSocket, false);
+    forward(targetSocket, clientSocket, true);
   });
   /** A target that has ended refuses connections. The proxy does so too, before a client can observe the break. */
-  const followEnd = async (near: Socket, far: Socket): Promise<void> => {
-    if (broken.has(far) || near.destroyed) return;
+  const followEnd = async (clientSocket: Socket, targetSocket: Socket): Promise<void> => {
+    if (broken.has(targetSocket) || clientSocket.destroyed) return;
     if (await isListeningAt(target)) {
-      afterWrites(() => near.destroySoon());
+      afterWrites(() => clientSocket.destroySoon());
       return;
     }
     server.close();
-    near.resetAndDestroy();
+    clientSocket.resetAndDestroy();
   };
   /** Runs a callback after the bytes that were received before. */
   const afterWrites = (callback: () => void): void => {
--- a/bench/soak/record.ts
+++ b/bench/soak/record.ts
@@ -28,7 +28,7 @@
   /** Records that the store has received a configuration. */
   addConfiguration(version: number): void;
   /** Starts a disturbance of a target; the returned function ends it. */
-  startDisturbance(target: string, how?: { readonly isPlanned: boolean }): () => void;
+  startDisturbance(target: string, options?: { readonly isPlanned: boolean }): () => void;
   /** Starts a planned stop of an instance; the returned function ends it. */
   startStop(instance: string): () => void;
   /** Starts the draining of a backend server; the returned function ends it. */
@@ -108,9 +108,9 @@
       runs,
       probes,
       configurations,
-      duties: platform.leaseHolderCalls.map((duty) => ({
-        ...duty,
-        holder: addresses.get(duty.holder) ?? duty.holder,
+      duties: platform.leaseHolderCalls.map((call) => ({
+        ...call,
+        holder: addresses.get(call.holder) ?? call.holder,
       })),
       disturbances,
       leaving: draining,
--- a/model/checker.ts
+++ b/model/checker.ts
@@ -111,10 +111,10 @@
     depth: 0,
     transitions: 0,
   };
-  const numbers = new Map<number, number>();
+  const numberByHash = new Map<number, number>();
   const add = (state: State, { parent, name }: { parent: number; name: string }): number => {
     const number = graph.parents.push(parent) - 1;
-    numbers.set(hash(state), number);
+    numberByHash.set(hash(state), number);
     graph.stepNames.push(name);
     graph.goalFlags.push(specification.isGoal(state));
     return number;
@@ -137,7 +137,7 @@
     for (const { number, state } of frontier) {
       for (const { name, isFault, next } of specification.steps(state)) {
         graph.transitions++;
-        const known = numbers.get(hash(next));
+        const known = numberByHash.get(hash(next));
         const target = known ?? add(next, { parent: number, name });
         if (!isFault) graph.edges.push(number, target);
         if (known !== undefined) continue;
@@ -169,11 +169,11 @@
  */
 function findStuckState(graph: StateGraph): Violation[] {
   const predecessorLists = predecessors(graph);
-  const reaches = new Uint8Array(graph.parents.length);
+  const canReachGoal = new Uint8Array(graph.parents.length);
   const queue: number[] = [];
   graph.goalFlags.forEach((isGoal, number) => {
     if (!isGoal) return;
-    reaches[number] = 1;
+    canReachGoal[number] = 1;
     queue.push(number);
   });
   for (let number = queue.pop(); number !== undefined; number = queue.pop()) {
@@ -183,12 +183,12 @@
       at++
     ) {
       const from = predecessorLists.sources[at] ?? 0;
-      if (reaches[from] === 1) continue;
-      reaches[from] = 1;
+      if (canReachGoal[from] === 1) continue;
+      canReachGoal[from] = 1;
       queue.push(from);
     }
   }
-  const first = reaches.indexOf(0);
+  const first = canReachGoal.indexOf(0);
   return first < 0 ? [] : [{ invariant: PROGRESS_PROPERTY, trace: traceTo(graph, first) }];
 }
 
--- a/model/slot_actions.ts
+++ b/model/slot_actions.ts
@@ -192,22 +192,22 @@
 function callerSteps(state: SlotState, { instance, bounds }: ActionContext): Step<SlotState>[] {
   if (!ownsSlot(instance.replica)) return [];
   const unknown = bounds.demands.filter(({ id }) => !instance.replica.records.has(id));
-  return unknown.flatMap((demand) => submitSteps(state, { instance, bounds, demand }));
+  return unknown.flatMap((request) => submitSteps(state, { instance, bounds, request }));
 }
 
 function submitSteps(
   state: SlotState,
-  { instance, bounds, demand }: ActionContext & { demand: CallerRequest },
+  { instance, bounds, request }: ActionContext & { request: CallerRequest },
 ): Step<SlotState>[] {
   const { replica } = instance;
-  const isSubmitted = state.reported[demand.id] !== undefined;
-  if (instance.isLeaving || (isSubmitted && !demand.keyed)) return [];
-  if (!canAcceptUnknownKey(replica, demand.repeatable, bounds.rules)) return [];
+  const isSubmitted = state.reported[request.id] !== undefined;
+  if (instance.isLeaving || (isSubmitted && !request.keyed)) return [];
+  if (!canAcceptUnknownKey(replica, request.repeatable, bounds.rules)) return [];
   const submitted = isSubmitted
     ? state
-    : { ...state, reported: { ...state.reported, [demand.id]: [] } };
-  const next = withReplica(submitted, instance, writeRecord(replica, acceptedRecord(demand)));
-  return [createStep(`${memberIdOf(instance)} accepts ${demand.id}`, next)];
+    : { ...state, reported: { ...state.reported, [request.id]: [] } };
+  const next = withReplica(submitted, instance, writeRecord(replica, acceptedRecord(request)));
+  return [createStep(`${memberIdOf(instance)} accepts ${request.id}`, next)];
 }
 
 /**
@@ -411,15 +411,15 @@
   if (stored.primary === primary && stored.backup === backup) return [];
   const suspected = countSuspected(state, pair);
   if (suspected > state.faultsLeft.suspicion) return [];
-  const isNew = stored.epoch > 0 && primary !== stored.primary && primary !== stored.backup;
+  const isNewToSlot = stored.epoch > 0 && primary !== stored.primary && primary !== stored.backup;
   // If one of the two owners remains, it has the records and becomes the primary.
-  if (isNew && (backup === stored.primary || backup === stored.backup)) return [];
+  if (isNewToSlot && (backup === stored.primary || backup === stored.backup)) return [];
   // A primary that is new to the slot has the slot's whole history only if it received all records
   // in custody. The writer can check this for itself alone, so for any other new primary the history
   // counts as lost.
   const hasFullHistory =
     primary === memberIdOf(instance) && instance.replica.completeThroughEpoch >= stored.epoch;
-  const historyLostAt = isNew && !hasFullHistory ? stored.epoch + 1 : stored.historyLostAt;
+  const historyLostAt = isNewToSlot && !hasFullHistory ? stored.epoch + 1 : stored.historyLostAt;
   const assignment = { epoch: stored.epoch + 1, primary, backup, historyLostAt };
   const faultsLeft = { ...state.faultsLeft, suspicion: state.faultsLeft.suspicion - suspected };
   const name = `${memberIdOf(instance)} writes epoch ${assignment.epoch}: ${primary}, ${backup}`;
@@ -511,12 +511,12 @@
     const withHandover = withMessage(next, { kind: "handover", to, message: handover.message });
     steps.push(createStep(`${memberIdOf(instance)} hands over to ${to}`, withHandover));
   };
-  const isKeeping = hasRecordsToForward(replica);
+  const mustForward = hasRecordsToForward(replica);
   const assignedBackup = others.filter((other) => memberIdOf(other) === backup);
   const targets = assignedBackup.length > 0 && !bounds.cedesToAll ? assignedBackup : others;
-  const canHandOver = ownsSlot(replica) || isKeeping;
+  const canHandOver = ownsSlot(replica) || mustForward;
   if (instance.isLeaving && canHandOver) targets.forEach((other) => handOverTo(memberIdOf(other)));
-  else if (isKeeping && canHandOver && primary !== replica.self) handOverTo(primary);
+  else if (mustForward && canHandOver && primary !== replica.self) handOverTo(primary);
   // At epoch 1 there is no history yet, so the backup needs no notice.
   const message = replica.assignment.epoch > 1 ? createCompletionMessage(replica) : undefined;
   if (message !== undefined) {
--- a/model/slot_invariants.ts
+++ b/model/slot_invariants.ts
@@ -14,9 +14,9 @@
 /** Creates the invariants of slot ownership for the requests in the bounds. */
 export function slotInvariants({ demands, faults }: Bounds): Invariant<SlotState>[] {
   const forEachRequest =
-    (check: (state: SlotState, demand: CallerRequest) => boolean) =>
+    (check: (state: SlotState, request: CallerRequest) => boolean) =>
     (state: SlotState): boolean =>
-      demands.every((demand) => check(state, demand));
+      demands.every((request) => check(state, request));
   return [
     {
       name: "a request that may not be repeated runs at most once",
@@ -30,7 +30,7 @@
     { name: "each epoch has at most one owner", holds: hasOneOwnerPerEpoch },
     {
       name: "an accepted request survives announced reclaims or one crash",
-      holds: forEachRequest((state, demand) => doesAcceptedSurvive(state, demand, faults)),
+      holds: forEachRequest((state, request) => doesAcceptedSurvive(state, request, faults)),
     },
   ];
 }
