--- a/bench/soak/link_proxy.ts
+++ b/bench/soak/link_proxy.ts
@@ -26,7 +26,7 @@
 export interface LinkProxy {
   /** `IP:PORT` at which the proxy listens. */
   readonly address: string;
-  /** Sets the condition for new bytes. A connection that has dropped bytes never forwards any again. */
+  /** Sets the condition for new bytes. A connection that has dropped bytes forwards no more in that direction. */
   setCondition(condition: LinkCondition): void;
   /** Closes the listener and all connections. */
   close(): Promise<void>;
@@ -54,42 +54,42 @@
       else to.write(chunk);
     });
   };
-  /** Dropped bytes leave a gap in the stream, so nothing is forwarded on that connection afterwards. */
+  /** Dropped bytes leave a gap in the stream, so nothing more is forwarded in that direction of the connection. */
   const isLost = (from: Socket, to: Socket, isAnswer: boolean): boolean => {
     const isDropped =
       condition === LinkCondition.Silent || (condition === LinkCondition.AnswersLost && isAnswer);
     if (isDropped) broken.add(from);
     return broken.has(from) || to.destroyed;
   };
-  const server = createServer({ allowHalfOpen: true }, (near) => {
-    track(near);
+  const server = createServer({ allowHalfOpen: true }, (clientSocket) => {
+    track(clientSocket);
     if (condition === LinkCondition.Resetting) {
-      near.resetAndDestroy();
+      clientSocket.resetAndDestroy();
       return;
     }
     const [host, port] = splitAddress(target);
-    const far = connect({ host, port, allowHalfOpen: true });
-    track(far);
-    far.on("end", () => void followEnd(near, far));
-    far.on("close", () => void followEnd(near, far));
-    near.on("end", () => {
-      if (!broken.has(near)) afterWrites(() => far.end());
+    const targetSocket = connect({ host, port, allowHalfOpen: true });
+    track(targetSocket);
+    targetSocket.on("end", () => void followEnd(clientSocket, targetSocket));
+    targetSocket.on("close", () => void followEnd(clientSocket, targetSocket));
+    clientSocket.on("end", () => {
+      if (!broken.has(clientSocket)) afterWrites(() => targetSocket.end());
     });
-    near.on("close", () => {
-      if (!broken.has(near)) far.destroySoon();
+    clientSocket.on("close", () => {
+      if (!broken.has(clientSocket)) targetSocket.destroySoon();
     });
-    forward(near, far, false);
-    forward(far, near, true);
+    forward(clientSocket, targetSocket, false);
+    forward(targetSocket, clientSocket, true);
   });
   /** A target that has ended refuses connections. The proxy does so too, before a client can observe the break. */
-  const followEnd = async (near: Socket, far: Socket): Promise<void> => {
-    if (broken.has(far) || near.destroyed) return;
+  const followEnd = async (clientSocket: Socket, targetSocket: Socket): Promise<void> => {
+    if (broken.has(targetSocket) || clientSocket.destroyed) return;
     if (await isListeningAt(target)) {
-      afterWrites(() => near.destroySoon());
+      afterWrites(() => clientSocket.destroySoon());
       return;
     }
     server.close();
-    near.resetAndDestroy();
+    clientSocket.resetAndDestroy();
   };
   /** Runs a callback after the bytes that were received before. */
   const afterWrites = (callback: () => void): void => {
--- a/model/slot_actions.ts
+++ b/model/slot_actions.ts
@@ -192,22 +192,22 @@
 function callerSteps(state: SlotState, { instance, bounds }: ActionContext): Step<SlotState>[] {
   if (!ownsSlot(instance.replica)) return [];
   const unknown = bounds.demands.filter(({ id }) => !instance.replica.records.has(id));
-  return unknown.flatMap((demand) => submitSteps(state, { instance, bounds, demand }));
+  return unknown.flatMap((request) => submitSteps(state, { instance, bounds, request }));
 }
 
 function submitSteps(
   state: SlotState,
-  { instance, bounds, demand }: ActionContext & { demand: CallerRequest },
+  { instance, bounds, request }: ActionContext & { request: CallerRequest },
 ): Step<SlotState>[] {
   const { replica } = instance;
-  const isSubmitted = state.reported[demand.id] !== undefined;
-  if (instance.isLeaving || (isSubmitted && !demand.keyed)) return [];
-  if (!canAcceptUnknownKey(replica, demand.repeatable, bounds.rules)) return [];
+  const isSubmitted = state.reported[request.id] !== undefined;
+  if (instance.isLeaving || (isSubmitted && !request.keyed)) return [];
+  if (!canAcceptUnknownKey(replica, request.repeatable, bounds.rules)) return [];
   const submitted = isSubmitted
     ? state
-    : { ...state, reported: { ...state.reported, [demand.id]: [] } };
-  const next = withReplica(submitted, instance, writeRecord(replica, acceptedRecord(demand)));
-  return [createStep(`${memberIdOf(instance)} accepts ${demand.id}`, next)];
+    : { ...state, reported: { ...state.reported, [request.id]: [] } };
+  const next = withReplica(submitted, instance, writeRecord(replica, acceptedRecord(request)));
+  return [createStep(`${memberIdOf(instance)} accepts ${request.id}`, next)];
 }
 
 /**
@@ -411,14 +411,15 @@
   if (stored.primary === primary && stored.backup === backup) return [];
   const suspected = countSuspected(state, pair);
   if (suspected > state.faultsLeft.suspicion) return [];
-  const isNew = stored.epoch > 0 && primary !== stored.primary && primary !== stored.backup;
+  const isNewToSlot = stored.epoch > 0 && primary !== stored.primary && primary !== stored.backup;
   // If one of the two owners remains, it has the records and becomes the primary.
-  if (isNew && (backup === stored.primary || backup === stored.backup)) return [];
-  // Only the writer can know that it received all records in custody. For other instances the
-  // history is lost.
+  if (isNewToSlot && (backup === stored.primary || backup === stored.backup)) return [];
+  // A primary that is new to the slot has the slot's whole history only if it received all records
+  // in custody. The writer can check this for itself alone, so for any other new primary the history
+  // counts as lost.
   const hasFullHistory =
     primary === memberIdOf(instance) && instance.replica.completeThroughEpoch >= stored.epoch;
-  const historyLostAt = isNew && !hasFullHistory ? stored.epoch + 1 : stored.historyLostAt;
+  const historyLostAt = isNewToSlot && !hasFullHistory ? stored.epoch + 1 : stored.historyLostAt;
   const assignment = { epoch: stored.epoch + 1, primary, backup, historyLostAt };
   const faultsLeft = { ...state.faultsLeft, suspicion: state.faultsLeft.suspicion - suspected };
   const name = `${memberIdOf(instance)} writes epoch ${assignment.epoch}: ${primary}, ${backup}`;
@@ -426,8 +427,8 @@
 }
 
 /**
- * Counts the running instances that lose their role without having left. Each was wrongly
- * considered dead.
+ * Counts the running instances that lose their role although they are neither leaving nor have
+ * handed over the slot. Each was wrongly considered dead.
  */
 function countSuspected(
   state: SlotState,
@@ -492,8 +493,9 @@
 }
 
 /**
- * An instance hands over records that it leaves behind or keeps for others, or reports them as
- * complete.
+ * Handovers of records to other instances, and the notice to the backup that its records are
+ * complete. A leaving instance hands over its records to the backup, or to all others if the backup
+ * isn't available. Another instance forwards records that the primary may not have to the primary.
  */
 function handoverSteps(
   state: SlotState,
@@ -509,13 +511,13 @@
     const withHandover = withMessage(next, { kind: "handover", to, message: handover.message });
     steps.push(createStep(`${memberIdOf(instance)} hands over to ${to}`, withHandover));
   };
-  const isKeeping = hasRecordsToForward(replica);
+  const mustForward = hasRecordsToForward(replica);
   const assignedBackup = others.filter((other) => memberIdOf(other) === backup);
   const targets = assignedBackup.length > 0 && !bounds.cedesToAll ? assignedBackup : others;
-  const canHandOver = ownsSlot(replica) || isKeeping;
+  const canHandOver = ownsSlot(replica) || mustForward;
   if (instance.isLeaving && canHandOver) targets.forEach((other) => handOverTo(memberIdOf(other)));
-  else if (isKeeping && canHandOver && primary !== replica.self) handOverTo(primary);
-  // At epoch 1 the backup already knows that there is no history.
+  else if (mustForward && canHandOver && primary !== replica.self) handOverTo(primary);
+  // At epoch 1 there is no history yet, so the backup needs no notice.
   const message = replica.assignment.epoch > 1 ? createCompletionMessage(replica) : undefined;
   if (message !== undefined) {
     const next = withMessage(state, { kind: "handover", to: backup, message });
