--- a/src/process/change_propagation_test.ts
+++ b/src/process/change_propagation_test.ts
@@ -125,8 +125,8 @@
   expect(await measurePropagation(fleet, ["one"], otherMembers)).toBeLessThanOrEqual(BOUND);
 });
 
-// One instance doesn't see most of the others, so it wrongly takes the role of a relay and expects
-// the watchers to send it store changes.
+// One instance loses contact with the rest of its zone, so it wrongly takes the role of a relay and
+// expects the watchers to send it store changes.
 test("an instance that wrongly takes itself for a relay still receives changes", async () => {
   const fleet = await startFleet(67);
   const isolated = fleet.members.filter(({ sync }) => sync.role === FleetRole.Member).at(-1);
--- a/src/process/configuration.ts
+++ b/src/process/configuration.ts
@@ -30,7 +30,7 @@
 const WATCHERS_PER_ZONE = 2;
 /**
  * Milliseconds without an answer from the store or any peer after which this instance considers
- * itself cut off: it can no longer know which configuration is in force.
+ * itself cut off: its configuration may no longer be the one in force.
  */
 const CUT_OFF_TIMEOUT = 3_000;
 /**
@@ -87,7 +87,7 @@
 
 const DEFAULT_REREAD_INTERVAL = 30_000;
 
-/** Creates the task. It does nothing until it is started. */
+/** Creates a configuration without any objects. It reads nothing until it is started. */
 export function createConfiguration(parts: ConfigurationParts): Configuration {
   const { clock, random, store, self } = parts;
   const listeners = new Set<() => void>();
@@ -193,8 +193,8 @@
 }
 
 /**
- * Reports whether this instance is one of the two watchers of its zone, selected by rendezvous
- * hashing over the live members.
+ * Reports whether this instance is one of its zone's watchers of an object, which are selected by
+ * rendezvous hashing over the live members.
  */
 function isWatcher(
   key: string,
--- a/src/process/counters.ts
+++ b/src/process/counters.ts
@@ -24,8 +24,8 @@
 }
 
 /**
- * Histograms store integer microseconds, because many gaps between tokens are shorter than a millisecond. Microseconds
- * per millisecond.
+ * Microseconds per millisecond. Histograms store integer microseconds, because many gaps between tokens are shorter
+ * than a millisecond.
  */
 const MICROSECONDS_PER_MILLISECOND = 1_000;
 const PERCENTILES = [50, 95, 99] as const;
--- a/src/process/crash_evidence_fleet_test.ts
+++ b/src/process/crash_evidence_fleet_test.ts
@@ -28,7 +28,7 @@
   member.feed.close();
 }
 
-/** Sends the request unless the instance knows that it crashes workers. Every request sent crashes its worker. */
+/** Sends the request unless it is proven to the instance that it crashes workers. Each one sent crashes its worker. */
 function sendRequest({ clock }: SyncFleet, { evidence }: SyncMember): boolean {
   const isSent = !evidence.isProven(CRASHING, clock.now());
   if (isSent) evidence.recordCrash(CRASHING, clock.now());
--- a/src/process/digest.ts
+++ b/src/process/digest.ts
@@ -47,14 +47,14 @@
    * store answers.
    */
   readonly isCurrent: boolean;
-  /** Store version of the last change that the instance knows, by kind of object. */
+  /** Store version of the last change that the instance has received, by kind of object. */
   readonly versions: ReadonlyMap<string, number>;
   /**
    * Whether the store has just returned from an outage that affected all instances. Workers'
    * entries may have expired in the meantime.
    */
   readonly hasStoreReturned: boolean;
-  /** How versions on trial are used, as last received from the lease holder. */
+  /** Rollout plans of the versions on trial, as last received from the lease holder. */
   readonly plans: readonly RolloutPlan[];
   /** Recent changes of the request rate limits that workers state, including limits withdrawn. */
   readonly limits: readonly LimitReport[];
@@ -66,7 +66,7 @@
   readonly session: number;
 }
 
-/** Instances that the sender knows to be live, as a snapshot or a delta. */
+/** Live instances as seen by the sender, as a snapshot or a delta. */
 export interface Roster {
   /** Whether the roster is complete; otherwise it contains only changes. */
   readonly isSnapshot: boolean;
@@ -135,7 +135,7 @@
   /** Included until the receiver acknowledges this session. */
   readonly introduction: Introduction | undefined;
   readonly scope: UpdateScope;
-  /** Counts for the receiver; undefined if the scope is `None` or the receiver wants none. */
+  /** Counts for the receiver; undefined if the scope is `None` or the receiver doesn't apply them. */
   readonly update: InstanceUpdate | undefined;
   /** Whether the sender uses the receiver's updates. */
   readonly wantsUpdate: boolean;
--- a/src/process/digest_rounds.ts
+++ b/src/process/digest_rounds.ts
@@ -100,8 +100,8 @@
     return (scope === UpdateScope.Group ? rosterLogs.zone : rosterLogs.all).since(from);
   };
   /**
-   * Watchers send store changes to the relays, and relays to their zones. A relay that cannot reach
-   * the store is sent the changes by all others.
+   * Watchers send store changes to the relays, and relays to their zones. A watcher that cannot
+   * reach the store is sent the changes by every instance that sends it digests.
    */
   const deltasFor = ({ address, instance }: Peer, scope: UpdateScope): readonly FeedDelta[] => {
     if (instance === undefined) return [];
--- a/src/process/entry_instance.ts
+++ b/src/process/entry_instance.ts
@@ -141,7 +141,7 @@
 
 /**
  * Binds both listeners before the tasks start, because the bound addresses are sent to peers. Requests that arrive
- * before the instance is ready are refused: the instance doesn't know the active configuration yet.
+ * before the instance is ready are refused: the instance doesn't have the active configuration yet.
  */
 async function bindSockets(settings: EntrySettings, security: PeerSecurity): Promise<Sockets> {
   let handle: RequestListener = (_request, response) => {
--- a/src/process/feed_follower.ts
+++ b/src/process/feed_follower.ts
@@ -93,14 +93,15 @@
 
 /**
  * Range of the watch timeout in milliseconds. An open connection can go silent permanently, which
- * only the timeout reveals. Timeouts differ between instances, and the first instance to learn of a
- * change informs the others, so even if all connections go silent at once, a change is delayed only
- * until the first timeout. Shorter timeouts cost more calls.
+ * only the timeout reveals. Timeouts differ between instances, and the first instance to receive a
+ * change forwards it to the others, so even if all connections go silent at once, a change is
+ * delayed only until the first timeout. Shorter timeouts cost more calls.
  */
 const WATCH_TIMEOUT = { min: 3_000, max: 10_000 };
 /**
- * Range of the watch timeout in milliseconds where a few instances watch the store for hundreds.
- * They detect a silent connection sooner, and with few watchers the additional calls are few.
+ * Range of the watch timeout in milliseconds where a few instances watch the store on behalf of
+ * hundreds. They detect a silent connection sooner, and with few watchers the additional calls are
+ * few.
  */
 const FEEDER_WATCH_TIMEOUT = { min: 1_500, max: 2_500 };
 /**
--- a/src/process/fleet_sync.ts
+++ b/src/process/fleet_sync.ts
@@ -80,7 +80,7 @@
  */
 const MAX_CHANGES = 128;
 const MAX_CHANGE_CHARACTERS = 24_000;
-/** Uptime in milliseconds below which a process cannot have counts that the others already know. */
+/** Uptime in milliseconds below which all counts of a process are new to the other instances. */
 const MAX_NEW_UPTIME = 3_000;
 /** Maximum number of instances logged by name; above it only their number is logged. */
 const MAX_LOGGED_NAMES = 16;
--- a/src/process/fleet_sync_test.ts
+++ b/src/process/fleet_sync_test.ts
@@ -61,7 +61,7 @@
   );
 }
 
-/** Returns how many instances have each value of a store object. */
+/** Returns the number of live instances with each value of a store object. */
 function countByValue({ members }: SyncFleet, name: string): Map<unknown, number> {
   const counts = new Map<unknown, number>();
   for (const { feed, isLive } of members) {
@@ -136,7 +136,7 @@
   await clock.advance(1_500);
   for (const member of survivors) expect(runningCounts(member)).toEqual(expected(members));
   for (const { ledger } of relaysOf(members)) {
-    // Only the two failed relays knew their own counts for this window.
+    // Only the two failed relays had their own counts for this window.
     const known = ledger.total(FLEET_WINDOW)[ACCOUNT] ?? 0;
     expect(known).toBeLessThanOrEqual(totalRuns(members));
     expect(known).toBeGreaterThanOrEqual(totalRuns(members) - totalRuns(failedRelays));
@@ -216,8 +216,8 @@
 });
 
 // All watchers fail at once, or lose their connection to the store. A worker that starts to leave
-// must be known as leaving within two seconds, or within four if the loss of the store is not
-// visible to others yet.
+// must be reported as leaving everywhere within two seconds, or within four if the other instances
+// have not yet detected the loss of the store.
 test("instances that no longer receive store changes query the store themselves", async () => {
   const fleet = await startFleet(40);
   const { clock, store, members } = fleet;
@@ -236,7 +236,7 @@
 
 // Each report to the other instances renews the amount that an account may use until the next
 // report. If reading the sums counted as a report, an instance that reads them several times a
-// second would admit a share of the quota each time without the others' knowledge.
+// second would admit a share of the quota each time without reporting it to the others.
 test("reading the sums does not count as a report", async () => {
   const { members } = await startFleet(14);
   for (const { sync, quota } of members) {
--- a/src/process/fleet_table.ts
+++ b/src/process/fleet_table.ts
@@ -49,8 +49,8 @@
  */
 const STARTUP_TIME = 2_000;
 /**
- * Milliseconds after which digests are sent to a silent address again, since a new process that
- * knows no peers may have started there. Before that, another instance may still report it as live.
+ * Milliseconds after which digests are sent to a silent address again, since a new process without
+ * any peers may have started there. Before that, another instance may still report it as live.
  */
 const SILENT_RETRY_DELAY = 5_000;
 /**
@@ -59,7 +59,7 @@
  */
 const LOST_TTL = 6_000;
 
-/** Creates the table of an instance that knows no peers. */
+/** Creates a table without peers. */
 export function createFleetTable(parts: {
   readonly clock: Clock;
   readonly introduction: Introduction;
@@ -157,7 +157,7 @@
         // The local copy of its counts is discarded, so the peer must send a full snapshot when it
         // returns.
         peer.updateSequence = 0;
-        // A new process at the address doesn't know this instance and would ignore its updates
+        // A new process at the address has no state for this instance and would ignore its updates
         // without an introduction.
         peer.hasOurSession = false;
         changed = true;
--- a/src/process/fleet_topology_test.ts
+++ b/src/process/fleet_topology_test.ts
@@ -44,7 +44,7 @@
   expect(new Set(zones).size).toBe(4);
 });
 
-// A stopping instance is gone within seconds. As a relay, it would leave its zone without updates
+// A stopping instance ends within seconds. As a relay, it would leave its zone without updates
 // until the loss is detected.
 test("an instance that doesn't accept requests isn't a relay while others do", () => {
   const all = fleet(60);
--- a/src/process/group_totals.ts
+++ b/src/process/group_totals.ts
@@ -19,7 +19,7 @@
   ): void;
   /**
    * Removes all sources that are not in `sources`. Their running work is subtracted; what they
-   * counted cumulatively stays in the sums.
+   * counted cumulatively stays in the sums, except for workers that no remaining source lists.
    */
   retainSources(sources: ReadonlySet<string>): void;
   /** Returns the sum for one worker, excluding this instance's own counts. */
@@ -39,7 +39,8 @@
  * Work in progress counts while its source is present. Cumulative counts (admitted requests, ended
  * runs) count from the first update of a source and remain afterwards. Receivers interpret the
  * growth of these sums as new events, so the sums must not decrease when an instance ends, nor jump
- * by the past counts of a newly received instance.
+ * by the past counts of a newly received instance. Only a worker's sums are dropped as a whole, once
+ * no source lists the worker.
  */
 export function createGroupTotals(): GroupTotals {
   const sources = new Map<string, SourceCounts>();
--- a/src/process/lease_task.ts
+++ b/src/process/lease_task.ts
@@ -16,7 +16,7 @@
 
 /** Number of renewals per lease term. */
 const RENEWALS_PER_TERM = 3;
-/** Milliseconds between checks of the preferred instance whether it can acquire the lease. */
+/** Milliseconds between two checks by the preferred instance whether it can acquire the lease. */
 const POLL_INTERVAL = 2_000;
 /**
  * Milliseconds for which a holder keeps the lease after another instance has become the preferred
@@ -46,9 +46,10 @@
    * Records the lease version that another instance reports as holder; 0 if it reports that it
    * doesn't hold the lease.
    *
-   * The version was written before the report arrived, so a term counted from here ends no earlier
-   * than the holder's own. Without the report, a successor would start counting only when it first
-   * reads the lease after the holder's failure, which leaves up to two terms without a holder.
+   * The version was written before the report arrived, so a term counted from its arrival ends no
+   * earlier than the holder's own. Without the report, a successor would start counting only when
+   * it first reads the lease after the holder's failure, which leaves up to two terms without a
+   * holder.
    */
   observe(service: string, version: number): void;
   start(): void;
@@ -74,7 +75,7 @@
   readonly maxOrderTime: number;
   /** Milliseconds for which a lease is valid after each write. */
   readonly term?: number;
-  /** Milliseconds between checks of the preferred instance whether it can acquire the lease. */
+  /** Milliseconds between two checks by the preferred instance whether it can acquire the lease. */
   readonly pollInterval?: number;
   /**
    * Whether a live instance reports that it holds the lease, so that there is no need to read it.
@@ -214,7 +215,7 @@
   /** Returns a lease once no order is in progress, unless it must be left to expire. */
   const returnLease = async (service: string): Promise<void> => {
     const lease = held.get(service);
-    // From here on, no order is started.
+    // No order is sent after this.
     held.delete(service);
     const wait = lease === undefined ? undefined : releaseDelay(lease, clock.now(), { term });
     if (lease === undefined || wait === undefined) return;
--- a/src/process/lease_task_test.ts
+++ b/src/process/lease_task_test.ts
@@ -79,7 +79,7 @@
         } as unknown as LoadReport;
       },
       setDesiredState: async (worker, { fence, models }) => {
-        // An order already handed to the network before the pause arrives after it.
+        // An order handed to the network before a pause arrives after the pause.
         await node.freezer.whenRunning();
         await sleep(fleet.clock, 1);
         const { service } = worker;
@@ -308,9 +308,9 @@
   close();
 });
 
-// An order to a slow platform is in progress when its sender is told to stop. If the lease were
-// free at once, the next holder's order could arrive first, and the older order would take effect
-// last.
+// An order to a slow platform is in progress when its sender receives a stop signal. If the lease
+// were free at once, the next holder's order could arrive first, and the older order would take
+// effect last.
 test("a lease is returned only after all orders of its holder have timed out", async () => {
   const { fleet, tasks, holderOf, close } = await startLeases(3);
   const first = holderOf("checking");
@@ -326,8 +326,8 @@
 });
 
 // The holder fails. While it reported holding the lease, the others had no reason to read it from
-// the store. If a successor started counting the term only now, two terms would pass without an
-// instance that orders workers or reports usage.
+// the store. If a successor counted the term only from its first read, two terms would pass without
+// an instance that orders workers or reports usage.
 test("a lease is taken over one term after its last reported renewal", async () => {
   const fleet = await startControlFleet({
     count: 3,
--- a/src/process/mix_task.ts
+++ b/src/process/mix_task.ts
@@ -51,7 +51,7 @@
  * of repeated orders, so that each new refusal extends it.
  */
 const EXHAUSTED_TIME = 3_000;
-/** Time for which on-demand workers stay wanted after the plan last asked for them, in milliseconds. */
+/** Time for which on-demand workers are kept after a plan last included them, in milliseconds. */
 const HOLD_TIME = 6_000;
 /**
  * Time for which the set of workers must be stable before the first plan, in milliseconds. Each worker registers in the
@@ -80,7 +80,7 @@
   const sent = new Map<string, SentOrder>();
   /** By service and zone, the time until which its market counts as having no reclaimable capacity. */
   const exhaustedUntil = new Map<string, number>();
-  /** By service, the recently wanted counts of on-demand workers. */
+  /** By service, the counts of on-demand workers in recent plans. */
   const recentOnDemand = new Map<string, { onDemand: number; at: number }[]>();
   /** By service, the demand assumed before any load, derived from the workers present at the first plan. */
   const initialDemand = new Map<string, number>();
--- a/src/process/object_follower.ts
+++ b/src/process/object_follower.ts
@@ -4,8 +4,9 @@
 import { withTimeout } from "./timeout.ts";
 
 /**
- * Milliseconds after which a watch is renewed. An open connection can go silent permanently; a new
- * watch uses a new one, so a change missed by a silent watch is seen after at most this time.
+ * Milliseconds after which a watch is renewed. An open connection can go silent permanently. A new
+ * watch uses a new connection, so a change missed by a silent watch is received after at most this
+ * time.
  */
 const WATCH_TIMEOUT = 3_000;
 /** Milliseconds between checks whether an instance without a watch has become a watcher. */
--- a/src/process/peer.ts
+++ b/src/process/peer.ts
@@ -31,7 +31,7 @@
   hasOurSession: boolean;
   /** The last round of this instance that it acknowledged. */
   acknowledgedRound: number;
-  /** Kind of update that it is sent, and the round since when. */
+  /** Kind of update that is sent to it, and the round since which it has been this kind. */
   updateKind: string;
   updateKindSince: number;
 }
--- a/src/process/peer_catch_up.ts
+++ b/src/process/peer_catch_up.ts
@@ -6,7 +6,9 @@
 import type { FetchedObjects } from "./peer_fetch.ts";
 import type { RoutedLog } from "./routed_log.ts";
 
-/** Fetches store changes from peers that neither the store nor a digest has delivered in time. */
+/**
+ * Fetches from peers the store changes that neither the store nor a digest has delivered in time.
+ */
 export interface PeerCatchUp {
   /** Called with a peer's digest after the store changes in it have been applied. */
   receive(peer: PeerInstance): void;
@@ -33,9 +35,9 @@
 /** Milliseconds to wait for the store to deliver a change before it is fetched from a peer. */
 const FETCH_DELAY = 350;
 /**
- * Range in milliseconds of the random delay before a fetch, if a relay reports a change that
- * doesn't fit into its digest. Otherwise the relay would have to serve its whole zone at the same
- * moment.
+ * Upper bound in milliseconds of the random delay before a fetch in a large fleet. If a relay
+ * reports a change that doesn't fit into its digests, its whole zone would otherwise fetch from it
+ * at the same moment.
  */
 const FETCH_JITTER = 120;
 /** Milliseconds after which a second peer is asked, because the first one may be frozen. */
@@ -55,9 +57,9 @@
 }
 
 /**
- * Creates the component. An instance that watches the store usually receives changes there first,
- * so it waits before it fetches. An instance that depends on digests knows as soon as one arrives
- * that something is missing, and fetches after a short random delay.
+ * Creates the component. An instance of a small fleet usually receives changes from the store
+ * first, so it waits before it fetches. An instance of a large fleet detects a missing change as
+ * soon as a digest reports a newer version, and fetches it after a short random delay.
  */
 export function createPeerCatchUp(parts: PeerCatchUpParts): PeerCatchUp {
   const { clock, random, role, feeds, log } = parts;
--- a/src/process/peer_exchange.ts
+++ b/src/process/peer_exchange.ts
@@ -1,6 +1,6 @@
 /**
- * Exchange of digests between the entry instances: which instances are live, and what each has
- * admitted, counted and running.
+ * Exchange of digests between the entry instances: which instances are live, and the admitted
+ * requests, usage and running work of each.
  *
  * Digests are sent as datagrams, because a connection between two instances can go silent
  * permanently without either end noticing. Every digest reports that the sender is live and whether
@@ -100,7 +100,7 @@
    * source ids.
    */
   readonly onRoleChange: () => void;
-  /** Called when instances have come or gone, or have started or stopped accepting requests. */
+  /** Called when instances have joined or left, or have started or stopped accepting requests. */
   readonly onChange: () => void;
   /** Called with a description when something could not be sent or read. */
   readonly onFault: (detail: string) => void;
@@ -122,8 +122,8 @@
  */
 const MIN_CHANGE_INTERVAL = 120;
 /**
- * Average age of relayed counts in milliseconds: three digests of half a period each on average,
- * through two relays.
+ * Average age of relayed counts in milliseconds. They arrive with the third digest, through two
+ * relays, and wait half a period for each digest on average.
  */
 const RELAYED_UPDATE_AGE = 400;
 /** Number of silent, unreported addresses that are also sent a digest in each period. */
@@ -195,7 +195,8 @@
       return;
     }
     const peer = table.senderOf(digest);
-    // A process that isn't known here yet is asked for its introduction by not being acknowledged.
+    // A digest of an unknown process without an introduction is ignored. As it isn't acknowledged,
+    // the process includes its introduction in the next one.
     if (peer === undefined || digest.sequence <= peer.lastSequence) return;
     const isNew = peer.receivedAt === NEVER;
     const hadOurSession = peer.hasOurSession;
--- a/src/process/peer_exchange_test.ts
+++ b/src/process/peer_exchange_test.ts
@@ -238,8 +238,8 @@
   expect(again.exchange.members).toBe(4);
 });
 
-// A stopping instance must be known at once so that callers leave it, and a failed one within
-// little more than a second.
+// The other instances must detect at once that an instance is stopping, so that callers leave it,
+// and within little more than a second that one has failed.
 test("a change of readiness is known at once and a failure soon", async () => {
   const { clock, network, members } = await startFleet(3);
   await clock.advance(1_000);
@@ -317,8 +317,8 @@
   expect(first.exchange.bytesSent - before).toBeLessThan(4 * 2 * 150);
 });
 
-// All seed instances restart at the same moment and know only each other. The rest of the fleet
-// knows their addresses and has already sent them everything.
+// All seed instances restart at the same moment and have only each other's addresses. The rest of
+// the fleet has theirs, and has already sent all its counts to the previous processes there.
 test.each([
   { size: 6, away: 200 },
   { size: 6, away: 4_000 },
--- a/src/process/peer_totals.ts
+++ b/src/process/peer_totals.ts
@@ -16,7 +16,7 @@
   ): GroupCounts;
 }
 
-/** Creates an instance with empty totals. */
+/** Creates empty totals. */
 export function createPeerTotals(): PeerTotals {
   const countsByWorker = new Map<number, WorkerCounts>();
   const admitted = new Map<string, number>();
--- a/src/process/planned_stop_test.ts
+++ b/src/process/planned_stop_test.ts
@@ -55,6 +55,7 @@
   const script = fleet.submit(1, { ...SCRIPT, key: "reel" });
   await fleet.clock.advance(200);
   const owner = [0, 1, 2].find((index) => fleet.core(index).requests.inProgress() > 0) ?? 0;
+  // The caller is connected to instance 1. Its key must belong to another one, which is killed below.
   const reader = owner === 1 ? undefined : script;
   void fleet.core(owner).drain();
   await fleet.clock.advance(100);
--- a/src/process/request_quarantine.ts
+++ b/src/process/request_quarantine.ts
@@ -167,7 +167,7 @@
       if (isDue(found, found.isOwn ? WRITE_DELAY.own : WRITE_DELAY.remote)) await write(found);
     }
   };
-  /** Writes one suspect to the store, so that the next crash quarantines it even if all instances restart before. */
+  /** Writes one suspect to the store, so that the next crash quarantines it even if all instances restart meanwhile. */
   const writeSuspect = async (suspected: readonly CrashFinding[]): Promise<void> => {
     if (clock.now() - suspectWrittenAt < SUSPECT_WRITE_GAP * parts.instanceCount()) return;
     const found = suspected.find((each) => isDue(each, SUSPECT_WRITE_DELAY));
@@ -175,7 +175,10 @@
     suspectWrittenAt = clock.now();
     await write(found);
   };
-  /** Adds the crashes of stored suspects to the evidence, once their counts can no longer arrive from instances. */
+  /**
+   * Adds the crashes of stored suspects to the evidence, once the counts that led to the record have reached all
+   * instances.
+   */
   const recallSuspects = (): void => {
     for (const { fingerprint, crashes, since } of storedRecords.values()) {
       if (isQuarantined(crashes) || time() - since < PROPAGATION_TIME) continue;
--- a/src/process/rollout_plan.ts
+++ b/src/process/rollout_plan.ts
@@ -15,9 +15,9 @@
 }
 
 /**
- * Time to live of a plan, in milliseconds. Without a newer plan an instance can't know whether the version has become
- * bad meanwhile, so it sends no requests to it. The value covers the three digests that a plan takes to reach every
- * instance, one of which may be lost.
+ * Time to live of a plan, in milliseconds. Without a newer plan, the version may have become bad in the meantime, so
+ * an instance sends no requests to it. The value covers the three digests that a plan takes to reach every instance,
+ * one of which may be lost.
  */
 const PLAN_TTL = 1_500;
 
--- a/src/process/rollout_task.ts
+++ b/src/process/rollout_task.ts
@@ -86,7 +86,7 @@
 
   /**
    * Returns the start time of the order: the locally known one, which is also written to the store, otherwise the
-   * stored one, otherwise the current time.
+   * stored one, otherwise the current time. Undefined if it isn't known locally and the store can't be read.
    */
   const loadStartTime = async (
     service: string,
--- a/src/process/rollout_view.ts
+++ b/src/process/rollout_view.ts
@@ -21,18 +21,18 @@
 import type { RolloutPlan } from "./rollout_plan.ts";
 import type { RoutedLog } from "./routed_log.ts";
 
-/** This instance's knowledge of a service's rollout order. */
+/** A service's rollout order, as far as this instance has received it. */
 export interface ServiceRollout {
   /** The order and its status as stored. */
   readonly entry: RolloutEntry;
   /** State of the order; undefined before its first status. */
   readonly state: RolloutState | undefined;
   readonly served: ServedVersions | undefined;
-  /** Time of the order, in milliseconds since the Unix epoch; undefined if this instance doesn't know it. */
+  /** Time of the order, in milliseconds since the Unix epoch; undefined if it isn't known here. */
   readonly startedAt: number | undefined;
   /** Phase of the current plan; undefined without a valid plan. */
   readonly phase: RolloutPhase | undefined;
-  /** Requests sent by this instance since it learned of the order. */
+  /** Requests sent by this instance since it received the order. */
   readonly sent: RolloutBudget["counts"];
 }
 
@@ -77,9 +77,9 @@
   find(service: string): ServiceRollout | undefined;
   /** Lists all services with an order. */
   services(): string[];
-  /** Returns the served versions by service, as far as this instance knows them. */
+  /** Returns the served versions by service, as far as this instance has received them. */
   served(): ReadonlyMap<string, ServedVersions>;
-  /** Returns the workers of the serving version and of the version on trial, without those that leave. */
+  /** Returns the workers of the serving version and of the version on trial, except leaving ones. */
   stock(service: string): { base: RoutedWorker[]; trial: RoutedWorker[] };
 }
 
@@ -92,7 +92,7 @@
   readonly time: () => number;
   /** Returns the number of entry instances. */
   readonly instanceCount: () => number;
-  /** Returns the fleet-wide counts for a hash from `tallyKeys`, as far as this instance knows them. */
+  /** Returns the fleet-wide counts for a hash from `tallyKeys`, as far as this instance has received them. */
   readonly fleetCountsOf: (key: number) => RunCounts | undefined;
   /** Called when a run begins at a worker of this version. */
   readonly onBegin: (service: string, version: string) => void;
--- a/src/process/routed_status.ts
+++ b/src/process/routed_status.ts
@@ -54,7 +54,7 @@
       since: z.number().optional(),
       /** Total duration of the order in milliseconds. */
       duration: z.number(),
-      /** Number of requests that this instance has sent since it learned of the order. */
+      /** Number of requests that this instance has sent since it received the order. */
       sent: z.number(),
       /** Number of these requests sent to the new version. */
       tried: z.number(),
--- a/src/process/routed_worker_table.ts
+++ b/src/process/routed_worker_table.ts
@@ -90,7 +90,7 @@
   readonly versions?: Pick<RolloutView, "admitting" | "begin" | "counts"> | undefined;
 }
 
-/** What the result of a run says about the health of its worker and of the worker's version. */
+/** How the result of a run counts for the health of its worker and of the worker's version. */
 const HEALTH_EFFECT: Readonly<Record<RunResult, "well" | "failed" | "unknown">> = {
   [RunResult.Answered]: "well",
   [RunResult.Failed]: "failed",
@@ -250,7 +250,8 @@
     const maxConnections = maxConnectionsFor(service);
     return eligible(service, now).map((entry) => createCandidate(entry, maxConnections, now));
   };
-  // Every request takes this path. The workers to compare are drawn first, so that objects are created only for them.
+  // Every request takes this path. If other instances start runs unseen, the workers to compare are drawn first, so
+  // that objects are created only for them. Otherwise all workers are compared.
   const sample: RoutedWorkerTable["sample"] = (service, parts) => {
     const now = clock.now();
     const tried = onTrial(service, now);
--- a/src/process/slot_task.ts
+++ b/src/process/slot_task.ts
@@ -117,8 +117,8 @@
     if (claimant !== undefined && claimant !== self && isWrong(claimant)) return answerClaim();
     if (planned().length === 0 || clock.now() - startedAt < GATHERING_TIME) return false;
     if (map.version > 0 && !hasMajorityContact() && !isClaimed()) return claim();
-    // Members of lower rank write first. Later ones read the written map and find nothing left to
-    // do.
+    // Members of lower rank write first. Later ones read the written map, which leaves nothing to
+    // change.
     await waitForRank(rankOf(self, { map, members: members.alive() }));
     await configuration.refresh();
     refreshMap();
@@ -145,11 +145,11 @@
     return hasContact && seesMajorityOfOwners(map, members);
   };
   /**
-   * Whether the claimant is wrong to consider owners dead. This is so if this member is in touch
-   * with most owners, or if it is an owner that the claimant may consider dead. An owner that has
-   * contact with the claimant and plans a takeover itself agrees with the claim. If the survivors
-   * of less than half a fleet answered each other's claims, the dead instances' slots would never
-   * be reassigned.
+   * Whether this member must answer a claim because the claimant may wrongly consider owners dead.
+   * This is the case if this member is in contact with most owners, or is itself an owner and may
+   * be one of those. An owner does not answer if it has contact with the claimant and plans a
+   * takeover too: if the survivors of less than half a fleet answered each other's claims, the dead
+   * instances' slots would never be reassigned.
    */
   const isWrong = (claimant: string): boolean => {
     if (hasMajorityContact()) return true;
--- a/src/process/statsd_sink.ts
+++ b/src/process/statsd_sink.ts
@@ -7,7 +7,7 @@
  */
 const MAX_PACKET_BYTES = 1_400;
 const FLUSH_INTERVAL = 1_000;
-/** Sampling rate of timings, since there is one for each token. */
+/** Fraction of the timings that are sent, since there is one for each token. */
 const TIMING_SAMPLE_RATE = 0.01;
 
 /**
--- a/src/process/store_outage.ts
+++ b/src/process/store_outage.ts
@@ -4,21 +4,21 @@
  * Distinguishes an outage of the platform's store from a loss of this instance's connection to it.
  */
 export interface StoreOutage {
-  /** The store has stopped answering this instance. */
+  /** Records that the store has stopped answering this instance. */
   start(): void;
-  /** Another instance reports that the store answers it. */
+  /** Records that another instance reports an answer of the store. */
   reportAnswer(): void;
   /**
-   * The store answers this instance again. Returns whether the outage may have affected all
-   * instances.
+   * Records that the store answers this instance again. Returns whether the outage may have
+   * affected all instances.
    */
   end(): boolean;
 }
 
 /**
- * Milliseconds by which instances may differ in when the store answers them again: the backoff and
- * timeout of their calls to an unavailable store, doubled. If the others have been answered for
- * less than this, they may only have recovered a little earlier.
+ * Maximum difference in milliseconds between the times at which the store answers two instances
+ * again: the backoff and timeout of their calls to an unavailable store, doubled. If the others
+ * have been answered for less than this, the outage may have affected them too.
  */
 const RECOVERY_SPREAD = 2_000;
 
@@ -27,8 +27,8 @@
  *
  * After an outage of the store, entries may be missing for a while although their workers exist.
  * After a loss of only this instance's connection, a missing entry means that the worker has left,
- * and requests sent there would reach a worker that can stop at any moment. The other instances
- * tell the two cases apart, because the store keeps answering them in the second one.
+ * and requests sent there would reach a worker that can stop at any moment. The reports of the
+ * other instances distinguish the two cases: in the second one, the store keeps answering them.
  *
  * @param staleAfter Milliseconds for which other instances keep reporting that the store answers
  * them after it has stopped.
--- a/src/process/store_outage_test.ts
+++ b/src/process/store_outage_test.ts
@@ -31,7 +31,7 @@
 });
 
 // The store fails for six seconds. Other instances call it again a little earlier than this one,
-// and report that it answers them some tenths of a second before it answers this one.
+// and their reports of its answers arrive some tenths of a second before it answers this one.
 test("others that are answered slightly earlier were not answered throughout", async () => {
   const clock = createVirtualClock();
   const outage = createStoreOutage({ clock, staleAfter: STALE_AFTER });
--- a/src/process/store_view.ts
+++ b/src/process/store_view.ts
@@ -33,7 +33,7 @@
   table(): RouteTable | undefined;
   /** Whether any worker has ever been present. */
   readonly hasWorkers: boolean;
-  /** Returns what this instance reports about the store in its digests. */
+  /** Returns the state of the store that this instance reports in its digests. */
   state(): Pick<InstanceState, "reachesStore" | "hasStoreReturned">;
   /**
    * Must be called with each digest's sender, before and after the store changes in the digest are
@@ -228,8 +228,9 @@
     for (const worker of removed.keys()) log.changed("worker-gone", { worker });
   };
   /**
-   * Whether the store answers this instance. In a small fleet, a pending watch gives no information
-   * about the connection; watchers of a large fleet must detect a loss sooner.
+   * Whether the store answers this instance. A pending watch gives no information about the
+   * connection, so in a small fleet only the time since the last answer counts. The watchers of a
+   * large fleet must detect a loss sooner, by the first failed call.
    */
   const reachesStore = (): boolean =>
     (fleet().role === FleetRole.Mesh || workerFeed.isStoreAnswering) &&
--- a/src/process/testing/control_fleet.ts
+++ b/src/process/testing/control_fleet.ts
@@ -34,7 +34,7 @@
   readonly network: MemoryNetwork;
   readonly store: MemoryStore;
   readonly nodes: readonly ControlNode[];
-  /** Adds an instance and starts it, without waiting for it to know a revision. */
+  /** Adds an instance and starts it, without waiting for it to receive a revision. */
   add(name: string, options: { zone: string; incarnation?: number }): ControlNode;
   /** Version of an instance's active revision; 0 if there is none. */
   versionAt(node: ControlNode): number;
--- a/src/process/testing/memory_feed.ts
+++ b/src/process/testing/memory_feed.ts
@@ -15,6 +15,7 @@
 
 /** Milliseconds after its timeout at which an unanswered call fails. */
 const GIVE_UP_DELAY = 500;
+/** Milliseconds that an answered call takes, in addition to waiting for a change. */
 const CALL_TIME = 4;
 
 /** Creates an empty store. */
--- a/src/process/testing/sync_fleet.ts
+++ b/src/process/testing/sync_fleet.ts
@@ -33,7 +33,7 @@
 export const FLEET_SERVICE = "desk";
 /** Kind of the store's objects. */
 const KIND = "workers";
-/** Number of the usage window in which all runs count. */
+/** Number of the usage window to which all runs are assigned. */
 export const FLEET_WINDOW = 7;
 const QUOTA = { unit: QuotaUnit.Tokens, unstatedTokens: 0, perSecond: 1_000, burst: 1e9 };
 /**
@@ -88,7 +88,7 @@
   readonly seed?: number;
 }
 
-/** Starts instances in four availability zones. Each knows the addresses of the first two at first. */
+/** Starts instances in four availability zones. Each is given the addresses of the first two. */
 export async function startSyncFleet(size: SyncFleetSize): Promise<SyncFleet> {
   const clock = createVirtualClock();
   const random = createSeededRandom(size.seed ?? 1);
@@ -139,7 +139,7 @@
 /** Size of an object's value in characters, similar to a worker's entry. */
 const OBJECT_SIZE = 240;
 
-/** Starts a fleet for tests of store changes and waits until its instances know each other. */
+/** Starts a fleet for tests of store changes and waits until its instances are connected. */
 export async function startChangeFleet(instances: number, seed = 1): Promise<SyncFleet> {
   const fleet = await startSyncFleet({ instances, workers: 4, accounts: [], seed });
   await fleet.clock.advance(4_000);
--- a/src/process/update_sources.ts
+++ b/src/process/update_sources.ts
@@ -30,6 +30,7 @@
   accepts(peer: Peer): boolean;
   /** Whether the peer's own counts are applied. */
   includes(peer: Peer): boolean;
+  /** Returns the ids of the selected sources. */
   ids(): ReadonlySet<string>;
   /** Returns the session of the relay that sends this instance the counts of all others. */
   relaySession(): number | undefined;
@@ -146,9 +147,11 @@
       if (update === undefined || subject === undefined || !isSelected(peer, subject)) return true;
       const before = selected.get(subject);
       const isSame = before?.session === peer.session;
-      // A delta is useless without its base. A full snapshot will be sent on request.
+      // A delta cannot be applied without its base. A full snapshot will be sent on request.
       if (!isSame && !update.isSnapshot) return false;
       const current = isSame ? before : select(peer, subject);
+      // The first update after a change of source or role only sets the base for later counts, even
+      // if its sender has just started.
       const isFresh = isSame || (before === undefined && !hasBeenReset);
       const uptime = isFresh ? update.uptime : Infinity;
       const applied =
--- a/src/process/usage_task_test.ts
+++ b/src/process/usage_task_test.ts
@@ -67,7 +67,7 @@
   return setup;
 }
 
-// The response to a store write is lost, and then more runs of the window become known. If the later counts were sent,
+// The response to a store write is lost, and then more runs of the window are reported. If the later counts were sent,
 // the window would be billed twice.
 test("sends the stored counts even if the response to their write was lost", async () => {
   const { clock, ledger, reported, writes } = startTask();
--- a/src/process/worker_directory.ts
+++ b/src/process/worker_directory.ts
@@ -19,7 +19,7 @@
   readonly clock: Clock;
   readonly random: Random;
   readonly instances: InstanceList;
-  /** Source of leaving workers, which are known here long before the platform's list shows them. */
+  /** Source of leaving workers. It reports them long before the platform's list shows them. */
   readonly members: Pick<Membership, "leavingWorkers" | "onChange">;
   readonly count: (name: string) => void;
 }
