--- a/src/process/configuration.ts
+++ b/src/process/configuration.ts
@@ -56,7 +56,7 @@
    * Compares the versions that a peer has applied with the local ones and pulls newer objects from
    * it.
    */
-  receiveVersions(from: Member, marks: readonly ObjectVersion[]): void;
+  receiveVersions(from: Member, versions: readonly ObjectVersion[]): void;
   /** Returns the versions that this instance has applied. */
   versions(): readonly ObjectVersion[];
   /** Returns the local version of an object for a peer that pulls it. */
@@ -148,8 +148,8 @@
   const initialize = async (): Promise<void> => {
     let deadline = Number.POSITIVE_INFINITY;
     while (!isClosed()) {
-      const read = await readAll();
-      if (read && revision !== undefined) return;
+      const hasReadAll = await readAll();
+      if (hasReadAll && revision !== undefined) return;
       // A single peer may be out of date. Versions are collected from several peers before the
       // highest one is taken as the configuration in force.
       if (revision !== undefined)
@@ -169,10 +169,10 @@
       await find(SLOT_MAP_KEY)?.reread();
     },
     receive: (key, object) => find(key)?.receive(object),
-    receiveVersions: (from, marks) => {
-      for (const { key, version } of marks) void find(key)?.receiveMark(from, version);
+    receiveVersions: (from, versions) => {
+      for (const { key, version } of versions) void find(key)?.receiveMark(from, version);
     },
-    versions: () => followers.flatMap(markOf),
+    versions: () => followers.flatMap(versionOf),
     pull: (key) => find(key)?.latest(),
     start: async () => {
       await initialize();
@@ -187,7 +187,7 @@
   };
 }
 
-function markOf(follower: ObjectFollower): ObjectVersion[] {
+function versionOf(follower: ObjectFollower): ObjectVersion[] {
   const version = follower.latest()?.version;
   return version === undefined ? [] : [{ key: follower.key, version }];
 }
--- a/src/process/control.ts
+++ b/src/process/control.ts
@@ -49,7 +49,7 @@
   const members: Membership = createMembership({
     ...parts,
     versions: () => configuration.versions(),
-    receiveVersions: (from, marks) => configuration.receiveVersions(from, marks),
+    receiveVersions: (from, versions) => configuration.receiveVersions(from, versions),
   });
   const configuration: Configuration = createConfiguration({
     ...parts,
--- a/src/process/count_log.ts
+++ b/src/process/count_log.ts
@@ -30,7 +30,7 @@
 export function createCountLog(): CountLog {
   const isEqual = (a: number, b: number): boolean => a === b;
   const admitted = createChangeLog<string, number>({ tombstone: 0, equals: isEqual });
-  const use = createChangeLog<number, WorkerCounts>({
+  const workerCounts = createChangeLog<number, WorkerCounts>({
     tombstone: NO_WORKER_COUNTS,
     equals: isSameWorkerCounts,
   });
@@ -43,9 +43,9 @@
       latest = state;
       lastRound = round;
       admitted.record(state.admitted, round);
-      use.record(state.workerCounts, round);
+      workerCounts.record(state.workerCounts, round);
       usage.record(usageByKey(state.usage), round);
-      for (const log of [admitted, use, usage]) log.prune(round - RETAINED_ROUNDS);
+      for (const log of [admitted, workerCounts, usage]) log.prune(round - RETAINED_ROUNDS);
     },
     since: (since) => {
       if (latest === undefined) return undefined;
@@ -55,7 +55,7 @@
         isSnapshot,
         admitted: admitted.since(from),
         usage: countsByWindow(withoutTombstones(usage.since(from))),
-        workerCounts: use.since(from),
+        workerCounts: workerCounts.since(from),
         leavingWorkers: latest.leavingWorkers,
       };
     },
--- a/src/process/crash_evidence_fleet_test.ts
+++ b/src/process/crash_evidence_fleet_test.ts
@@ -39,9 +39,9 @@
   return members.filter(({ isLive }) => isLive);
 }
 
-function memberAt(fleet: SyncFleet, place: number): SyncMember {
+function memberAt(fleet: SyncFleet, index: number): SyncMember {
   const members = liveMembers(fleet);
-  const found = members[(place * 7) % members.length];
+  const found = members[(index * 7) % members.length];
   if (found === undefined) throw new Error("No live instance is left in the fleet.");
   return found;
 }
@@ -66,7 +66,7 @@
   "a fleet of %i instances keeps crash counts after the instances that counted them stop",
   async (size) => {
     const fleet = await start(size);
-    const seen = [0, 1, 2].map((place) => memberAt(fleet, place));
+    const seen = [0, 1, 2].map((index) => memberAt(fleet, index));
     for (const member of seen) sendRequest(fleet, member);
     await fleet.clock.advance(PROPAGATION_TIME);
     for (const member of liveMembers(fleet)) expect(sendRequest(fleet, member)).toBe(false);
--- a/src/process/digest_rounds.ts
+++ b/src/process/digest_rounds.ts
@@ -105,10 +105,11 @@
    */
   const deltasFor = ({ address, instance }: Peer, scope: UpdateScope): readonly FeedDelta[] => {
     if (instance === undefined) return [];
-    const follows = table.isWatcher(address)
+    const hasOtherSource = table.isWatcher(address)
       ? instance.reachesStore
       : !table.isWatcher(introduction.peers);
-    const canSendDeltas = scope === UpdateScope.Fleet || (table.isRelay(address) && !follows);
+    const canSendDeltas =
+      scope === UpdateScope.Fleet || (table.isRelay(address) && !hasOtherSource);
     return canSendDeltas ? parts.deltasSince(instance.versions) : [];
   };
   const addressesFor = (target: Peer): string[] => {
--- a/src/process/entry_instance.ts
+++ b/src/process/entry_instance.ts
@@ -175,11 +175,11 @@
   return {
     callers,
     peers,
-    servePeers: (given) => {
-      handlers = given;
+    servePeers: (peerHandlers) => {
+      handlers = peerHandlers;
     },
-    serveCallers: (given) => {
-      handle = given;
+    serveCallers: (callerHandler) => {
+      handle = callerHandler;
     },
   };
 }
--- a/src/process/feed_follower.ts
+++ b/src/process/feed_follower.ts
@@ -139,7 +139,7 @@
   let version = 0;
   let changedAt = 0;
   let answeredAt: number | undefined;
-  let hasReachedStore: boolean | undefined;
+  let isAnswering: boolean | undefined;
   let failures = 0;
   let isListNeeded = true;
   /** The most recent batches of changes; each starts at the version where the previous one ends. */
@@ -150,8 +150,8 @@
   const isClosed = (): boolean => closed;
 
   const updateReachability = (reached: boolean, detail: string): void => {
-    if (reached === hasReachedStore) return;
-    hasReachedStore = reached;
+    if (reached === isAnswering) return;
+    isAnswering = reached;
     parts.onReachabilityChange(reached, detail);
   };
   const recordChanges = (
@@ -173,27 +173,31 @@
     }
     return newer;
   };
-  const replaceObjects = (found: FeedSnapshot, from: ChangeArrival): void => {
+  const replaceObjects = (snapshot: FeedSnapshot, origin: ChangeArrival): void => {
     // A list older than the known version would restore removed objects.
-    if (found.version < version) return;
+    if (snapshot.version < version) return;
     const previous = objects;
-    const arrival = { ...from, isFirst: version === 0 };
-    objects = new Map(found.objects.map((object) => [object.name, object]));
-    version = found.version;
+    const arrival = { ...origin, isFirst: version === 0 };
+    objects = new Map(snapshot.objects.map((object) => [object.name, object]));
+    version = snapshot.version;
     const changes = differences(previous, objects);
     if (changes.length === 0) {
-      if (found.changedAt !== undefined) {
-        recordChanges(Math.max(changedAt, found.changedAt), [], arrival);
+      if (snapshot.changedAt !== undefined) {
+        recordChanges(Math.max(changedAt, snapshot.changedAt), [], arrival);
       }
       return;
     }
-    const latest = found.objects.reduce((max, object) => Math.max(max, object.version), 0);
+    const latest = snapshot.objects.reduce((max, object) => Math.max(max, object.version), 0);
     const isRemoval = changes.some(({ removed }) => removed);
-    const at = found.changedAt ?? (isRemoval ? found.version : latest);
+    const at = snapshot.changedAt ?? (isRemoval ? snapshot.version : latest);
     recordChanges(Math.max(changedAt, at), changes, arrival);
   };
-  const applyList = (found: FeedSnapshot): void =>
-    replaceObjects(found, { source: ChangeSource.Fetch, age: found.age ?? 0, isFirst: false });
+  const applyList = (snapshot: FeedSnapshot): void =>
+    replaceObjects(snapshot, {
+      source: ChangeSource.Fetch,
+      age: snapshot.age ?? 0,
+      isFirst: false,
+    });
   const applyDelta = (delta: FeedDelta): void => {
     if (delta.from > changedAt || delta.to <= changedAt || isListNeeded) return;
     // The store has already returned a later version, so the delta contains nothing new.
@@ -212,8 +216,8 @@
   };
   const watch = async (): Promise<void> => {
     const { min, max } = feedsPeers() ? FEEDER_WATCH_TIMEOUT : WATCH_TIMEOUT;
-    const wait = failures > 0 ? RETRY_WATCH_TIMEOUT : min + random.next() * (max - min);
-    const outcome = await feed.watchKind(kind, version, wait);
+    const timeout = failures > 0 ? RETRY_WATCH_TIMEOUT : min + random.next() * (max - min);
+    const outcome = await feed.watchKind(kind, version, timeout);
     if (outcome.kind === "history-lost") {
       isListNeeded = true;
       return;
@@ -259,7 +263,7 @@
       return changedAt;
     },
     get isStoreAnswering() {
-      return hasReachedStore === true;
+      return isAnswering === true;
     },
     get age() {
       return firstReceivedAt === undefined ? undefined : clock.now() - firstReceivedAt;
--- a/src/process/feed_follower_test.ts
+++ b/src/process/feed_follower_test.ts
@@ -11,11 +11,11 @@
   version: number;
   lists: number;
   /** Timeout of each watch in milliseconds. */
-  waits: number[];
+  timeouts: number[];
   /** Completes the pending watch. */
   answer(outcome: WatchOutcome): void;
   /** Makes the pending call fail. */
-  lose(): void;
+  fail(): void;
 }
 
 function createStore(): Store {
@@ -24,17 +24,17 @@
     objects: [],
     version: 1,
     lists: 0,
-    waits: [],
+    timeouts: [],
     listKind: () => {
       store.lists++;
       return Promise.resolve({ objects: store.objects, version: store.version });
     },
     watchKind: (_kind, _version, wait) => {
-      store.waits.push(wait);
+      store.timeouts.push(wait);
       return new Promise((resolve, reject) => (waiting = { resolve, reject }));
     },
     answer: (outcome) => waiting.resolve(outcome),
-    lose: () => waiting.reject(new Error("no answer")),
+    fail: () => waiting.reject(new Error("no answer")),
   };
   return store;
 }
@@ -43,7 +43,7 @@
   return { name, version, value: version };
 }
 
-interface Following {
+interface FollowerSetup {
   readonly clock: ReturnType<typeof createVirtualClock>;
   readonly store: Store;
   readonly follower: FeedFollower;
@@ -51,7 +51,7 @@
   readonly names: () => string[];
 }
 
-async function follow(objects: FeedObject[]): Promise<Following> {
+async function follow(objects: FeedObject[]): Promise<FollowerSetup> {
   const clock = createVirtualClock();
   const store = createStore();
   store.objects = objects;
@@ -63,7 +63,7 @@
     random: createSeededRandom(1),
     feed: store,
     onChange: () => undefined,
-    onReachabilityChange: (now) => reached.push(now),
+    onReachabilityChange: (isReached) => reached.push(isReached),
   });
   follower.start();
   await clock.advance(1);
@@ -123,9 +123,9 @@
 // each.
 test("a failed call changes nothing and is retried after a backoff", async () => {
   const { clock, store, names, reached } = await follow([object("a", 3)]);
-  store.lose();
+  store.fail();
   await clock.advance(1_000);
-  store.lose();
+  store.fail();
   await clock.advance(2_000);
   expect(names()).toEqual(["a"]);
   store.answer({ kind: "changed", version: 11, changes: [] });
@@ -137,12 +137,12 @@
 // the usual timeout, the instance would miss a key that is revoked right after the recovery.
 test("watches after a failure are short until one is answered", async () => {
   const { clock, store } = await follow([object("a", 3)]);
-  store.lose();
+  store.fail();
   await clock.advance(1_000);
-  expect(store.waits.at(-1)).toBeLessThan(1_000);
+  expect(store.timeouts.at(-1)).toBeLessThan(1_000);
   store.answer({ kind: "changed", version: 11, changes: [] });
   await clock.advance(1);
-  expect(store.waits.at(-1)).toBeGreaterThan(2_000);
+  expect(store.timeouts.at(-1)).toBeGreaterThan(2_000);
 });
 
 // Other instances forward store changes. A delta must start at or before the last known change; a
@@ -231,8 +231,8 @@
   await clock.advance(1_000);
   // No other instance sends the complete list at startup.
   expect(store.lists).toBe(1);
-  expect(store.waits.length).toBe(0);
+  expect(store.timeouts.length).toBe(0);
   isNeeded = true;
   await clock.advance(200);
-  expect(store.waits.length).toBe(1);
+  expect(store.timeouts.length).toBe(1);
 });
--- a/src/process/fleet_roster.ts
+++ b/src/process/fleet_roster.ts
@@ -5,11 +5,11 @@
   /**
    * Applies a roster from a digest.
    *
-   * @param by The reporter's session. `isAuthoritative` is set if the reporter receives
-   * digests from the listed instances itself, or from relays that do.
+   * @param reporter The sender's session. `isAuthoritative` is set if the sender receives digests
+   * from the listed instances itself, or from relays that do.
    */
   receive(
-    by: { readonly session: number; readonly isAuthoritative: boolean },
+    reporter: { readonly session: number; readonly isAuthoritative: boolean },
     roster: Roster,
   ): void;
   /**
--- a/src/process/fleet_sync_test.ts
+++ b/src/process/fleet_sync_test.ts
@@ -33,9 +33,12 @@
   return workerTable.loads(FLEET_SERVICE).map((load) => load.running);
 }
 
-function expected(members: readonly SyncMember[]): number[] {
-  const all = members.reduce((sum, one) => sum + (one.isLive ? (startedRuns.get(one) ?? 0) : 0), 0);
-  return Array.from({ length: WORKERS }, () => all);
+function expectedCounts(members: readonly SyncMember[]): number[] {
+  const total = members.reduce(
+    (sum, one) => sum + (one.isLive ? (startedRuns.get(one) ?? 0) : 0),
+    0,
+  );
+  return Array.from({ length: WORKERS }, () => total);
 }
 
 /** Returns the total number of runs ever started. */
@@ -87,7 +90,7 @@
     for (const member of members) {
       expect(member.sync.members).toBe(size);
       expect(member.sync.live().length).toBe(size - 1);
-      expect(runningCounts(member)).toEqual(expected(members));
+      expect(runningCounts(member)).toEqual(expectedCounts(members));
     }
     const relays = relaysOf(members);
     expect(relays.length).toBe(size <= 13 ? 0 : 8);
@@ -112,7 +115,7 @@
     }
     network.faults = { lost: 0, twice: 0 };
     await clock.advance(4_000);
-    for (const member of members) expect(runningCounts(member)).toEqual(expected(members));
+    for (const member of members) expect(runningCounts(member)).toEqual(expectedCounts(members));
   },
 );
 
@@ -129,12 +132,12 @@
   expect(survivors.length).toBe(38);
   await clock.advance(3_500);
   for (const member of survivors) {
-    expect(runningCounts(member)).toEqual(expected(members));
+    expect(runningCounts(member)).toEqual(expectedCounts(members));
     expect(member.sync.live().length).toBe(37);
   }
   for (const member of survivors) startRuns(fleet, member);
   await clock.advance(1_500);
-  for (const member of survivors) expect(runningCounts(member)).toEqual(expected(members));
+  for (const member of survivors) expect(runningCounts(member)).toEqual(expectedCounts(members));
   for (const { ledger } of relaysOf(members)) {
     // Only the two failed relays had their own counts for this window.
     const known = ledger.total(FLEET_WINDOW)[ACCOUNT] ?? 0;
--- a/src/process/group_totals_test.ts
+++ b/src/process/group_totals_test.ts
@@ -13,9 +13,9 @@
 
 function updateOf(
   counts: Record<number, WorkerCounts>,
-  more: { admitted?: number; isSnapshot?: boolean } = {},
+  options: { admitted?: number; isSnapshot?: boolean } = {},
 ): GroupCounts & { isSnapshot: boolean } {
-  const { admitted = 0, isSnapshot = false } = more;
+  const { admitted = 0, isSnapshot = false } = options;
   return {
     isSnapshot,
     admitted: new Map([["club", admitted]]),
--- a/src/process/lease_task.ts
+++ b/src/process/lease_task.ts
@@ -125,10 +125,10 @@
     return rendezvousOrder(leaseKey(service), candidates)[0] === self;
   };
   const dayOffset = (): number => clock.date().getTime() - clock.now();
-  const moment = (): ClockReading => ({ now: clock.now(), dayOffset: dayOffset() });
+  const readClock = (): ClockReading => ({ now: clock.now(), dayOffset: dayOffset() });
   const isHeld = (service: string): boolean => {
     const lease = held.get(service);
-    return lease !== undefined && leaseTimeLeft(lease, moment()) > 0;
+    return lease !== undefined && leaseTimeLeft(lease, readClock()) > 0;
   };
   const write = async (
     service: string,
@@ -162,7 +162,7 @@
       hasExpired({ since: found.firstSeenAt, term: found.lease.term }, clock.now());
     if (!isReturned && !isExpired) return;
     const sentAt = clock.now();
-    const offsetThen = dayOffset();
+    const offsetAtSend = dayOffset();
     const outcome = await write(service, { holder: self, expect: found?.lease.version ?? 0 });
     // If the response was lost, the lease is not held. The written version is seen at the next
     // read, waited out like another instance's, and then acquired again.
@@ -174,7 +174,7 @@
     held.set(service, {
       version,
       fence: version,
-      dayOffset: offsetThen,
+      dayOffset: offsetAtSend,
       until: sentAt + term,
       ordersFrom,
       ordersUntil: undefined,
@@ -247,7 +247,7 @@
     held: () => leaseNames().filter(isHeld),
     fence: (service, orderTime) => {
       const lease = held.get(service);
-      if (lease === undefined || !canStartCall(lease, moment(), { orderTime })) return undefined;
+      if (lease === undefined || !canStartCall(lease, readClock(), { orderTime })) return undefined;
       const ordersUntil = Math.max(lease.ordersUntil ?? 0, clock.now() + orderTime);
       held.set(service, { ...lease, ordersUntil });
       return lease.fence;
--- a/src/process/lease_task_test.ts
+++ b/src/process/lease_task_test.ts
@@ -109,7 +109,7 @@
   const servers = createServers();
   const workers = SERVICES.map(workerOf);
   await fleet.clock.advance(5_000);
-  const made = fleet.nodes.map((node, index) => {
+  const started = fleet.nodes.map((node, index) => {
     const parts = {
       ...node,
       throttle: node.configuration.throttle,
@@ -136,10 +136,10 @@
   return {
     fleet,
     servers,
-    tasks: made.map(({ leases }) => leases),
-    holderOf: (service) => made.findIndex(({ leases }) => leases.held().includes(service)),
+    tasks: started.map(({ leases }) => leases),
+    holderOf: (service) => started.findIndex(({ leases }) => leases.held().includes(service)),
     close: () => {
-      for (const { leases, orders } of made) {
+      for (const { leases, orders } of started) {
         leases.close();
         orders.close();
       }
@@ -219,15 +219,15 @@
   const { fleet, tasks, holderOf, close } = await startLeases(4);
   const before = holderOf("ignoring");
   const others = tasks.filter((_, index) => index !== before);
-  const until = async (isSo: (task: LeaseTask) => boolean): Promise<number> => {
-    while (!others.some(isSo)) await fleet.clock.advance(50);
+  const until = async (predicate: (task: LeaseTask) => boolean): Promise<number> => {
+    while (!others.some(predicate)) await fleet.clock.advance(50);
     return fleet.clock.now();
   };
-  const diedAt = fleet.clock.now();
+  const pausedAt = fleet.clock.now();
   fleet.nodes[before]?.freezer.pause();
   const takenAt = await until((task) => task.held().includes("ignoring"));
   // The last renewal was at most a quarter of the term before the pause.
-  expect(takenAt - diedAt).toBeGreaterThanOrEqual(7_500);
+  expect(takenAt - pausedAt).toBeGreaterThanOrEqual(7_500);
   const orderedAt = await until((task) => task.fence("ignoring", ORDER_TIMEOUT) !== undefined);
   expect(orderedAt - takenAt).toBeGreaterThanOrEqual(ORDER_TIMEOUT - 50);
   close();
--- a/src/process/membership.ts
+++ b/src/process/membership.ts
@@ -79,7 +79,7 @@
   /** Returns the versions that this instance has applied. */
   readonly versions: () => readonly ObjectVersion[];
   /** Called with the versions that a peer reports as applied. */
-  readonly receiveVersions: (from: Member, marks: readonly ObjectVersion[]) => void;
+  readonly receiveVersions: (from: Member, versions: readonly ObjectVersion[]) => void;
 }
 
 /**
@@ -148,14 +148,14 @@
   const receive = (
     from: string,
     deltas: readonly MembershipUpdate[],
-    marks: readonly ObjectVersion[],
+    versions: readonly ObjectVersion[],
   ): void => {
     lastMessageAt = clock.now();
     const newDeltas = deltas.filter(merge);
     const sender = table.find(from)?.member;
     if (sender !== undefined) {
       declareEarlierDead(sender);
-      parts.receiveVersions(sender, marks);
+      parts.receiveVersions(sender, versions);
     }
     if (newDeltas.length === 0) return;
     changed();
@@ -263,7 +263,7 @@
   };
   const survey = async (): Promise<ReadonlyMap<string, readonly ObjectVersion[]>> => {
     const found = new Map([[self.id, parts.versions()]]);
-    const askOne = async (member: Member): Promise<void> => {
+    const surveyMember = async (member: Member): Promise<void> => {
       try {
         const reply = await sendProbe(member, outgoing(member.id));
         found.set(reply.from, reply.versions);
@@ -271,7 +271,7 @@
         // A member that doesn't answer is left out of the result, as callers expect.
       }
     };
-    await Promise.all(shuffled(table, random).map(askOne));
+    await Promise.all(shuffled(table, random).map(surveyMember));
     return found;
   };
   const membersIn = (...states: MemberState[]): readonly Member[] => {
@@ -337,7 +337,7 @@
   return table
     .members()
     .filter(({ state }) => state !== MemberState.Dead)
-    .map(({ member }) => ({ member, place: random.next() }))
-    .sort((a, b) => a.place - b.place)
+    .map(({ member }) => ({ member, sortKey: random.next() }))
+    .sort((a, b) => a.sortKey - b.sortKey)
     .map(({ member }) => member);
 }
--- a/src/process/membership_test.ts
+++ b/src/process/membership_test.ts
@@ -116,10 +116,10 @@
     }),
   );
   for (const directory of directories) await directory.start();
-  const missing = "e9#1";
+  const isolated = "e9#1";
   const cut = (isCut: boolean): void => {
     for (const { self } of fleet.nodes) {
-      if (self.id !== missing) fleet.network.setPartitioned(missing, self.id, isCut);
+      if (self.id !== isolated) fleet.network.setPartitioned(isolated, self.id, isCut);
     }
   };
   cut(true);
@@ -140,7 +140,7 @@
   await fleet.clock.advance(2_000);
   const found = await surveying;
   expect([...(found?.keys() ?? [])].sort()).toEqual(["e0#1", "e1#1", "e2#1", "e3#1", "e5#1"]);
-  for (const marks of found?.values() ?? []) expect(marks).toHaveLength(2);
+  for (const versions of found?.values() ?? []) expect(versions).toHaveLength(2);
   fleet.close();
 });
 
--- a/src/process/mix_task.ts
+++ b/src/process/mix_task.ts
@@ -153,23 +153,23 @@
     const lossInterval = losses.observe(name, { stock, now });
     const recent = (recentOnDemand.get(name) ?? []).filter(({ at }) => now - at < HOLD_TIME);
     const heldOnDemand = Math.max(0, ...recent.map(({ onDemand }) => onDemand));
-    const counts = (purchase: Purchase): number =>
+    const totalReady = (purchase: Purchase): number =>
       sum([...scaling.zonePrices.keys()].map((zone) => readyCount(zone, purchase)));
     const first = estimateInitialDemand(scaling, {
-      reclaimable: counts(Purchase.Reclaimable),
-      onDemand: counts(Purchase.OnDemand),
+      reclaimable: totalReady(Purchase.Reclaimable),
+      onDemand: totalReady(Purchase.OnDemand),
     });
     const demand = parts.inUse(service, initialDemand.get(name) ?? first);
     if (!initialDemand.has(name)) {
       // When a deployment starts, its workers register one after another. A plan based on the first few would release
       // most of the others and order too few.
       const previous = observedDemand.get(name);
-      const seen = previous?.first === first ? previous : { first, since: now };
-      observedDemand.set(name, seen);
-      if (!demand.hasLoad && now - seen.since < SETTLE_TIME) return false;
+      const observed = previous?.first === first ? previous : { first, since: now };
+      observedDemand.set(name, observed);
+      if (!demand.hasLoad && now - observed.since < SETTLE_TIME) return false;
       initialDemand.set(name, first);
     }
-    const since = (leaseHeldSince ??= now);
+    const heldSince = (leaseHeldSince ??= now);
     const { orders, wantedOnDemand } = planMix({
       scaling,
       stock,
@@ -183,16 +183,16 @@
       inUseLately: demand.smoothed,
       readingLately: demand.smoothedPrefill,
       held: heldOnDemand,
-      ready: counts(Purchase.Reclaimable) + counts(Purchase.OnDemand),
+      ready: totalReady(Purchase.Reclaimable) + totalReady(Purchase.OnDemand),
       dry: stock.filter(({ isExhausted }) => isExhausted).length,
     };
     // Workers ordered by the previous lease holder that haven't started yet are not visible. Until they must have
     // started, no on-demand worker is released.
-    const isNew = demand.hasLoad && now - since < scaling.startUp + TAKEOVER_MARGIN;
+    const isNewHolder = demand.hasLoad && now - heldSince < scaling.startUp + TAKEOVER_MARGIN;
     let isNewlyExhausted = false;
     for (const wanted of orders) {
       const isLess = wanted.count <= readyCount(wanted.zone, wanted.purchase);
-      if (isNew && isLess && wanted.purchase === Purchase.OnDemand) continue;
+      if (isNewHolder && isLess && wanted.purchase === Purchase.OnDemand) continue;
       if (!isDue(name, readyCount, wanted)) continue;
       const isMarketExhausted = await order(name, wanted, { readyCount, inputs });
       isNewlyExhausted ||= isMarketExhausted;
--- a/src/process/mix_task_test.ts
+++ b/src/process/mix_task_test.ts
@@ -35,9 +35,9 @@
 /**
  * Starts the task with a fake platform whose ordered workers are ready after the start-up time.
  *
- * @param entered Number of on-demand workers registered at the start.
+ * @param registeredCount Number of on-demand workers registered at the start.
  */
-function startMarket(entered = 12): Market {
+function startMarket(registeredCount = 12): Market {
   const clock = createVirtualClock();
   let created = 0;
   const worker = (zone: string, purchase: Purchase): RoutedWorker => ({
@@ -60,19 +60,20 @@
     inUse: 0,
     holdsLease: true,
     registerAll: () => {
-      const gone = new Set(all.slice(0, entered));
-      market.workers = [...market.workers, ...all.filter((one) => !gone.has(one))];
+      const registered = new Set(all.slice(0, registeredCount));
+      market.workers = [...market.workers, ...all.filter((one) => !registered.has(one))];
     },
     advance: (milliseconds) => clock.advance(milliseconds),
     notifyChanged: () => task.workersChanged(),
   };
   const all = ZONES.flatMap((zone) => [0, 1, 2].map(() => worker(zone, Purchase.OnDemand)));
-  market.workers = all.slice(0, entered);
+  market.workers = all.slice(0, registeredCount);
   const fulfill = ({ zone, purchase, count }: WorkerOrder): void => {
-    const here = market.workers.filter((one) => one.zone === zone && one.purchase === purchase);
-    const gone = new Set(here.slice(count));
-    market.workers = market.workers.filter((one) => !gone.has(one));
-    for (let more = here.length; more < count; more++) market.workers.push(worker(zone, purchase));
+    const present = market.workers.filter((one) => one.zone === zone && one.purchase === purchase);
+    const removed = new Set(present.slice(count));
+    market.workers = market.workers.filter((one) => !removed.has(one));
+    for (let index = present.length; index < count; index++)
+      market.workers.push(worker(zone, purchase));
   };
   const platform: Platform = {
     orderWorkers: (order): Promise<CallOutcome> => {
--- a/src/process/operator_service.ts
+++ b/src/process/operator_service.ts
@@ -34,7 +34,7 @@
   return {
     applyChange: (change, base) => changes.apply(change, base),
     getChangeOutcome: (id) => changes.getOutcome(id),
-    waitUntilInForce: (revision) => waitEverywhere(parts, revision),
+    waitUntilInForce: (revision) => waitUntilEverywhere(parts, revision),
     status: () => statusOf(parts),
     services: () => servicesOf(parts),
     drain: parts.drain,
@@ -43,31 +43,34 @@
   };
 }
 
-async function waitEverywhere(
+async function waitUntilEverywhere(
   { clock, members }: OperatorServiceParts,
   revision: number,
 ): Promise<boolean> {
   const deadline = clock.now() + EVERYWHERE_TIMEOUT;
   for (;;) {
-    const found = await members.survey();
+    const versionsByMember = await members.survey();
     const isEverywhere = members
       .present()
-      .every(({ id }) => (versionOf(found.get(id), REVISION_KEY) ?? 0) >= revision);
+      .every(({ id }) => (versionOf(versionsByMember.get(id), REVISION_KEY) ?? 0) >= revision);
     if (isEverywhere) return true;
     if (clock.now() >= deadline) return false;
     await sleep(clock, EVERYWHERE_POLL_INTERVAL);
   }
 }
 
-function versionOf(marks: readonly ObjectVersion[] | undefined, key: string): number | undefined {
-  return marks?.find((mark) => mark.key === key)?.version;
+function versionOf(
+  versions: readonly ObjectVersion[] | undefined,
+  key: string,
+): number | undefined {
+  return versions?.find((object) => object.key === key)?.version;
 }
 
 async function statusOf(parts: OperatorServiceParts): Promise<StatusMessage> {
   const { configuration, members, counters, requests } = parts;
   const revision = configuration.revision();
   const map = configuration.slotMap();
-  const found = await members.survey();
+  const versionsByMember = await members.survey();
   return {
     instance: members.self.id,
     revision: revision?.version ?? 0,
@@ -76,14 +79,14 @@
     cutOff: configuration.isCutOff(),
     inProgress: requests.inProgress(),
     instances: members.present().map(({ id, zone, callerAddress }) => {
-      const marks = found.get(id);
+      const versions = versionsByMember.get(id);
       return {
         id,
         zone,
         callers: callerAddress,
         state: members.stateOf(id),
-        revision: versionOf(marks, REVISION_KEY),
-        slotMap: versionOf(marks, SLOT_MAP_KEY),
+        revision: versionOf(versions, REVISION_KEY),
+        slotMap: versionOf(versions, SLOT_MAP_KEY),
         primaryOf: map.slots.filter(({ primary }) => primary === id).length,
         backupOf: map.slots.filter(({ backup }) => backup === id).length,
       };
@@ -126,8 +129,8 @@
   view: { service: Service; revision: Revision; workers: WorkerDirectory },
 ): ServicesMessage["services"][number] {
   const { service, revision, workers } = view;
-  const inForce = revision.deployment.presets[revision.preset];
-  const capacity = inForce?.services[name];
+  const activePreset = revision.deployment.presets[revision.preset];
+  const capacity = activePreset?.services[name];
   const states: ServicesMessage["services"][number]["workers"] = {};
   for (const worker of workers.list()) {
     if (worker.service === name) states[worker.state] = (states[worker.state] ?? 0) + 1;
@@ -136,7 +139,7 @@
     name,
     kind: service.kind,
     models: service.kind === "model" ? service.models.map((model) => model.name) : [],
-    paused: inForce?.paused.includes(name) ?? false,
+    paused: activePreset?.paused.includes(name) ?? false,
     least: capacity?.least ?? 0,
     most: capacity?.most ?? 0,
     workers: states,
--- a/src/process/peer_catch_up.ts
+++ b/src/process/peer_catch_up.ts
@@ -84,7 +84,7 @@
   /**
    * Records and returns what this instance lacks compared to a peer; undefined if it lacks nothing.
    */
-  const missingAgainst = (
+  const recordMissing = (
     peer: PeerInstance,
     kind: string,
     feed: FeedFollower,
@@ -103,7 +103,7 @@
     return found;
   };
   const catchUp = async (peer: PeerInstance, kind: string, feed: FeedFollower): Promise<void> => {
-    const found = missingAgainst(peer, kind, feed);
+    const found = recordMissing(peer, kind, feed);
     if (found === undefined) return;
     const { pendingPeers } = found;
     const now = clock.now();
--- a/src/process/peer_exchange.ts
+++ b/src/process/peer_exchange.ts
@@ -180,9 +180,11 @@
   const targets = (): Peer[] => {
     const all = [...table.peers.values()];
     if (table.topology.role === FleetRole.Mesh) return all;
-    const own = table.topology.relays.get(introduction.zone) ?? [];
+    const ownRelays = table.topology.relays.get(introduction.zone) ?? [];
     const isPartner = ({ address }: Peer): boolean =>
-      table.topology.role === FleetRole.Relay ? table.isRelay(address) : own.includes(address);
+      table.topology.role === FleetRole.Relay
+        ? table.isRelay(address)
+        : ownRelays.includes(address);
     return [
       ...all.filter((peer) => (peer.isLive && peer.expectsDigest) || isPartner(peer)),
       ...sample(table.silent(), { count: RETRIED_ADDRESSES, random }),
--- a/src/process/peer_exchange_test.ts
+++ b/src/process/peer_exchange_test.ts
@@ -11,7 +11,7 @@
 /** Counts that an instance has received from another, accumulated over its updates. */
 interface ReceivedCounts {
   admitted: Record<string, number>;
-  use: Record<string, number>;
+  runningByWorker: Record<string, number>;
   usage: Record<string, number>;
 }
 
@@ -19,7 +19,7 @@
   readonly exchange: PeerExchange;
   readonly state: {
     admitted: Record<string, number>;
-    use: Record<string, number>;
+    runningByWorker: Record<string, number>;
     usage: Record<string, number>;
     version: number;
   };
@@ -39,7 +39,7 @@
    * Starts an instance at the address of the given index, without any state of an earlier one
    * there.
    */
-  readonly start: (place: number) => Promise<Member>;
+  readonly start: (index: number) => Promise<Member>;
 }
 
 const WINDOW = 7;
@@ -58,7 +58,7 @@
     const address = `10.0.0.${index}:9`;
     const received = new Map<string, ReceivedCounts>();
     const versions = new Map<string, Record<string, number>>();
-    const state: Member["state"] = { admitted: {}, use: {}, usage: {}, version: 0 };
+    const state: Member["state"] = { admitted: {}, runningByWorker: {}, usage: {}, version: 0 };
     const faults: string[] = [];
     const startedAt = clock.now();
     const member: Member = {
@@ -116,24 +116,27 @@
   return { clock, network, members, start };
 }
 
-function countsOf({ admitted, use, usage }: Member["state"]): InstanceCounts {
+function countsOf({ admitted, runningByWorker, usage }: Member["state"]): InstanceCounts {
   return {
     admitted: new Map(Object.entries(admitted)),
     usage: [{ window: WINDOW, counts: { ...usage } }],
     workerCounts: new Map(
-      Object.entries(use).map(([worker, running]) => [Number(worker), used(running)]),
+      Object.entries(runningByWorker).map(([worker, running]) => [
+        Number(worker),
+        workerCountsOf(running),
+      ]),
     ),
     leavingWorkers: [],
   };
 }
 
-function used(running: number): WorkerCounts {
+function workerCountsOf(running: number): WorkerCounts {
   return { running, unreadTokens: 0, runs: 0, failures: 0 };
 }
 
 function merged(before: ReceivedCounts | undefined, update: InstanceUpdate): ReceivedCounts {
-  const known = update.isSnapshot ? undefined : before;
-  const use = Object.fromEntries(
+  const previous = update.isSnapshot ? undefined : before;
+  const runningByWorker = Object.fromEntries(
     [...update.workerCounts].map(([worker, { running }]): [string, number] => [
       String(worker),
       running,
@@ -142,22 +145,22 @@
   return {
     admitted: { ...before?.admitted, ...Object.fromEntries(update.admitted) },
     usage: update.usage.reduce(
-      (known, { counts }) => ({ ...known, ...counts }),
+      (merged, { counts }) => ({ ...merged, ...counts }),
       before?.usage ?? {},
     ),
-    use: withoutIdle({ ...known?.use, ...use }),
+    runningByWorker: withoutIdle({ ...previous?.runningByWorker, ...runningByWorker }),
   };
 }
 
-function withoutIdle(use: Record<string, number>): Record<string, number> {
-  return Object.fromEntries(Object.entries(use).filter(([, running]) => running > 0));
+function withoutIdle(runningByWorker: Record<string, number>): Record<string, number> {
+  return Object.fromEntries(Object.entries(runningByWorker).filter(([, running]) => running > 0));
 }
 
 /** Changes the running work at a worker and the counts of an account. */
 function change({ state }: Member, random: { next: () => number }): void {
   const worker = String(Math.floor(random.next() * 20));
   const running = Math.floor(random.next() * 4);
-  state.use = withoutIdle({ ...state.use, [worker]: running });
+  state.runningByWorker = withoutIdle({ ...state.runningByWorker, [worker]: running });
   const account = `account-${Math.floor(random.next() * 5)}`;
   state.admitted[account] = (state.admitted[account] ?? 0) + 100;
   state.usage[account] = (state.usage[account] ?? 0) + 1;
@@ -186,7 +189,7 @@
         expect(versions.get(`e${index}`)).toEqual({ routing: state.version });
         expect(received.get(`e${index}`)).toMatchObject({
           admitted: state.admitted,
-          use: withoutIdle(state.use),
+          runningByWorker: withoutIdle(state.runningByWorker),
           usage: state.usage,
         });
       }
@@ -202,16 +205,16 @@
   const [first, second] = members;
   if (first === undefined || second === undefined)
     throw new Error("The fleet must have three members.");
-  first.state.use = { 1: 3, 2: 1 };
+  first.state.runningByWorker = { 1: 3, 2: 1 };
   await clock.advance(2_000);
   network.cut.add("10.0.0.0:9>10.0.0.1:9");
   await clock.advance(2_000);
   expect(second.exchange.live().map(({ name }) => name)).toEqual(["e2"]);
   second.received.delete("e0");
-  first.state.use = { 1: 3, 2: 2 };
+  first.state.runningByWorker = { 1: 3, 2: 2 };
   network.cut.clear();
   await clock.advance(2_000);
-  expect(second.received.get("e0")?.use).toEqual({ 1: 3, 2: 2 });
+  expect(second.received.get("e0")?.runningByWorker).toEqual({ 1: 3, 2: 2 });
 });
 
 // An instance fails and another process starts at its address. Runs of the failed process have
@@ -222,20 +225,20 @@
   const [first, second] = members;
   if (first === undefined || second === undefined)
     throw new Error("The fleet must have four members.");
-  first.state.use = { 1: 3 };
-  second.state.use = { 5: 2 };
+  first.state.runningByWorker = { 1: 3 };
+  second.state.runningByWorker = { 5: 2 };
   await clock.advance(2_000);
   const before = second.exchange.directPeers().find(({ name }) => name === "e0")?.incarnation;
   first.exchange.close();
-  const again = await start(0);
-  again.state.use = { 2: 1 };
+  const restarted = await start(0);
+  restarted.state.runningByWorker = { 2: 1 };
   await clock.advance(2_000);
-  expect(second.received.get("e0")?.use).toEqual({ 2: 1 });
+  expect(second.received.get("e0")?.runningByWorker).toEqual({ 2: 1 });
   expect(second.exchange.directPeers().find(({ name }) => name === "e0")?.incarnation).not.toBe(
     before,
   );
-  expect(again.received.get("e1")?.use).toEqual({ 5: 2 });
-  expect(again.exchange.members).toBe(4);
+  expect(restarted.received.get("e1")?.runningByWorker).toEqual({ 5: 2 });
+  expect(restarted.exchange.members).toBe(4);
 });
 
 // The other instances must detect at once that an instance is stopping, so that callers leave it,
@@ -280,14 +283,14 @@
 test("invalid datagrams are counted and change nothing", async () => {
   const { clock, network, members } = await startFleet(2);
   const random = createSeededRandom(3);
-  const stranger = await network.open({
+  const unknownSender = await network.open({
     address: "10.9.9.9:9",
     onMessage: () => undefined,
     onError: () => undefined,
   });
   for (let size = 0; size < 200; size++) {
     const bytes = Uint8Array.from({ length: size }, () => Math.floor(random.next() * 256));
-    stranger.send(bytes, "10.0.0.0:9");
+    unknownSender.send(bytes, "10.0.0.0:9");
   }
   await clock.advance(1_500);
   expect(members[0]?.exchange.live().map(({ name }) => name)).toEqual(["e1"]);
@@ -305,10 +308,10 @@
   const before = first.exchange.bytesSent;
   let receivedAfter = 0;
   for (let run = 1; run <= 20; run++) {
-    first.state.use = { 1: run };
+    first.state.runningByWorker = { 1: run };
     first.exchange.reportRunStart();
     await clock.advance(10);
-    if (receivedAfter === 0 && (second.received.get("e0")?.use["1"] ?? 0) > 0)
+    if (receivedAfter === 0 && (second.received.get("e0")?.runningByWorker["1"] ?? 0) > 0)
       receivedAfter = run * 10;
   }
   expect(receivedAfter).toBeGreaterThan(0);
--- a/src/process/peer_fetch.ts
+++ b/src/process/peer_fetch.ts
@@ -29,12 +29,12 @@
  * @throws {Error} If the peer doesn't answer in time or its response is invalid.
  */
 export async function fetchObjects(peer: string, kind: string): Promise<FetchedObjects> {
-  const caller = createJsonClient(peer, 1);
+  const client = createJsonClient(peer, 1);
   try {
     const path = `/objects/${encodeURIComponent(kind)}`;
-    const answer = await caller.call({ method: "GET", path, timeout: FETCH_TIMEOUT });
-    return fetchedSchema.parse(answer.body);
+    const response = await client.call({ method: "GET", path, timeout: FETCH_TIMEOUT });
+    return fetchedSchema.parse(response.body);
   } finally {
-    caller.close();
+    client.close();
   }
 }
--- a/src/process/planned_stop_test.ts
+++ b/src/process/planned_stop_test.ts
@@ -56,7 +56,7 @@
   await fleet.clock.advance(200);
   const owner = [0, 1, 2].find((index) => fleet.core(index).requests.inProgress() > 0) ?? 0;
   // The caller is connected to instance 1. Its key must belong to another one, which is killed below.
-  const reader = owner === 1 ? undefined : script;
+  const response = owner === 1 ? undefined : script;
   void fleet.core(owner).drain();
   await fleet.clock.advance(100);
   fleet.store.setUnavailable(true);
@@ -65,8 +65,8 @@
   await handedOver;
   fleet.kill(owner);
   await fleet.clock.advance(SCRIPT_TIME);
-  expect(reader?.end).toBe("complete");
-  expect(reader?.text).toBe(wholeAnswer(500));
+  expect(response?.end).toBe("complete");
+  expect(response?.text).toBe(wholeAnswer(500));
   expect(fleet.engines.runs).toHaveLength(1);
   fleet.close();
 });
--- a/src/process/recorder.ts
+++ b/src/process/recorder.ts
@@ -49,7 +49,7 @@
   const seenBlocks = new Set<string>();
   const reclaimedWorkers = new Set<string>();
   let preset: string | undefined;
-  const at = (now: number): number => Math.max(0, Math.round(now - options.now));
+  const traceTime = (now: number): number => Math.max(0, Math.round(now - options.now));
   const write = (line: object): void => options.write(`${JSON.stringify(line)}\n`);
 
   const writeRevision = (now: number): void => {
@@ -58,13 +58,15 @@
     write(
       preset === undefined
         ? formatHeader(options.name, revision)
-        : { kind: "preset", t: at(now), preset: revision.preset },
+        : { kind: "preset", t: traceTime(now), preset: revision.preset },
     );
     preset = revision.preset;
   };
   const writeArrival = ({ arrival, sharedBlocks, answerTokens }: PendingRequest): void => {
     if (preset !== undefined)
-      write(formatArrival(arrival, { t: at(arrival.arrivedAt), sharedBlocks, answerTokens }));
+      write(
+        formatArrival(arrival, { t: traceTime(arrival.arrivedAt), sharedBlocks, answerTokens }),
+      );
   };
   const countShared = (blocks: readonly string[]): number => {
     const firstUnseen = blocks.findIndex((block) => !seenBlocks.has(block));
@@ -107,7 +109,7 @@
         reclaimedWorkers.add(id);
         const index = workers.filter((other) => other.service === service && other.id < id).length;
         const within = Math.max(0, Math.round(reclaimAt - now));
-        write({ kind: "reclaim", t: at(now), within, service, index });
+        write({ kind: "reclaim", t: traceTime(now), within, service, index });
       }
     },
   };
--- a/src/process/request_quarantine.ts
+++ b/src/process/request_quarantine.ts
@@ -163,23 +163,24 @@
     return now - since >= after;
   };
   const writeProven = async (proven: readonly CrashFinding[]): Promise<void> => {
-    for (const found of proven) {
-      if (isDue(found, found.isOwn ? WRITE_DELAY.own : WRITE_DELAY.remote)) await write(found);
+    for (const finding of proven) {
+      if (isDue(finding, finding.isOwn ? WRITE_DELAY.own : WRITE_DELAY.remote))
+        await write(finding);
     }
   };
   /** Writes one suspect to the store, so that the next crash quarantines it even if all instances restart meanwhile. */
   const writeSuspect = async (suspected: readonly CrashFinding[]): Promise<void> => {
     if (clock.now() - suspectWrittenAt < SUSPECT_WRITE_GAP * parts.instanceCount()) return;
-    const found = suspected.find((each) => isDue(each, SUSPECT_WRITE_DELAY));
-    if (found === undefined) return;
+    const due = suspected.find((finding) => isDue(finding, SUSPECT_WRITE_DELAY));
+    if (due === undefined) return;
     suspectWrittenAt = clock.now();
-    await write(found);
+    await write(due);
   };
   /**
    * Adds the crashes of stored suspects to the evidence, once the counts that led to the record have reached all
    * instances.
    */
-  const recallSuspects = (): void => {
+  const restoreSuspects = (): void => {
     for (const { fingerprint, crashes, since } of storedRecords.values()) {
       if (isQuarantined(crashes) || time() - since < PROPAGATION_TIME) continue;
       evidence.restore(fingerprint, crashes);
@@ -204,12 +205,12 @@
   const check = async (): Promise<void> => {
     const now = clock.now();
     for (const [name, at] of releaseTimes) if (now - at > RELEASE_TIME) releaseTimes.delete(name);
-    recallSuspects();
+    restoreSuspects();
     const proven = evidence.listProven(now);
     const suspected = evidence.listSuspected(now);
     for (const { suspect, crashes } of proven) logOnce(suspect.name, { crashes, way: "counted" });
-    const found = [...proven, ...suspected].map(({ suspect }) => suspect.name);
-    const names = new Set([...found, ...storedRecords.keys()]);
+    const foundNames = [...proven, ...suspected].map(({ suspect }) => suspect.name);
+    const names = new Set([...foundNames, ...storedRecords.keys()]);
     for (const name of [...loggedNames, ...writeAttempts.keys()]) {
       if (names.has(name)) continue;
       loggedNames.delete(name);
@@ -236,7 +237,7 @@
       const before = storedRecords;
       const records = [...objects].flatMap((object) => parseRecord(object) ?? []);
       storedRecords = new Map(records.map((record) => [record.fingerprint.name, record]));
-      recallSuspects();
+      restoreSuspects();
       for (const { fingerprint, crashes } of records) {
         if (isQuarantined(crashes)) logOnce(fingerprint.name, { crashes, way: "store" });
       }
--- a/src/process/rollout_view.ts
+++ b/src/process/rollout_view.ts
@@ -130,7 +130,7 @@
  * instances.
  */
 export function createRolloutView(parts: RolloutViewParts): RolloutView {
-  const { clock, random, limits: limits, time, instanceCount, log } = parts;
+  const { clock, random, limits, time, instanceCount, log } = parts;
   const services = new Map<string, ServiceState>();
   const plans = createRolloutPlans();
   const tallies = createVersionTallies(parts.fleetCountsOf);
@@ -160,9 +160,9 @@
     if (entry !== undefined && stateOfOrder(entry) === RolloutState.RolledBack) {
       serviceState.barred.add(entry.order.to);
     }
-    const stock = countVersions(serviceState.workers);
+    const workersByVersion = countVersions(serviceState.workers);
     const served = servedVersions({
-      workersByVersion: stock,
+      workersByVersion,
       entry,
       previousBase: previous?.base,
       rolledBack: serviceState.barred,
@@ -384,13 +384,13 @@
 }
 
 function countVersions(workers: readonly RoutedWorker[]): Map<string, VersionWorkers> {
-  const stock = new Map<string, VersionWorkers>();
-  for (const { version, startedAt: born } of workers) {
-    const previous = stock.get(version) ?? { workers: 0, oldest: Infinity };
-    stock.set(version, {
+  const workersByVersion = new Map<string, VersionWorkers>();
+  for (const { version, startedAt } of workers) {
+    const previous = workersByVersion.get(version) ?? { workers: 0, oldest: Infinity };
+    workersByVersion.set(version, {
       workers: previous.workers + 1,
-      oldest: Math.min(previous.oldest, born),
+      oldest: Math.min(previous.oldest, startedAt),
     });
   }
-  return stock;
+  return workersByVersion;
 }
--- a/src/process/routed_entry.ts
+++ b/src/process/routed_entry.ts
@@ -108,7 +108,7 @@
     random,
     zone: settings.zone,
     health,
-    instanceCount: instanceCount,
+    instanceCount,
     updateAge: () => fleet.updateAge,
     onBegin: () => fleet.reportRunStart(),
     versions,
@@ -140,7 +140,7 @@
     staleAfter: settings.leaseTerm + LEASE_POLL_INTERVAL,
     fleet: () => fleet,
     onRouting: (routing) => quota.addAccounts(routing.accounts ?? [], clock.now()),
-    onArrival: (way, late) => metrics.changeReceived(way, late),
+    onArrival: (source, delay) => metrics.changeReceived(source, delay),
     onQuarantine: (objects) => quarantine.setObjects(objects),
     followsQuarantine: () =>
       lease.held().length > 0 ||
@@ -198,7 +198,7 @@
         ...(canHoldLease() ? [{ id: incarnation }] : []),
         ...fleet
           .leaseCandidates()
-          .filter(({ reachesStore: isStoreReachable, ready }) => isStoreReachable && ready)
+          .filter(({ reachesStore, ready }) => reachesStore && ready)
           .map(({ incarnation: id }) => ({ id })),
       ],
     },
@@ -324,10 +324,10 @@
     log.changed("stopping", { inProgress: requests.inProgress });
     fleet.sendNow();
     void lease.release();
-    const lastAt = stoppingSince + settings.grace - STOP_MARGIN;
-    while (clock.now() < lastAt) {
-      const isTaking = !context.isClosedToNew();
-      if (!isTaking && requests.inProgress === 0) break;
+    const deadline = stoppingSince + settings.grace - STOP_MARGIN;
+    while (clock.now() < deadline) {
+      const isAccepting = !context.isClosedToNew();
+      if (!isAccepting && requests.inProgress === 0) break;
       await sleep(clock, STOP_POLL_INTERVAL);
     }
     log.changed("stopped", { inProgress: requests.inProgress });
@@ -393,8 +393,8 @@
     },
     reload: (changed) => {
       fleet.addAddresses(changed.seeds);
-      const other = { ...changed, seeds: settings.seeds };
-      const needsRestart = JSON.stringify(other) !== JSON.stringify(settings);
+      const withCurrentSeeds = { ...changed, seeds: settings.seeds };
+      const needsRestart = JSON.stringify(withCurrentSeeds) !== JSON.stringify(settings);
       log.changed("settings-reloaded", { seeds: changed.seeds.join(" "), needsRestart });
     },
     // A repeated call returns the same promise: the process exits when it resolves.
--- a/src/process/routed_metrics.ts
+++ b/src/process/routed_metrics.ts
@@ -5,7 +5,7 @@
   /** Counts a request sent to a worker of this version. */
   sent(service: string, version: string): void;
   /** Records how a store change reached this instance, and its delay after the first instance in milliseconds. */
-  changeReceived(way: string, milliseconds: number): void;
+  changeReceived(source: string, milliseconds: number): void;
   /** Returns all metrics in the Prometheus text exposition format. */
   text(): Promise<string>;
   /** Registers a gauge whose value is read when the metrics are fetched. */
@@ -46,8 +46,8 @@
     refused: (reason) => recordOrBuffer((loaded) => loaded.refused(reason)),
     repeated: (cause) => recordOrBuffer((loaded) => loaded.repeated(cause)),
     sent: (service, version) => recordOrBuffer((loaded) => loaded.sent(service, version)),
-    changeReceived: (way, milliseconds) =>
-      recordOrBuffer((loaded) => loaded.changeReceived(way, milliseconds)),
+    changeReceived: (source, milliseconds) =>
+      recordOrBuffer((loaded) => loaded.changeReceived(source, milliseconds)),
     addGauge: (name, help, read) => recordOrBuffer((loaded) => loaded.addGauge(name, help, read)),
     text: async () => (await load()).text(),
   };
@@ -95,7 +95,7 @@
     labelNames: ["service", "version"],
     registers,
   });
-  const changeKnown = new Histogram({
+  const changeDelay = new Histogram({
     name: "samphireshore_change_known_seconds",
     help: "Time from when the first instance knew a change of the store until this one did, by its way.",
     labelNames: ["way"],
@@ -112,8 +112,8 @@
     refused: (reason) => refused.inc({ reason }),
     repeated: (cause) => repeated.inc({ cause }),
     sent: (service, version) => sent.inc({ service, version }),
-    changeReceived: (way, milliseconds) =>
-      changeKnown.observe({ way }, milliseconds / MILLISECONDS_PER_SECOND),
+    changeReceived: (source, milliseconds) =>
+      changeDelay.observe({ way: source }, milliseconds / MILLISECONDS_PER_SECOND),
     addGauge: (name, help, read) => {
       new Gauge({
         name,
--- a/src/process/routed_worker_table.ts
+++ b/src/process/routed_worker_table.ts
@@ -254,11 +254,11 @@
   // that objects are created only for them. Otherwise all workers are compared.
   const sample: RoutedWorkerTable["sample"] = (service, parts) => {
     const now = clock.now();
-    const tried = onTrial(service, now);
-    if (tried.length > 0) {
+    const trialWorkers = onTrial(service, now);
+    if (trialWorkers.length > 0) {
       const maxConnections = maxConnectionsFor(service);
       return {
-        workers: tried.map((entry) => createCandidate(entry, maxConnections, now)),
+        workers: trialWorkers.map((entry) => createCandidate(entry, maxConnections, now)),
         homes: new Map(),
       };
     }
@@ -314,7 +314,7 @@
       entry.unreadTokens = Math.max(0, entry.unreadTokens + tokensBy);
     };
     let unread = prefillTokens;
-    const stopReading = (): void => {
+    const clearUnread = (): void => {
       adjustLoad(0, -unread);
       unread = 0;
     };
@@ -331,10 +331,10 @@
         const now = clock.now();
         prefillRateOf(service).observe({ tokens: unreadTotal, duration: now - startedAt });
         tally?.recordAnswer(now);
-        stopReading();
+        clearUnread();
       },
       end: (result) => {
-        stopReading();
+        clearUnread();
         adjustLoad(-1, 0);
         const now = clock.now();
         const entry = entries.get(id);
@@ -422,12 +422,22 @@
     },
     overview: () =>
       [...entries.values()].map((entry) => {
-        const { id, service, version, zone: place, purchase } = entry.worker;
+        const { id, service, version, zone: workerZone, purchase } = entry.worker;
         const { running } = loadAt(entry);
         const failing = health.excessFailureRate(entry.hash, service, clock.now());
         const leaving = entry.isLeaving;
         const limit = limits.limitOf(entry.hash);
-        return { id, service, version, zone: place, purchase, leaving, running, failing, limit };
+        return {
+          id,
+          service,
+          version,
+          zone: workerZone,
+          purchase,
+          leaving,
+          running,
+          failing,
+          limit,
+        };
       }),
     isLeaving: (id) => entries.get(id)?.isLeaving ?? true,
     leaving: () => [...entries.values()].filter(({ isLeaving }) => isLeaving).map(startKey),
--- a/src/process/routed_worker_table_test.ts
+++ b/src/process/routed_worker_table_test.ts
@@ -49,9 +49,11 @@
   };
 }
 
-function occupancyOf(use: Readonly<Record<string, number>>): ReadonlyMap<number, WorkerCounts> {
+function occupancyOf(
+  runningById: Readonly<Record<string, number>>,
+): ReadonlyMap<number, WorkerCounts> {
   return new Map(
-    Object.entries(use).map(([id, running]) => [
+    Object.entries(runningById).map(([id, running]) => [
       hashText(id),
       { running, unreadTokens: running * 10, runs: 0, failures: 0 },
     ]),
--- a/src/process/slot_task.ts
+++ b/src/process/slot_task.ts
@@ -114,7 +114,8 @@
   };
   const takeOver = async (): Promise<boolean> => {
     const { claim: claimant } = map;
-    if (claimant !== undefined && claimant !== self && isWrong(claimant)) return answerClaim();
+    if (claimant !== undefined && claimant !== self && mustAnswerClaim(claimant))
+      return answerClaim();
     if (planned().length === 0 || clock.now() - startedAt < GATHERING_TIME) return false;
     if (map.version > 0 && !hasMajorityContact() && !isClaimed()) return claim();
     // Members of lower rank write first. Later ones read the written map, which leaves nothing to
@@ -142,7 +143,7 @@
   const hasMajorityContact = (): boolean => {
     const lastMessageAt = members.lastMessageAt();
     const hasContact = lastMessageAt !== undefined && clock.now() - lastMessageAt < CLAIM_TIMEOUT;
-    return hasContact && seesMajorityOfOwners(map, members);
+    return hasContact && isMajorityOfOwnersLive(map, members);
   };
   /**
    * Whether this member must answer a claim because the claimant may wrongly consider owners dead.
@@ -151,10 +152,10 @@
    * takeover too: if the survivors of less than half a fleet answered each other's claims, the dead
    * instances' slots would never be reassigned.
    */
-  const isWrong = (claimant: string): boolean => {
+  const mustAnswerClaim = (claimant: string): boolean => {
     if (hasMajorityContact()) return true;
-    const agrees = members.stateOf(claimant) === MemberState.Alive && planned().length > 0;
-    return ownersOf(map).has(self) && !agrees;
+    const supportsClaim = members.stateOf(claimant) === MemberState.Alive && planned().length > 0;
+    return ownersOf(map).has(self) && !supportsClaim;
   };
   const isClaimed = (): boolean =>
     map.claim === self && clock.now() - mapChangedAt >= CLAIM_TIMEOUT;
@@ -264,11 +265,11 @@
 
 function fleetOf(members: Membership): SlotFleet {
   const present = members.present();
-  const able = members.alive();
+  const alive = members.alive();
   const leavingZones = zonesUnderNotice(members, present);
-  const outsideLeavingZones = able.filter(({ zone }) => !leavingZones.has(zone));
+  const outsideLeavingZones = alive.filter(({ zone }) => !leavingZones.has(zone));
   const ids = new Set(present.map(({ id }) => id));
-  return { eligible: outsideLeavingZones.length > 0 ? outsideLeavingZones : able, present: ids };
+  return { eligible: outsideLeavingZones.length > 0 ? outsideLeavingZones : alive, present: ids };
 }
 
 /**
@@ -301,10 +302,10 @@
   return owners;
 }
 
-function seesMajorityOfOwners(map: SlotMap, members: Membership): boolean {
+function isMajorityOfOwnersLive(map: SlotMap, members: Membership): boolean {
   const owners = ownersOf(map);
-  const seen = [...owners].filter((id) => members.stateOf(id) !== MemberState.Dead).length;
-  return 2 * seen > owners.size;
+  const liveCount = [...owners].filter((id) => members.stateOf(id) !== MemberState.Dead).length;
+  return 2 * liveCount > owners.size;
 }
 
 function mapSlots(
--- a/src/process/store_view.ts
+++ b/src/process/store_view.ts
@@ -77,7 +77,7 @@
   /**
    * Called when store changes arrive, with the milliseconds since the first instance received them.
    */
-  readonly onArrival: (way: ChangeSource, late: number) => void;
+  readonly onArrival: (source: ChangeSource, delay: number) => void;
   /** Called when the workers have changed. */
   readonly onWorkers: (workers: readonly RoutedWorker[]) => void;
 }
@@ -96,15 +96,15 @@
   ): void => {
     fleet().reportStoreChange();
     // Objects found at the start may be arbitrarily old.
-    const late = isFirst ? undefined : Math.round(age);
+    const delay = isFirst ? undefined : Math.round(age);
     log.changed("store-changed", {
       kind,
       way: source,
-      late,
+      late: delay,
       changes: changes.length,
       store: changedAt,
     });
-    if (late !== undefined) parts.onArrival(source, late);
+    if (delay !== undefined) parts.onArrival(source, delay);
   };
   /** Follows a kind of objects. `name` is the kind's name in the log. */
   const follow = (
@@ -210,15 +210,18 @@
     parts.onRollouts(entries, isFirst ? undefined : age);
   };
   const applyWorkers = (): void => {
-    const before = workers;
+    const previous = workers;
     workers = roster.list();
     hasWorkers ||= workers.length > 0;
     parts.onWorkers(workers);
-    logWorkers(before, workers);
+    logWorkers(previous, workers);
   };
-  const logWorkers = (before: readonly RoutedWorker[], now: readonly RoutedWorker[]): void => {
-    const removed = new Map(before.map((worker) => [worker.id, worker]));
-    for (const worker of now) {
+  const logWorkers = (
+    previous: readonly RoutedWorker[],
+    current: readonly RoutedWorker[],
+  ): void => {
+    const removed = new Map(previous.map((worker) => [worker.id, worker]));
+    for (const worker of current) {
       const known = removed.get(worker.id);
       removed.delete(worker.id);
       if (known?.startedAt === worker.startedAt && known.isLeaving === worker.isLeaving) continue;
--- a/src/process/system_load.ts
+++ b/src/process/system_load.ts
@@ -15,9 +15,9 @@
   const delay = monitorEventLoopDelay({ resolution: RESOLUTION_MS });
   delay.enable();
   return () => {
-    const beyond = delay.percentile(PERCENTILE) / NANOSECONDS_PER_MILLISECOND - RESOLUTION_MS;
+    const excessDelay = delay.percentile(PERCENTILE) / NANOSECONDS_PER_MILLISECOND - RESOLUTION_MS;
     delay.reset();
-    const loopDelay = Number.isFinite(beyond) ? Math.max(0, beyond) : 0;
+    const loopDelay = Number.isFinite(excessDelay) ? Math.max(0, excessDelay) : 0;
     return { loopDelay, memory: process.memoryUsage.rss(), memoryLimit, inProgress: 0 };
   };
 }
