--- a/src/process/digest_rounds.ts
+++ b/src/process/digest_rounds.ts
@@ -100,15 +100,16 @@
     return (scope === UpdateScope.Group ? rosterLogs.zone : rosterLogs.all).since(from);
   };
   /**
-   * Watchers send store changes to the relays, and relays to their zones. A relay that cannot reach
-   * the store is sent the changes by all others.
+   * Watchers send store changes to the relays, and relays to their zones. A watcher that cannot
+   * reach the store is sent the changes by every instance that sends it digests.
    */
   const deltasFor = ({ address, instance }: Peer, scope: UpdateScope): readonly FeedDelta[] => {
     if (instance === undefined) return [];
-    const follows = table.isWatcher(address)
+    const hasOtherSource = table.isWatcher(address)
       ? instance.reachesStore
       : !table.isWatcher(introduction.peers);
-    const canSendDeltas = scope === UpdateScope.Fleet || (table.isRelay(address) && !follows);
+    const canSendDeltas =
+      scope === UpdateScope.Fleet || (table.isRelay(address) && !hasOtherSource);
     return canSendDeltas ? parts.deltasSince(instance.versions) : [];
   };
   const addressesFor = (target: Peer): string[] => {
--- a/src/process/fleet_sync_test.ts
+++ b/src/process/fleet_sync_test.ts
@@ -33,9 +33,12 @@
   return workerTable.loads(FLEET_SERVICE).map((load) => load.running);
 }
 
-function expected(members: readonly SyncMember[]): number[] {
-  const all = members.reduce((sum, one) => sum + (one.isLive ? (startedRuns.get(one) ?? 0) : 0), 0);
-  return Array.from({ length: WORKERS }, () => all);
+function expectedCounts(members: readonly SyncMember[]): number[] {
+  const total = members.reduce(
+    (sum, one) => sum + (one.isLive ? (startedRuns.get(one) ?? 0) : 0),
+    0,
+  );
+  return Array.from({ length: WORKERS }, () => total);
 }
 
 /** Returns the total number of runs ever started. */
@@ -61,7 +64,7 @@
   );
 }
 
-/** Returns how many instances have each value of a store object. */
+/** Returns the number of live instances with each value of a store object. */
 function countByValue({ members }: SyncFleet, name: string): Map<unknown, number> {
   const counts = new Map<unknown, number>();
   for (const { feed, isLive } of members) {
@@ -87,7 +90,7 @@
     for (const member of members) {
       expect(member.sync.members).toBe(size);
       expect(member.sync.live().length).toBe(size - 1);
-      expect(runningCounts(member)).toEqual(expected(members));
+      expect(runningCounts(member)).toEqual(expectedCounts(members));
     }
     const relays = relaysOf(members);
     expect(relays.length).toBe(size <= 13 ? 0 : 8);
@@ -112,7 +115,7 @@
     }
     network.faults = { lost: 0, twice: 0 };
     await clock.advance(4_000);
-    for (const member of members) expect(runningCounts(member)).toEqual(expected(members));
+    for (const member of members) expect(runningCounts(member)).toEqual(expectedCounts(members));
   },
 );
 
@@ -129,14 +132,14 @@
   expect(survivors.length).toBe(38);
   await clock.advance(3_500);
   for (const member of survivors) {
-    expect(runningCounts(member)).toEqual(expected(members));
+    expect(runningCounts(member)).toEqual(expectedCounts(members));
     expect(member.sync.live().length).toBe(37);
   }
   for (const member of survivors) startRuns(fleet, member);
   await clock.advance(1_500);
-  for (const member of survivors) expect(runningCounts(member)).toEqual(expected(members));
+  for (const member of survivors) expect(runningCounts(member)).toEqual(expectedCounts(members));
   for (const { ledger } of relaysOf(members)) {
-    // Only the two failed relays knew their own counts for this window.
+    // Only the two failed relays had their own counts for this window.
     const known = ledger.total(FLEET_WINDOW)[ACCOUNT] ?? 0;
     expect(known).toBeLessThanOrEqual(totalRuns(members));
     expect(known).toBeGreaterThanOrEqual(totalRuns(members) - totalRuns(failedRelays));
@@ -216,8 +219,8 @@
 });
 
 // All watchers fail at once, or lose their connection to the store. A worker that starts to leave
-// must be known as leaving within two seconds, or within four if the loss of the store is not
-// visible to others yet.
+// must be reported as leaving everywhere within two seconds, or within four if the other instances
+// have not yet detected the loss of the store.
 test("instances that no longer receive store changes query the store themselves", async () => {
   const fleet = await startFleet(40);
   const { clock, store, members } = fleet;
@@ -236,7 +239,7 @@
 
 // Each report to the other instances renews the amount that an account may use until the next
 // report. If reading the sums counted as a report, an instance that reads them several times a
-// second would admit a share of the quota each time without the others' knowledge.
+// second would admit a share of the quota each time without reporting it to the others.
 test("reading the sums does not count as a report", async () => {
   const { members } = await startFleet(14);
   for (const { sync, quota } of members) {
--- a/src/process/lease_task_test.ts
+++ b/src/process/lease_task_test.ts
@@ -79,7 +79,7 @@
         } as unknown as LoadReport;
       },
       setDesiredState: async (worker, { fence, models }) => {
-        // An order already handed to the network before the pause arrives after it.
+        // An order handed to the network before a pause arrives after the pause.
         await node.freezer.whenRunning();
         await sleep(fleet.clock, 1);
         const { service } = worker;
@@ -109,7 +109,7 @@
   const servers = createServers();
   const workers = SERVICES.map(workerOf);
   await fleet.clock.advance(5_000);
-  const made = fleet.nodes.map((node, index) => {
+  const started = fleet.nodes.map((node, index) => {
     const parts = {
       ...node,
       throttle: node.configuration.throttle,
@@ -136,10 +136,10 @@
   return {
     fleet,
     servers,
-    tasks: made.map(({ leases }) => leases),
-    holderOf: (service) => made.findIndex(({ leases }) => leases.held().includes(service)),
+    tasks: started.map(({ leases }) => leases),
+    holderOf: (service) => started.findIndex(({ leases }) => leases.held().includes(service)),
     close: () => {
-      for (const { leases, orders } of made) {
+      for (const { leases, orders } of started) {
         leases.close();
         orders.close();
       }
@@ -219,15 +219,15 @@
   const { fleet, tasks, holderOf, close } = await startLeases(4);
   const before = holderOf("ignoring");
   const others = tasks.filter((_, index) => index !== before);
-  const until = async (isSo: (task: LeaseTask) => boolean): Promise<number> => {
-    while (!others.some(isSo)) await fleet.clock.advance(50);
+  const until = async (predicate: (task: LeaseTask) => boolean): Promise<number> => {
+    while (!others.some(predicate)) await fleet.clock.advance(50);
     return fleet.clock.now();
   };
-  const diedAt = fleet.clock.now();
+  const pausedAt = fleet.clock.now();
   fleet.nodes[before]?.freezer.pause();
   const takenAt = await until((task) => task.held().includes("ignoring"));
   // The last renewal was at most a quarter of the term before the pause.
-  expect(takenAt - diedAt).toBeGreaterThanOrEqual(7_500);
+  expect(takenAt - pausedAt).toBeGreaterThanOrEqual(7_500);
   const orderedAt = await until((task) => task.fence("ignoring", ORDER_TIMEOUT) !== undefined);
   expect(orderedAt - takenAt).toBeGreaterThanOrEqual(ORDER_TIMEOUT - 50);
   close();
@@ -308,9 +308,9 @@
   close();
 });
 
-// An order to a slow platform is in progress when its sender is told to stop. If the lease were
-// free at once, the next holder's order could arrive first, and the older order would take effect
-// last.
+// An order to a slow platform is in progress when its sender receives a stop signal. If the lease
+// were free at once, the next holder's order could arrive first, and the older order would take
+// effect last.
 test("a lease is returned only after all orders of its holder have timed out", async () => {
   const { fleet, tasks, holderOf, close } = await startLeases(3);
   const first = holderOf("checking");
@@ -326,8 +326,8 @@
 });
 
 // The holder fails. While it reported holding the lease, the others had no reason to read it from
-// the store. If a successor started counting the term only now, two terms would pass without an
-// instance that orders workers or reports usage.
+// the store. If a successor counted the term only from its first read, two terms would pass without
+// an instance that orders workers or reports usage.
 test("a lease is taken over one term after its last reported renewal", async () => {
   const fleet = await startControlFleet({
     count: 3,
--- a/src/process/rollout_view.ts
+++ b/src/process/rollout_view.ts
@@ -21,18 +21,18 @@
 import type { RolloutPlan } from "./rollout_plan.ts";
 import type { RoutedLog } from "./routed_log.ts";
 
-/** This instance's knowledge of a service's rollout order. */
+/** A service's rollout order, as far as this instance has received it. */
 export interface ServiceRollout {
   /** The order and its status as stored. */
   readonly entry: RolloutEntry;
   /** State of the order; undefined before its first status. */
   readonly state: RolloutState | undefined;
   readonly served: ServedVersions | undefined;
-  /** Time of the order, in milliseconds since the Unix epoch; undefined if this instance doesn't know it. */
+  /** Time of the order, in milliseconds since the Unix epoch; undefined if it isn't known here. */
   readonly startedAt: number | undefined;
   /** Phase of the current plan; undefined without a valid plan. */
   readonly phase: RolloutPhase | undefined;
-  /** Requests sent by this instance since it learned of the order. */
+  /** Requests sent by this instance since it received the order. */
   readonly sent: RolloutBudget["counts"];
 }
 
@@ -77,9 +77,9 @@
   find(service: string): ServiceRollout | undefined;
   /** Lists all services with an order. */
   services(): string[];
-  /** Returns the served versions by service, as far as this instance knows them. */
+  /** Returns the served versions by service, as far as this instance has received them. */
   served(): ReadonlyMap<string, ServedVersions>;
-  /** Returns the workers of the serving version and of the version on trial, without those that leave. */
+  /** Returns the workers of the serving version and of the version on trial, except leaving ones. */
   stock(service: string): { base: RoutedWorker[]; trial: RoutedWorker[] };
 }
 
@@ -92,7 +92,7 @@
   readonly time: () => number;
   /** Returns the number of entry instances. */
   readonly instanceCount: () => number;
-  /** Returns the fleet-wide counts for a hash from `tallyKeys`, as far as this instance knows them. */
+  /** Returns the fleet-wide counts for a hash from `tallyKeys`, as far as this instance has received them. */
   readonly fleetCountsOf: (key: number) => RunCounts | undefined;
   /** Called when a run begins at a worker of this version. */
   readonly onBegin: (service: string, version: string) => void;
@@ -130,7 +130,7 @@
  * instances.
  */
 export function createRolloutView(parts: RolloutViewParts): RolloutView {
-  const { clock, random, limits: limits, time, instanceCount, log } = parts;
+  const { clock, random, limits, time, instanceCount, log } = parts;
   const services = new Map<string, ServiceState>();
   const plans = createRolloutPlans();
   const tallies = createVersionTallies(parts.fleetCountsOf);
@@ -160,9 +160,9 @@
     if (entry !== undefined && stateOfOrder(entry) === RolloutState.RolledBack) {
       serviceState.barred.add(entry.order.to);
     }
-    const stock = countVersions(serviceState.workers);
+    const workersByVersion = countVersions(serviceState.workers);
     const served = servedVersions({
-      workersByVersion: stock,
+      workersByVersion,
       entry,
       previousBase: previous?.base,
       rolledBack: serviceState.barred,
@@ -384,13 +384,13 @@
 }
 
 function countVersions(workers: readonly RoutedWorker[]): Map<string, VersionWorkers> {
-  const stock = new Map<string, VersionWorkers>();
-  for (const { version, startedAt: born } of workers) {
-    const previous = stock.get(version) ?? { workers: 0, oldest: Infinity };
-    stock.set(version, {
+  const workersByVersion = new Map<string, VersionWorkers>();
+  for (const { version, startedAt } of workers) {
+    const previous = workersByVersion.get(version) ?? { workers: 0, oldest: Infinity };
+    workersByVersion.set(version, {
       workers: previous.workers + 1,
-      oldest: Math.min(previous.oldest, born),
+      oldest: Math.min(previous.oldest, startedAt),
     });
   }
-  return stock;
+  return workersByVersion;
 }
--- a/src/process/slot_task.ts
+++ b/src/process/slot_task.ts
@@ -114,11 +114,12 @@
   };
   const takeOver = async (): Promise<boolean> => {
     const { claim: claimant } = map;
-    if (claimant !== undefined && claimant !== self && isWrong(claimant)) return answerClaim();
+    if (claimant !== undefined && claimant !== self && mustAnswerClaim(claimant))
+      return answerClaim();
     if (planned().length === 0 || clock.now() - startedAt < GATHERING_TIME) return false;
     if (map.version > 0 && !hasMajorityContact() && !isClaimed()) return claim();
-    // Members of lower rank write first. Later ones read the written map and find nothing left to
-    // do.
+    // Members of lower rank write first. Later ones read the written map, which leaves nothing to
+    // change.
     await waitForRank(rankOf(self, { map, members: members.alive() }));
     await configuration.refresh();
     refreshMap();
@@ -142,19 +143,19 @@
   const hasMajorityContact = (): boolean => {
     const lastMessageAt = members.lastMessageAt();
     const hasContact = lastMessageAt !== undefined && clock.now() - lastMessageAt < CLAIM_TIMEOUT;
-    return hasContact && seesMajorityOfOwners(map, members);
+    return hasContact && isMajorityOfOwnersLive(map, members);
   };
   /**
-   * Whether the claimant is wrong to consider owners dead. This is so if this member is in touch
-   * with most owners, or if it is an owner that the claimant may consider dead. An owner that has
-   * contact with the claimant and plans a takeover itself agrees with the claim. If the survivors
-   * of less than half a fleet answered each other's claims, the dead instances' slots would never
-   * be reassigned.
+   * Whether this member must answer a claim because the claimant may wrongly consider owners dead.
+   * This is the case if this member is in contact with most owners, or is itself an owner and may
+   * be one of those. An owner does not answer if it has contact with the claimant and plans a
+   * takeover too: if the survivors of less than half a fleet answered each other's claims, the dead
+   * instances' slots would never be reassigned.
    */
-  const isWrong = (claimant: string): boolean => {
+  const mustAnswerClaim = (claimant: string): boolean => {
     if (hasMajorityContact()) return true;
-    const agrees = members.stateOf(claimant) === MemberState.Alive && planned().length > 0;
-    return ownersOf(map).has(self) && !agrees;
+    const supportsClaim = members.stateOf(claimant) === MemberState.Alive && planned().length > 0;
+    return ownersOf(map).has(self) && !supportsClaim;
   };
   const isClaimed = (): boolean =>
     map.claim === self && clock.now() - mapChangedAt >= CLAIM_TIMEOUT;
@@ -264,11 +265,11 @@
 
 function fleetOf(members: Membership): SlotFleet {
   const present = members.present();
-  const able = members.alive();
+  const alive = members.alive();
   const leavingZones = zonesUnderNotice(members, present);
-  const outsideLeavingZones = able.filter(({ zone }) => !leavingZones.has(zone));
+  const outsideLeavingZones = alive.filter(({ zone }) => !leavingZones.has(zone));
   const ids = new Set(present.map(({ id }) => id));
-  return { eligible: outsideLeavingZones.length > 0 ? outsideLeavingZones : able, present: ids };
+  return { eligible: outsideLeavingZones.length > 0 ? outsideLeavingZones : alive, present: ids };
 }
 
 /**
@@ -301,10 +302,10 @@
   return owners;
 }
 
-function seesMajorityOfOwners(map: SlotMap, members: Membership): boolean {
+function isMajorityOfOwnersLive(map: SlotMap, members: Membership): boolean {
   const owners = ownersOf(map);
-  const seen = [...owners].filter((id) => members.stateOf(id) !== MemberState.Dead).length;
-  return 2 * seen > owners.size;
+  const liveCount = [...owners].filter((id) => members.stateOf(id) !== MemberState.Dead).length;
+  return 2 * liveCount > owners.size;
 }
 
 function mapSlots(
--- a/src/process/store_view.ts
+++ b/src/process/store_view.ts
@@ -33,7 +33,7 @@
   table(): RouteTable | undefined;
   /** Whether any worker has ever been present. */
   readonly hasWorkers: boolean;
-  /** Returns what this instance reports about the store in its digests. */
+  /** Returns the state of the store that this instance reports in its digests. */
   state(): Pick<InstanceState, "reachesStore" | "hasStoreReturned">;
   /**
    * Must be called with each digest's sender, before and after the store changes in the digest are
@@ -77,7 +77,7 @@
   /**
    * Called when store changes arrive, with the milliseconds since the first instance received them.
    */
-  readonly onArrival: (way: ChangeSource, late: number) => void;
+  readonly onArrival: (source: ChangeSource, delay: number) => void;
   /** Called when the workers have changed. */
   readonly onWorkers: (workers: readonly RoutedWorker[]) => void;
 }
@@ -96,15 +96,15 @@
   ): void => {
     fleet().reportStoreChange();
     // Objects found at the start may be arbitrarily old.
-    const late = isFirst ? undefined : Math.round(age);
+    const delay = isFirst ? undefined : Math.round(age);
     log.changed("store-changed", {
       kind,
       way: source,
-      late,
+      late: delay,
       changes: changes.length,
       store: changedAt,
     });
-    if (late !== undefined) parts.onArrival(source, late);
+    if (delay !== undefined) parts.onArrival(source, delay);
   };
   /** Follows a kind of objects. `name` is the kind's name in the log. */
   const follow = (
@@ -210,15 +210,18 @@
     parts.onRollouts(entries, isFirst ? undefined : age);
   };
   const applyWorkers = (): void => {
-    const before = workers;
+    const previous = workers;
     workers = roster.list();
     hasWorkers ||= workers.length > 0;
     parts.onWorkers(workers);
-    logWorkers(before, workers);
+    logWorkers(previous, workers);
   };
-  const logWorkers = (before: readonly RoutedWorker[], now: readonly RoutedWorker[]): void => {
-    const removed = new Map(before.map((worker) => [worker.id, worker]));
-    for (const worker of now) {
+  const logWorkers = (
+    previous: readonly RoutedWorker[],
+    current: readonly RoutedWorker[],
+  ): void => {
+    const removed = new Map(previous.map((worker) => [worker.id, worker]));
+    for (const worker of current) {
       const known = removed.get(worker.id);
       removed.delete(worker.id);
       if (known?.startedAt === worker.startedAt && known.isLeaving === worker.isLeaving) continue;
@@ -228,8 +231,9 @@
     for (const worker of removed.keys()) log.changed("worker-gone", { worker });
   };
   /**
-   * Whether the store answers this instance. In a small fleet, a pending watch gives no information
-   * about the connection; watchers of a large fleet must detect a loss sooner.
+   * Whether the store answers this instance. A pending watch gives no information about the
+   * connection, so in a small fleet only the time since the last answer counts. The watchers of a
+   * large fleet must detect a loss sooner, by the first failed call.
    */
   const reachesStore = (): boolean =>
     (fleet().role === FleetRole.Mesh || workerFeed.isStoreAnswering) &&
