--- a/src/cli/demo/caller.ts
+++ b/src/cli/demo/caller.ts
@@ -136,7 +136,7 @@
   };
 }
 
-/** Caches the addresses of entry instances for the services that one caller uses. */
+/** Caches the addresses of entry instances, one list for all services that a caller uses. */
 interface AddressCache {
   /**
    * Returns the address to use. Resolves the addresses again if their time to live has passed or after
--- a/src/connection/caller_listener.ts
+++ b/src/connection/caller_listener.ts
@@ -29,7 +29,7 @@
 const HEADERS_TOO_LARGE = 431;
 /**
  * Maximum number of connections waiting to be accepted. It is sized for a burst, because a client whose
- * connection attempt was refused comes back only seconds later.
+ * connection attempt was refused retries only seconds later.
  */
 const MAX_PENDING_CONNECTIONS = 1_024;
 
--- a/src/connection/chat_response.ts
+++ b/src/connection/chat_response.ts
@@ -79,7 +79,9 @@
   return response.write(text);
 }
 
-/** Waits until the caller has read the buffered data or disconnected, so that a slow one uses little memory. */
+/**
+ * Waits until the caller has read the buffered data or disconnected, so that slow callers use little memory.
+ */
 async function waitForDrain(response: ServerResponse): Promise<void> {
   const abortController = new AbortController();
   const { signal } = abortController;
--- a/src/connection/http_body.ts
+++ b/src/connection/http_body.ts
@@ -11,7 +11,7 @@
   override readonly name = "BodyTooLarge";
 }
 
-/** Thrown if a body wasn't received within its timeout (slow-loris). */
+/** Thrown if a body wasn't received within its timeout, which protects against slow-loris attacks. */
 export class BodyTooSlow extends Error {
   override readonly name = "BodyTooSlow";
 }
--- a/src/connection/http_listener.ts
+++ b/src/connection/http_listener.ts
@@ -18,7 +18,7 @@
   readonly key: string;
 }
 
-/** Timeout for receiving request headers, in ms; then the connection is closed (slow-loris). */
+/** Milliseconds after which a connection without complete headers is closed, against slow-loris attacks. */
 const HEADERS_TIMEOUT = 10_000;
 /** Maximum total size of the headers of a request, in bytes. */
 const MAX_HEADER_SIZE = 16_384;
--- a/src/connection/http_object_store.ts
+++ b/src/connection/http_object_store.ts
@@ -17,7 +17,7 @@
 /**
  * Creates an HTTP client for the platform's object store API that the stand-in serves.
  *
- * `get` and `put` never reject: their outcome says whether the store was unavailable or the result of a
+ * `get` and `put` never reject: their outcome shows whether the store was unavailable or the result of a
  * write is unknown. `watch` rejects if there is no response in time or the signal is aborted.
  *
  * @param address `IP:PORT` of the API.
@@ -78,7 +78,7 @@
       ? { kind: "unavailable", detail }
       : { kind: "unknown", detail };
   } catch (error) {
-    // The write may have been applied although its response was lost; only reading it back can tell.
+    // The write may have been applied although its response was lost; only a read can show it.
     return {
       kind: "unknown",
       detail: `Writing ${write.key} got no valid response: ${String(error)}.`,
--- a/src/connection/json_client.ts
+++ b/src/connection/json_client.ts
@@ -27,7 +27,7 @@
    *
    * @returns The response, whatever its status.
    * @throws {Error} If no complete response arrives in time, or its body isn't JSON. The service may have
-   *   processed the request all the same.
+   *   processed the request nevertheless.
    */
   call(request: JsonRequest): Promise<JsonResponse>;
   /** Closes all connections. */
@@ -74,7 +74,7 @@
         headers: { ...headers, ...framing },
       });
       // A call that times out also closes its connection, so that the next call doesn't get a connection
-      // that has gone silent.
+      // that no longer delivers data.
       const timer = setTimeout(() => {
         outgoing.destroy(new Error(`no response within ${timeout} ms`));
       }, timeout);
--- a/src/connection/operator_messages.ts
+++ b/src/connection/operator_messages.ts
@@ -130,7 +130,7 @@
   reason: z.string(),
   detail: z.string(),
   slot: z.number().int(),
-  /** Member ids of the slot's primary and backup, by the slot map of the responding instance. */
+  /** Member ids of the slot's primary and backup, according to the responding instance's slot map. */
   owner: z.string(),
   backup: z.string(),
   attempt: z.number().int(),
--- a/src/connection/operator_service.ts
+++ b/src/connection/operator_service.ts
@@ -15,7 +15,7 @@
   services(): ServicesMessage;
   /** Starts a planned stop of this instance. */
   drain(): void;
-  /** Finds a request of any account; undefined if no owner knows it. */
+  /** Finds a request of any account; undefined if no instance that responds has it. */
   findRequest(id: string): Promise<RequestMessage | undefined>;
   /** Returns all counters and histograms in the Prometheus text format. */
   metrics(): string;
--- a/src/connection/peer_channel.ts
+++ b/src/connection/peer_channel.ts
@@ -20,7 +20,7 @@
 }
 
 /**
- * One HTTP/2 connection to a peer, which can be replaced if it goes silent.
+ * One HTTP/2 connection to a peer, which can be replaced if it stops delivering data.
  *
  * A middlebox may drop the state of an open connection while new connections still work. Calls on the old
  * connection then never end. After a timeout, a call is therefore retried on a new connection before the
@@ -32,7 +32,7 @@
   client(): Client<typeof Peer>;
   /** Drops the connection; the next call opens a new one. */
   reconnect(): void;
-  /** Drops the connection for good. */
+  /** Drops the connection; the channel is not used again. */
   close(): void;
 }
 
--- a/src/connection/peer_client.ts
+++ b/src/connection/peer_client.ts
@@ -23,7 +23,7 @@
 
 /** Interval of the liveness check on a connection with open relays, in milliseconds. */
 const CHECK_INTERVAL = 1_000;
-/** Key that names no object; the liveness check pulls it, and a peer replies at once without one. */
+/** A key without an object. The liveness check pulls it; the peer replies at once that there is none. */
 const CHECK_KEY = "";
 
 /** The connection to one peer and the calls that are open on it. */
--- a/src/connection/peer_client_test.ts
+++ b/src/connection/peer_client_test.ts
@@ -166,8 +166,8 @@
 
 test("a relay on a silent connection fails", async () => {
   // An owner streams tokens to the instance that the caller is connected to, and the connection between the
-  // two goes silent. Without the liveness check the caller would wait until its deadline, although the
-  // owner has the tokens and new connections work.
+  // two stops delivering data. Without the liveness check the caller would wait until its deadline, although
+  // the owner has the tokens and new connections work.
   const { handlers } = recordingHandlers();
   const { address } = await startPeer({
     ...handlers,
--- a/src/connection/peer_codec_test.ts
+++ b/src/connection/peer_codec_test.ts
@@ -61,8 +61,8 @@
 });
 
 test("arbitrary bytes are either decoded as a record or rejected with an error", () => {
-  // Guards against more than one failed call when an instance of another release, or an attacker who has
-  // the peer key, sends an unknown message.
+  // An instance of another release, or an attacker who has the peer key, may send an unknown message. It must
+  // fail only its own call and not end the process.
   fc.assert(
     fc.property(fc.uint8Array({ maxLength: 200 }), (bytes) => {
       try {
--- a/src/connection/testing/loopback_address.ts
+++ b/src/connection/testing/loopback_address.ts
@@ -1,9 +1,9 @@
 /**
- * Loopback addresses for tests that need to know a port before a process listens on it.
+ * Loopback addresses for tests that need a port number before a process listens on it.
  *
  * A free port that the system picked may be taken by another process, or by an outgoing connection, before
  * the test binds it. The test then fails because the address is in use. Here each process uses its own
- * loopback address, so its ports are its own.
+ * loopback address, so no other process can take its ports.
  *
  * @module
  */
--- a/src/connection/worker_connections.ts
+++ b/src/connection/worker_connections.ts
@@ -16,8 +16,8 @@
 const UNREPEATABLE_DEFAULT_MAX_IDLE = 200;
 /**
  * Maximum idle time in milliseconds after which a connection is reused for a request that must not run twice,
- * whatever timeout the worker announced. An idle connection may go silent or be closed earlier than
- * announced, and only the next request detects that. A new connection costs one round trip.
+ * whatever timeout the worker announced. An idle connection may stop delivering data or be closed earlier
+ * than announced, and only the next request detects that. A new connection costs one round trip.
  */
 const UNREPEATABLE_MAX_IDLE = 500;
 
@@ -44,7 +44,7 @@
 
   const open = ({ id, address }: WorkerEndpoint, pool: ConnectionPool): WorkerConnection => {
     opened++;
-    // The pool was removed if its last connection was closed before.
+    // A pool is removed when its last connection closes, so it may have to be added again.
     pools.set(id, pool);
     const connection = openWorkerConnection({
       clock,
--- a/src/request/announced_reclaim_test.ts
+++ b/src/request/announced_reclaim_test.ts
@@ -56,9 +56,9 @@
 });
 
 test("a third instance keeps the records if primary and backup are reclaimed while the store is down", async () => {
-  // Two zones are reclaimed at once while the slot map can't be written. The records go into
-  // custody. Once the store is back, the slot's new owner must receive them and the request must
-  // finish.
+  // Two zones are reclaimed at once while the slot map can't be written. A third instance takes the
+  // records into custody. Once the store is available again, the slot's new owner must receive them
+  // and the request must finish.
   const fleet = await startedFleet();
   const caller = fleet.submit(2, { key: "reel", body: '{"max_tokens":200}' });
   await fleet.clock.advance(200);
--- a/src/request/answer_whole_test.ts
+++ b/src/request/answer_whole_test.ts
@@ -60,8 +60,8 @@
 });
 
 test("no token is lost or repeated if the owner dies without notice", async () => {
-  // The owner's process ends while it answers. The caller is connected to another instance and must
-  // not notice.
+  // The owner's process ends while it answers. The caller is connected to another instance, and its
+  // answer must continue there.
   const fleet = await startedFleet();
   const caller = fleet.submit(2, { key: "k", body: '{"max_tokens":50}' });
   await fleet.clock.advance(300);
--- a/src/request/arrival.ts
+++ b/src/request/arrival.ts
@@ -4,11 +4,11 @@
 import type { RequestRecord } from "../interface/index.ts";
 import type { Environment } from "./environment.ts";
 
-/** Average number of characters per token, used where nothing better is known. */
+/** Assumed average number of characters per token. */
 const CHARACTERS_PER_TOKEN = 4;
 /** Characters of the prompt that one prefix block covers. */
 const PREFIX_BLOCK_CHARACTERS = 1_024;
-/** Tokens that one prefix block stands for. */
+/** Estimated number of tokens in one prefix block. */
 export const PREFIX_BLOCK_TOKENS = PREFIX_BLOCK_CHARACTERS / CHARACTERS_PER_TOKEN;
 /** Maximum number of prefix blocks that placement takes into account. */
 const MAX_PREFIX_BLOCKS = 32;
--- a/src/request/at_most_once_test.ts
+++ b/src/request/at_most_once_test.ts
@@ -84,8 +84,8 @@
 
 test("nothing is sent before the backup has acknowledged the intent", async () => {
   // An accepted request waits for a server. A server becomes free after owner and backup have lost
-  // contact. If the owner sent the request and died, the backup would not know the intent and would
-  // send it again.
+  // contact. If the owner sent the request and died, the backup would not have the intent and would
+  // send the request again.
   const fleet = await startedFleet();
   const workers = [createTestWorker("w1")];
   const caller = fleet.submit(2, ENTRY);
@@ -105,8 +105,8 @@
 });
 
 test("a key whose history is lost is not run again", async () => {
-  // Both owners of the key's slot died at once. The request may have run before. The new owner
-  // can't know this, so it must refuse the key rather than run the request a second time.
+  // Both owners of the key's slot died at once. The request may have run before. The new owner has
+  // no record of it, so it must refuse the key rather than run the request a second time.
   const fleet = await startedFleet();
   fleet.kill(0);
   fleet.kill(1);
--- a/src/request/engine_attempt.ts
+++ b/src/request/engine_attempt.ts
@@ -8,7 +8,10 @@
 import { isRefused } from "./run_outcome.ts";
 import { ownsSlot } from "./slot_replica.ts";
 
-/** Number of new connections to the same server before the run counts as lost. */
+/**
+ * Number of successive new connections to the same server that deliver no token before the run
+ * counts as lost.
+ */
 const MAX_ATTACH_ATTEMPTS = 2;
 /**
  * Tokens, and milliseconds, after which the progress of a replicated answer is sent to the backup.
@@ -101,7 +104,7 @@
     if (live.tokens.length > tokensBefore) tries = -1;
   }
   if (live.stopReason !== undefined) return { kind: "stopped", cause: live.stopReason };
-  // That this connection sent nothing proves nothing about the connection before it.
+  // If this connection sent nothing, the earlier one may still have sent the request.
   return end.kind === "broken" ? { ...end, notSent: false } : end;
 }
 
@@ -129,8 +132,8 @@
 }
 
 /**
- * Creates a listener that sends the backup the request's worker once. Without it, a new owner would
- * not know where to attach to the run, and the whole answer would be computed again.
+ * Creates a listener that sends the backup the request's worker once. Without it, a new owner could
+ * not attach to the run at its worker, and the whole answer would be computed again.
  */
 function createOneTimeCopier(context: RunContext, live: LiveRequest): () => void {
   const { clock } = context.environment;
--- a/src/request/engine_stream.ts
+++ b/src/request/engine_stream.ts
@@ -4,7 +4,7 @@
 import { StopReason } from "./live_request.ts";
 import type { LiveRequest } from "./live_request.ts";
 
-/** How following a backend server's answer ended. */
+/** The end of a stream from a backend server. */
 export type StreamEnd =
   /** The answer is complete. */
   | { readonly kind: "finished"; readonly reason: string; readonly body: string }
@@ -107,9 +107,8 @@
         event.kind === "token" || progress.hasToken ? "nextToken" : "firstToken",
       );
       if (event.kind === "finished") {
-        // A previous owner cancels a run when it moves the request. For an instance that still
-        // follows the run, the answer is truncated; treated as complete, it would reach the caller
-        // truncated.
+        // A previous owner cancels a run when it moves the request. An instance that still follows
+        // the run has received a truncated answer and must not send it to the caller as complete.
         if (event.reason === CANCELLED_RUN) {
           return {
             kind: "broken",
--- a/src/request/event_splitter.ts
+++ b/src/request/event_splitter.ts
@@ -31,9 +31,9 @@
 }
 
 /**
- * Maximum size of an event in bytes. Events from engines have some hundred bytes, and the limit on
- * callers' bodies has this size. Without a limit, a worker that never ends an event would exhaust
- * the memory.
+ * Maximum size of an event in bytes. Events from engines have some hundred bytes, and the default
+ * limit on callers' bodies has this size. Without a limit, a worker that never ends an event would
+ * exhaust the memory.
  */
 const MAX_EVENT_BYTES = 4_194_304;
 /**
--- a/src/request/handover.ts
+++ b/src/request/handover.ts
@@ -147,7 +147,7 @@
     confirmHistory: (slot) => {
       const { stance, assignment, completeThroughEpoch } = table.get(slot);
       const isConfirmable = stance === Stance.Primary && completeThroughEpoch >= assignment.epoch;
-      // The backup of the first epoch knows that there is no earlier history.
+      // There is no history before the first epoch, so the backup of that epoch needs no message.
       if (!isConfirmable || assignment.epoch <= 1 || assignment.backup === "") return;
       if (confirming.has(slot)) return;
       confirming.add(slot);
--- a/src/request/live_request.ts
+++ b/src/request/live_request.ts
@@ -47,7 +47,7 @@
   cacheExport: string | undefined;
   /** Why the request is sent again, if a previous owner has sent it. */
   resumeCause: RetryCause | undefined;
-  /** Priority in the engine's batch; higher values go first. */
+  /** Priority in the engine's batch; higher values are processed first. */
   priority = 0;
   /** Why work on the request was stopped. Set once, by {@linkcode stop}. */
   stopReason: StopReason | undefined;
@@ -170,8 +170,8 @@
 }
 
 /**
- * Creates the final event for a request whose copy at the backup is in doubt. The caller has to
- * query the request by its id.
+ * Creates the final event for a request if it is unknown whether the backup has its record. The
+ * caller has to query the request by its id.
  */
 export function createUnknownOutcomeEvent(record: RequestRecord, retryAfter: number): FinalEvent {
   const state = RequestState.Accepted;
--- a/src/request/moved_run_test.ts
+++ b/src/request/moved_run_test.ts
@@ -62,9 +62,9 @@
 });
 
 test("an answer whose run was cancelled at its server is not treated as complete", async () => {
-  // A former owner moves a request and cancels its run, while the new owner follows the run. For
-  // the new owner the answer just ends. If it counted as complete, the caller would receive half of
-  // it.
+  // A former owner moves a request and cancels its run, while the new owner follows the run. The
+  // new owner then receives the end of a partial answer. If it counted as complete, the caller
+  // would receive half of it.
   const fleet = await fleetWith([createTestWorker("w1"), createTestWorker("w2")]);
   const caller = fleet.submit(0, { body: BODY });
   await fleet.clock.advance(1_000);
--- a/src/request/not_run_test.ts
+++ b/src/request/not_run_test.ts
@@ -53,8 +53,8 @@
 });
 
 test("a key is not reported as 'not run' while no owner can be reached", async () => {
-  // The same key has run through another instance. This instance has sent nothing itself, but can't
-  // know that.
+  // The same key has run through another instance. This instance has sent nothing itself, but it
+  // has no record of that run.
   const fleet = await startedFleet();
   const first = fleet.submit(2, { key: "entry" });
   await fleet.clock.advance(80);
@@ -97,8 +97,8 @@
 
 test("the next owner bars an unacknowledged intent at its server, then runs the request elsewhere", async () => {
   // The owner recorded the intent, the backup's acknowledgement was lost and the owner died. The
-  // backup can't know whether the request was sent, so it first makes the server refuse it. The
-  // request was accepted, so the caller must get its answer and pay once.
+  // backup can't determine whether the request was sent, so it first makes the server refuse it.
+  // The request was accepted, so the caller must get its answer and pay once.
   const fleet = await startedFleet();
   const caller = fleet.submit(2, { key: "entry", repeatable: false });
   await fleet.clock.advance(5);
--- a/src/request/overloaded_entry_test.ts
+++ b/src/request/overloaded_entry_test.ts
@@ -4,8 +4,8 @@
 import { expectedAnswer, createRequestFleet } from "./testing/request_fleet.ts";
 
 test("an overloaded instance refuses new requests at once and continues accepted ones", async () => {
-  // The process is overloaded. New callers must be refused at once so that they can go elsewhere,
-  // while accepted requests continue undisturbed.
+  // The process is overloaded. New callers must be refused at once so that they can use another
+  // instance, while accepted requests continue.
   const fleet = createRequestFleet();
   fleet.assign(0, 1);
   await fleet.clock.advance(10);
--- a/src/request/owned_requests.ts
+++ b/src/request/owned_requests.ts
@@ -52,8 +52,8 @@
 }
 
 /**
- * Milliseconds to wait for the backup's acknowledgement before the caller is told that the outcome
- * is not known yet.
+ * Milliseconds to wait for the backup's acknowledgement before the outcome is reported to the
+ * caller as not known yet.
  */
 const ACCEPT_TIMEOUT = 2_000;
 /** Milliseconds after which a caller should retry. */
@@ -116,7 +116,8 @@
   };
 
   /**
-   * Returns the refusal for a record that this owner doesn't know and can't accept, or undefined.
+   * Returns the refusal of a record that this owner doesn't have yet, or undefined if it can accept
+   * it.
    */
   const findRefusal = (replica: SlotReplica, record: RequestRecord): FinalEvent | undefined => {
     if (record.keyed && !canAcceptUnknownKey(replica, record.repeatable)) {
@@ -189,7 +190,7 @@
     counters.refused(Refusal.BackupUnavailable);
     live.finish(createUnknownOutcomeEvent(live.record, RETRY_AFTER));
     remove(live);
-    // Callers that ask with the id follow this new object.
+    // Callers that query the request by its id follow this new object.
     const next = add(live.record);
     const remaining = Math.max(0, next.record.deadlineAt - clock.date().getTime());
     await replicator.waitForCopy(next.record, remaining);
@@ -284,8 +285,8 @@
     inheritSlot: (slot) => {
       for (const { record } of table.get(slot).records.values()) {
         const live = liveById.get(record.id);
-        // A request started during an earlier ownership has no knowledge of what the owners since
-        // then did. Continuing it would send again what they have sent.
+        // A request started during an earlier ownership lacks the changes that the owners since
+        // then have made. Continuing it would send again what they have sent.
         if (live !== undefined && live.record.sequence !== record.sequence) {
           live.stop(StopReason.Moved);
           live.finish(createMovedEvent(slot));
--- a/src/request/replicator.ts
+++ b/src/request/replicator.ts
@@ -11,7 +11,7 @@
 import type { SlotReplica } from "./slot_replica.ts";
 import type { SlotTable } from "./slot_table.ts";
 
-/** What is known about the copy of a record at the backup. */
+/** The state of a record's copy at the backup, as far as the owner can determine it. */
 export enum CopyState {
   /** The backup has acknowledged the record. */
   Acknowledged = "acknowledged",
@@ -206,7 +206,7 @@
   };
 }
 
-/** Marks a record as acknowledged if, according to the slot map, no second instance can hold it. */
+/** Marks a record as acknowledged. Only for slots in which this instance may act alone. */
 function acknowledgeWithoutBackup(
   replica: SlotReplica,
   { id, sequence }: RequestRecord,
--- a/src/request/request_inquiry.ts
+++ b/src/request/request_inquiry.ts
@@ -64,8 +64,8 @@
  * Asks the server for the state of the request. If the server hasn't started it, the server refuses
  * it from now on, so a message that was permitted earlier and arrives late has no effect.
  *
- * @returns The outcome, or undefined if the request has certainly not run and may go to another
- * server.
+ * @returns The outcome, or undefined if the request may be sent to another server: it has certainly
+ * not run, or it was stopped and can continue from the tokens received.
  */
 export async function inquireAtWorker(
   context: RunContext,
--- a/src/request/request_run.ts
+++ b/src/request/request_run.ts
@@ -173,8 +173,8 @@
 
 /**
  * Requests permission to send to the worker. For a request that may not be repeated, the intent is
- * first recorded at the backup, so that an instance that takes the slot over knows that it may have
- * run.
+ * first recorded at the backup, so that an instance that takes the slot over treats the request as
+ * one that may have run.
  */
 async function requestPermission(
   context: RunContext,
@@ -183,8 +183,8 @@
 ): Promise<Permission> {
   const { replicator, table } = context;
   const { id, slot, repeatable } = live.record;
-  // The slot may have ended the request meanwhile, because this instance missed another owner's
-  // changes.
+  // The slot's record may have ended meanwhile: if this instance missed another owner's changes,
+  // the record ends as possibly run.
   if (isFinalRequestState(table.find(slot, id)?.state ?? live.record.state))
     return Permission.NotOwner;
   if (!repeatable && ownsSlot(table.get(slot))) {
--- a/src/request/request_service.ts
+++ b/src/request/request_service.ts
@@ -43,7 +43,7 @@
  * instance.
  */
 const EARLY_COPY_DELAY = 30_000;
-/** Maximum number of attempts to ask a request's owner a short question. */
+/** Maximum number of attempts to query or cancel a request at its owner. */
 const MAX_ASK_ATTEMPTS = 6;
 
 /**
@@ -233,7 +233,7 @@
   detail: "This entry instance is shutting down; resolve the address again.",
 };
 
-/** Refuses new requests in two steps while the instance is overloaded. */
+/** Refuses new requests while the instance is overloaded: first all but lookups, then all. */
 function refuseWhenOverloaded(
   { configuration }: Environment,
   { entryMode, submission }: { entryMode: EntryMode; submission: Submission },
@@ -256,7 +256,7 @@
   return { reason: Refusal.UnknownRequest, notRun: false, detail, id };
 }
 
-/** Creates a record that only names a request, in order to follow it. */
+/** Creates a record that only identifies a request, in order to follow it. */
 function createNameOnlyRecord({
   id,
   slot,
--- a/src/request/retention.ts
+++ b/src/request/retention.ts
@@ -1,7 +1,7 @@
 import type { Clock, RequestRecord, Timer } from "../interface/index.ts";
 import type { SlotTable } from "./slot_table.ts";
 
-/** Keeps ended records for as long as they may be requested, then drops them. */
+/** Keeps ended records for as long as callers may query them, then drops them. */
 export interface Retention {
   /** Registers a record that has ended, here or at the slot's primary. */
   add(record: RequestRecord): void;
@@ -10,7 +10,7 @@
   close(): void;
 }
 
-/** Milliseconds for which an answer without an idempotency key can be requested by its id. */
+/** Milliseconds for which an answer without an idempotency key can be queried by its id. */
 const UNKEYED_RETENTION = 60_000;
 /** Milliseconds for which answers with an idempotency key, and detached ones, are kept. */
 const KEYED_RETENTION = 24 * 3_600_000;
--- a/src/request/routed_arrival.ts
+++ b/src/request/routed_arrival.ts
@@ -19,8 +19,8 @@
    */
   readonly deadlineAt: number;
   /**
-   * Whether the caller allows less time than its route does. It is then a retry of a request that
-   * was refused or failed before.
+   * Whether the caller allows less time than its route does. The request is then treated as a retry
+   * of one that was refused or failed before.
    */
   readonly isRetry: boolean;
   /** Prompt and answer tokens together; undefined if the caller declared none. */
--- a/src/request/routed_choice.ts
+++ b/src/request/routed_choice.ts
@@ -6,7 +6,7 @@
 
 /** The result of choosing workers for a request. */
 export type WorkerChoice =
-  /** Every worker that accepts requests has had this one already, or there is none. */
+  /** No worker accepts requests, or all that do were already tried. */
   | { readonly kind: "none" }
   /** No worker is expected to start the request in time. */
   | { readonly kind: "overloaded"; readonly offer: WorkerOffer; readonly candidates: number }
@@ -20,7 +20,7 @@
 export interface PlacementRequest {
   readonly arrival: RoutedArrival;
   readonly service: RoutedService;
-  /** Ids of the workers that have already had the request. */
+  /** Ids of the workers that were already tried for the request. */
   readonly tried: ReadonlySet<string>;
 }
 
@@ -53,7 +53,7 @@
   const sample = workerLoads.sample(service, arrival.promptParts);
   const sampled = rank(sample.workers, sample.homes);
   const isSampleUsable = sampled.length > 0 && shouldOffer(createOffer(sampled[0]));
-  // If no worker of the sample is good enough, one of the others may be.
+  // If no worker of the sample is expected to start the request in time, another candidate may be.
   const ranked = isSampleUsable ? sampled : rank(workerLoads.candidates(service));
   if (ranked.length === 0) return { kind: "none" };
   const offer = createOffer(ranked[0]);
@@ -62,7 +62,7 @@
     kind: "ranked",
     *inOrder() {
       yield* ranked;
-      // All sampled workers may have as many connections as this instance may open to them.
+      // This instance may have reached its maximum number of connections to every sampled worker.
       if (isSampleUsable) yield* rank(workerLoads.candidates(service));
     },
   };
--- a/src/request/routed_context.ts
+++ b/src/request/routed_context.ts
@@ -16,7 +16,7 @@
 import type { RoutedService, RouteTable } from "../version/index.ts";
 import type { RequestFingerprint } from "./request_fingerprint.ts";
 
-/** How a run at a worker ended, as evidence for or against the worker. */
+/** The end of a run at a worker, from which the worker's health is assessed. */
 export enum RunResult {
   /** The worker responded, with any status other than an internal error. */
   Answered = "answered",
@@ -63,8 +63,8 @@
   /** Returns the service's workers that accept new requests now. */
   candidates(service: RoutedService): CandidateWorker[];
   /**
-   * Milliseconds until the next request may go to one of the service's workers that have a request
-   * limit, counted over all instances; undefined if none of them has one.
+   * Milliseconds until the next request may be sent to one of the service's workers that have a
+   * request limit, counted over all instances; undefined if none of them has one.
    */
   timeUntilCapacity(service: RoutedService): number | undefined;
   /** Returns the sample of the candidates that is compared first for a request with this prompt. */
--- a/src/request/routed_run.ts
+++ b/src/request/routed_run.ts
@@ -389,7 +389,8 @@
   const retry = (cause: string): void => {
     hasPossiblyRun = true;
     const isLeaving = cause === "worker-leaving";
-    // A request that may not be repeated stays at its worker, if the worker is still running it.
+    // A request that can't be sent again stays at a worker that is about to leave but still runs
+    // it.
     if (isLeaving && !canRepeat()) return;
     endAttempt(isLeaving ? RunResult.Abandoned : RunResult.Failed)?.abort();
     if (canRepeat()) retryElsewhere(cause);
--- a/src/request/routed_service.ts
+++ b/src/request/routed_service.ts
@@ -138,7 +138,7 @@
   };
 }
 
-/** Reads a body to its end. A body over the limit is given up immediately. */
+/** Reads a body. Calls `done` at its end, or as soon as the body exceeds the limit. */
 function readBody(
   request: IncomingMessage,
   limit: number,
--- a/src/request/run_outcome.ts
+++ b/src/request/run_outcome.ts
@@ -52,7 +52,7 @@
 
 /**
  * Returns the outcome of a request that is abandoned. It counts as not run only if nothing was
- * sent: after the first byte, only the server can know.
+ * sent: after the first byte, the server may have run it.
  */
 export function abandonedOutcome(live: LiveRequest, reason: Refusal, detail: string): RunOutcome {
   const hasPossiblyRun = live.isPossiblySent || live.hasPartialRun;
@@ -71,7 +71,7 @@
   return moved ? RunEnd.Moved : RunEnd.Cancelled;
 }
 
-/** Returns why a request is sent again after its run at a server has ended like this. */
+/** Returns the cause for sending a request again after its run has ended in the given way. */
 export function toRetryCause(end: StreamEnd): RetryCause {
   if (end.kind === "silent") return RetryCause.SilentConnection;
   if (end.kind === "stopped") return RetryCause.WorkerReclaimed;
--- a/src/request/slot_replica.ts
+++ b/src/request/slot_replica.ts
@@ -5,8 +5,8 @@
  * instance executes these functions, and the actions of the specification in `model/` call the same
  * ones. The model checker therefore explores the code that runs in production.
  *
- * No rule relies on a clock. Safety rests on two facts: the store assigns each epoch only once, and
- * a backup that has received a later epoch acknowledges nothing from an earlier one.
+ * No rule relies on a clock. Safety depends on two facts: the store assigns each epoch only once,
+ * and a backup that has received a later epoch acknowledges nothing from an earlier one.
  *
  * @module
  */
@@ -48,7 +48,7 @@
   readonly latestThroughEpoch: number;
   /**
    * Whether the record was written here and this instance has owned the slot without interruption
-   * since. Only then can it know whether it has sent the request.
+   * since. If not, this instance can't determine whether the request was sent.
    */
   readonly own: boolean;
 }
@@ -123,7 +123,7 @@
   readonly reply: SlotReply;
 }
 
-/** What the owner may do with a record that has not ended. */
+/** Whether the owner may send a request that has not ended, or the condition that isn't met yet. */
 export enum Permission {
   /** The request may be sent to a backend server. */
   Send = "send",
@@ -139,7 +139,7 @@
   NotOwner = "not-owner",
 }
 
-/** What a new owner does with an inherited record. */
+/** The action of a new owner on an inherited record. */
 export enum TakeoverAction {
   /** The record has ended and is only kept. */
   Keep = "keep",
@@ -348,8 +348,8 @@
 }
 
 function findRefusal(replica: SlotReplica, epoch: number, rules: Rules): SlotOutcome | undefined {
-  // A receiver with an older slot map can't know whether it is the backup. The sender retries after
-  // it has caught up.
+  // A receiver with an older slot map can't determine whether it is the backup. The sender retries
+  // until the receiver has the current map.
   if (epoch > replica.assignment.epoch) return SlotOutcome.Unable;
   if (!rules.epochCheck) return undefined;
   if (epoch < replica.assignment.epoch) return SlotOutcome.StaleEpoch;
@@ -366,7 +366,7 @@
  * The epoch takes precedence over the sequence: a primary that was paused may hold a high sequence
  * that no backup ever received. If that copy counted as the later one, the instance would
  * acknowledge messages of its new primary without storing them, and after the next takeover
- * contradict what the caller was told.
+ * contradict what was reported to the caller.
  *
  * @param options `epoch` is the epoch of the owner from which the copy comes.
  */
@@ -410,8 +410,8 @@
 }
 
 /**
- * Ends ownership at the current epoch because a peer knows a later owner, even though this instance
- * doesn't know the later epoch yet.
+ * Ends ownership at the current epoch because a peer's reply shows that there is a later owner,
+ * even though this instance hasn't received the later assignment yet.
  *
  * Without this, a primary that was paused past a takeover would report ends that the new owner
  * contradicts, until it receives the slot map.
@@ -476,12 +476,14 @@
   return !needsAcknowledgement || isAcknowledged(replica, id);
 }
 
-/** Whether the end must read the same at a later owner, because the caller can ask for it there. */
+/**
+ * Whether a later owner must report the same end, because the caller can query the request there.
+ */
 function mustSurviveOwner({ record }: HeldRecord): boolean {
   return !record.repeatable || record.detached || record.keyed;
 }
 
-/** Returns what a new owner does with an inherited record. */
+/** Returns the action of a new owner on an inherited record. */
 export function takeoverActionFor(record: RequestRecord, rules: Rules = ALL_RULES): TakeoverAction {
   if (isFinalRequestState(record.state)) return TakeoverAction.Keep;
   if (record.repeatable || record.state === RequestState.Accepted) return TakeoverAction.Run;
@@ -647,7 +649,8 @@
  * @param sent True if this instance has written the request to a backend server, or has been
  * permitted to and can't revoke that.
  * @returns True only if no other instance can have sent it either. A repeatable request is sent
- * without informing the backup, so only the instance that accepted it can know.
+ * without informing the backup, so only the instance that accepted it can rule out that it was
+ * sent.
  */
 export function canEndNotRun(replica: SlotReplica, id: string, sent: boolean): boolean {
   const held = replica.records.get(id);
--- a/src/request/slot_table.ts
+++ b/src/request/slot_table.ts
@@ -38,12 +38,12 @@
    */
   pickSlot(random: Random): number | undefined;
   /**
-   * Whether the slot's records need no second holder, because none is available.
+   * Whether this instance may serve requests of the slot without a copy at a backup.
    *
-   * A lone instance acts alone in two cases. If the slot map names no backup, it does so for every
-   * request: an instance that is assigned the slot without its records refuses unknown keys. If the
-   * map names a backup but no other member is alive, it does so for repeatable requests only: the
-   * backup may be alive on the other side of a partition and would run the same key again.
+   * There are two cases. If the slot map names no backup, all requests may be served: an instance
+   * that is later assigned the slot without its records refuses unknown keys. If the map names a
+   * backup but no other member is alive, only repeatable requests may be served: the backup may be
+   * alive on the other side of a partition and would run the same key again.
    */
   canActAlone(replica: SlotReplica, repeatable: boolean): boolean;
   /** Whether the backup in the slot map is known and alive. */
@@ -142,9 +142,9 @@
 }
 
 /**
- * Makes an instance that knows no other the owner of a slot before the slot map is first written.
- * It may run only requests that no other instance can know, which are those whose ids it has
- * generated itself. Epoch 0 is replaced by every slot map that is written.
+ * Makes an instance that has found no other member the owner of a slot until the slot map is first
+ * written. It may run only requests that no other instance can have received, which are those whose
+ * ids it has generated itself. Any slot map that is written replaces epoch 0.
  */
 function provisionalOwner(replica: SlotReplica): SlotReplica {
   if (replica.assignment.epoch > 0 || replica.stance === Stance.Primary) return replica;
--- a/src/request/testing/request_fleet.ts
+++ b/src/request/testing/request_fleet.ts
@@ -30,7 +30,7 @@
   isIsolated: boolean;
 }
 
-/** What a caller has received so far. */
+/** A caller of the fleet, with the events that it has received so far. */
 export interface CallerView {
   readonly events: CallerEvent[];
   /** The tokens received so far, joined. */
--- a/src/request/worker_reclaim.ts
+++ b/src/request/worker_reclaim.ts
@@ -6,28 +6,26 @@
 import { StopReason } from "./live_request.ts";
 import type { LiveRequest } from "./live_request.ts";
 
-/**
- * Bytes of KV cache that an instance can transfer per second, used where nothing better is known.
- */
+/** Assumed rate at which a worker exports KV cache, in bytes per second. */
 const TRANSFER_RATE = 1_250_000_000;
-/** Bytes of KV cache per token, used where nothing better is known. */
+/** Assumed bytes of KV cache per token. */
 const BYTES_PER_TOKEN = 130_000;
 /** Prompt tokens processed per second by a machine class that is not in the settings. */
 const PREFILL_RATE = 8_000;
 /** Time per token in milliseconds, for a request that has not produced any yet. */
 const DEFAULT_TOKEN_TIME = 30;
-/** Characters of a prompt per token. */
+/** Assumed average number of characters of a prompt per token. */
 const CHARACTERS_PER_TOKEN = 4;
 /** Milliseconds between two checks of the servers with a reclaim notice. */
 const POLL_INTERVAL = 250;
-/** Milliseconds before an instance is reclaimed at which its last requests are moved. */
+/** Milliseconds before a server is reclaimed at which its last requests are moved. */
 const FINAL_MOVE_MARGIN = 500;
 
 /**
  * Moves requests in progress away from workers with a reclaim notice, as chosen by the triage.
  *
- * Otherwise a request would run until its server is gone, and be resumed after its whole KV cache
- * is computed again. The caller would see a gap, and operators the recomputed tokens.
+ * Otherwise a request would run until its server is gone. The next server would compute its whole
+ * KV cache again, which costs recomputed tokens and causes a gap in the answer.
  *
  * @param running Returns the requests that this instance runs on a worker.
  */
@@ -53,7 +51,7 @@
       if (isStillThere()) live.interrupt(StopReason.Reclaimed);
     };
     // A request that was expected to end and hasn't, or had no token to continue from, would be
-    // lost with the instance.
+    // lost with the server.
     schedule((worker.reclaimAt ?? 0) - FINAL_MOVE_MARGIN, move);
     switch (choice) {
       case TriageChoice.Finish:
@@ -148,9 +146,9 @@
 }
 
 /**
- * Estimates the number of tokens still to come. An answer that has outgrown its estimate is a long
- * one. If it were assumed to be at its end, it would stay on a server with a reclaim notice
- * and be lost with it.
+ * Estimates the number of tokens still to come, as at least half of those received so far. If an
+ * answer that exceeds its estimate were assumed to be at its end, it would stay on a server with a
+ * reclaim notice and be lost with it.
  */
 function remainingTokens({ expectedTokens, tokens }: LiveRequest): number {
   return Math.max(1, expectedTokens - tokens.length, tokens.length / 2);
--- a/src/standin/engine_model.ts
+++ b/src/standin/engine_model.ts
@@ -121,7 +121,7 @@
  * Maximum time in milliseconds that prompt tokens add to a step while answers are being generated.
  */
 const MAX_PREFILL_TIME = 12;
-/** Number of such chunks that a step computes while no answer is being generated. */
+/** Number of prompt chunks that a step computes while no answer is being generated. */
 const IDLE_CHUNKS = 8;
 
 interface Sequence {
--- a/src/standin/engine_request.ts
+++ b/src/standin/engine_request.ts
@@ -20,7 +20,7 @@
 export const CHAT_PATH = "/v1/chat/completions";
 
 /**
- * Converts a dispatch to a request to the engine model.
+ * Converts a dispatch to a request for the engine model.
  *
  * @returns Undefined if the body isn't a chat-completions body.
  */
--- a/src/standin/object_table.ts
+++ b/src/standin/object_table.ts
@@ -5,7 +5,7 @@
   /** Returns the object with a key. */
   get(key: string): StoredObject | undefined;
   /**
-   * Writes a value if the object's version is `expect`; 0 stands for an object that doesn't exist.
+   * Writes a value if the object's version is `expect`; 0 means that the object doesn't exist.
    */
   put(key: string, value: string, expect: number): PutOutcome;
   /**
--- a/src/standin/replay/entry_instance.ts
+++ b/src/standin/replay/entry_instance.ts
@@ -25,7 +25,7 @@
 import type { Run, TrackedRequest } from "./tracked_request.ts";
 import type { Trace, TraceArrival } from "./trace.ts";
 
-/** What an entry instance of a replay uses. */
+/** Options of an entry instance in a replay. */
 export interface EntryInstanceOptions {
   readonly trace: Trace;
   readonly policy: ReplayPolicy;
--- a/src/standin/replay/fleet_control.ts
+++ b/src/standin/replay/fleet_control.ts
@@ -19,7 +19,7 @@
 import type { ReplayPolicy } from "./policy.ts";
 import type { Trace, TraceFault } from "./trace.ts";
 
-/** What the fleet of a replay uses. */
+/** Options of the fleet of a replay. */
 export interface FleetControlOptions {
   readonly trace: Trace;
   readonly policy: ReplayPolicy;
@@ -53,7 +53,7 @@
   readonly counts: FleetCounts;
 }
 
-/** Numbers of events in the fleet. */
+/** Counts of events in the fleet, and its maximum size. */
 export interface FleetCounts {
   /** Launched workers. */
   launched: number;
--- a/src/standin/replay/replay_test.ts
+++ b/src/standin/replay/replay_test.ts
@@ -33,7 +33,7 @@
 
 test("after a reclaim, resumed requests compute fewer tokens again than restarted ones", () => {
   // The instances of an availability zone are reclaimed with three seconds of notice. If their
-  // requests restart, all their tokens are computed twice, and the scripts of the night end late.
+  // requests restart, all their tokens are computed twice, and long answers end late.
   const long = { t: 25_000, a: "club", s: "desk", p: 300, n: 1_500 };
   const trace = sampleTrace([...Array.from({ length: 12 }, () => long), ...ZONE_RECLAIM]);
   const current = runReplay(trace);
--- a/src/standin/replay/report.ts
+++ b/src/standin/replay/report.ts
@@ -7,7 +7,7 @@
 import type { GroupReport, Report, TimesReport } from "./report_types.ts";
 import type { Trace } from "./trace.ts";
 
-/** What a report is built from. */
+/** Input of {@linkcode buildReport}. */
 export interface ReportInput {
   readonly trace: Trace;
   readonly policy: PolicyName;
--- a/src/standin/replay/sample.ts
+++ b/src/standin/replay/sample.ts
@@ -24,7 +24,7 @@
 const SAMPLE_INTERVAL = 10_000;
 const PERCENTILE = 0.95;
 
-/** Takes a sample now and then at regular intervals. */
+/** Takes a sample at once, and another one after every {@linkcode SAMPLE_INTERVAL}. */
 export function takeSamples(options: {
   readonly fleet: FleetControl;
   readonly measurements: Measurements;
--- a/src/standin/replay/trace.ts
+++ b/src/standin/replay/trace.ts
@@ -43,7 +43,8 @@
   seed: z.number().int(),
   /**
    * Milliseconds that are measured; accepted requests are replayed to their end. If absent, the
-   * trace lasts until its last line, because a recorder doesn't know the duration when it starts.
+   * trace lasts until its last line, because a recorder writes the header before the duration is
+   * known.
    */
   duration: z.number().positive().optional(),
   /** Preset that is active at the start. */
@@ -145,7 +146,7 @@
   readonly file: string;
   /** Line number, starting at 1. */
   readonly line: number;
-  /** What was found and what is expected. */
+  /** Description of the error, such as the value found and the value expected. */
   readonly message: string;
 }
 
--- a/src/standin/request_table.ts
+++ b/src/standin/request_table.ts
@@ -22,7 +22,7 @@
 /** The requests that a simulated backend server has received. */
 export interface RequestTable {
   /**
-   * Runs a request, or joins its run if it is already in progress.
+   * Runs a request, or joins its run if there already is one, whether in progress or finished.
    *
    * @returns The reason of a refusal, or undefined if the subscriber receives the events.
    */
