--- a/src/connection/caller_listener.ts
+++ b/src/connection/caller_listener.ts
@@ -29,7 +29,7 @@
 const HEADERS_TOO_LARGE = 431;
 /**
  * Maximum number of connections waiting to be accepted. It is sized for a burst, because a client whose
- * connection attempt was refused comes back only seconds later.
+ * connection attempt was refused retries only seconds later.
  */
 const MAX_PENDING_CONNECTIONS = 1_024;
 
@@ -51,10 +51,10 @@
       noDelay: true,
     },
     (request, response) => {
-      const { maxHeaderBytes: headerBytes, headerTimeout, idleTimeout } = limits();
+      const { maxHeaderBytes, headerTimeout, idleTimeout } = limits();
       server.headersTimeout = headerTimeout;
       server.keepAliveTimeout = idleTimeout;
-      if (headerSize(request) <= headerBytes) {
+      if (headerSize(request) <= maxHeaderBytes) {
         handler.handle(request, response);
         return;
       }
--- a/src/connection/chat_response.ts
+++ b/src/connection/chat_response.ts
@@ -46,8 +46,8 @@
       case "token": {
         tokens = event.index + 1;
         const data = formatChunk(`{"content":${JSON.stringify(event.text)}}`);
-        const hasRoom = writeBatched(response, `id: ${event.index}\ndata: ${data}\n\n`);
-        if (!hasRoom && !response.destroyed) await waitForDrain(response);
+        const canWriteMore = writeBatched(response, `id: ${event.index}\ndata: ${data}\n\n`);
+        if (!canWriteMore && !response.destroyed) await waitForDrain(response);
         break;
       }
       case "ended":
@@ -79,7 +79,9 @@
   return response.write(text);
 }
 
-/** Waits until the caller has read the buffered data or disconnected, so that a slow one uses little memory. */
+/**
+ * Waits until the caller has read the buffered data or disconnected, so that slow callers use little memory.
+ */
 async function waitForDrain(response: ServerResponse): Promise<void> {
   const abortController = new AbortController();
   const { signal } = abortController;
--- a/src/request/request_inquiry.ts
+++ b/src/request/request_inquiry.ts
@@ -64,8 +64,8 @@
  * Asks the server for the state of the request. If the server hasn't started it, the server refuses
  * it from now on, so a message that was permitted earlier and arrives late has no effect.
  *
- * @returns The outcome, or undefined if the request has certainly not run and may go to another
- * server.
+ * @returns The outcome, or undefined if the request may be sent to another server: it has certainly
+ * not run, or it was stopped and can continue from the tokens received.
  */
 export async function inquireAtWorker(
   context: RunContext,
@@ -77,18 +77,18 @@
   const inquiry = engine
     .queryRequest(worker, id, { bar: true })
     .catch(() => EngineRequestState.Unknown);
-  const knowledge = await unlessStopped(live, inquiry);
+  const state = await unlessStopped(live, inquiry);
   if (live.stopReason !== undefined) return stopOutcome(live);
-  if (knowledge === EngineRequestState.Barred) {
+  if (state === EngineRequestState.Barred) {
     live.isPossiblySent = false;
     live.refusedBy.add(worker.id);
     return undefined;
   }
-  if (knowledge === EngineRequestState.Cancelled && live.tokens.length > 0) {
+  if (state === EngineRequestState.Cancelled && live.tokens.length > 0) {
     markMovable(live, worker);
     return undefined;
   }
-  if (knowledge === EngineRequestState.Running || knowledge === EngineRequestState.Finished) {
+  if (state === EngineRequestState.Running || state === EngineRequestState.Finished) {
     const end = await reattach(context, live, { worker, cause: undefined });
     const outcome = toOutcome(end, live);
     if (outcome !== undefined) return outcome;
--- a/src/request/retention.ts
+++ b/src/request/retention.ts
@@ -1,7 +1,7 @@
 import type { Clock, RequestRecord, Timer } from "../interface/index.ts";
 import type { SlotTable } from "./slot_table.ts";
 
-/** Keeps ended records for as long as they may be requested, then drops them. */
+/** Keeps ended records for as long as callers may query them, then drops them. */
 export interface Retention {
   /** Registers a record that has ended, here or at the slot's primary. */
   add(record: RequestRecord): void;
@@ -10,7 +10,7 @@
   close(): void;
 }
 
-/** Milliseconds for which an answer without an idempotency key can be requested by its id. */
+/** Milliseconds for which an answer without an idempotency key can be queried by its id. */
 const UNKEYED_RETENTION = 60_000;
 /** Milliseconds for which answers with an idempotency key, and detached ones, are kept. */
 const KEYED_RETENTION = 24 * 3_600_000;
@@ -39,13 +39,13 @@
 export function createRetention(clock: Clock, table: SlotTable): Retention {
   const unkeyed: RetainedRecord[] = [];
   const keyed: RetainedRecord[] = [];
-  const knownIds = new Set<string>();
+  const retainedIds = new Set<string>();
   let timer: Timer | undefined;
   const sweepQueue = (queue: RetainedRecord[], now: number): void => {
     const firstRetained = queue.findIndex((entry) => entry.expiresAt > now);
     const expired = queue.splice(0, firstRetained === -1 ? queue.length : firstRetained);
     for (const { id, slot } of expired) {
-      knownIds.delete(id);
+      retainedIds.delete(id);
       table.forget(slot, id);
     }
   };
@@ -53,12 +53,12 @@
     const now = clock.now();
     sweepQueue(unkeyed, now);
     sweepQueue(keyed, now);
-    timer = knownIds.size > 0 ? clock.after(SWEEP_INTERVAL, sweep) : undefined;
+    timer = retainedIds.size > 0 ? clock.after(SWEEP_INTERVAL, sweep) : undefined;
   };
   return {
     add: (record) => {
-      if (knownIds.has(record.id)) return;
-      knownIds.add(record.id);
+      if (retainedIds.has(record.id)) return;
+      retainedIds.add(record.id);
       const now = clock.now();
       const entry = { id: record.id, slot: record.slot };
       if (record.keyed || record.detached) {
@@ -70,7 +70,7 @@
       }
       timer ??= clock.after(SWEEP_INTERVAL, sweep);
     },
-    size: () => knownIds.size,
+    size: () => retainedIds.size,
     close: () => timer?.close(),
   };
 }
--- a/src/standin/replay/fleet_control.ts
+++ b/src/standin/replay/fleet_control.ts
@@ -19,7 +19,7 @@
 import type { ReplayPolicy } from "./policy.ts";
 import type { Trace, TraceFault } from "./trace.ts";
 
-/** What the fleet of a replay uses. */
+/** Options of the fleet of a replay. */
 export interface FleetControlOptions {
   readonly trace: Trace;
   readonly policy: ReplayPolicy;
@@ -53,7 +53,7 @@
   readonly counts: FleetCounts;
 }
 
-/** Numbers of events in the fleet. */
+/** Counts of events in the fleet, and its maximum size. */
 export interface FleetCounts {
   /** Launched workers. */
   launched: number;
@@ -97,7 +97,7 @@
   const counts: FleetCounts = { launched: 0, refused: 0, reclaimed: 0, retired: 0, peak: 0 };
   let preset = header.preset;
   let presetSince = 0;
-  let memory: PlannerState | undefined;
+  let plannerState: PlannerState | undefined;
   let weightStoreIdleAt = 0;
   let isClosed = false;
 
@@ -156,10 +156,10 @@
       pools: currentPools(),
       zones: deployment.zones,
       launching,
-      plannerState: memory,
+      plannerState,
       weightStoreRate: header.weightStore,
     });
-    memory = result.plannerState;
+    plannerState = result.plannerState;
     return result;
   };
   const addMachine = (service: string, pool: Pool): Machine => {
--- a/src/standin/request_table.ts
+++ b/src/standin/request_table.ts
@@ -22,7 +22,7 @@
 /** The requests that a simulated backend server has received. */
 export interface RequestTable {
   /**
-   * Runs a request, or joins its run if it is already in progress.
+   * Runs a request, or joins its run if there already is one, whether in progress or finished.
    *
    * @returns The reason of a refusal, or undefined if the subscriber receives the events.
    */
@@ -158,14 +158,14 @@
     },
     query: (id, bar) => {
       const existing = entries.get(id);
-      if (existing !== undefined) return knowledgeOf(existing);
+      if (existing !== undefined) return stateOf(existing);
       if (bar) barred.add(id);
       return barred.has(id) ? EngineRequestState.Barred : EngineRequestState.Unknown;
     },
   };
 }
 
-function knowledgeOf({ isCancelled, endEvent }: RequestEntry): EngineRequestState {
+function stateOf({ isCancelled, endEvent }: RequestEntry): EngineRequestState {
   if (isCancelled) return EngineRequestState.Cancelled;
   return endEvent === undefined ? EngineRequestState.Running : EngineRequestState.Finished;
 }
