--- a/bench/board_cost.ts
+++ b/bench/board_cost.ts
@@ -83,7 +83,7 @@
       const { workers: candidates, homes } = table.sample(SERVICE, PROMPT_PARTS);
       rankWorkers(candidates, {
         request: { parts: PROMPT_PARTS },
-        speed: table.speed(SERVICE),
+        speed: table.timing(SERVICE),
         random: systemRandom,
         homes,
       });
--- a/bench/faults/fleet.ts
+++ b/bench/faults/fleet.ts
@@ -32,7 +32,7 @@
   readonly zone: number;
   readonly core: EntryCore;
   /** Freezes the instance, like a paused process. */
-  readonly freezer: PauseControl;
+  readonly pauseControl: PauseControl;
   /** Aborted when the instance is killed. */
   readonly termination: AbortController;
 }
@@ -67,12 +67,12 @@
     const address = `a${index}`;
     const zone = index % ZONES;
     const self = { id: `e${index}#1`, address, callerAddress: address, zone: `z${zone}` };
-    const freezer = createPauseControl(clock);
-    const gate = (): Promise<void> => freezer.whenRunning();
+    const pauseControl = createPauseControl(clock);
+    const gate = (): Promise<void> => pauseControl.whenRunning();
     const core = createEntryCore(
       { self, region: "test", seeds: ["a0", "a1"] },
       {
-        clock: freezer.clock,
+        clock: pauseControl.clock,
         random: createSeededRandom(seed * 100 + index),
         store: store.connect(gate),
         engine: engines.connect(gate),
@@ -85,7 +85,7 @@
     void core.start();
     const termination = new AbortController();
     setMaxListeners(MAX_LISTENERS, termination.signal);
-    return { id: self.id, zone, core, freezer, termination };
+    return { id: self.id, zone, core, pauseControl, termination };
   };
   const all = Array.from({ length: instances }, (_, index) => start(index));
   await clock.advance(FORMATION_TIME);
@@ -99,7 +99,7 @@
       const instance = all[index];
       if (instance === undefined || instance.termination.signal.aborted) return;
       network.kill(instance.id);
-      instance.freezer.pause();
+      instance.pauseControl.pause();
       instance.core.close();
       instance.termination.abort(new Error("the instance was killed"));
     },
--- a/bench/faults/run_scenario.ts
+++ b/bench/faults/run_scenario.ts
@@ -99,12 +99,12 @@
 
 /** Passes the events of a connection on; holds them back while the instance is frozen. */
 async function* gateEvents(
-  { core, freezer }: Instance,
+  { core, pauseControl }: Instance,
   connect: (core: EntryCore) => AsyncIterable<CallerEvent>,
 ): AsyncGenerator<CallerEvent> {
-  await freezer.whenRunning();
+  await pauseControl.whenRunning();
   for await (const event of connect(core)) {
-    await freezer.whenRunning();
+    await pauseControl.whenRunning();
     yield event;
   }
 }
@@ -132,7 +132,7 @@
       });
       break;
     case "freeze":
-      instances[fault.instance]?.freezer.pause();
+      instances[fault.instance]?.pauseControl.pause();
       break;
     case "cut":
       network.setPartitioned(idAt(fault.a), idAt(fault.b), true);
@@ -171,7 +171,7 @@
   if (fault.kind === "cut") fleet.network.setPartitioned(idAt(fault.a), idAt(fault.b), false);
   if (fault.kind !== "freeze") return;
   const instance = fleet.instances[fault.instance];
-  if (instance?.termination.signal.aborted === false) instance.freezer.resume();
+  if (instance?.termination.signal.aborted === false) instance.pauseControl.resume();
 }
 
 function reclaimInstance(fleet: Fleet, index: number): void {
@@ -180,7 +180,7 @@
   // The last running instance is not reclaimed. Instances with a pending reclaim still count as running.
   const remaining = fleet.instances.filter(({ termination }) => !termination.signal.aborted).length;
   if (remaining <= 1) return;
-  void instance.freezer.whenRunning().then(() => instance.core.reclaim(RECLAIM_NOTICE));
+  void instance.pauseControl.whenRunning().then(() => instance.core.reclaim(RECLAIM_NOTICE));
   fleet.clock.after(RECLAIM_NOTICE, () => fleet.kill(index));
 }
 
--- a/bench/soak/fleet.ts
+++ b/bench/soak/fleet.ts
@@ -39,7 +39,7 @@
   /** Places of all instances. */
   readonly places: readonly number[];
   /** Listen addresses of all instances. */
-  readonly listens: readonly ListenAddresses[];
+  readonly listenAddresses: readonly ListenAddresses[];
   /** Addresses at which the instances serve address resolution. */
   readonly resolvers: readonly string[];
   /** Returns the address of an instance for callers. */
@@ -186,7 +186,7 @@
   }
   return {
     places: instances.map((_, place) => place),
-    listens: instances.map(({ listen }) => listen),
+    listenAddresses: instances.map(({ listen }) => listen),
     resolvers: instances.map(({ listen }) => listen.resolve),
     instanceAddress: (place) => instanceAt(place).listen.callers,
     processId: (place) => instanceAt(place).process.pid,
--- a/bench/soak/run_soak.ts
+++ b/bench/soak/run_soak.ts
@@ -265,7 +265,7 @@
 /** Requests the readiness and the resolved addresses of each instance at the end of the test. */
 function readFinalStates(fleet: SoakFleet): Promise<FinalState[]> {
   return Promise.all(
-    fleet.listens.map(async ({ callers, ready, resolve }) => {
+    fleet.listenAddresses.map(async ({ callers, ready, resolve }) => {
       const isReady = await isReadyAt(ready);
       const resolved = (await resolveAt(resolve))?.addresses ?? [];
       return { instance: callers, isReady, resolved };
--- a/src/process/configuration.ts
+++ b/src/process/configuration.ts
@@ -170,7 +170,7 @@
     },
     receive: (key, object) => find(key)?.receive(object),
     receiveVersions: (from, versions) => {
-      for (const { key, version } of versions) void find(key)?.receiveMark(from, version);
+      for (const { key, version } of versions) void find(key)?.receivePeerVersion(from, version);
     },
     versions: () => followers.flatMap(versionOf),
     pull: (key) => find(key)?.latest(),
--- a/src/process/digest_rounds.ts
+++ b/src/process/digest_rounds.ts
@@ -113,17 +113,17 @@
     return canSendDeltas ? parts.deltasSince(instance.versions) : [];
   };
   const addressesFor = (target: Peer): string[] => {
-    if (target.hasOurSession && sequence % FORWARD_INTERVAL !== 0) return [];
+    if (target.acknowledgesSession && sequence % FORWARD_INTERVAL !== 0) return [];
     const known = [...table.peers.values()].filter(({ receivedAt }) => receivedAt !== NEVER);
     return sample(known, { count: MAX_FORWARDED_ADDRESSES, random }).map(({ address }) => address);
   };
   const digestFor = (target: Peer, state: InstanceState): Digest => {
-    const { session: peerSession, updateSequence, hasOurSession, wantsUpdate } = target;
+    const { session: peerSession, updateSequence, acknowledgesSession, wantsUpdate } = target;
     const scope = scopeFor(target);
     const from = baseRoundOf(target, scope);
-    const canSendUpdate = hasOurSession && scope !== UpdateScope.None && wantsUpdate;
+    const canSendUpdate = acknowledgesSession && scope !== UpdateScope.None && wantsUpdate;
     const update = canSendUpdate ? countLogs[scope].since(from) : undefined;
-    const roster = hasOurSession ? rosterFor(target, scope, from) : undefined;
+    const roster = acknowledgesSession ? rosterFor(target, scope, from) : undefined;
     // An instance that addresses this one as a relay by mistake gets one reply per digest.
     if (scope === UpdateScope.None) target.expectsDigest = false;
     return {
@@ -132,7 +132,7 @@
       ...state,
       acknowledged:
         peerSession === 0 ? undefined : { session: peerSession, sequence: updateSequence },
-      introduction: hasOurSession ? undefined : introduction,
+      introduction: acknowledgesSession ? undefined : introduction,
       scope,
       update: update === undefined ? undefined : { ...update, ...parts.timestamps() },
       wantsUpdate: parts.sources().accepts(target),
--- a/src/process/fleet_table.ts
+++ b/src/process/fleet_table.ts
@@ -159,7 +159,7 @@
         peer.updateSequence = 0;
         // A new process at the address has no state for this instance and would ignore its updates
         // without an introduction.
-        peer.hasOurSession = false;
+        peer.acknowledgesSession = false;
         changed = true;
       }
       const reporters = new Set(livePeers().map((peer) => peer.session));
--- a/src/process/lease_task_test.ts
+++ b/src/process/lease_task_test.ts
@@ -71,7 +71,7 @@
     const part: Pick<Engine, "fetchLoad" | "setDesiredState"> = {
       fetchLoad: async (worker) => {
         await sleep(fleet.clock, 1);
-        await node.freezer.whenRunning();
+        await node.pauseControl.whenRunning();
         const model = loaded.get(worker.service);
         return {
           worker: worker.id,
@@ -80,7 +80,7 @@
       },
       setDesiredState: async (worker, { fence, models }) => {
         // An order handed to the network before a pause arrives after the pause.
-        await node.freezer.whenRunning();
+        await node.pauseControl.whenRunning();
         await sleep(fleet.clock, 1);
         const { service } = worker;
         const model = models[0] ?? "";
@@ -114,9 +114,9 @@
       ...node,
       throttle: node.configuration.throttle,
       leaseNames: () => SERVICES,
-      clock: node.freezer.clock,
+      clock: node.pauseControl.clock,
       random: createSeededRandom(index + 50),
-      store: fleet.store.connect(() => node.freezer.whenRunning()),
+      store: fleet.store.connect(() => node.pauseControl.whenRunning()),
       maxOrderTime: ORDER_TIMEOUT,
       count: () => undefined,
     };
@@ -168,12 +168,12 @@
     const { fleet, servers, holderOf, tasks, close } = await startLeases(4);
     const before = holderOf(service);
     const paused = fleet.nodes[before];
-    paused?.freezer.pause();
+    paused?.pauseControl.pause();
     await writeObject(fleet, { key: REVISION_KEY, value: revisionWith("b") });
     await fleet.clock.advance(60_000);
     expect(servers.loaded(service)).toBe("b");
     const orders = servers.orders.length;
-    paused?.freezer.resume();
+    paused?.pauseControl.resume();
     expect(tasks[before]?.fence(service, ORDER_TIMEOUT)).toBeUndefined();
     await fleet.clock.advance(30_000);
     expect(servers.orders.slice(orders)).toEqual([]);
@@ -192,7 +192,7 @@
     const node = fleet.nodes[holderOf(service)];
     if (node === undefined) throw new Error("No instance holds the lease.");
     const stale = servers.engineOf(node, fleet);
-    node.freezer.pause();
+    node.pauseControl.pause();
     const late = stale.setDesiredState(workerOf(service), {
       fence: 1,
       models: ["a"],
@@ -204,7 +204,7 @@
     );
     await writeObject(fleet, { key: REVISION_KEY, value: revisionWith("b") });
     await fleet.clock.advance(60_000);
-    node.freezer.resume();
+    node.pauseControl.resume();
     await fleet.clock.advance(10);
     expect(await ended).toBe(service === "checking" ? "refused" : "obeyed");
     await fleet.clock.advance(15_000);
@@ -224,7 +224,7 @@
     return fleet.clock.now();
   };
   const pausedAt = fleet.clock.now();
-  fleet.nodes[before]?.freezer.pause();
+  fleet.nodes[before]?.pauseControl.pause();
   const takenAt = await until((task) => task.held().includes("ignoring"));
   // The last renewal was at most a quarter of the term before the pause.
   expect(takenAt - pausedAt).toBeGreaterThanOrEqual(7_500);
@@ -294,12 +294,12 @@
 test("a lease acquired after expiry is not passed on within a term", async () => {
   const { fleet, tasks, holderOf, close } = await startLeases(3);
   const first = holderOf("checking");
-  fleet.nodes[first]?.freezer.pause();
+  fleet.nodes[first]?.pauseControl.pause();
   const isOther = (): boolean => ![-1, first].includes(holderOf("checking"));
   while (!isOther()) await fleet.clock.advance(10);
   const takenAt = fleet.clock.now();
   const second = holderOf("checking");
-  fleet.nodes[first]?.freezer.resume();
+  fleet.nodes[first]?.pauseControl.resume();
   fleet.nodes[second]?.members.leave();
   void tasks[second]?.release();
   const isPassedOn = (): boolean => ![-1, second].includes(holderOf("checking"));
@@ -341,9 +341,9 @@
       ...node,
       throttle: node.configuration.throttle,
       leaseNames: () => ["duty"],
-      clock: node.freezer.clock,
+      clock: node.pauseControl.clock,
       random: createSeededRandom(index + 50),
-      store: store.connect(() => node.freezer.whenRunning()),
+      store: store.connect(() => node.pauseControl.whenRunning()),
       maxOrderTime: 300,
       pollInterval: 500,
       isHeldElsewhere: () =>
@@ -362,7 +362,7 @@
   };
   while (clock.now() < 30_000) await pass();
   dead = holder();
-  nodes[dead]?.freezer.pause();
+  nodes[dead]?.pauseControl.pause();
   nodes[dead]?.members.leave();
   const diedAt = clock.now();
   while (holder() < 0) await pass();
--- a/src/process/membership_test.ts
+++ b/src/process/membership_test.ts
@@ -57,10 +57,10 @@
 test("a paused instance that was declared dead is alive again after it resumes", async () => {
   const fleet = await startFleet(6);
   const [paused] = fleet.nodes;
-  paused?.freezer.pause();
+  paused?.pauseControl.pause();
   await fleet.clock.advance(15_000);
   expect(statesOf(fleet, "e0#1")).toEqual(new Set([MemberState.Dead]));
-  paused?.freezer.resume();
+  paused?.pauseControl.resume();
   await fleet.clock.advance(15_000);
   expect(statesOf(fleet, "e0#1")).toEqual(new Set([MemberState.Alive]));
   fleet.close();
@@ -135,7 +135,7 @@
 
 test("a survey returns the versions of every instance that answers and omits the others", async () => {
   const fleet = await startFleet(6);
-  fleet.nodes[4]?.freezer.pause();
+  fleet.nodes[4]?.pauseControl.pause();
   const surveying = fleet.nodes[0]?.members.survey();
   await fleet.clock.advance(2_000);
   const found = await surveying;
--- a/src/process/mix_task.ts
+++ b/src/process/mix_task.ts
@@ -16,7 +16,7 @@
    *
    * @param first Value assumed until load has been observed.
    */
-  readonly inUse: (service: RoutedService, first: number) => DemandLevel;
+  readonly estimateDemand: (service: RoutedService, first: number) => DemandLevel;
   /**
    * Returns the fencing token for a call that may take this many milliseconds. Undefined if this instance doesn't hold
    * the lease for that long.
@@ -159,7 +159,7 @@
       reclaimable: totalReady(Purchase.Reclaimable),
       onDemand: totalReady(Purchase.OnDemand),
     });
-    const demand = parts.inUse(service, initialDemand.get(name) ?? first);
+    const demand = parts.estimateDemand(service, initialDemand.get(name) ?? first);
     if (!initialDemand.has(name)) {
       // When a deployment starts, its workers register one after another. A plan based on the first few would release
       // most of the others and order too few.
--- a/src/process/mix_task_test.ts
+++ b/src/process/mix_task_test.ts
@@ -93,7 +93,7 @@
     platform,
     services: () => [SERVICE],
     workers: () => market.workers,
-    inUse: (_service, first) =>
+    estimateDemand: (_service, first) =>
       market.inUse === 0
         ? { current: 0, smoothed: first, smoothedPrefill: 0, hasLoad: false }
         : {
--- a/src/process/object_follower.ts
+++ b/src/process/object_follower.ts
@@ -28,7 +28,7 @@
   /** Applies a version from any source. A version that is not newer is ignored. */
   receive(object: VersionedValue): void;
   /** Pulls the object from a peer that reports a newer version. */
-  receiveMark(from: Member, version: number): Promise<void>;
+  receivePeerVersion(from: Member, version: number): Promise<void>;
   /** Reads the object from the store. */
   reread(): Promise<GetOutcome>;
   start(): void;
@@ -80,7 +80,7 @@
     if (outcome.kind === "found") receive(outcome.object);
     return outcome;
   };
-  const receiveMark = async (from: Member, version: number): Promise<void> => {
+  const receivePeerVersion = async (from: Member, version: number): Promise<void> => {
     if (version <= Math.max(latest?.version ?? 0, pulledVersion)) return;
     pulledVersion = version;
     try {
@@ -129,7 +129,7 @@
     key,
     latest: () => latest,
     receive,
-    receiveMark,
+    receivePeerVersion,
     reread,
     start: () => {
       void watchWhileWatcher();
--- a/src/process/peer.ts
+++ b/src/process/peer.ts
@@ -28,7 +28,7 @@
   /** Whether it applies this instance's updates. */
   wantsUpdate: boolean;
   /** Whether its digests name this instance's current session. */
-  hasOurSession: boolean;
+  acknowledgesSession: boolean;
   /** The last round of this instance that it acknowledged. */
   acknowledgedRound: number;
   /** Kind of update that is sent to it, and the round since which it has been this kind. */
@@ -69,7 +69,7 @@
     scope: UpdateScope.None,
     expectsDigest: false,
     wantsUpdate: true,
-    hasOurSession: false,
+    acknowledgesSession: false,
     acknowledgedRound: 0,
     updateKind: "",
     updateKindSince: 0,
--- a/src/process/peer_exchange.ts
+++ b/src/process/peer_exchange.ts
@@ -201,7 +201,7 @@
     // the process includes its introduction in the next one.
     if (peer === undefined || digest.sequence <= peer.lastSequence) return;
     const isNew = peer.receivedAt === NEVER;
-    const hadOurSession = peer.hasOurSession;
+    const acknowledgedSession = peer.acknowledgesSession;
     recordDigest(peer, digest);
     const before = peer.instance;
     const instance = instanceOf(peer, digest);
@@ -211,7 +211,8 @@
     peer.isLive = true;
     parts.onDigest(instance, digest);
     // A new peer, or one that has just acknowledged this instance, gets a reply at once.
-    if (isNew || (peer.hasOurSession && !hadOurSession)) sendDigest(peer, rounds.answer(peer));
+    if (isNew || (peer.acknowledgesSession && !acknowledgedSession))
+      sendDigest(peer, rounds.answer(peer));
     if (applyUpdate(peer, digest) || changed) scheduleTopologyUpdate();
   };
   /** Applies the update and the roster of a digest. Returns whether the roster has changed. */
@@ -240,8 +241,8 @@
       peer.updateSequence = 0;
       table.roster.forget(peer.session);
     }
-    peer.hasOurSession = digest.acknowledged?.session === session;
-    peer.acknowledgedRound = peer.hasOurSession ? (digest.acknowledged?.sequence ?? 0) : 0;
+    peer.acknowledgesSession = digest.acknowledged?.session === session;
+    peer.acknowledgedRound = peer.acknowledgesSession ? (digest.acknowledged?.sequence ?? 0) : 0;
     table.addAddresses(digest.knownAddresses);
   };
   const instanceOf = (peer: Peer, digest: Digest): PeerInstance | undefined => {
--- a/src/process/planned_stop_test.ts
+++ b/src/process/planned_stop_test.ts
@@ -94,7 +94,7 @@
   const fleet = await startCoreFleet();
   const script = fleet.submit(0, SCRIPT);
   await fleet.clock.advance(200);
-  await fleet.use(MAINTENANCE);
+  await fleet.writeRevision(MAINTENANCE);
   await fleet.clock.advance(5_000);
   const refused = [0, 1, 2].map((index) => fleet.submit(index));
   await fleet.clock.advance(SCRIPT_TIME);
--- a/src/process/routed_entry.ts
+++ b/src/process/routed_entry.ts
@@ -212,7 +212,7 @@
   const demands = new Map<string, DemandEstimator>();
   const workersInUse = (service: RoutedService, first: number): DemandLevel => {
     const { name } = service;
-    const { prefillRate = Infinity } = workerTable.speed(service);
+    const { prefillRate = Infinity } = workerTable.timing(service);
     const loads = workerTable.loads(name).map(({ running, unreadTokens }) => ({
       running,
       readingTime: unreadTokens / prefillRate,
@@ -258,7 +258,7 @@
     platform: dependencies.platform,
     services: () => table()?.routing.services ?? [],
     workers: () => servedWorkers(workerTable.workers(), versions?.served()),
-    inUse: (service, first) => workersInUse(service, first),
+    estimateDemand: (service, first) => workersInUse(service, first),
     fence: (callTime) => lease.fence(LEASE_NAME, callTime),
     holder: settings.name,
     log: (step, fields) => log.changed(step, fields),
@@ -275,7 +275,7 @@
     repeats,
     checks: createWorkerChecks({
       clock,
-      reach: (worker) => connections.tryConnect(worker),
+      tryConnect: (worker) => connections.tryConnect(worker),
       isLeaving: ({ id }) => workerTable.isLeaving(id),
       log,
       onEnded: (_worker, fingerprints) => quarantine.recordCrash(fingerprints),
--- a/src/process/routed_worker_table.ts
+++ b/src/process/routed_worker_table.ts
@@ -288,7 +288,7 @@
     const workers = entriesOf(service.name);
     // Little's law: running requests = start rate * duration.
     const running = sum(workers.map(({ hash }) => peerOccupancy.at(hash).running));
-    const found = (running * age) / Math.max(1, speed(service).runTime * workers.length);
+    const found = (running * age) / Math.max(1, timing(service).runTime * workers.length);
     unseenCache.set(service.name, { unseen: found, at: now });
     return found;
   };
@@ -356,7 +356,7 @@
     const before = runTimes.get(service) ?? duration;
     runTimes.set(service, before + (duration - before) * RUN_TIME_WEIGHT);
   };
-  const speed = ({ name, engine }: RoutedService): ServiceTiming => ({
+  const timing = ({ name, engine }: RoutedService): ServiceTiming => ({
     prefillRate: engine === undefined ? undefined : prefillRateOf(name).value,
     runTime:
       runTimes.get(name) ??
@@ -367,7 +367,7 @@
     timeUntilCapacity: ({ name }) => limits.timeToNextSlot(entriesOf(name).map(({ hash }) => hash)),
     sample,
     begin,
-    speed,
+    timing,
     onLeaving: (id, listener) => {
       const entry = entries.get(id);
       entry?.leaveListeners.add(listener);
--- a/src/process/testing/control_fleet.ts
+++ b/src/process/testing/control_fleet.ts
@@ -19,7 +19,7 @@
 /** The control tasks of one entry instance, with fake dependencies. */
 export interface ControlNode extends Control {
   readonly self: Member;
-  readonly freezer: PauseControl;
+  readonly pauseControl: PauseControl;
   /** Counter values by name. */
   readonly counts: ReadonlyMap<string, number>;
   /** Requested copies of request records: the slots and the target member. */
@@ -67,7 +67,7 @@
     const self = { id: `${name}#${incarnation}`, address, callerAddress: address, zone };
     const counts = new Map<string, number>();
     const copies: { slots: readonly number[]; member: string }[] = [];
-    const freezer = createPauseControl(clock);
+    const pauseControl = createPauseControl(clock);
     const copyTo = async (slots: readonly number[], member: Member): Promise<boolean> => {
       copies.push({ slots, member: member.id });
       return (await options.copyTo?.()) ?? true;
@@ -75,19 +75,19 @@
     const control = createControl({
       self,
       seeds,
-      clock: freezer.clock,
+      clock: pauseControl.clock,
       random: createSeededRandom((options.seed ?? 1) * 1_000 + nodes.length),
-      store: store.connect(() => freezer.whenRunning()),
+      store: store.connect(() => pauseControl.whenRunning()),
       peers: network.peersOf(self.id),
       requests: () => ({ copyTo }),
       count: (counted) => counts.set(counted, (counts.get(counted) ?? 0) + 1),
     });
-    network.join(self, handlersOf(control), () => freezer.whenRunning());
+    network.join(self, handlersOf(control), () => pauseControl.whenRunning());
     const kill = (): void => {
       network.kill(self.id);
       control.close();
     };
-    const node = { ...control, self, freezer, counts, copies, kill };
+    const node = { ...control, self, pauseControl, counts, copies, kill };
     nodes.push(node);
     void control.start();
     return node;
--- a/src/process/testing/core_fleet.ts
+++ b/src/process/testing/core_fleet.ts
@@ -29,7 +29,7 @@
   readonly engines: MemoryEngines;
   core(index: number): EntryCore;
   /** Writes a new revision to the store. */
-  use(revision: string): Promise<void>;
+  writeRevision(revision: string): Promise<void>;
   /** Ends an instance without notice. */
   kill(index: number): void;
   submit(index: number, submission?: Partial<Submission>): Answer;
@@ -78,7 +78,7 @@
     store,
     engines,
     core: coreAt,
-    use: async (revision) => {
+    writeRevision: async (revision) => {
       const writing = store.connect().put(REVISION_KEY, revision, { expect: 1 });
       await clock.advance(10);
       await writing;
--- a/src/process/worker_checks.ts
+++ b/src/process/worker_checks.ts
@@ -7,7 +7,7 @@
 export interface WorkerChecksParts {
   readonly clock: Clock;
   /** Tries to open a connection to a worker. */
-  readonly reach: (worker: WorkerEndpoint) => Promise<ConnectResult>;
+  readonly tryConnect: (worker: WorkerEndpoint) => Promise<ConnectResult>;
   /** Whether the worker was leaving or no longer registered, which explains its end. */
   readonly isLeaving: (worker: WorkerEndpoint) => boolean;
   readonly log: Pick<RoutedLog, "changed">;
@@ -28,7 +28,7 @@
  * the requests that it was running are not the cause.
  */
 export function createWorkerChecks(parts: WorkerChecksParts): WorkerChecks {
-  const { clock, reach, log, onEnded } = parts;
+  const { clock, tryConnect, log, onEnded } = parts;
   /** By worker being checked, the requests whose connections to it broke. */
   const pending = new Map<string, Map<string, RequestFingerprint>>();
   /** Clock time at which each recently ended worker was found to have ended, by worker id. */
@@ -38,7 +38,7 @@
     clock.now() - (endedAt.get(id) ?? -Infinity) < ENDED_TTL;
   const check = async (worker: WorkerEndpoint): Promise<void> => {
     const isLeaving = parts.isLeaving(worker);
-    const found = hasEnded(worker) ? ConnectResult.Refused : await reach(worker);
+    const found = hasEnded(worker) ? ConnectResult.Refused : await tryConnect(worker);
     const fingerprints = [...(pending.get(worker.id)?.values() ?? [])];
     pending.delete(worker.id);
     const names = fingerprints.slice(0, MAX_LOGGED_FINGERPRINTS).map(({ name }) => name);
--- a/src/process/worker_checks_test.ts
+++ b/src/process/worker_checks_test.ts
@@ -13,7 +13,7 @@
   let reached = 0;
   const checks = createWorkerChecks({
     clock,
-    reach: async () => {
+    tryConnect: async () => {
       reached++;
       await Promise.resolve();
       return found;
--- a/src/request/at_most_once_test.ts
+++ b/src/request/at_most_once_test.ts
@@ -50,11 +50,11 @@
     const fleet = await startedFleet();
     const caller = fleet.submit(2, ENTRY);
     await fleet.clock.advance(at);
-    fleet.node(0).freezer.pause();
+    fleet.node(0).pauseControl.pause();
     await fleet.clock.advance(3_000);
     fleet.assign(1, 2);
     await fleet.clock.advance(2_000);
-    fleet.node(0).freezer.resume();
+    fleet.node(0).pauseControl.resume();
     await fleet.clock.advance(90_000);
     expectConsistent(fleet, caller);
     fleet.close();
--- a/src/request/routed_choice.ts
+++ b/src/request/routed_choice.ts
@@ -38,7 +38,7 @@
       workers.filter(({ id }) => !tried.has(id)),
       {
         request: { parts: arrival.promptParts },
-        speed: workerLoads.speed(service),
+        speed: workerLoads.timing(service),
         random,
         ...(homes === undefined ? {} : { homes }),
       },
--- a/src/request/routed_context.ts
+++ b/src/request/routed_context.ts
@@ -80,7 +80,7 @@
     run: { readonly prefillTokens: number; readonly route: string },
   ): WorkerRun;
   /** Returns the prefill rate and the run time of the service's workers. */
-  speed(service: RoutedService): ServiceTiming;
+  timing(service: RoutedService): ServiceTiming;
   /**
    * Calls the listener when the worker is about to leave, so that its runs can continue elsewhere.
    */
--- a/src/request/routed_headers.ts
+++ b/src/request/routed_headers.ts
@@ -45,7 +45,7 @@
 }
 
 /** Values from which the headers for a worker are made. */
-export interface WorkerInstructions {
+export interface WorkerHeaderValues {
   /** Milliseconds left until the deadline. */
   readonly timeLeft: number;
   /** Id of the worker that the request is intended for. */
@@ -66,7 +66,7 @@
 /** Returns the headers that an entry instance adds itself. */
 export function buildAddedHeaders(
   names: HeaderNames,
-  instructions: WorkerInstructions,
+  instructions: WorkerHeaderValues,
 ): AddedHeaders {
   const { timeLeft, worker, account, priority, lastEventId } = instructions;
   const added: Record<string, string> = {
--- a/src/request/testing/request_fleet.ts
+++ b/src/request/testing/request_fleet.ts
@@ -23,7 +23,7 @@
 export interface RequestNode {
   readonly member: Member;
   readonly requests: RequestService;
-  readonly freezer: PauseControl;
+  readonly pauseControl: PauseControl;
   /** Values of the counters by name. */
   readonly counts: ReadonlyMap<string, number>;
   /** Whether the instance receives no changes of the slot map and of members. */
@@ -87,9 +87,9 @@
   const stateOf = (id: string): MemberState => states.get(id) ?? MemberState.Alive;
 
   const createNode = (self: Member, index: number): RequestNode => {
-    const freezer = createPauseControl(clock);
+    const pauseControl = createPauseControl(clock);
     const counts = new Map<string, number>();
-    const whenRunning = (): Promise<void> => freezer.whenRunning();
+    const whenRunning = (): Promise<void> => pauseControl.whenRunning();
     const scheduler = createScheduler();
     scheduler.setWorkers(workers, 0);
     workerListeners.add(() => scheduler.setWorkers(workers, clock.now()));
@@ -97,7 +97,7 @@
     const subscribe = (set: Set<() => void>, listener: () => void): { close(): void } => {
       const notify = (): void => {
         if (node.isIsolated) return;
-        void freezer.whenRunning().then(() => {
+        void pauseControl.whenRunning().then(() => {
           knownMap = map;
           listener();
         });
@@ -106,7 +106,7 @@
       return { close: () => set.delete(notify) };
     };
     const requests = createRequestService({
-      clock: freezer.clock,
+      clock: pauseControl.clock,
       random: createSeededRandom(index + 1),
       configuration: {
         revision: () => undefined,
@@ -132,7 +132,13 @@
       scheduler,
       counters: createCounters(counts),
     });
-    const node: RequestNode = { member: self, requests, freezer, counts, isIsolated: false };
+    const node: RequestNode = {
+      member: self,
+      requests,
+      pauseControl,
+      counts,
+      isIsolated: false,
+    };
     network.join(self, withoutControlHandlers(requests), whenRunning);
     return node;
   };
@@ -165,9 +171,9 @@
       notifyListeners();
     },
     kill: (index) => {
-      const { member, freezer, requests } = nodeAt(index);
+      const { member, pauseControl, requests } = nodeAt(index);
       network.kill(member.id);
-      freezer.pause();
+      pauseControl.pause();
       requests.close();
       states.set(member.id, MemberState.Dead);
       notifyListeners();
