--- a/src/interface/engine.ts
+++ b/src/interface/engine.ts
@@ -16,7 +16,7 @@
   readonly priority: number;
   /** Milliseconds until the caller's deadline. */
   readonly timeLeft: number;
-  /** The slot's epoch, sent as the fencing number to backend servers that check it. */
+  /** The slot's epoch, sent as the fencing token to backend servers that check it. */
   readonly fence?: number;
   /** Name of an exported KV cache to start from, as returned by {@linkcode Engine.exportCache}. */
   readonly cache?: string;
@@ -70,7 +70,7 @@
 
 /** The desired state of a backend server. It is absolute, not relative to the current state, so it can be sent again. */
 export interface DesiredEngineState {
-  /** Fencing number: the version of the sender's lease. */
+  /** Fencing token: the version of the sender's lease. */
   readonly fence: number;
   /** The models that the server must have loaded. */
   readonly models: readonly string[];
--- a/src/interface/platform_calls.ts
+++ b/src/interface/platform_calls.ts
@@ -4,7 +4,7 @@
 export interface LeaseHolder {
   /** The name of the holder's instance. */
   readonly holder: string;
-  /** Fencing number; increases whenever the holder changes. */
+  /** Fencing token; increases whenever the holder changes. */
   readonly fence: number;
 }
 
--- a/src/process/lease_task.ts
+++ b/src/process/lease_task.ts
@@ -29,7 +29,7 @@
   /** Returns the services whose lease this instance holds now. */
   held(): readonly string[];
   /**
-   * Returns the fencing number for an order, and reserves the lease until the order has timed out.
+   * Returns the fencing token for an order, and reserves the lease until the order has timed out.
    *
    * @param service The service that the order is for.
    * @param orderTime Timeout of the order in milliseconds.
--- a/src/process/lease_task_test.ts
+++ b/src/process/lease_task_test.ts
@@ -53,7 +53,7 @@
 }
 
 /**
- * Two workers: one of a service whose servers check fencing numbers, and one of a service whose
+ * Two workers: one of a service whose servers check fencing tokens, and one of a service whose
  * servers don't.
  */
 interface Servers {
@@ -186,7 +186,7 @@
   "an order in progress while its sender is paused has no lasting effect on the %s servers",
   async (service) => {
     // The order was sent before the pause and arrives a minute later. A server that checks fencing
-    // numbers refuses it. One that doesn't executes it, and the next load report causes a
+    // tokens refuses it. One that doesn't executes it, and the next load report causes a
     // correction.
     const { fleet, servers, holderOf, close } = await startLeases(4);
     const node = fleet.nodes[holderOf(service)];
@@ -215,7 +215,7 @@
 
 test("a successor sends its first order only after the previous holder's orders have timed out", async () => {
   // The holder fails without notice, and its last order may still be on its way to a server that
-  // ignores fencing numbers. The successor's first order must not be followed by it.
+  // ignores fencing tokens. The successor's first order must not be followed by it.
   const { fleet, tasks, holderOf, close } = await startLeases(4);
   const before = holderOf("ignoring");
   const others = tasks.filter((_, index) => index !== before);
@@ -265,7 +265,7 @@
 test("instances that stop in turn pass the lease on at most once per term", async () => {
   // All instances are restarted one after another. If the second holder returned the lease right
   // after acquiring it, the first one's machine could hold it again within a term. A platform that
-  // doesn't check fencing numbers would then receive alternating orders from two holders.
+  // doesn't check fencing tokens would then receive alternating orders from two holders.
   const { fleet, tasks, holderOf, close } = await startLeases(3);
   const stop = async (index: number): Promise<void> => {
     fleet.nodes[index]?.members.leave();
@@ -289,7 +289,7 @@
 
 // The holder stops responding, its lease expires, and another instance acquires it but is restarted
 // right afterwards. If it returned the lease, the first holder could hold it again within a term of
-// its last order, and a platform that doesn't check fencing numbers would receive alternating
+// its last order, and a platform that doesn't check fencing tokens would receive alternating
 // orders from both.
 test("a lease acquired after expiry is not passed on within a term", async () => {
   const { fleet, tasks, holderOf, close } = await startLeases(3);
--- a/src/standin/backend_server.ts
+++ b/src/standin/backend_server.ts
@@ -38,7 +38,7 @@
   readonly capacity?: EngineCapacity;
   /** Factor by which the engine model runs faster than the clock; defaults to 1. */
   readonly timeScale?: number;
-  /** Whether orders and dispatches with an older fencing number are refused; defaults to false. */
+  /** Whether orders and dispatches with an older fencing token are refused; defaults to false. */
   readonly checksFence?: boolean;
   /** Models that are loaded when the server starts; defaults to none. */
   readonly loadedModels?: readonly string[];
--- a/src/standin/request_table.ts
+++ b/src/standin/request_table.ts
@@ -3,7 +3,7 @@
  *
  * A dispatch can arrive again: its acknowledgement was lost, or its owner was paused and resumes
  * after another instance took over. A dispatch with a known id joins the existing run instead of
- * starting another one. Older attempts, barred ids and, if enabled, older fencing numbers are
+ * starting another one. Older attempts, barred ids and, if enabled, older fencing tokens are
  * refused.
  *
  * @module
--- a/src/version/deployment.ts
+++ b/src/version/deployment.ts
@@ -34,7 +34,7 @@
     models: z.array(model).min(1),
     /** Whether a request may be retried, unless the caller specifies it. */
     repeatable: z.boolean(),
-    /** Whether the service's backend servers reject requests and orders with an outdated fencing number. */
+    /** Whether the service's backend servers reject requests and orders with an outdated fencing token. */
     checksFence: z.boolean(),
     /** The queue lane of requests, unless the caller specifies one. */
     lane: z.enum(["lookup", "script"]),
--- a/src/version/lease.ts
+++ b/src/version/lease.ts
@@ -14,7 +14,7 @@
 
 /** The lease that allows one instance to send orders to a service's backend servers and to the cloud. */
 export interface Lease extends z.infer<typeof stored> {
-  /** The store's version of the object. It is sent with every order as the fencing number. */
+  /** The store's version of the object. It is sent with every order as the fencing token. */
   readonly version: number;
 }
 
--- a/src/version/lease_rules.ts
+++ b/src/version/lease_rules.ts
@@ -1,7 +1,7 @@
 /**
  * Rules for when a lease may be taken over and when its holder may make calls under it.
  *
- * The platform does not check fencing numbers, so it would carry out the calls of two simultaneous holders. The rules
+ * The platform does not check fencing tokens, so it would carry out the calls of two simultaneous holders. The rules
  * do not compare the clocks of different instances. A holder counts the term from just before the write that acquired
  * or renewed the lease. A successor waits the full term from when it first observed that version, which is later. The
  * holder therefore stops before the successor starts.
@@ -13,7 +13,7 @@
 export interface HeldLease {
   /** The store's version of the last renewal. */
   readonly version: number;
-  /** The fencing number: the version at which the lease was acquired. Renewals keep it; each new holder has a higher one. */
+  /** The fencing token: the version at which the lease was acquired. Renewals keep it; each new holder has a higher one. */
   readonly fence: number;
   /** Wall-clock time minus monotonic time at the last renewal, in milliseconds. */
   readonly dayOffset: number;
