--- a/src/decision/ejection.ts
+++ b/src/decision/ejection.ts
@@ -12,7 +12,9 @@
  * target it does no harm), or if more than half of its runs fail while its peers' median failure
  * rate is below half of that rate. At most a fifth of a service's workers are ejected at once,
  * because the rest cannot carry more when they run at four fifths of their capacity. The comparison
- * needs at least three peers, the smallest number whose median one bad peer cannot shift.
+ * of gaps needs at least three peers with a known gap, the smallest number whose median one bad peer
+ * cannot shift. The comparison of failure rates has no such minimum: peers with fewer than five runs
+ * are left out, and if none is left, the peers' median counts as 0.
  *
  * A worker returns after 10 s, doubled with each consecutive ejection up to 5 min. It starts with a
  * tenth of its limit, which grows to the whole limit within 30 s: long enough to judge it by 20 new
--- a/src/interface/machine.ts
+++ b/src/interface/machine.ts
@@ -20,7 +20,7 @@
 
 /** A backend server: one process on a cloud machine that serves one service. */
 export interface Worker {
-  /** The worker's id. A restarted worker has a new id. */
+  /** The worker's id. A restarted worker has a new id, unlike a `RoutedWorker`, which may keep its id. */
   readonly id: string;
   /** `http://IP:PORT`. */
   readonly address: string;
--- a/src/interface/peer.ts
+++ b/src/interface/peer.ts
@@ -106,7 +106,7 @@
   readonly from: string;
   readonly slot: number;
   readonly epoch: number;
-  /** The number of instances that have forwarded the message so far, at most two. */
+  /** Number of instances that have forwarded the message so far. Senders set it to 1; receivers don't use it. */
   readonly hops: number;
   readonly record: RequestRecord;
   /** Index of the first token to send. */
@@ -123,7 +123,7 @@
   readonly account: string;
   readonly slot: number;
   readonly epoch: number;
-  /** The number of instances that have forwarded the message so far. */
+  /** Number of instances that have forwarded the message so far. Senders set it to 1; receivers don't use it. */
   readonly hops: number;
   /** Whether the request is also to be cancelled. */
   readonly cancel: boolean;
--- a/src/interface/record.ts
+++ b/src/interface/record.ts
@@ -97,7 +97,10 @@
   readonly acceptedAt: number;
   /** The request's deadline, in Unix milliseconds. */
   readonly deadlineAt: number;
-  /** Increases with each change of the record. Of two copies, the one with the higher number is the later. */
+  /**
+   * Increases with each change of the record. Of two copies from the same epoch, the one with the higher number is the
+   * later. A copy from a later epoch replaces one from an earlier epoch, whatever their numbers.
+   */
   readonly sequence: number;
 }
 
--- a/src/interface/routed_worker.ts
+++ b/src/interface/routed_worker.ts
@@ -2,7 +2,10 @@
 
 /** A worker that routed requests can be sent to, as described by its own entry in the store. */
 export interface RoutedWorker {
-  /** The worker's id, which is sent along with requests. A restarted worker may have the same id. */
+  /**
+   * The worker's id, which is sent along with requests. Unlike a `Worker`, it may keep its id when it is
+   * restarted.
+   */
   readonly id: string;
   /** When the worker started, in Unix milliseconds. It distinguishes workers that have used the same id. */
   readonly startedAt: number;
--- a/src/process/lease_task_test.ts
+++ b/src/process/lease_task_test.ts
@@ -226,7 +226,9 @@
   const pausedAt = fleet.clock.now();
   fleet.nodes[before]?.pauseControl.pause();
   const takenAt = await until((task) => task.held().includes("ignoring"));
-  // The last renewal was at most a quarter of the term before the pause.
+  // An instance without the lease reads it only while it is the preferred one, which the successor
+  // becomes after the pause. From its first read on, it waits for the whole term; the bound is a
+  // quarter of the term lower.
   expect(takenAt - pausedAt).toBeGreaterThanOrEqual(7_500);
   const orderedAt = await until((task) => task.fence("ignoring", ORDER_TIMEOUT) !== undefined);
   expect(orderedAt - takenAt).toBeGreaterThanOrEqual(ORDER_TIMEOUT - 50);
