--- a/src/process/change_propagation_test.ts
+++ b/src/process/change_propagation_test.ts
@@ -127,7 +127,7 @@
 
 // One instance loses contact with the rest of its zone, so it wrongly takes the role of a relay and
 // expects the watchers to send it store changes.
-test("an instance that wrongly takes itself for a relay still receives changes", async () => {
+test("an instance that wrongly assumes the role of a relay still receives changes", async () => {
   const fleet = await startFleet(67);
   const isolated = fleet.members.filter(({ sync }) => sync.role === FleetRole.Member).at(-1);
   if (isolated === undefined) throw new Error("A fleet of 67 instances must have members.");
--- a/src/process/peer_exchange_test.ts
+++ b/src/process/peer_exchange_test.ts
@@ -243,7 +243,7 @@
 
 // The other instances must detect at once that an instance is stopping, so that callers leave it,
 // and within little more than a second that one has failed.
-test("a change of readiness is known at once and a failure soon", async () => {
+test("other instances detect a change of readiness within 50 ms and a failure within 1.5 s", async () => {
   const { clock, network, members } = await startFleet(3);
   await clock.advance(1_000);
   const [first, second] = members;
--- a/src/process/routed_worker_table_test.ts
+++ b/src/process/routed_worker_table_test.ts
@@ -94,7 +94,7 @@
 
 // A worker's registration lapses briefly while the store is unavailable. Its requests continue and must be counted
 // when the registration is back, including load reported in the meantime.
-test("knows the load of other instances at a worker that is registered again", () => {
+test("counts the load that other instances report for a worker after it is registered again", () => {
   const table = createTestTable();
   table.updateOccupancy("e1", { workerCounts: occupancyOf({ w0: 2 }), isSnapshot: true });
   table.setWorkers([createTestWorker("w1")]);
