--- a/src/decision/prefix_cache_index.ts
+++ b/src/decision/prefix_cache_index.ts
@@ -40,7 +40,7 @@
  */
 export const MAX_MATCHES = 4;
 
-/** About 14 MB of memory with one worker per block, and 25 MB with {@linkcode MAX_HOLDERS}. */
+/** About 10 MB of memory at 100 bytes per entry. */
 const MAX_BLOCKS = 50_000;
 /** Workers stored per block; the least recently updated is dropped. */
 const MAX_HOLDERS = 8;
