--- a/src/process/store_outage.ts
+++ b/src/process/store_outage.ts
@@ -17,10 +17,8 @@
 
 /**
  * Maximum difference in milliseconds between the times at which the store answers two instances
- * again. After the first failure, each call to the store times out after at most 1,000 and is
- * repeated after a backoff of at most 800, so one instance may be answered up to 1,800 later than
- * another. If the others have been answered for less than this maximum, the outage may have
- * affected them too.
+ * again: the backoff and timeout of their calls to an unavailable store, doubled. If the others
+ * have been answered for less than this, the outage may have affected them too.
  */
 const RECOVERY_SPREAD = 2_000;
 
