--- a/.ci/failures_reporter.mjs
+++ b/.ci/failures_reporter.mjs
@@ -7,6 +7,7 @@
       [...module.children.allTests("failed")].map((test) => ({
         file: module.relativeModuleId,
         title: test.fullName,
+        messages: test.result().errors.map(({ message }) => message),
       })),
     );
     const otherErrors = [
